--- a/larchlatch/brain.py
+++ b/larchlatch/brain.py
@@ -20,7 +20,6 @@
 from collections.abc import Iterable, Iterator
 from itertools import chain, islice
 from random import Random
-from typing import Any
 
 from xxhash import xxh3_64_intdigest
 
@@ -96,11 +95,6 @@
 LOST_US = 10 * SECOND  # a list request without an answer for so long is taken for lost
 
 
-# What a host has shown, for the next process of this node; its links are told apart from this.
-SEEN = ("x0", "able", "fills", "strain", "late", "unreached", "rest", "turn", "spent", "came_up")
-SEEN_AT = ("x0_at", "probed_at", "strain_at", "slow_until", "quiet_until", "rest_until", "rested_at")
-
-
 class Pace:
     """How fast setup tries may go out, by the successes among the last few; to one host, or to all."""
 
@@ -718,27 +712,6 @@
         )
         return next((why for holds, why in reasons if holds), "")
 
-    # What the next process of the same node has to know.
-
-    def learned(self) -> dict[str, Any]:
-        """What was seen of the hosts and of the demand, and what was spent at cold ones, in plain values."""
-        rows = {h.name: {item: getattr(h, item) for item in SEEN + SEEN_AT} for h in self.hosts.values()}
-        return {"hosts": rows, "asked": list(self.asked), "noted": self.noted}
-
-    def recall(self, learned: dict[str, Any], shift: int) -> None:
-        """Go on from that; shift: this clock less the one by which it was told."""
-        told = {
-            host: {item: type(getattr(host, item))(row[item]) for item in SEEN + SEEN_AT}
-            for host in self.hosts.values()
-            if (row := learned["hosts"].get(host.name)) and row["came_up"] == host.came_up
-        }
-        asked, noted = [int(at) + shift for at in learned["asked"]], float(learned["noted"])
-        # Only now, when all of it was readable.
-        for host, values in told.items():
-            for item, value in values.items():
-                setattr(host, item, value + shift if item in SEEN_AT else value)
-        self.asked, self.noted = deque(asked), noted
-
     def cede(self, on: bool) -> None:
         """Another process of this node places what is new, or does no more."""
         self.ceded = on
--- a/larchlatch/cluster/file.py
+++ b/larchlatch/cluster/file.py
@@ -142,8 +142,7 @@
         raise BadInput(f"{where}.allot: there are no budgets to deal out")
     tenure = Tenure(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
     duties = (ALLOTTER,) * work.allot + (PACER,) * work.pace
-    text = repr((dealing.mark, work.electors, work.term_ms, duties))
-    mark = xxh3_64_intdigest(text.encode()) & 0x7FFFFFFF or 1
+    mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
     return Roster(tuple(sorted(work.electors)), dealing.names, duties, tenure, mark)
 
 
@@ -168,11 +167,24 @@
         raise BadInput(f"{top}: term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
     names = tuple(sorted(entry.name for entry in read.nodes))
     allot = read.duties is not None and read.duties.allot
-    text = repr((limits, names, read.floor, tuple(spans), allot))
-    mark = xxh3_64_intdigest(text.encode()) & 0x7FFFFFFF or 1
+    mark = digest(dealing_text(limits, names, read.floor, spans, allot))
     return Dealing(tuple(limits), names, read.floor, spans, mark, allot)
 
 
+def dealing_text(limits: list[Limit], names: tuple[str, ...], floor: float, spans: Spans, allot: bool) -> str:
+    """Return the text whose digest tells one cluster file from another.
+
+    Nodes of different versions compare the digest: the text must stay the same for the same file.
+    """
+    rows = [f"Limit(name={each.name!r}, links={each.links!r}, tariffs={each.tariffs!r})" for each in limits]
+    return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(spans)!r}, {allot!r})"
+
+
+def digest(text: str) -> int:
+    """Return a digest of 31 bits that is never 0: 0 says that there is no file."""
+    return xxh3_64_intdigest(text.encode()) & 0x7FFFFFFF or 1
+
+
 def fleet_of(path: Path) -> Fleet:
     """Who is in the fleet, by this file; BadInput with one line that names the key."""
     return fleet_from(read_toml(path, "cluster"), "cluster")
--- a/larchlatch/days/faults.py
+++ b/larchlatch/days/faults.py
@@ -159,6 +159,13 @@
     | Liar
     | Expel
 )
+
+
+def trace_name(fault: Fault) -> str:
+    """Return a fault's name in a trace: its kind in the day's file, capitalised. Digests depend on it."""
+    return str(fault.__struct_config__.tag).capitalize()
+
+
 PUPPETS = (Skew, Liar)  # what nodes do only when they are made to
 BETWEEN = (Part, Lossy, Expel, *PUPPETS)  # what befalls the talk between nodes, where there is any
 
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -9,7 +9,7 @@
 from larchlatch.days.amounts import us
 from larchlatch.days.clients import demand
 from larchlatch.days.day import Day, terms_for
-from larchlatch.days.faults import AnyFault, strike
+from larchlatch.days.faults import AnyFault, strike, trace_name
 from larchlatch.days.hosts import Condition, Host
 from larchlatch.days.paths import Manner
 from larchlatch.days.tenures import holders_of
@@ -80,7 +80,7 @@
     # What goes wrong.
 
     def befall(self, place: int, fault: AnyFault) -> None:
-        self.stage.note("fault", type(fault).__name__)
+        self.stage.note("fault", trace_name(fault))
         strike(self, fault, self.stage.chance.stream(f"fault {place}"))
 
     def fall(self, host: Host) -> None:
--- a/larchlatch/node/module.py
+++ b/larchlatch/node/module.py
@@ -22,6 +22,7 @@
 from larchlatch.node.memory.room import Room
 from larchlatch.node.peer import Peer, Probe, Reach, Try
 from larchlatch.node.wire.catalog import Member, Members
+from larchlatch.state_export import export_state, restore_state
 
 TICK_US = 4_000  # held links are looked at together once in this: hundreds would each wake the loop by itself
 FAILED_US = 100_000  # before the decisions are asked again how long to wait, after they failed
@@ -240,16 +241,16 @@
         """Another process of this node places what is new, or does no more; what it has to know."""
         self.brain.cede(on)
         if self.fellows is None:
-            return self.brain.learned()
+            return export_state(self.brain)
         if not on:
             self.fellows.resume()
             return {}
-        return {**self.brain.learned(), "budgets": self.fellows.cede()}
+        return {**export_state(self.brain), "budgets": self.fellows.cede()}
 
     def recall(self, learned: dict[str, Any], shift: int) -> None:
         """What the process before this one learned; what can't be read costs knowledge alone."""
         try:
-            self.brain.recall(learned, shift)
+            restore_state(self.brain, learned, shift)
         except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
             self.counters.add("learned not understood")
             log.warning("what the process before this one learned is not understood", why=repr(error))
--- a/larchlatch/node/wire/passing.py
+++ b/larchlatch/node/wire/passing.py
@@ -63,9 +63,29 @@
 Packet = Hello | Welcome | Serving | Ceded | Standing
 
 
+class Form(NamedTuple):
+    """How a packet is written: its kind, and the key of each field in the fields' order.
+
+    Processes of different versions read each other's packets, so none of these names may change.
+    """
+
+    kind: str
+    keys: tuple[str, ...] = ()
+
+
+FORMS: dict[type[Packet], Form] = {
+    Hello: Form("Hello", ("name", "listen")),
+    Welcome: Form("Welcome", ("members",)),
+    Serving: Form("Serving"),
+    Ceded: Form("Ceded", ("learned", "idents", "holds", "drained_s", "clock_us")),
+    Standing: Form("Standing", ("line", "host", "load", "asked_at", "last", "client_early", "host_early")),
+}
+
+
 def encoded(packet: Packet, fds: int) -> bytes:
-    body: dict[str, Any] = {"kind": type(packet).__name__}
-    for name, value in zip(packet._fields, packet, strict=True):
+    form = FORMS[type(packet)]
+    body: dict[str, Any] = {"kind": form.kind}
+    for name, value in zip(form.keys, packet, strict=True):
         if isinstance(value, bytes):
             body[name] = value.decode("latin-1")
         else:
--- /dev/null
+++ b/tests/test_compatibility.py
@@ -0,0 +1,299 @@
+"""Forms that other versions, users' files and stored results depend on: compared with recorded ones.
+
+The fixture was written by the version before the names of this program were changed. It is never written anew
+to make a test pass: a difference here is a break of compatibility.
+"""
+
+from __future__ import annotations
+
+import json
+import random
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import orjson
+import pytest
+from msgspec import inspect
+
+from larchlatch.brain import Brain
+from larchlatch.broker.contracts import Contracts, contracts_of
+from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Roster
+from larchlatch.cluster.duties.leases import Tenure
+from larchlatch.cluster.file import Raw, fleet_from, fleet_of
+from larchlatch.cluster.members.exchange import Exchange, Shared
+from larchlatch.cluster.members.members import Members
+from larchlatch.cluster.shared.budgets import Dealing, Limit
+from larchlatch.cluster.shared.rights import Spans
+from larchlatch.cluster.wire import datagrams
+from larchlatch.cluster.wire.keys import Checks, Seal
+from larchlatch.days.day import Day, day_of
+from larchlatch.emulator.world import World
+from larchlatch.links import Link, Listed, Outcome, Sought, State
+from larchlatch.node.wire import passing
+from larchlatch.node.wire.catalog import Member
+from larchlatch.node.wire.catalog import Members as MemberList
+from larchlatch.state_export import export_state, restore_state
+from tests.ground import TERMS
+
+ROOT = Path(__file__).parents[1]
+FIXTURE = Path(__file__).parent / "fixtures" / "compatibility.json"
+SECOND = 1_000_000
+WALL = 1_800_000_000 * SECOND
+NOW = 5_000 * SECOND
+NODES = ("a", "b", "c")
+KEYS = {name: Seal(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
+SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6))
+# Figures of a run that hang on the machine's speed.
+MEASURED = {"cluster_cpu"}
+
+
+def recorded() -> dict[str, Any]:
+    forms: dict[str, Any] = json.loads(FIXTURE.read_text())
+    return forms
+
+
+# Packets of a hot restart.
+
+
+def packets() -> list[passing.Packet]:
+    listed = Member("s-1", ("127.0.0.1", 3000), "a", 2, State.DRAINING, 1.5, 1_700_000_000 * SECOND)
+    return [
+        passing.Hello("n1", "127.0.0.1:3000"),
+        passing.Welcome(MemberList(41, True, [listed])),
+        passing.Serving(),
+        passing.Ceded({"hosts": {}, "asked": [1], "noted": 0.5}, ["id-1", "id-2"], 60, 1.25, 123456),
+        passing.Ceded({}, [], 0, None, 0),
+        passing.Standing(b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.CUT), b"\xff", b"x"),
+    ]
+
+
+def packet_bytes() -> list[str]:
+    return [passing.encoded(packet, number % 3).hex() for number, packet in enumerate(packets())]
+
+
+# What the decisions have learned.
+
+
+def used_brain(observed: bool) -> Brain:
+    """A brain that knows two hosts; where it has observed, each exported value differs from its default."""
+    brain = Brain(TERMS, random.Random(1))
+    rows = [Listed(number, f"host-{number}", 0, 0, State.READY, 1.0, 7 * number) for number in range(2)]
+    brain.hosts_listed(NOW, rows, whole=True, asked=True)
+    if observed:
+        link = Link(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
+        answer = brain.place(NOW, link)
+        brain.report(NOW, answer.host, True, 0.5, 10.0)
+        brain.load_note(NOW, link, 2000.0)
+        brain.outcome(NOW + 1000, link, Outcome.CUT, done=True)
+        brain.quiet(NOW + 2000, answer.host)
+        brain.report(NOW + 3000, 1 - answer.host, False, None)
+        brain.report(NOW + 4000, 1 - answer.host, False, None)
+    return brain
+
+
+def exported_state() -> Any:
+    return orjson.loads(orjson.dumps(export_state(used_brain(observed=True))))
+
+
+# Datagrams.
+
+
+def dealing(allot: bool) -> Dealing:
+    return Dealing((Limit("all", 30, ("t",)),), NODES, 0.5, Spans(SECOND, 3 * SECOND, 0.01), 77, allot)
+
+
+def roster() -> Roster:
+    return Roster(NODES, NODES, (ALLOTTER, PACER), Tenure(3 * SECOND, 0.01, 200_000), 88)
+
+
+def exchange(name: str, started: int, allot: bool) -> Exchange:
+    """One node's part, with its own key, as it starts; it knows of no other node."""
+    sites = dict.fromkeys(NODES, "")
+    members = Members(name, sites, 200_000, WALL, started, random.Random(2))
+    shared = Shared.of(name, dealing(allot), roster(), 200_000, 200_000, started, random.Random(2))
+    shared.open(started)
+    keys = {other: key.public for other, key in KEYS.items()}
+    return Exchange(members, shared, sites, keys, KEYS[name], Checks(), lambda kind: None)
+
+
+def records() -> list[datagrams.Record]:
+    return [
+        datagrams.Record(
+            "a",
+            WALL,
+            7,
+            WALL + 1,
+            False,
+            b"\x05",
+            77,
+            [datagrams.Standing(3, 4)],
+            [datagrams.Finding(2**63 + 1, 2, 500)],
+            [datagrams.Missed(2, WALL, 9)],
+            [datagrams.Promised(0, 11, 1, 900)],
+        ),
+        datagrams.Record("b", WALL, 1, WALL, True, b""),
+    ]
+
+
+def notes() -> list[datagrams.Note]:
+    return [
+        datagrams.Ask("a", WALL, 1, WALL, "b", 77, "all", 5, 0),
+        datagrams.Grant("b", "a", WALL, 1, "all", 5, 12, 400),
+        datagrams.Bid("a", WALL, 1, WALL, "b", 88, 0, WALL + 3, 0, "c"),
+        datagrams.Vote("b", "a", WALL, 1, 0, True, 0, 300),
+        datagrams.Seek("a", WALL, 1, WALL, "b", 88, 0, 0, [datagrams.Want(99, 5000, 1000)]),
+        datagrams.Leave("b", "a", WALL, 1, 13, 400, 50, 99),
+    ]
+
+
+def datagram_bytes() -> list[str]:
+    bodies = [datagrams.body_of(told) for told in (*records(), *notes())]
+    signed = [datagrams.Signed(body, KEYS["a"].sign(body)) for body in bodies]
+    written = [datagrams.datagram_of(signed[:2])]
+    written += [datagrams.datagram_of([], [each]) for each in signed[2:]]
+    return [data.hex() for data in written]
+
+
+def answers_to(data: bytes, name: str) -> list[list[str]]:
+    """What a node sends back after a datagram, an hour after its start: it may promise and lend by then."""
+    taken = exchange(name, NOW - 3600 * SECOND, allot=False).take(data, NOW, WALL)
+    return [[to, answer.hex()] for to, answer in taken.datagrams]
+
+
+def beat_bytes() -> list[list[str]]:
+    """All that a lone node sends in three beats: its records, its bids for both duties, and a request."""
+    node = exchange("a", NOW - 3600 * SECOND, allot=True)
+    sent = []
+    for beat in (0, 200_000, 8 * SECOND):
+        sent += node.beat(NOW + beat, WALL + beat).datagrams
+    node.pacing.pacer = "b"
+    node.pacing.heard_at = NOW + 8 * SECOND
+    sent += node.sought(NOW + 8 * SECOND, WALL, 4, [(99, Sought(1, 5.0, 1.0))]).datagrams
+    return [[to, data.hex()] for to, data in sent]
+
+
+# Files of operators, rows of results.
+
+
+def keys_of(kind: Any, prefix: str = "") -> list[str]:
+    """The keys of an operator's file, with dots between, tags of faults included."""
+    info = inspect.type_info(kind) if not isinstance(kind, inspect.Type) else kind
+    if isinstance(info, inspect.StructType):
+        own = [f"{prefix}<{info.tag_field}={info.tag}>"] if info.tag is not None else []
+        for each in info.fields:
+            own += [f"{prefix}{each.encode_name}"]
+            if prefix.count(f".{each.encode_name}.") == 0:  # parts nest in parts
+                own += keys_of(each.type, f"{prefix}{each.encode_name}.")
+        return own
+    if isinstance(info, inspect.ListType):
+        return keys_of(info.item_type, prefix)
+    if isinstance(info, inspect.UnionType):
+        return [key for each in info.types for key in keys_of(each, prefix)]
+    if isinstance(info, inspect.LiteralType):
+        return [f"{prefix}={value}" for value in info.values]
+    return []
+
+
+def file_keys() -> dict[str, list[str]]:
+    return {"scenario": keys_of(Day), "cluster": keys_of(Raw), "contracts": keys_of(Contracts)}
+
+
+CLUSTER = {
+    "nodes": [
+        {"name": name, "address": f"127.0.0.1:{9000 + place}", "key": key.public.hex(), "site": "x"}
+        for place, (name, key) in enumerate(KEYS.items())
+    ],
+    "budgets": [{"name": "all", "links_per_s": 12.5, "tariffs": ["t", "u"]}],
+    "duties": {"electors": ["c", "a", "b"], "allot": True, "pace": True},
+}
+
+
+def cluster_marks() -> list[int]:
+    """The digests by which nodes tell whether they go by the same cluster file."""
+    fleets = [fleet_of(ROOT / "deploy" / "cluster.example.toml"), fleet_from(CLUSTER, "cluster")]
+    return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.mark)]
+
+
+def emulated(name: str, seed: int) -> dict[str, Any]:
+    row = World(day_of(ROOT / "days" / f"{name}.toml", {"seed": seed})).play()
+    return {key: value for key, value in row.items() if key not in MEASURED}
+
+
+def current() -> dict[str, Any]:
+    """Every form as this version writes it."""
+    told = datagram_bytes()
+    return {
+        "packets": packet_bytes(),
+        "state": exported_state(),
+        "datagrams": told,
+        "answers": [answers_to(bytes.fromhex(data), "b") for data in told],
+        "beats": beat_bytes(),
+        "file_keys": file_keys(),
+        "cluster_marks": cluster_marks(),
+        "emulated": {f"{name} {seed}": emulated(name, seed) for name, seed in SMALL_DAYS},
+    }
+
+
+def test_packets_of_a_hot_restart_are_written_as_before() -> None:
+    assert packet_bytes() == recorded()["packets"]
+
+
+def test_recorded_packets_are_read_and_written_again_the_same() -> None:
+    for data, packet in zip(recorded()["packets"], packets(), strict=True):
+        body = bytes.fromhex(data)[passing.HEAD.size :]
+        read = passing.decoded(body)
+        assert read == packet
+        assert passing.encoded(read, 0)[passing.HEAD.size :] == body
+
+
+def test_learned_state_is_exported_as_before() -> None:
+    assert exported_state() == recorded()["state"]
+
+
+def test_recorded_state_is_restored_whole() -> None:
+    restored = used_brain(observed=False)
+    restore_state(restored, recorded()["state"], 0)
+    assert orjson.loads(orjson.dumps(export_state(restored))) == recorded()["state"]
+
+
+def test_datagrams_of_each_kind_are_written_as_before() -> None:
+    assert datagram_bytes() == recorded()["datagrams"]
+
+
+def test_recorded_datagrams_are_read_and_answered_as_before() -> None:
+    for data, answers in zip(recorded()["datagrams"], recorded()["answers"], strict=True):
+        assert answers_to(bytes.fromhex(data), "b") == answers
+    assert sum(map(len, recorded()["answers"])) == 2, "a grant and a vote"
+    read = [datagrams.read(bytes.fromhex(data)) for data in recorded()["datagrams"]]
+    assert all(isinstance(each, datagrams.Datagram) for each in read)
+    bodies = [signed.body for each in read if isinstance(each, datagrams.Datagram) for signed in each.records]
+    assert [datagrams.record_of(body) for body in bodies] == records()
+    bodies = [signed.body for each in read if isinstance(each, datagrams.Datagram) for signed in each.notes]
+    assert [datagrams.note_of(body) for body in bodies] == notes()
+
+
+def test_a_lone_node_sends_the_same_bytes_as_before() -> None:
+    assert beat_bytes() == recorded()["beats"]
+
+
+def test_keys_of_operators_files_are_the_same() -> None:
+    assert file_keys() == recorded()["file_keys"]
+
+
+@pytest.mark.parametrize("path", sorted((ROOT / "days").glob("*.toml")), ids=lambda path: path.stem)
+def test_example_scenarios_are_read(path: Path) -> None:
+    assert day_of(path).name
+
+
+def test_example_files_of_the_deployment_are_read_and_digested_as_before() -> None:
+    assert cluster_marks() == recorded()["cluster_marks"]
+    assert contracts_of(ROOT / "deploy" / "contracts.example.toml").teams
+
+
+@pytest.mark.parametrize(("name", "seed"), SMALL_DAYS)
+def test_a_small_day_has_the_recorded_row_and_trace_digest(name: str, seed: int) -> None:
+    was = recorded()["emulated"][f"{name} {seed}"]
+    now = msgspec.json.decode(msgspec.json.encode(emulated(name, seed)))
+    assert list(now) == list(was), "the keys of a row, in their order"
+    assert now == was
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -35,6 +35,7 @@
 from larchlatch.node.wire.lines import MOVE
 from larchlatch.node.wire.passing import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome, encoded
 from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.state_export import export_state, restore_state
 from larchlatch.terms import BadInput
 from tests.ground import (
     SECOND,
@@ -577,7 +578,7 @@
         assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
         spent = filled(old, now, 1000 * seed, 200)
         old.cede(True)
-        new.recall(old.learned(), 0)
+        restore_state(new, export_state(old), 0)
         assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
         old.cede(False)  # the new one failed: the window is spent all the same
@@ -590,8 +591,8 @@
     for host in (0, 1, 2):
         old.report(now, host, True, 0.9, 90.0)
         old.quiet(now, host)
-    plain = orjson.loads(orjson.dumps(old.learned()))
-    new.recall(plain, shift)
+    plain = orjson.loads(orjson.dumps(export_state(old)))
+    restore_state(new, plain, shift)
     for number in (0, 1):
         assert new.hosts[number].x0 == 0.9
         assert new.hosts[number].slow_until == old.hosts[number].slow_until + shift
@@ -604,10 +605,10 @@
 def test_what_can_not_be_read_leaves_no_half_of_it_behind(change: dict[str, Any]) -> None:
     old, new = brain(0), brain(0)
     old.report(100 * SECOND, 1, True, 0.9, 90.0)
-    before = new.learned()
+    before = export_state(new)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
-        new.recall({**old.learned(), **change}, 0)
-    assert new.learned() == before
+        restore_state(new, {**export_state(old), **change}, 0)
+    assert export_state(new) == before
 
 
 def test_a_platform_without_unix_sockets_costs_the_upgrade_alone(
