--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -19,17 +19,18 @@
 from larchlatch.brain import Brain
 from larchlatch.broker.contracts import Contracts, contracts_of
 from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Roster
-from larchlatch.cluster.duties.leases import Tenure
+from larchlatch.cluster.duties.leases import Tenure, What
 from larchlatch.cluster.file import Raw, fleet_from, fleet_of
 from larchlatch.cluster.members.exchange import Exchange, Shared
 from larchlatch.cluster.members.members import Members
+from larchlatch.cluster.members.members import State as MemberState
 from larchlatch.cluster.shared.budgets import Dealing, Limit
 from larchlatch.cluster.shared.rights import Spans
 from larchlatch.cluster.wire import datagrams
 from larchlatch.cluster.wire.keys import Checks, Seal
 from larchlatch.days.day import Day, day_of
 from larchlatch.emulator.world import World
-from larchlatch.links import Link, Listed, Outcome, Sought, State
+from larchlatch.links import Group, Link, Listed, Outcome, Repeat, Sought, State
 from larchlatch.node.wire import passing
 from larchlatch.node.wire.catalog import Member
 from larchlatch.node.wire.catalog import Members as MemberList
@@ -43,7 +44,7 @@
 NOW = 5_000 * SECOND
 NODES = ("a", "b", "c")
 KEYS = {name: Seal(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
-SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6))
+SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6), ("hosts", 7))
 # Figures of a run that hang on the machine's speed.
 MEASURED = {"cluster_cpu"}
 
@@ -215,6 +216,19 @@
     return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.mark)]
 
 
+def stored_values() -> dict[str, list[Any]]:
+    """Values of enumerations and constants that stand in files, packets, datagrams and traces."""
+    return {
+        "idempotency": [each.value for each in Repeat],
+        "dedup_scope": [each.value for each in Group],
+        "endpoint_state": [each.value for each in State],
+        "outcome": [int(each) for each in Outcome],
+        "member_state": [each.value for each in MemberState],
+        "ballot_kind": [each.value for each in What],
+        "roles": [ALLOTTER, PACER],
+    }
+
+
 def emulated(name: str, seed: int) -> dict[str, Any]:
     row = World(day_of(ROOT / "days" / f"{name}.toml", {"seed": seed})).play()
     return {key: value for key, value in row.items() if key not in MEASURED}
@@ -231,6 +245,7 @@
         "beats": beat_bytes(),
         "file_keys": file_keys(),
         "cluster_marks": cluster_marks(),
+        "values": stored_values(),
         "emulated": {f"{name} {seed}": emulated(name, seed) for name, seed in SMALL_DAYS},
     }
 
@@ -281,6 +296,10 @@
     assert file_keys() == recorded()["file_keys"]
 
 
+def test_stored_values_are_the_same() -> None:
+    assert stored_values() == recorded()["values"]
+
+
 @pytest.mark.parametrize("path", sorted((ROOT / "days").glob("*.toml")), ids=lambda path: path.stem)
 def test_example_scenarios_are_read(path: Path) -> None:
     assert day_of(path).name
