--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -11,10 +11,10 @@
 import structlog
 
 from larchlatch import VERSION
-from larchlatch.node.lifecycle.company import Join
-from larchlatch.node.lifecycle.plan import Plan, plan_of
-from larchlatch.node.lifecycle.run import node
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.node import Plan, plan_of
+from larchlatch.node.ports import Join
+from larchlatch.node.runtime import node
 
 WHERE = click.option(
     "--config",
@@ -29,7 +29,7 @@
     """The configuration, or one line that says what is wrong with it, and exit code 2."""
     try:
         return plan_of(path)
-    except BadInput as error:
+    except InvalidInputError as error:
         click.echo(f"larchlatch: {error}", err=True)
         sys.exit(2)
 
@@ -59,7 +59,7 @@
     def invoke(self, ctx: click.Context) -> object:
         try:
             return super().invoke(ctx)
-        except BadInput as error:
+        except InvalidInputError as error:
             click.echo(f"larchlatch: {error}", err=True)
             sys.exit(2)
 
@@ -98,16 +98,16 @@
 
 def joining(plan: Plan, path: Path, key: Path | None) -> Join:
     """How the node joins its cluster; what is wrong with file or key is said now, not when it runs."""
-    from larchlatch.cluster.actor import Cluster  # nodes without a cluster load none of it
-    from larchlatch.cluster.file import fits_tariffs, fleet_of, own_seal, secret_of
+    from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
+    from larchlatch.cluster.service import Cluster  # nodes without a cluster load none of it
 
     if key is None:
         raise click.UsageError("--cluster wants '--cluster-key' as well")
     fleet = fleet_of(path)
     seal = own_seal(fleet, plan.name, secret_of(key))
-    fits_tariffs(fleet, plan.tariffs)
+    fits_traffic_classes(fleet, plan.traffic_classes)
     return lambda counters, chance, hearing: Cluster(
-        plan.name, plan.tariffs, path, fleet, seal, counters, chance, hearing
+        plan.name, plan.traffic_classes, path, fleet, seal, counters, chance, hearing
     )
 
 
@@ -115,7 +115,7 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="The secret key; must not exist.")
 def cluster_key(out: Path) -> None:
     """Make a node's key: the secret one into a file, the public one, for the cluster file, printed."""
-    from larchlatch.cluster.file import new_secret
+    from larchlatch.cluster.cluster_file import new_secret
 
     click.echo(new_secret(out))
 
@@ -127,7 +127,7 @@
 def check(config: Path | None, contracts: Path | None, cluster: Path | None) -> None:
     """Read a configuration, contracts or a cluster file, and say what is wrong with it."""
     if cluster is not None:
-        from larchlatch.cluster.file import fleet_of
+        from larchlatch.cluster.cluster_file import fleet_of
 
         fleet = fleet_of(cluster)
         sites = {peer.site for peer in fleet.peers.values()}
@@ -145,7 +145,7 @@
         raise click.UsageError("Missing option '--config', '--contracts' or '--cluster'.")
     plan = read(config)
     click.echo(
-        f"{plan.name}: in order; {len(plan.known.members)} hosts known, {len(plan.tariffs)} tariffs, "
+        f"{plan.name}: in order; {len(plan.known.members)} hosts known, {len(plan.traffic_classes)} tariffs, "
         f"{len(plan.zones)} zones"
     )
 
--- a/larchlatch/cluster/file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -11,14 +11,14 @@
 from msgspec import Meta, field
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Roster
-from larchlatch.cluster.duties.leases import Tenure
-from larchlatch.cluster.shared.budgets import Dealing, Limit
-from larchlatch.cluster.shared.rights import Spans
-from larchlatch.cluster.wire.keys import PUBLIC_BYTES, Key, Seal, key_of, seal_of
-from larchlatch.node.wire.catalog import address_of
-from larchlatch.terms import BadInput
-from larchlatch.tomlfile import Strict, converted, read_toml
+from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
+from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
+from larchlatch.cluster.quota.account import Spans
+from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.endpoints import address_of
+from larchlatch.config.toml_file import Strict, converted, read_toml
 
 NAME_BYTES = 32  # a record names its origin: long names leave room for fewer records in a datagram
 MOST_NODES = 1000
@@ -43,8 +43,8 @@
     """New links of these tariffs, of the whole installation."""
 
     name: Name
-    links_per_s: Annotated[float, Meta(gt=0, le=1e6)]
-    tariffs: Annotated[list[str], Meta(min_length=1)]
+    sessions_per_s: Annotated[float, Meta(gt=0, le=1e6)]
+    traffic_classes: Annotated[list[str], Meta(min_length=1)]
 
 
 class Work(Strict, frozen=True):
@@ -96,19 +96,19 @@
     for place, entry in enumerate(read.nodes):
         where = f"{top}: nodes[{place}]"
         if entry.name in peers:
-            raise BadInput(f"{where}.name: there are two of this name ({entry.name})")
+            raise InvalidInputError(f"{where}.name: there are two of this name ({entry.name})")
         if len(entry.name.encode()) > NAME_BYTES:
-            raise BadInput(f"{where}.name: longer than {NAME_BYTES} bytes")
+            raise InvalidInputError(f"{where}.name: longer than {NAME_BYTES} bytes")
         address = address_of(entry.address, f"{where}.address")
         if not address[1]:
-            raise BadInput(f"{where}.address: the others have to know its port ({entry.address})")
+            raise InvalidInputError(f"{where}.address: the others have to know its port ({entry.address})")
         if address in taken:
-            raise BadInput(f"{where}.address: {taken[address]} has it as well ({entry.address})")
+            raise InvalidInputError(f"{where}.address: {taken[address]} has it as well ({entry.address})")
         key = key_of(entry.key)
         if key is None:
-            raise BadInput(f"{where}.key: not {PUBLIC_BYTES} bytes as hexadecimal digits")
+            raise InvalidInputError(f"{where}.key: not {PUBLIC_BYTES} bytes as hexadecimal digits")
         if any(key == peer.key for peer in peers.values()):
-            raise BadInput(f"{where}.key: another node has it as well")
+            raise InvalidInputError(f"{where}.key: another node has it as well")
         peers[entry.name] = Peer(name=entry.name, address=address, site=entry.site, key=key)
         taken[address] = entry.name
     dealing = dealing_of(read, top)
@@ -128,18 +128,18 @@
         return Roster()
     where = f"{top}: duties"
     if len(work.electors) % 2 == 0:
-        raise BadInput(
+        raise InvalidInputError(
             f"{where}.electors: an odd number of them, or half could promise one thing, half another"
         )
     for place, name in enumerate(work.electors):
         if name not in dealing.names:
-            raise BadInput(f"{where}.electors[{place}]: not among the nodes ({name})")
+            raise InvalidInputError(f"{where}.electors[{place}]: not among the nodes ({name})")
         if name in work.electors[:place]:
-            raise BadInput(f"{where}.electors[{place}]: named twice ({name})")
+            raise InvalidInputError(f"{where}.electors[{place}]: named twice ({name})")
     if read.beat_ms * BEATS_A_TERM > work.term_ms:
-        raise BadInput(f"{where}.term_ms: less than {BEATS_A_TERM} beats ({work.term_ms})")
+        raise InvalidInputError(f"{where}.term_ms: less than {BEATS_A_TERM} beats ({work.term_ms})")
     if work.allot and not dealing.limits:
-        raise BadInput(f"{where}.allot: there are no budgets to deal out")
+        raise InvalidInputError(f"{where}.allot: there are no budgets to deal out")
     tenure = Tenure(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
     duties = (ALLOTTER,) * work.allot + (PACER,) * work.pace
     mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
@@ -154,17 +154,21 @@
     for place, budget in enumerate(read.budgets):
         where = f"{top}: budgets[{place}]"
         if any(budget.name == limit.name for limit in limits):
-            raise BadInput(f"{where}.name: there are two of this name ({budget.name})")
-        for tariff in budget.tariffs:
-            if tariff in taken:
-                raise BadInput(f"{where}.tariffs: {tariff} is in {taken[tariff]} as well")
-            taken[tariff] = budget.name
-        links = int(budget.links_per_s * read.window_ms / 1000)
-        if links < 1:
-            raise BadInput(f"{where}.links_per_s: less than one link in a window ({budget.links_per_s})")
-        limits.append(Limit(budget.name, links, tuple(budget.tariffs)))
+            raise InvalidInputError(f"{where}.name: there are two of this name ({budget.name})")
+        for traffic_class in budget.traffic_classes:
+            if traffic_class in taken:
+                raise InvalidInputError(
+                    f"{where}.tariffs: {traffic_class} is in {taken[traffic_class]} as well"
+                )
+            taken[traffic_class] = budget.name
+        sessions = int(budget.sessions_per_s * read.window_ms / 1000)
+        if sessions < 1:
+            raise InvalidInputError(
+                f"{where}.links_per_s: less than one link in a window ({budget.sessions_per_s})"
+            )
+        limits.append(Limit(budget.name, sessions, tuple(budget.traffic_classes)))
     if limits and read.beat_ms * BEATS_A_TERM > read.term_ms:
-        raise BadInput(f"{top}: term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
+        raise InvalidInputError(f"{top}: term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
     names = tuple(sorted(entry.name for entry in read.nodes))
     allot = read.duties is not None and read.duties.allot
     mark = digest(dealing_text(limits, names, read.floor, spans, allot))
@@ -176,7 +180,10 @@
 
     Nodes of different versions compare the digest: the text must stay the same for the same file.
     """
-    rows = [f"Limit(name={each.name!r}, links={each.links!r}, tariffs={each.tariffs!r})" for each in limits]
+    rows = [
+        f"Limit(name={each.name!r}, links={each.sessions!r}, tariffs={each.traffic_classes!r})"
+        for each in limits
+    ]
     return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(spans)!r}, {allot!r})"
 
 
@@ -190,13 +197,15 @@
     return fleet_from(read_toml(path, "cluster"), "cluster")
 
 
-def fits_tariffs(fleet: Fleet, tariffs: Iterable[str]) -> None:
+def fits_traffic_classes(fleet: Fleet, traffic_classes: Iterable[str]) -> None:
     """BadInput where a budget names a tariff that this node does not have."""
-    known = frozenset(tariffs)
+    known = frozenset(traffic_classes)
     for limit in fleet.dealing.limits:
-        for tariff in limit.tariffs:
-            if tariff not in known:
-                raise BadInput(f"cluster: budgets: {limit.name}: this node has no such tariff ({tariff})")
+        for traffic_class in limit.traffic_classes:
+            if traffic_class not in known:
+                raise InvalidInputError(
+                    f"cluster: budgets: {limit.name}: this node has no such tariff ({traffic_class})"
+                )
 
 
 def follows(fleet: Fleet, before: Fleet) -> None:
@@ -205,13 +214,13 @@
     old, new = set(before.roster.electors), set(fleet.roster.electors)
     if old and new and (len(new - old) > 1 or len(old - new) > 1):
         names = ", ".join(sorted(old ^ new))
-        raise BadInput(f"cluster: duties.electors: more than one is exchanged at a time ({names})")
+        raise InvalidInputError(f"cluster: duties.electors: more than one is exchanged at a time ({names})")
 
 
 def own_entry(fleet: Fleet, name: str) -> Peer:
     """What the file has for this node; BadInput where it has nothing."""
     if name not in fleet.peers:
-        raise BadInput(f"cluster: nodes: this node is not among them ({name})")
+        raise InvalidInputError(f"cluster: nodes: this node is not among them ({name})")
     return fleet.peers[name]
 
 
@@ -220,9 +229,9 @@
     own = own_entry(fleet, name)
     seal = seal_of(secret)
     if seal is None:
-        raise BadInput("cluster key: not 32 bytes as hexadecimal digits")
+        raise InvalidInputError("cluster key: not 32 bytes as hexadecimal digits")
     if seal.public != own.key:
-        raise BadInput(f"cluster key: not the one that the file has for {name}")
+        raise InvalidInputError(f"cluster key: not the one that the file has for {name}")
     return seal
 
 
@@ -231,7 +240,7 @@
         return path.read_text(encoding="ascii").strip()
     except (OSError, UnicodeDecodeError) as error:
         why = error.strerror if isinstance(error, OSError) else "not hexadecimal digits"
-        raise BadInput(f"cluster key: can't be read ({why}: {path})") from None
+        raise InvalidInputError(f"cluster key: can't be read ({why}: {path})") from None
 
 
 def new_secret(path: Path) -> str:
@@ -243,5 +252,5 @@
         with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as out:
             out.write(secret + "\n")
     except OSError as error:
-        raise BadInput(f"cluster key: can't be written ({error.strerror}: {path})") from None
+        raise InvalidInputError(f"cluster key: can't be written ({error.strerror}: {path})") from None
     return seal.public.hex()
--- /dev/null
+++ b/larchlatch/cluster/election/__init__.py
@@ -0,0 +1,1 @@
+"""Leader election by leases without disk. No I/O."""
--- a/larchlatch/cluster/duties/duties.py
+++ b/larchlatch/cluster/election/election.py
@@ -9,7 +9,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.duties.leases import (
+from larchlatch.cluster.election.leases import (
     Answer,
     Ballot,
     Candidate,
@@ -19,7 +19,7 @@
     Tenure,
     What,
 )
-from larchlatch.cluster.wire.datagrams import Bid, Promised, Record, Vote
+from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
 
 ALLOTTER = "allotter"  # deals out what budgets hold above all floors
 PACER = "pacer"  # says which node may send a link to a cold host
--- a/larchlatch/cluster/members/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -6,13 +6,10 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Duties, Roster
-from larchlatch.cluster.duties.pacing import Pacing, Told
-from larchlatch.cluster.members.members import Change, Members
-from larchlatch.cluster.shared.budgets import Budgets, Dealing
-from larchlatch.cluster.shared.counts import Counts
-from larchlatch.cluster.shared.evidence import Advice, Evidence
-from larchlatch.cluster.wire.datagrams import (
+from larchlatch.cluster.election.election import ALLOTTER, PACER, Duties, Roster
+from larchlatch.cluster.health.observations import Advice, Evidence
+from larchlatch.cluster.membership.membership import Change, Members
+from larchlatch.cluster.protocol.datagrams import (
     Ask,
     Bid,
     Grant,
@@ -29,7 +26,10 @@
     read,
     record_of,
 )
-from larchlatch.links import Sought
+from larchlatch.cluster.quota.budgets import Budgets, Dealing
+from larchlatch.cluster.quota.counts import Counts
+from larchlatch.cluster.slow_start.tokens import Pacing, Told
+from larchlatch.policy.types import TokenCandidate
 
 
 class Sealing(Protocol):
@@ -254,13 +254,13 @@
         if told is not None:
             taken.leaves.append(told)
             taken.orders.append(Carried(PACER, leave.lease, leave.sender))
-        if leave.host:
+        if leave.upstream:
             self.count("cluster: leave for a cold host" if told is not None else "cluster: leave too late")
 
-    def sought(self, now: int, wall: int, link: int, wants: list[tuple[int, Sought]]) -> Taken:
+    def sought(self, now: int, wall: int, session: int, wants: list[tuple[int, TokenCandidate]]) -> Taken:
         """A link would go to one of these cold hosts, by the hashes of their names."""
         taken = Taken([], [], [], [])
-        seek = self.pacing.sought(now, wall, self.members.incarnation, link, wants)
+        seek = self.pacing.sought(now, wall, self.members.incarnation, session, wants)
         if seek is not None:
             self.ask_pacer(now, seek, taken)
         return taken
--- /dev/null
+++ b/larchlatch/cluster/health/__init__.py
@@ -0,0 +1,1 @@
+"""Observations of upstream failures that nodes share. No I/O."""
--- a/larchlatch/cluster/shared/evidence.py
+++ b/larchlatch/cluster/health/observations.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from larchlatch.cluster.wire.datagrams import Finding
+from larchlatch.cluster.protocol.datagrams import Finding
 
 TELLING = 2  # failed looks in a row that are told to others: one may be a lost packet
 WITNESSES = 2  # so many others must have found the same; in two sites, where there are several
@@ -46,13 +46,13 @@
 
 class Evidence:
     def __init__(self) -> None:
-        self.hosts: dict[int, Seen] = {}
+        self.upstreams: dict[int, Seen] = {}
 
     # What this node sees itself.
 
-    def saw(self, now: int, host: int, good: bool | None) -> None:
+    def saw(self, now: int, upstream: int, good: bool | None) -> None:
         """An own try or probe: whether a connection to the host was had; None: one that stood broke off."""
-        seen = self.hosts.setdefault(host, Seen())
+        seen = self.upstreams.setdefault(upstream, Seen())
         seen.doubted = good is None
         if good is None:
             return
@@ -66,11 +66,11 @@
         """For this node's record."""
         # What others said never goes in: passed on as one's own, one liar's word would come back as many.
         found = [
-            (now - seen.failed_at, host, seen.failed)
-            for host, seen in self.hosts.items()
+            (now - seen.failed_at, upstream, seen.failed)
+            for upstream, seen in self.upstreams.items()
             if seen.failed >= TELLING and now < seen.failed_at + FRESH_US
         ]
-        return [Finding(host, looks, age) for age, host, looks in sorted(found)[:MOST_TOLD]]
+        return [Finding(upstream, looks, age) for age, upstream, looks in sorted(found)[:MOST_TOLD]]
 
     # What others say.
 
@@ -90,19 +90,19 @@
             for finding in findings:
                 age = max(0, finding.age_us) + ages[name]
                 if finding.looks >= TELLING and age < FRESH_US:
-                    said.setdefault(finding.host, set()).add(name)
+                    said.setdefault(finding.upstream, set()).add(name)
                     if age < HEED_US:
-                        lately.setdefault(finding.host, set()).add(name)
+                        lately.setdefault(finding.upstream, set()).add(name)
         looks: list[tuple[int, int]] = []
         failed: list[tuple[int, int]] = []
-        for host, seen in self.hosts.items():
+        for upstream, seen in self.upstreams.items():
             # Danger: a host that has come back is no longer probed, and a node that had found it gone would
             # take it for gone for ever, and heed nobody when it dies again.
             if seen.failed and now >= seen.failed_at + FRESH_US:
                 seen.failed = 0
-            witnesses = said.get(host, set())
+            witnesses = said.get(upstream, set())
             fresh = now < seen.good_at + FRESH_US
-            heeded = lately.get(host, set())
+            heeded = lately.get(upstream, set())
             enough = len(heeded) >= WITNESSES and (not several or len({sites[n] for n in heeded}) > 1)
             # A look that failed wants a second before it is told, and a link that broke off a first: waiting
             # for the node's next probe by itself, a death was told two seconds later.
@@ -110,7 +110,7 @@
             # One that keeps on saying so makes it look once in a while; another that joins it, at once.
             due |= not witnesses <= seen.looked_for or (bool(witnesses) and now >= seen.looked_at + LOOK_US)
             if seen.failed < TELLING and due:
-                looks.append((seen.looked_at, host))
+                looks.append((seen.looked_at, upstream))
             if not witnesses:
                 seen.acted = frozenset()
                 continue
@@ -118,18 +118,18 @@
             if enough and self.looked(now, seen, heeded) and not fresh and not seen.failed:
                 if heeded <= seen.acted:
                     continue
-                failed.append((host, len(heeded)))
+                failed.append((upstream, len(heeded)))
                 seen.acted |= heeded
-        chosen = [host for _, host in sorted(looks)[:MOST_LOOKS]]
-        for host in chosen:
-            self.hosts[host].looked_at = now
-            self.hosts[host].looked_for = frozenset(said.get(host, ()))
-            self.hosts[host].doubted = False
+        chosen = [upstream for _, upstream in sorted(looks)[:MOST_LOOKS]]
+        for upstream in chosen:
+            self.upstreams[upstream].looked_at = now
+            self.upstreams[upstream].looked_for = frozenset(said.get(upstream, ()))
+            self.upstreams[upstream].doubted = False
         gone = []
-        for host, seen in self.hosts.items():
+        for upstream, seen in self.upstreams.items():
             before, seen.gone = seen.gone, seen.failed >= TELLING or bool(seen.acted)
             if seen.gone and not before:
-                gone.append(host)
+                gone.append(upstream)
         return Advice(chosen, failed, gone)
 
     @staticmethod
@@ -139,6 +139,6 @@
         # which it comes, their word takes it from service; a look of this node's own is back by the next.
         return heeded <= seen.looked_for and now > seen.looked_at
 
-    def follow(self, hosts: Iterable[int]) -> None:
+    def follow(self, upstreams: Iterable[int]) -> None:
         """These are on the list; others' words on any other host are nothing to this node."""
-        self.hosts = {host: self.hosts.get(host, Seen()) for host in hosts}
+        self.upstreams = {upstream: self.upstreams.get(upstream, Seen()) for upstream in upstreams}
--- a/larchlatch/cluster/members/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Who is there: decided without I/O."""
--- /dev/null
+++ b/larchlatch/cluster/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Cluster membership by gossiped heartbeats. No I/O."""
--- a/larchlatch/cluster/members/members.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -14,7 +14,7 @@
 from random import Random
 from typing import NamedTuple
 
-from larchlatch.cluster.wire.datagrams import (
+from larchlatch.cluster.protocol.datagrams import (
     MOST_BYTES,
     OVERHEAD,
     Finding,
--- /dev/null
+++ b/larchlatch/cluster/protocol/__init__.py
@@ -0,0 +1,1 @@
+"""Datagrams between nodes, and their signatures."""
--- a/larchlatch/cluster/wire/datagrams.py
+++ b/larchlatch/cluster/protocol/datagrams.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from larchlatch.cluster.wire.keys import SIGNATURE_BYTES
+from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 
 VERSION = 5
 MOST_BYTES = 1200  # goes through any path of today in one piece
@@ -23,7 +23,7 @@
 class Finding(msgspec.Struct, array_like=True, frozen=True):
     """A host to which a node has found no connection, and no other kind of word since."""
 
-    host: int  # hash of its name
+    upstream: int  # hash of its name
     looks: int  # in a row
     age_us: int  # of the last of them, when the record was made
 
@@ -146,7 +146,7 @@
 class Want(msgspec.Struct, array_like=True, frozen=True):
     """A cold host to which a node would send one link."""
 
-    host: int  # hash of its name
+    upstream: int  # hash of its name
     budget: int  # of all nodes in its window, in thousandths of a link, as that node reckons
     weight: int  # of the link, the same
 
@@ -181,7 +181,7 @@
     lease: int
     left_us: int  # of that lease, when it was said
     stamp: int  # when that was, by the pacer's clock
-    host: int  # hash of the name of the host to which one link may be sent; 0: none
+    upstream: int  # hash of the name of the host to which one link may be sent; 0: none
 
     @property
     def figures(self) -> tuple[int, ...]:
--- a/larchlatch/cluster/shared/budgets.py
+++ b/larchlatch/cluster/quota/budgets.py
@@ -7,14 +7,14 @@
 from random import Random
 from typing import NamedTuple
 
-from larchlatch.cluster.duties.leases import Fence
-from larchlatch.cluster.shared.rights import Rights, Share, Spans, dealt
-from larchlatch.cluster.wire.datagrams import Ask, Grant, Standing
+from larchlatch.cluster.election.leases import Fence
+from larchlatch.cluster.protocol.datagrams import Ask, Grant, Standing
+from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 
 ASKS = 8  # notes that a beat asks by, over all budgets: bounds what a node sends, whatever is wanted
 LENDERS = 3  # asked for one budget in a beat: more would each lend a little, and all have to be asked again
 LOANS = 24  # that a node has of one budget at a time: each has to be renewed once in half a term
-ACTIVE_TERMS = 2  # who has asked within these counts as wanting some of a pool
+ACTIVE_SETTINGS = 2  # who has asked within these counts as wanting some of a pool
 PARTS = 3  # an equal share of a pool is lent in so many: what is to go to others can go back by parts
 LATE_BEATS = 3  # an ask that has no answer by then is taken for lost, and others are asked for it
 
@@ -23,8 +23,8 @@
     """A budget as the operator's file has it."""
 
     name: str
-    links: int  # in a window, of the whole installation
-    tariffs: tuple[str, ...]
+    sessions: int  # in a window, of the whole installation
+    traffic_classes: tuple[str, ...]
 
 
 class Dealing(NamedTuple):
@@ -38,16 +38,16 @@
     allot: bool = False  # what lies above all floors is one pool, which the allotter lends from
 
     def share(self, limit: Limit, me: str) -> Share:
-        share = dealt(limit.links, self.floor, len(self.names), self.names.index(me))
+        share = dealt(limit.sessions, self.floor, len(self.names), self.names.index(me))
         return Share(share.floor, share.floor) if self.allot else share
 
     def pool(self, limit: Limit) -> Share:
         """What no node has of its own."""
-        return Share(limit.links - sum(self.share(limit, name).own for name in self.names), 0)
+        return Share(limit.sessions - sum(self.share(limit, name).own for name in self.names), 0)
 
-    def by_tariff(self) -> dict[str, str]:
+    def by_traffic_class(self) -> dict[str, str]:
         """The name of each tariff's budget."""
-        return {tariff: limit.name for limit in self.limits for tariff in limit.tariffs}
+        return {traffic_class: limit.name for limit in self.limits for traffic_class in limit.traffic_classes}
 
 
 class Pending(NamedTuple):
@@ -85,7 +85,7 @@
         self.rights = {
             limit.name: Rights(dealing.share(limit, me), dealing.spans, now) for limit in dealing.limits
         }
-        self.by_tariff = dealing.by_tariff()
+        self.by_traffic_class = dealing.by_traffic_class()
         self.number = 0  # of this node's asks
         self.pending: dict[int, Pending] = {}
         self.other = False  # a member tells that it goes by another file
@@ -99,9 +99,9 @@
 
     # What is asked of it.
 
-    def admit(self, now: int, tariff: str) -> int:
+    def admit(self, now: int, traffic_class: str) -> int:
         """Spend one new link of this tariff: 0; or, where there is none, after how long to come back."""
-        budget = self.by_tariff.get(tariff)
+        budget = self.by_traffic_class.get(traffic_class)
         back_us = 0 if budget is None else self.rights[budget].admit(now)
         # Spread over a window: all who were refused in one moment would come back in one.
         return back_us + int(self.uniform(0, self.dealing.spans.window_us)) if back_us else 0
@@ -124,7 +124,7 @@
 
     def wanted(self, now: int, pool: Rights, sender: str) -> tuple[int, Counter[str]]:
         """The equal share of each node that has wanted some of a pool of late, and what each has."""
-        lately = now - ACTIVE_TERMS * self.dealing.spans.term_us
+        lately = now - ACTIVE_SETTINGS * self.dealing.spans.term_us
         self.askers = {name: at for name, at in self.askers.items() if at > lately}
         self.askers[sender] = now
         has: Counter[str] = Counter()
@@ -268,7 +268,7 @@
             else:
                 rights.follow(share)
         self.rights = {limit.name: self.rights[limit.name] for limit in dealing.limits}
-        self.by_tariff = dealing.by_tariff()
+        self.by_traffic_class = dealing.by_traffic_class()
         self.dealing = dealing
         self.lease, self.pools, self.all_read = 0, {}, False
         self.heard = {name: newest for name, newest in self.heard.items() if name in dealing.names}
@@ -305,7 +305,7 @@
             rows.append(
                 Account(
                     limit.name,
-                    limit.links,
+                    limit.sessions,
                     rights.share.own,
                     rights.share.floor,
                     may,
--- a/larchlatch/cluster/shared/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-from larchlatch.cluster.shared.budgets import Dealing
-from larchlatch.cluster.wire.datagrams import Record
+from larchlatch.cluster.protocol.datagrams import Record
+from larchlatch.cluster.quota.budgets import Dealing
 
 WINDOWS = 10  # the stretch that is told of: a cut of a few windows shows in it, and has left it soon after
 THIN_US = 100_000  # samples of one origin are so far apart, which is enough for ten a window of a second
@@ -92,7 +92,7 @@
                 upto = max(upto, sample.made_us - self.apart_us)
                 before = sample
             gaps.append((upto, wall + self.apart_us))
-        windows, limit = self.dealing.spans.window_us, self.dealing.limits[place].links
+        windows, limit = self.dealing.spans.window_us, self.dealing.limits[place].sessions
         end = wall + self.apart_us
         floors = {name: self.dealing.share(self.dealing.limits[place], name).floor for name in unknown}
         while end > start - self.apart_us:
--- a/larchlatch/cluster/actor.py
+++ b/larchlatch/cluster/service.py
@@ -13,18 +13,18 @@
 import structlog
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.duties.duties import PACER
-from larchlatch.cluster.duties.pacing import Told
-from larchlatch.cluster.file import Fleet, fits_tariffs, fleet_of, follows, own_entry
-from larchlatch.cluster.members.exchange import Carried, Exchange, Shared
-from larchlatch.cluster.members.members import Change, Members, State
-from larchlatch.cluster.wire.datagrams import MOST_BYTES
-from larchlatch.cluster.wire.keys import Checks, Seal
-from larchlatch.links import Sought
+from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_of, follows, own_entry
+from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.exchange import Carried, Exchange, Shared
+from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.protocol.datagrams import MOST_BYTES
+from larchlatch.cluster.protocol.signing import Checks, Seal
+from larchlatch.cluster.slow_start.tokens import Told
+from larchlatch.config.deployment import InvalidInputError
 from larchlatch.node.clock import now_us
-from larchlatch.node.lifecycle.company import Hearing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.terms import BadInput
+from larchlatch.node.metrics import Counters
+from larchlatch.node.ports import Hearing
+from larchlatch.policy.types import TokenCandidate
 
 ROOM = 1 << 20  # bytes that may lie unread: a node that is stopped for a while must not lose what is newest
 AT_ONCE = 200  # datagrams read before others have their turn: a flood must not keep the node from its links
@@ -42,7 +42,7 @@
     def __init__(
         self,
         name: str,
-        tariffs: Iterable[str],
+        traffic_classes: Iterable[str],
         path: Path,
         fleet: Fleet,
         seal: Seal,
@@ -52,7 +52,7 @@
     ) -> None:
         """Of this fleet, read from that file; tariffs: that the node has; seal: its own."""
         self.name = name
-        self.tariffs = tuple(tariffs)
+        self.traffic_classes = tuple(traffic_classes)
         self.path = path
         self.fleet = fleet
         self.counters = counters
@@ -65,7 +65,7 @@
         self.shared = shared
         self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
         self.exchange = Exchange(self.members, shared, fleet.sites, self.keys(), seal, Checks(), counters.add)
-        self.hosts: dict[int, str] = {}  # by the hashes of their names
+        self.upstreams: dict[int, str] = {}  # by the hashes of their names
         self.other_file_told = False
         self.foreign_told = False
         self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -165,13 +165,13 @@
         # Before it is promised to others what the decisions hand over.
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        looks = [self.hosts[host] for host in beat.advice.looks]
-        failed = [(self.hosts[host], witnesses) for host, witnesses in beat.advice.failed]
-        for host, witnesses in failed:
+        looks = [self.upstreams[upstream] for upstream in beat.advice.looks]
+        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failed]
+        for upstream, witnesses in failed:
             self.counters.add("cluster: host avoided on others' word")
-            log.info("host avoided", host=host, witnesses=witnesses)
+            log.info("host avoided", upstream=upstream, witnesses=witnesses)
         for gone in beat.advice.gone:
-            log.info("host not reached", host=self.hosts[gone])
+            log.info("host not reached", upstream=self.upstreams[gone])
         if looks or failed:
             self.counters.add("cluster: look at a host for others' word", len(looks))
             self.hearing.advise(looks, failed)
@@ -202,24 +202,24 @@
 
     # What the node asks, and tells.
 
-    def admit(self, tariff: str) -> int:
-        back_us = self.budgets.admit(self.now(), tariff)
+    def admit(self, traffic_class: str) -> int:
+        back_us = self.budgets.admit(self.now(), traffic_class)
         if back_us:
             self.counters.add("cluster: refused by a budget")
         return back_us
 
-    def listed(self, hosts: Iterable[str], cold_us: int, window_us: int) -> None:
-        self.hosts = {hashed(host): host for host in hosts}
-        self.pacing.listed(self.now(), self.hosts, cold_us, window_us)
-        self.evidence.follow(self.hosts)
+    def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
+        self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
+        self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
+        self.evidence.follow(self.upstreams)
 
-    def saw(self, host: str, good: bool | None) -> None:
-        if hashed(host) in self.hosts:
-            self.evidence.saw(self.now(), hashed(host), good)
+    def saw(self, upstream: str, good: bool | None) -> None:
+        if hashed(upstream) in self.upstreams:
+            self.evidence.saw(self.now(), hashed(upstream), good)
 
-    def sought(self, link: int, wants: list[tuple[str, Sought]]) -> None:
+    def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
         by_hash = [(hashed(name), want) for name, want in wants]
-        taken = self.exchange.sought(self.now(), self.wall(), link, by_hash)
+        taken = self.exchange.sought(self.now(), self.wall(), session, by_hash)
         self.send(taken.datagrams)
         self.ordered(taken.orders)
         self.pace(taken.leaves)
@@ -228,8 +228,8 @@
         # The module goes by another clock than terms do.
         ahead = now_us() - self.now()
         for told in leaves:
-            host = self.hosts.get(told.host, "")
-            if not self.hearing.pace(told.until + ahead, host, told.link, told.at + ahead):
+            upstream = self.upstreams.get(told.upstream, "")
+            if not self.hearing.pace(told.until + ahead, upstream, told.session, told.at + ahead):
                 self.pacing.unheard()
 
     def cede(self) -> dict[str, int]:
@@ -253,9 +253,9 @@
         try:
             fleet = fleet_of(self.path)
             own = own_entry(fleet, self.name)
-            fits_tariffs(fleet, self.tariffs)
+            fits_traffic_classes(fleet, self.traffic_classes)
             follows(fleet, self.fleet)
-        except BadInput as error:
+        except InvalidInputError as error:
             self.counters.add("cluster: file refused")
             log.error("cluster file refused", why=str(error))
             return
@@ -300,6 +300,6 @@
         ]
 
 
-def hashed(host: str) -> int:
+def hashed(upstream: str) -> int:
     """By what a host is told of: names are as long as operators like."""
-    return xxh3_64_intdigest(host.encode())
+    return xxh3_64_intdigest(upstream.encode())
--- a/larchlatch/cluster/shared/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""What nodes share: budgets, counts, judgements. Decided without I/O."""
--- a/larchlatch/cluster/duties/pacing.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -15,10 +15,10 @@
 from math import ceil
 from typing import NamedTuple
 
-from larchlatch.cluster.duties.duties import PACER, Roster
-from larchlatch.cluster.duties.leases import Fence
-from larchlatch.cluster.wire.datagrams import Leave, Seek, Want
-from larchlatch.links import Sought
+from larchlatch.cluster.election.election import PACER, Roster
+from larchlatch.cluster.election.leases import Fence
+from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
+from larchlatch.policy.types import TokenCandidate
 
 RENEWALS = 3  # in the time for which turns are handed over, where a host is cold: two may be lost
 IDLE_RENEWALS = 2  # and where none is: so that a host that comes up need not wait until all have promised
@@ -35,15 +35,15 @@
     """What the decisions are told, by this node's clock."""
 
     until: int  # turns are handed over
-    host: int = 0  # hash of the name of one to which a link may go; 0: none
-    link: int = -1  # its number
+    upstream: int = 0  # hash of the name of one to which a link may go; 0: none
+    session: int = -1  # its number
     at: int = 0  # until when
 
 
 class Pending(NamedTuple):
     pacer: str
     asked_at: int
-    link: int
+    session: int
 
 
 @dataclass(slots=True)
@@ -68,7 +68,7 @@
         # Danger: a node that starts does not know for how long its earlier life has handed its turns over.
         self.handed_until = self.known_until = now + roster.tenure.held_us  # known: by what was told before
         self.pending: dict[int, Pending] = {}
-        self.hosts: frozenset[int] = frozenset()
+        self.upstreams: frozenset[int] = frozenset()
         self.cold_until = 0  # some host may be cold until then
         self.window_us = 0  # in which a cold host's budget is counted
         self.closed = False  # another process of this node places links
@@ -96,9 +96,9 @@
 
     # As one that asks.
 
-    def listed(self, now: int, hosts: Iterable[int], cold_us: int, window_us: int) -> None:
+    def listed(self, now: int, upstreams: Iterable[int], slow_start_us: int, window_us: int) -> None:
         """The hosts that are ready, by the hashes of their names, and for how long one may be cold yet."""
-        self.hosts, self.cold_until, self.window_us = frozenset(hosts), now + cold_us, window_us
+        self.upstreams, self.cold_until, self.window_us = frozenset(upstreams), now + slow_start_us, window_us
 
     @property
     def hold_us(self) -> int:
@@ -137,26 +137,28 @@
         self.handed_until = now + self.term_us + self.term_us // IDLE_RENEWALS + TOLD_US
         return self.seek(now, wall, incarnation), Told(self.handed_until)
 
-    def seek(self, now: int, wall: int, incarnation: int, link: int = -1, wants: Sequence[Want] = ()) -> Seek:
+    def seek(
+        self, now: int, wall: int, incarnation: int, session: int = -1, wants: Sequence[Want] = ()
+    ) -> Seek:
         self.number += 1
-        self.pending[self.number] = Pending(self.pacer, now, link)
+        self.pending[self.number] = Pending(self.pacer, now, session)
         # Danger: the decisions hear a moment later that turns are handed over. Promised at once, a turn that
         # is being used now would be given to another as well: only what they were told before is promised.
         stamp, lease = (self.stamp, self.lease) if self.promises(now) else (0, 0)
         return Seek(self.me, incarnation, self.number, wall, self.pacer, self.mark, lease, stamp, list(wants))
 
     def sought(
-        self, now: int, wall: int, incarnation: int, link: int, wants: Sequence[tuple[int, Sought]]
+        self, now: int, wall: int, incarnation: int, session: int, wants: Sequence[tuple[int, TokenCandidate]]
     ) -> Seek | None:
         """A link would go to one of these cold hosts, by the hashes of their names."""
         if not self.on or self.closed or not self.pacer or not self.fresh(now) or self.spare < 1:
             return None
         self.spare -= 1
         rows = [
-            Want(host, int(sought.budget * MILLI), max(1, ceil(sought.weight * MILLI)))
-            for host, sought in wants[:MOST_WANTS]
+            Want(upstream, int(sought.budget * MILLI), max(1, ceil(sought.weight * MILLI)))
+            for upstream, sought in wants[:MOST_WANTS]
         ]
-        return self.seek(now, wall, incarnation, link, rows)
+        return self.seek(now, wall, incarnation, session, rows)
 
     def awaited(self, leave: Leave) -> bool:
         """Whether a word of the pacer that can't be trusted yet is worth a check of its signature."""
@@ -171,9 +173,9 @@
             return None
         self.stamp, self.lease, self.heard_at = leave.stamp, leave.lease, pending.asked_at
         until = min(ends_at, pending.asked_at + self.hold_us)
-        if not leave.host or self.begun_at is None or now >= until:
+        if not leave.upstream or self.begun_at is None or now >= until:
             return None
-        return Told(self.handed_until, leave.host, pending.link, until)
+        return Told(self.handed_until, leave.upstream, pending.session, until)
 
     def unheard(self) -> None:
         """The decisions could not be told: nothing may be promised by it."""
@@ -222,17 +224,17 @@
             # It had heard that word when it promised: its time began after that, and its clock may be fast.
             until = seek.stamp + int(self.term_us * (1 - self.skew) / (1 + self.skew))
             self.promised[seek.sender] = max(until, self.promised.get(seek.sender, 0))
-        host = self.granted(now, seek.wants) if now >= self.opens_at else 0
-        if seek.wants and not host:
+        upstream = self.granted(now, seek.wants) if now >= self.opens_at else 0
+        if seek.wants and not upstream:
             return None  # there is no room: who asks waits no longer than for an answer
-        return Leave(self.me, seek.sender, seek.incarnation, seek.number, lease, left_us, now, host)
+        return Leave(self.me, seek.sender, seek.incarnation, seek.number, lease, left_us, now, upstream)
 
     def granted(self, now: int, wants: Sequence[Want]) -> int:
         """The first of these hosts that has room for one more link; 0: none."""
         paced = sum(now < until for until in self.promised.values())
         share = paced / len(self.names)
         for want in wants[:MOST_WANTS]:
-            if want.host not in self.hosts:
+            if want.upstream not in self.upstreams:
                 continue
             # Those who go by turns still, as they hear nobody, use their part of the budget and no more.
             limit, span_us = share * want.budget / MILLI, self.span_us
@@ -240,16 +242,16 @@
                 if not share:
                     continue
                 limit, span_us = 1.0, int(span_us / share)
-            given = self.given.setdefault(want.host, Given())
+            given = self.given.setdefault(want.upstream, Given())
             weight = max(1, want.weight) / MILLI
             used = given.used(now - span_us)
             if not used or used + weight <= limit:
                 given.grants.append((now, weight))
-                return want.host
+                return want.upstream
         return 0
 
     def forget(self, now: int) -> None:
         """What was given long ago counts no more."""
         for given in self.given.values():
             given.forget(now - self.span_us * max(1, len(self.names)))
-        self.given = {host: given for host, given in self.given.items() if given.grants}
+        self.given = {upstream: given for upstream, given in self.given.items() if given.grants}
--- a/larchlatch/cluster/wire/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Datagrams between nodes, and their keys."""
--- a/larchlatch/node/lifecycle/plan.py
+++ b/larchlatch/config/node.py
@@ -9,10 +9,10 @@
 
 import orjson
 
-from larchlatch.links import Terms
-from larchlatch.node.peer import Reach
-from larchlatch.node.wire.catalog import Members, address_of, members_of
-from larchlatch.terms import BadInput, maybe, need, terms_of, whole
+from larchlatch.config.deployment import InvalidInputError, maybe, need, read_deployment_settings, whole
+from larchlatch.config.endpoints import EndpointList, address_of, endpoint_list_of
+from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.policy.types import DeploymentSettings
 
 DIAL_US = 250_000  # where the settings name no time for connecting
 CONTROL = "EDGE_CONTROL"  # in the environment: the door's address where the configuration names none
@@ -29,12 +29,12 @@
     control: tuple[str, int] | None  # where operators call; None: no door
     seed: int
     sockets: int
-    known: Members
-    terms: Terms
-    tariffs: list[str]
+    known: EndpointList
+    settings: DeploymentSettings
+    traffic_classes: list[str]
     tenants: list[str]
     zones: list[str]
-    reach: Reach
+    reach: UpstreamSettings
     pushed: bool  # changes of the list are followed from the start
     passes_through: bool  # a standing link outlives this node
     longest_wait_us: int  # the longest cut-off of any tariff
@@ -44,11 +44,11 @@
     try:
         raw = orjson.loads(path.read_bytes())
     except OSError as error:
-        raise BadInput(f"configuration: can't be read ({error.strerror}: {path})") from None
+        raise InvalidInputError(f"configuration: can't be read ({error.strerror}: {path})") from None
     except orjson.JSONDecodeError as error:
-        raise BadInput(f"configuration: no JSON ({error})") from None
+        raise InvalidInputError(f"configuration: no JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise BadInput("configuration: not an object")
+        raise InvalidInputError("configuration: not an object")
     return plan_from(raw, os.environ.get(CONTROL))
 
 
@@ -56,15 +56,15 @@
     """The plan; control: where the operators' door is where the configuration does not say."""
     top = "configuration"
     listen = address_of(need(raw, "listen", str, top), f"{top}: listen")
-    settings = need(raw, "settings", dict, top)
+    raw_settings = need(raw, "settings", dict, top)
     # On sockets nobody tells the delay that a host's load makes: it answers lines at once as long as it runs.
-    terms = replace(terms_of(settings, "settings"), late_told=False)
-    domain = maybe(settings, "domain", dict, "settings", {})
+    settings = replace(read_deployment_settings(raw_settings, "settings"), reports_delay=False)
+    domain = maybe(raw_settings, "domain", dict, "settings", {})
     seed = need(raw, "seed", (str, int), top)
     try:
         number = int(seed, 16) if isinstance(seed, str) else seed
     except ValueError:
-        raise BadInput(f"{top}: seed is no hexadecimal number ({seed[:40]!r})") from None
+        raise InvalidInputError(f"{top}: seed is no hexadecimal number ({seed[:40]!r})") from None
     limits = maybe(raw, "limits", dict, top, {})
     known = raw.get("known")
     return Plan(
@@ -74,23 +74,26 @@
         control=control_of(raw, control, listen),
         seed=number,
         sockets=need(limits, "sockets", int, f"{top}: limits") if "sockets" in limits else SOCKETS,
-        known=members_of(known, "known") if known is not None else Members(0, True, []),
-        terms=terms,
-        tariffs=names_of(settings["tariffs"], "tariffs"),
-        tenants=names_of(maybe(settings, "tenants", list, "settings", []), "tenants"),
-        zones=[str(zone) for zone in settings["areas"]],
-        reach=Reach(
-            dial_us=whole(settings["caps"], "dial_timeout_us", "settings.caps", DIAL_US) or DIAL_US,
-            probe_tells_load=terms.probe_tells_load,
+        known=endpoint_list_of(known, "known") if known is not None else EndpointList(0, True, []),
+        settings=settings,
+        traffic_classes=names_of(raw_settings["tariffs"], "tariffs"),
+        tenants=names_of(maybe(raw_settings, "tenants", list, "settings", []), "tenants"),
+        zones=[str(zone) for zone in raw_settings["areas"]],
+        reach=UpstreamSettings(
+            dial_us=whole(raw_settings["caps"], "dial_timeout_us", "settings.caps", DIAL_US) or DIAL_US,
+            probes_report_load=settings.probes_report_load,
             tells_delay=bool(domain.get("tells_delay")),
-            strictest_us=min((t.message_us for t in terms.tariffs if t.message_us), default=0),
+            strictest_us=min(
+                (t.message_objective_us for t in settings.traffic_classes if t.message_objective_us),
+                default=0,
+            ),
         ),
-        pushed=not terms.asked_list,
+        pushed=not settings.polls_discovery,
         passes_through=domain.get("mode") == "pass",
         longest_wait_us=max(
             (
                 whole(entry, "cut_off_us", f"settings.tariffs[{place}]")
-                for place, entry in enumerate(settings["tariffs"])
+                for place, entry in enumerate(raw_settings["tariffs"])
             ),
             default=0,
         ),
@@ -107,7 +110,7 @@
         return None
     address = address_of(text, top)
     if address == listen and address[1]:
-        raise BadInput(f"{top}: the address where clients are taken ({text})")
+        raise InvalidInputError(f"{top}: the address where clients are taken ({text})")
     return address
 
 
@@ -116,6 +119,6 @@
     for place, row in enumerate(rows):
         where = f"settings.{item}[{place}]"
         if not isinstance(row, dict):
-            raise BadInput(f"{where}: not an object")
+            raise InvalidInputError(f"{where}: not an object")
         names.append(need(row, "name", str, where))
     return names
--- a/larchlatch/tomlfile.py
+++ b/larchlatch/config/toml_file.py
@@ -8,22 +8,32 @@
 
 import msgspec
 
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
 
 T = TypeVar("T")
 
 
-class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """A key that nobody reads is a slip of the hand."""
+# Attributes whose keys in operators' files have other names: the keys are part of the users' files and stay.
+FILE_KEYS = {
+    "overload_multiple": "tip_multiple",
+    "sessions": "links",
+    "sessions_per_s": "links_per_s",
+    "traffic_classes": "tariffs",
+    "upstreams": "hosts",
+}
+
+
+class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename=FILE_KEYS):
+    """Base of the tables of operators' files: a key that nothing reads is an error."""
 
 
 def read_toml(path: Path, top: str) -> dict[str, Any]:
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise BadInput(f"{top}: can't be read ({error.strerror}: {path})") from None
+        raise InvalidInputError(f"{top}: can't be read ({error.strerror}: {path})") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise BadInput(f"{top}: no TOML ({error})") from None
+        raise InvalidInputError(f"{top}: no TOML ({error})") from None
 
 
 def converted(raw: Any, kind: type[T], top: str) -> T:
@@ -32,4 +42,4 @@
     except msgspec.ValidationError as error:
         # msgspec says what is wrong, and where behind a dollar sign.
         what, _, where = str(error).partition(" - at `$")
-        raise BadInput(f"{top}: {where.strip('`.') or 'the whole'}: {what}") from None
+        raise InvalidInputError(f"{top}: {where.strip('`.') or 'the whole'}: {what}") from None
--- a/larchlatch/days/avoidance.py
+++ b/larchlatch/days/avoidance.py
@@ -22,38 +22,38 @@
         else:
             self.since.setdefault(node, now)
 
-    def gone(self, now: int, host: int) -> None:
-        self.died.setdefault(host, now)
+    def gone(self, now: int, upstream: int) -> None:
+        self.died.setdefault(upstream, now)
 
-    def back(self, now: int, host: int) -> None:
+    def back(self, now: int, upstream: int) -> None:
         """It is there again, or the day is over."""
-        died = self.died.pop(host, None)
+        died = self.died.pop(upstream, None)
         if died is None:
             return
-        self.came_back[host] = now
+        self.came_back[upstream] = now
         for node, since in self.since.items():
             if since <= died:
-                at = self.said.get((node, host))
+                at = self.said.get((node, upstream))
                 self.missed += at is None
                 if at is not None:
                     self.took_us.append(at - died)
-        self.said = {key: at for key, at in self.said.items() if key[1] != host}
+        self.said = {key: at for key, at in self.said.items() if key[1] != upstream}
 
-    def found(self, now: int, node: int, host: int) -> None:
+    def found(self, now: int, node: int, upstream: int) -> None:
         """A node has found that it is gone."""
-        if host in self.died:
-            self.said.setdefault((node, host), now)
+        if upstream in self.died:
+            self.said.setdefault((node, upstream), now)
 
-    def left_out(self, now: int, host: int, reached: bool = True) -> None:
+    def left_out(self, now: int, upstream: int, reached: bool = True) -> None:
         """A node leaves a host out on others' word; reached: whether it could have been, were it there."""
         self.heeded += 1
-        lately = self.came_back.get(host, -BACK_US) + BACK_US > now
-        self.wrong += reached and host not in self.died and not lately
+        lately = self.came_back.get(upstream, -BACK_US) + BACK_US > now
+        self.wrong += reached and upstream not in self.died and not lately
 
     def row(self, now: int) -> dict[str, float | int | None]:
         """The longest that a node took that ran all the time; how many never found it."""
-        for host in list(self.died):
-            self.back(now, host)
+        for upstream in list(self.died):
+            self.back(now, upstream)
         return {
             "avoided_s": max(self.took_us, default=0) / 1e6,
             "avoided_not": self.missed,
--- a/larchlatch/days/clients.py
+++ b/larchlatch/days/clients.py
@@ -25,38 +25,38 @@
     work_us: float  # of a setup
     key: int
     group: int
-    tariff: int
+    traffic_class: int
     zone: int
     ends_at: int = 0  # when it has had what it came for
-    tries: int = 0  # refusals since it last had its link
-    links: int = 0  # ids that it has used
+    rejections: int = 0  # refusals since it last had its link
+    sessions: int = 0  # ids that it has used
     done: bool = False
 
 
 def demand(day: Day, chance: Chance) -> Iterator[Client]:
     """All clients in the order in which they come."""
-    links = day.links
+    sessions = day.sessions
     arrivals, kinds = chance.stream("arrivals"), chance.stream("clients")
-    sizes = list(accumulate(1 / (place + 1) ** links.skew for place in range(links.groups)))
+    sizes = list(accumulate(1 / (place + 1) ** sessions.skew for place in range(sessions.groups)))
     now, end, number = 0.0, day.span_s, 0
     while True:
-        now += arrivals.expovariate(links.rate)
+        now += arrivals.expovariate(sessions.rate)
         if now >= end:
             return
         number += 1
         # Each draws as often as every other, so that one changed figure leaves the others' chance alone.
         life, load, work = (kinds.expovariate(1.0) for _ in range(3))
         group = bisect(sizes, kinds.random() * sizes[-1])
-        tariff, zone = kinds.random(), kinds.random()
+        traffic_class, zone = kinds.random(), kinds.random()
         yield Client(
             number,
             us(now),
-            us(life * links.life_s),
-            load * links.load_ms * 1000,
-            work * links.setup_ms * 1000,
+            us(life * sessions.life_s),
+            load * sessions.load_ms * 1000,
+            work * sessions.setup_ms * 1000,
             key=number,
-            group=min(group, links.groups - 1) + 1,
-            tariff=int(tariff * len(links.effects)),
+            group=min(group, sessions.groups - 1) + 1,
+            traffic_class=int(traffic_class * len(sessions.effects)),
             zone=int(zone * day.zones),
         )
 
--- a/larchlatch/days/day.py
+++ b/larchlatch/days/day.py
@@ -8,11 +8,11 @@
 
 from msgspec import Meta, field
 
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.toml_file import Strict, converted, read_toml
 from larchlatch.days.amounts import SECOND, Amount, Count, Few, Positive, Share, us
 from larchlatch.days.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
-from larchlatch.links import Group, Repeat, Tariff, Terms
-from larchlatch.terms import BadInput
-from larchlatch.tomlfile import Strict, converted, read_toml
+from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
 
 class Nodes(Strict, frozen=True):
@@ -21,7 +21,7 @@
     noticed_s: Amount = 1.0  # until the front no longer sends clients to a node that has died
 
 
-class Hosts(Strict, frozen=True):
+class Upstreams(Strict, frozen=True):
     """So many hosts alike; they are spread over the zones."""
 
     count: Count = 4
@@ -34,11 +34,11 @@
 
     least: Share = 0.2  # the share of its work that it can do at first
     warm_s: Amount = 15.0
-    tip_multiple: Positive = 4.0
+    overload_multiple: Positive = 4.0
     tip_s: Positive = 1.0
 
 
-class Links(Strict, frozen=True):
+class Sessions(Strict, frozen=True):
     """Clients come by themselves, whatever became of those before."""
 
     rate: Positive = 20.0  # a second, all together
@@ -78,7 +78,7 @@
 
     on: bool = False
     beat_ms: Annotated[int, Meta(ge=20, le=10_000)] = 200
-    links_per_s: Amount = 0.0  # new links of the whole installation; 0: no such budget
+    sessions_per_s: Amount = 0.0  # new links of the whole installation; 0: no such budget
     floor: Share = 0.5  # the share of each node's part that it never lends
     window_s: Annotated[float, Meta(ge=0.1, le=60)] = 1.0
     term_s: Annotated[float, Meta(ge=0.5, le=600)] = 3.0
@@ -97,9 +97,9 @@
     passes: bool = False  # packets pass through the nodes: a link outlives its node
     store_ms: Amount = 0.0  # what all setups need takes so long, beside the host's own work
     nodes: Nodes = Nodes()
-    hosts: Annotated[list[Hosts], Meta(min_length=1)] = field(default_factory=lambda: [Hosts()])
+    upstreams: Annotated[list[Upstreams], Meta(min_length=1)] = field(default_factory=lambda: [Upstreams()])
     cold: Cold = Cold()
-    links: Links = Links()
+    sessions: Sessions = Sessions()
     network: Network = Network()
     listing: Listing = Listing()
     cluster: Cluster = Cluster()
@@ -108,44 +108,44 @@
     @property
     def places(self) -> int:
         """How many hosts there ever are."""
-        return sum(entry.count for entry in self.hosts)
+        return sum(entry.count for entry in self.upstreams)
 
 
 def checked(raw: Any, top: str) -> Day:
     day = converted(raw, Day, top)
-    for place, effect in enumerate(day.links.effects):
-        if effect not in {repeat.value for repeat in Repeat}:
-            raise BadInput(f"{top}: links.effects[{place}]: no such effect ({effect!r})")
+    for place, effect in enumerate(day.sessions.effects):
+        if effect not in {idempotency.value for idempotency in Idempotency}:
+            raise InvalidInputError(f"{top}: links.effects[{place}]: no such effect ({effect!r})")
     if day.listing.late_ms < day.listing.soon_ms:
-        raise BadInput(f"{top}: listing.late_ms: less than listing.soon_ms")
+        raise InvalidInputError(f"{top}: listing.late_ms: less than listing.soon_ms")
     cluster = day.cluster
-    if cluster.allot and not (cluster.on and cluster.links_per_s):
-        raise BadInput(f"{top}: cluster.allot: there is no budget to deal out")
+    if cluster.allot and not (cluster.on and cluster.sessions_per_s):
+        raise InvalidInputError(f"{top}: cluster.allot: there is no budget to deal out")
     if cluster.pace and not cluster.on:
-        raise BadInput(f"{top}: cluster.pace: cluster.on is false: nodes don't talk to each other")
+        raise InvalidInputError(f"{top}: cluster.pace: cluster.on is false: nodes don't talk to each other")
     if cluster.electors % 2 == 0 or ((cluster.allot or cluster.pace) and cluster.electors > day.nodes.count):
-        raise BadInput(f"{top}: cluster.electors: an odd number of the nodes ({cluster.electors})")
+        raise InvalidInputError(f"{top}: cluster.electors: an odd number of the nodes ({cluster.electors})")
     absent = 0
-    for place, entry in enumerate(day.hosts):
+    for place, entry in enumerate(day.upstreams):
         if entry.late > entry.count:
-            raise BadInput(f"{top}: hosts[{place}].late: more than the hosts there are")
+            raise InvalidInputError(f"{top}: hosts[{place}].late: more than the hosts there are")
         absent += entry.late
     for place, fault in enumerate(day.faults):
         where = f"{top}: faults[{place}]"
-        hosts = getattr(fault, "hosts", 0)
-        if hosts > (absent if isinstance(fault, Join) else day.places):
-            raise BadInput(f"{where}.hosts: more than there are ({hosts})")
+        upstreams = getattr(fault, "upstreams", 0)
+        if upstreams > (absent if isinstance(fault, Join) else day.places):
+            raise InvalidInputError(f"{where}.hosts: more than there are ({upstreams})")
         if isinstance(fault, Kill | Stall | Part | Skew | Liar) and fault.nodes > day.nodes.count:
-            raise BadInput(f"{where}.nodes: more than there are ({fault.nodes})")
+            raise InvalidInputError(f"{where}.nodes: more than there are ({fault.nodes})")
         if isinstance(fault, BETWEEN) and not day.cluster.on:
-            raise BadInput(f"{where}: cluster.on is false: nodes don't talk to each other")
+            raise InvalidInputError(f"{where}: cluster.on is false: nodes don't talk to each other")
         if isinstance(fault, Part):
             if (fault.nodes > 0) is (fault.zone >= 0):
-                raise BadInput(f"{where}: one of nodes and zone says who is cut off")
+                raise InvalidInputError(f"{where}: one of nodes and zone says who is cut off")
             if fault.zone >= day.zones:
-                raise BadInput(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
+                raise InvalidInputError(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
         if isinstance(fault, Cut) and fault.zone >= day.zones:
-            raise BadInput(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
+            raise InvalidInputError(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
     return day
 
 
@@ -164,48 +164,48 @@
     for word in words[:-1]:
         if isinstance(at, list):
             if not word.isdigit() or int(word) >= len(at):
-                raise BadInput(f"day: {key}: there is no {word}")
+                raise InvalidInputError(f"day: {key}: there is no {word}")
             at = at[int(word)]
         else:
             at = at.setdefault(word, {})
         if not isinstance(at, dict | list):
-            raise BadInput(f"day: {key}: {word} is a value by itself")
+            raise InvalidInputError(f"day: {key}: {word} is a value by itself")
     if isinstance(at, list):
         if not words[-1].isdigit() or int(words[-1]) >= len(at):
-            raise BadInput(f"day: {key}: there is no {words[-1]}")
+            raise InvalidInputError(f"day: {key}: there is no {words[-1]}")
         at[int(words[-1])] = value
     else:
         at[words[-1]] = value
 
 
-def terms_for(day: Day, me: int) -> Terms:
+def settings_for(day: Day, me: int) -> DeploymentSettings:
     """The settings that a node's decisions read on this day."""
-    links = day.links
-    return Terms(
+    sessions = day.sessions
+    return DeploymentSettings(
         me=me,
         nodes=day.nodes.count,
-        tariffs=tuple(
-            Tariff(
-                us(links.expected_ms / 1e3),
-                us(links.message_ms / 1e3),
-                Repeat(effect),
-                Group.ALL,
-                us(links.memory_s),
+        traffic_classes=tuple(
+            TrafficClass(
+                us(sessions.expected_ms / 1e3),
+                us(sessions.message_ms / 1e3),
+                Idempotency(effect),
+                DedupScope.ALL,
+                us(sessions.memory_s),
             )
-            for effect in links.effects
+            for effect in sessions.effects
         ),
-        grouped=True,
-        sized=True,
-        asked_list=False,
+        uses_groups=True,
+        weighted=True,
+        polls_discovery=False,
         probes=day.network.probes,
-        cancels=True,
-        probe_tells_load=day.network.probes,
-        late_told=False,  # as real nodes say
-        most_tries=6,
-        longest_return_us=us(links.wait_ms / 2e3),
-        ask_within_us=10 * SECOND,
-        cold_from=day.cold.least,
-        cold_us=us(day.cold.warm_s),
-        tip_multiple=day.cold.tip_multiple,
-        tip_after_us=us(day.cold.tip_s),
+        can_cancel=True,
+        probes_report_load=day.network.probes,
+        reports_delay=False,  # as real nodes say
+        max_attempts=6,
+        max_retry_after_us=us(sessions.wait_ms / 2e3),
+        poll_within_us=10 * SECOND,
+        slow_start_min_share=day.cold.least,
+        slow_start_us=us(day.cold.warm_s),
+        overload_multiple=day.cold.overload_multiple,
+        overload_window_us=us(day.cold.tip_s),
     )
--- a/larchlatch/days/drawing.py
+++ b/larchlatch/days/drawing.py
@@ -43,4 +43,4 @@
         case "oneway":
             return Part(at_s, nodes=some, oneway=True, for_s=for_s)
         case _:
-            return Crash(at_s, hosts=1, for_s=min(for_s, 2.0))
+            return Crash(at_s, upstreams=1, for_s=min(for_s, 2.0))
--- a/larchlatch/days/faults.py
+++ b/larchlatch/days/faults.py
@@ -8,9 +8,9 @@
 
 from msgspec import Meta
 
+from larchlatch.config.toml_file import Strict
 from larchlatch.days.amounts import Amount, Count, Few, Positive, Share, us
 from larchlatch.days.paths import Manner
-from larchlatch.tomlfile import Strict
 
 REFILED_S = 1.0  # within which all nodes have read a new cluster file
 
@@ -25,7 +25,7 @@
 class Slow(Fault, tag="slow", frozen=True):
     """Hosts do their work so many times more slowly."""
 
-    hosts: Count = 1
+    upstreams: Count = 1
     factor: Positive = 4.0
     for_s: Positive = 10.0
 
@@ -33,28 +33,28 @@
 class Silent(Fault, tag="silent", frozen=True):
     """Hosts vanish without a word; they come back cold, having forgotten all links."""
 
-    hosts: Count = 1
+    upstreams: Count = 1
     for_s: Positive = 10.0
 
 
 class Crash(Fault, tag="crash", frozen=True):
     """Hosts' processes die, and come back cold."""
 
-    hosts: Count = 1
+    upstreams: Count = 1
     for_s: Positive = 2.0
 
 
 class Drain(Fault, tag="drain", frozen=True):
     """Hosts finish what they have, and are gone after that."""
 
-    hosts: Count = 1
+    upstreams: Count = 1
     for_s: Positive = 10.0
 
 
 class Join(Fault, tag="join", frozen=True):
     """Hosts that were not there come up, cold."""
 
-    hosts: Count = 1
+    upstreams: Count = 1
 
 
 class Cut(Fault, tag="cut", frozen=True):
@@ -187,12 +187,12 @@
     def holding(self) -> Sequence[N]:
         """Nodes that hold a duty."""
 
-    def slow(self, host: H, factor: float) -> None: ...
-    def vanish(self, host: H) -> None: ...
-    def crash(self, host: H) -> None: ...
-    def rise(self, host: H) -> None: ...
-    def drain(self, host: H) -> None: ...
-    def depart(self, host: H) -> None: ...
+    def slow(self, upstream: H, factor: float) -> None: ...
+    def vanish(self, upstream: H) -> None: ...
+    def crash(self, upstream: H) -> None: ...
+    def rise(self, upstream: H) -> None: ...
+    def drain(self, upstream: H) -> None: ...
+    def depart(self, upstream: H) -> None: ...
     def kill(self, node: N) -> None: ...
     def sever(self, zone: int) -> None: ...
     def mend(self, zone: int) -> None: ...
@@ -225,24 +225,24 @@
 
     match fault:
         case Slow():
-            for host in some(fault.hosts):
-                player.slow(host, fault.factor)
-                player.later(fault.for_s, player.slow, host, 1 / fault.factor)
+            for upstream in some(fault.upstreams):
+                player.slow(upstream, fault.factor)
+                player.later(fault.for_s, player.slow, upstream, 1 / fault.factor)
         case Silent():
-            for host in some(fault.hosts):
-                player.vanish(host)
-                player.later(fault.for_s, player.rise, host)
+            for upstream in some(fault.upstreams):
+                player.vanish(upstream)
+                player.later(fault.for_s, player.rise, upstream)
         case Crash():
-            for host in some(fault.hosts):
-                player.crash(host)
-                player.later(fault.for_s, player.rise, host)
+            for upstream in some(fault.upstreams):
+                player.crash(upstream)
+                player.later(fault.for_s, player.rise, upstream)
         case Drain():
-            for host in some(fault.hosts):
-                player.drain(host)
-                player.later(fault.for_s, player.depart, host)
+            for upstream in some(fault.upstreams):
+                player.drain(upstream)
+                player.later(fault.for_s, player.depart, upstream)
         case Join():
-            for host in player.absent()[: fault.hosts]:
-                player.rise(host)
+            for upstream in player.absent()[: fault.upstreams]:
+                player.rise(upstream)
         case Cut():
             player.sever(fault.zone)
             player.later(fault.for_s, player.mend, fault.zone)
--- a/larchlatch/days/hosts.py
+++ b/larchlatch/days/hosts.py
@@ -30,7 +30,7 @@
     ABSENT = "absent"  # there is no such host, not yet or no more
 
 
-class Host:
+class Upstream:
     def __init__(self, number: int, zone: int, cell: int, size: float, cold: Cold) -> None:
         self.number = number
         self.zone = zone
@@ -39,24 +39,24 @@
         self.cold = cold
         self.condition = Condition.WELL
         self.draining = False
-        self.came_up = 0  # 0: long ago
+        self.started_at = 0  # 0: long ago
         self.life = 0  # counts starts: what an earlier process had in hand is void
         self.slowness = 1.0
         self.free_at: list[int] = [0] * max(1, round(size))  # when each of its cores is next free for a setup
         self.load = 0.0  # work a second of the links that stand there, in microseconds
-        self.links: dict[int, float] = {}  # by their numbers
+        self.sessions: dict[int, float] = {}  # by their numbers
         self.groups: Counter[int] = Counter()
         self.sent: list[tuple[int, float]] = []  # load of what was sent to it while it was cold
 
     def start(self, now: int) -> None:
         """A new process: cold, with nothing in hand."""
         self.condition, self.draining = Condition.WELL, False
-        self.came_up = max(1, now)
+        self.started_at = max(1, now)
         self.stop()
 
     def stop(self) -> None:
         self.life += 1
-        self.links.clear()
+        self.sessions.clear()
         self.groups.clear()
         self.sent.clear()
         self.load = 0.0
@@ -64,9 +64,9 @@
 
     def warmth(self, now: int) -> float:
         span = us(self.cold.warm_s)
-        if not self.came_up or now >= self.came_up + span:
+        if not self.started_at or now >= self.started_at + span:
             return 1.0
-        return self.cold.least + (1 - self.cold.least) * (now - self.came_up) / span
+        return self.cold.least + (1 - self.cold.least) * (now - self.started_at) / span
 
     def speed(self, now: int) -> float:
         """Of a core, against a core that is well."""
@@ -89,17 +89,17 @@
         heapq.heapreplace(self.free_at, end)
         return end
 
-    def add(self, link: int, load: float, group: int, group_load: float) -> None:
-        if link in self.links:
+    def add(self, session: int, load: float, group: int, group_load: float) -> None:
+        if session in self.sessions:
             return
         if group_load and not self.groups[group]:
             self.load += group_load
         self.groups[group] += 1
-        self.links[link] = load
+        self.sessions[session] = load
         self.load += load
 
-    def remove(self, link: int, group: int, group_load: float) -> bool:
-        load = self.links.pop(link, None)
+    def remove(self, session: int, group: int, group_load: float) -> bool:
+        load = self.sessions.pop(session, None)
         if load is None:
             return False
         self.groups[group] -= 1
@@ -107,11 +107,11 @@
         if not self.groups[group]:
             del self.groups[group]
             self.load -= group_load
-        if not self.links:
+        if not self.sessions:
             self.load = 0.0  # what rounding has left
         return True
 
-    def message_us(self, now: int, wanted_us: int) -> int:
+    def message_objective_us(self, now: int, wanted_us: int) -> int:
         """What a message takes here."""
         over = max(1.0, self.fullness(now) / FAIR)
         return round(wanted_us / 10 * min(10 * LATEST, over**STEEP))
@@ -121,7 +121,7 @@
         over = self.fullness(now)
         if self.condition is not Condition.WELL or over <= TOO_MUCH:
             return 0
-        return int(len(self.links) * DROPPED * (1 - TOO_MUCH / over)) + 1
+        return int(len(self.sessions) * DROPPED * (1 - TOO_MUCH / over)) + 1
 
     def pushed(self, now: int, load: float) -> bool:
         """Count what is sent to it; whether it is more than a cold host bears."""
@@ -133,16 +133,16 @@
         self.sent = [(at, some) for at, some in self.sent if at > since]
         # The last one is what tips it: a single link is never too much.
         before = sum(some for _, some in self.sent[:-1])
-        return before > self.cold.tip_multiple * self.capacity(now) * self.cold.tip_s
+        return before > self.cold.overload_multiple * self.capacity(now) * self.cold.tip_s
 
 
-def hosts_of(day: Day) -> Iterator[Host]:
+def upstreams_of(day: Day) -> Iterator[Upstream]:
     """The hosts of a day, those that come later among them."""
     number = 0
-    for entry in day.hosts:
+    for entry in day.upstreams:
         for place in range(entry.count):
-            host = Host(number, number % day.zones, number % day.cells, entry.size, day.cold)
+            upstream = Upstream(number, number % day.zones, number % day.cells, entry.size, day.cold)
             if place >= entry.count - entry.late:
-                host.condition = Condition.ABSENT
-            yield host
+                upstream.condition = Condition.ABSENT
+            yield upstream
             number += 1
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from larchlatch.cluster.members.exchange import Beat, Exchange
-from larchlatch.cluster.wire.datagrams import Finding, Note, Record, Signed, Standing, datagram_of
+from larchlatch.cluster.exchange import Beat, Exchange
+from larchlatch.cluster.protocol.datagrams import Finding, Note, Record, Signed, Standing, datagram_of
 
 ORDERS = "LARCHLATCH_PUPPET"  # the variable that names a puppet's orders, a file
 FAR = 1_000_000  # links a window that a liar claims to have, or wants
@@ -32,12 +32,14 @@
     """An exchange that can be made to tell what is not so."""
 
     about = ""
-    hosts: Sequence[int] = ()  # hashes of all hosts' names
+    upstreams: Sequence[int] = ()  # hashes of all hosts' names
 
     def signed(self, told: Record | Note) -> Signed:
         if isinstance(told, Record) and told.name == self.members.me:
             if self.about == "hosts":
-                told = msgspec.structs.replace(told, findings=[Finding(host, 9, 0) for host in self.hosts])
+                told = msgspec.structs.replace(
+                    told, findings=[Finding(upstream, 9, 0) for upstream in self.upstreams]
+                )
             if self.about == "budget":
                 shares = [Standing(share.spent, FAR) for share in told.shares]
                 told = msgspec.structs.replace(told, shares=shares)
--- a/larchlatch/days/spending.py
+++ b/larchlatch/days/spending.py
@@ -16,8 +16,8 @@
 
 
 class Spending:
-    def __init__(self, links_per_s: float, window_us: int) -> None:
-        self.limit = int(links_per_s * window_us / 1e6)
+    def __init__(self, sessions_per_s: float, window_us: int) -> None:
+        self.limit = int(sessions_per_s * window_us / 1e6)
         self.window_us = window_us
         self.came: dict[str, int] = {}  # links that were asked for and not seen yet
         self.demand: list[int] = []
@@ -86,4 +86,4 @@
 def spending_of(day: Day) -> Spending | None:
     """The judge of a day that has a shared budget."""
     cluster = day.cluster
-    return Spending(cluster.links_per_s, us(cluster.window_s)) if cluster.links_per_s else None
+    return Spending(cluster.sessions_per_s, us(cluster.window_s)) if cluster.sessions_per_s else None
--- a/larchlatch/days/tally.py
+++ b/larchlatch/days/tally.py
@@ -28,7 +28,7 @@
     def row(self) -> dict[str, Any]:
         """The figures of a day."""
         counts = self.counts
-        links = max(1, counts["links"])
+        sessions = max(1, counts["links"])
         return {
             "clients": counts["clients"],
             "links": counts["links"],
@@ -36,8 +36,8 @@
             "lost_with_node": counts["lost with a node"],
             "abandoned": counts["abandoned"],
             "served": round(self.served_us / self.wanted_us, 5) if self.wanted_us else 1.0,
-            "tries_per_link": round(counts["tries"] / links, 4),
-            "probes_per_link": round(counts["probes"] / links, 4),
+            "tries_per_link": round(counts["tries"] / sessions, 4),
+            "probes_per_link": round(counts["probes"] / sessions, 4),
             "setup_p50_ms": self.setup.get_value_at_percentile(50) / 1000,
             "setup_p99_ms": self.setup.get_value_at_percentile(99) / 1000,
             "mid_flow_right": counts["mid right"],
--- a/larchlatch/days/warming.py
+++ b/larchlatch/days/warming.py
@@ -12,7 +12,7 @@
 
 from larchlatch.days.amounts import us
 from larchlatch.days.day import Day
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 
 SHARE = 0.9  # of what warm hosts bear by their sizes: then a host bears its share
 
@@ -21,7 +21,7 @@
 class Start:
     """A host's start."""
 
-    came_up: int
+    started_at: int
     bears_at: int | None = None
     lately: deque[tuple[int, float]] = field(default_factory=deque)  # what was sent to it within a window
 
@@ -30,52 +30,56 @@
     def __init__(self, day: Day) -> None:
         self.cold = day.cold
         self.window_us, self.span_us = us(day.cold.tip_s), us(day.cold.warm_s)
-        self.load_us = day.links.load_ms * 1000  # work a second of a mean link
+        self.load_us = day.sessions.load_ms * 1000  # work a second of a mean link
         self.starts: dict[tuple[int, int], Start] = {}
         self.over = 0
         self.sent_cold = 0.0
         self.could = 0.0
 
-    def start(self, host: Host) -> Start:
-        return self.starts.setdefault((host.number, host.came_up), Start(host.came_up))
+    def start(self, upstream: Upstream) -> Start:
+        return self.starts.setdefault((upstream.number, upstream.started_at), Start(upstream.started_at))
 
-    def allowed(self, now: int, host: Host) -> float:
+    def allowed(self, now: int, upstream: Upstream) -> float:
         """Links that may come in a window now: the stated multiple of what fills it, over its warm-up."""
-        full = host.capacity(now) / self.load_us if self.load_us else 0.0
-        return self.cold.tip_multiple * full * self.window_us / self.span_us if self.span_us else 0.0
+        full = upstream.capacity(now) / self.load_us if self.load_us else 0.0
+        return self.cold.overload_multiple * full * self.window_us / self.span_us if self.span_us else 0.0
 
-    def sent(self, now: int, host: Host, load: float) -> None:
+    def sent(self, now: int, upstream: Upstream, load: float) -> None:
         """A link has come to a host."""
-        if not host.came_up or now >= host.came_up + self.span_us or not self.load_us:
+        if not upstream.started_at or now >= upstream.started_at + self.span_us or not self.load_us:
             return
-        lately = self.start(host).lately
+        lately = self.start(upstream).lately
         while lately and lately[0][0] <= now - self.window_us:
             lately.popleft()
         lately.append((now, load / self.load_us))
         self.sent_cold += load / self.load_us
         # As many may come by chance where each of many nodes keeps to what is allowed on the mean.
-        allowed = self.allowed(now, host)
+        allowed = self.allowed(now, upstream)
         self.over += sum(weight for _, weight in lately) > allowed + 3 * sqrt(allowed) + 3
 
-    def look(self, now: int, hosts: Sequence[Host], since_us: int) -> None:
+    def look(self, now: int, upstreams: Sequence[Upstream], since_us: int) -> None:
         """Once in a while; since_us: after so long."""
-        there = [host for host in hosts if host.condition is Condition.WELL and not host.draining]
-        warm = [h for h in there if not h.came_up or now >= h.came_up + self.span_us]
-        size = sum(host.size for host in warm)
-        mean = sum(host.load for host in warm) / size if size else 0.0
-        for host in there:
-            if not host.came_up:
+        there = [
+            upstream
+            for upstream in upstreams
+            if upstream.condition is Condition.WELL and not upstream.draining
+        ]
+        warm = [h for h in there if not h.started_at or now >= h.started_at + self.span_us]
+        size = sum(upstream.size for upstream in warm)
+        mean = sum(upstream.load for upstream in warm) / size if size else 0.0
+        for upstream in there:
+            if not upstream.started_at:
                 continue
-            start = self.start(host)
-            if start.bears_at is None and mean and host.load >= SHARE * mean * host.size:
+            start = self.start(upstream)
+            if start.bears_at is None and mean and upstream.load >= SHARE * mean * upstream.size:
                 start.bears_at = now
-            if now < host.came_up + self.span_us and self.window_us:
-                self.could += self.allowed(now, host) * since_us / self.window_us
+            if now < upstream.started_at + self.span_us and self.window_us:
+                self.could += self.allowed(now, upstream) * since_us / self.window_us
 
     def row(self, now: int) -> dict[str, float | int | None]:
         """The mean and the longest until a host bore its share (to the end, where it never did); how often
         more came than may be sent to a cold one; and how much of that was used."""
-        took = [(start.bears_at or now) - start.came_up for start in self.starts.values()]
+        took = [(start.bears_at or now) - start.started_at for start in self.starts.values()]
         return {
             "bears_s": round(sum(took) / len(took) / 1e6, 3) if took else None,
             "bears_most_s": max(took) / 1e6 if took else None,
--- a/larchlatch/emulator/checker.py
+++ b/larchlatch/emulator/checker.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from larchlatch.links import Outcome, Repeat, State
+from larchlatch.policy.types import EndpointState, Idempotency, Outcome
 
 GRACE_US = 500_000  # a node may send to a host so long after it was told not to
 SLACK_US = 16_000  # an answer may come so long after the cut-off
@@ -12,16 +12,16 @@
 
 # What a try has come to that its host has never seen. Written down here anew: the decisions have a table of
 # their own, which must not be what judges them.
-NEVER_SEEN = (Outcome.REFUSED, Outcome.UNREACHED, Outcome.UNSENT)
+NEVER_SEEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 @dataclass(slots=True)
 class Case:
     """One link, from its coming to its end."""
 
-    cut_off: int
-    repeat: Repeat
-    memory_us: int
+    deadline: int
+    idempotency: Idempotency
+    dedup_window_us: int
     out: bool = False
     answered: bool = False
     over: bool = False  # its client or its node is gone: nothing is owed any more
@@ -46,78 +46,80 @@
 
     # Told of as it happens.
 
-    def came(self, link: int, cut_off: int, repeat: Repeat, memory_us: int) -> None:
-        self.cases[link] = Case(cut_off, repeat, memory_us)
+    def came(self, session: int, deadline: int, idempotency: Idempotency, dedup_window_us: int) -> None:
+        self.cases[session] = Case(deadline, idempotency, dedup_window_us)
 
-    def told(self, now: int, node: int, host: int, state: State) -> None:
+    def told(self, now: int, node: int, upstream: int, state: EndpointState) -> None:
         """A node has been told of a host's state."""
-        if state is State.READY:
-            self.told_of.pop((node, host), None)
+        if state is EndpointState.READY:
+            self.told_of.pop((node, upstream), None)
         else:
-            self.told_of.setdefault((node, host), now)
+            self.told_of.setdefault((node, upstream), now)
 
     def forgot(self, node: int) -> None:
         """A node has died: what it had been told is void."""
         for key in [key for key in self.told_of if key[0] == node]:
             del self.told_of[key]
 
-    def sent(self, now: int, link: int, node: int, host: int) -> None:
-        case = self.cases.get(link)
+    def sent(self, now: int, session: int, node: int, upstream: int) -> None:
+        case = self.cases.get(session)
         if case is None:
-            self.breaks("lost", now, f"link {link}: a try after its end")
+            self.breaks("lost", now, f"link {session}: a try after its end")
             return
         if case.out:
-            self.breaks("twice", now, f"link {link}: two tries out at once")
+            self.breaks("twice", now, f"link {session}: two tries out at once")
         if case.answered or case.over:
-            self.breaks("lost", now, f"link {link}: a try after its end")
+            self.breaks("lost", now, f"link {session}: a try after its end")
         if case.seen:
-            first_at, first_host = case.seen[0]
-            if case.repeat is Repeat.EXCLUSIVE:
-                self.breaks("twice", now, f"link {link}: exclusive, and host {first_host} may have run it")
-            elif case.repeat is Repeat.TICKETED and now >= first_at + case.memory_us:
-                self.breaks("twice", now, f"link {link}: its group had forgotten its ticket")
-        since = self.told_of.get((node, host))
+            first_at, first_upstream = case.seen[0]
+            if case.idempotency is Idempotency.NON_IDEMPOTENT:
+                self.breaks(
+                    "twice", now, f"link {session}: exclusive, and host {first_upstream} may have run it"
+                )
+            elif case.idempotency is Idempotency.KEYED and now >= first_at + case.dedup_window_us:
+                self.breaks("twice", now, f"link {session}: its group had forgotten its ticket")
+        since = self.told_of.get((node, upstream))
         if since is not None and now > since + GRACE_US:
             self.breaks(
-                "drain", now, f"node {node}: link {link} to host {host}, told {now - since} us before"
+                "drain", now, f"node {node}: link {session} to host {upstream}, told {now - since} us before"
             )
         case.out = True
-        case.seen.append((now, host))
+        case.seen.append((now, upstream))
 
-    def ended(self, now: int, link: int, what: Outcome) -> None:
+    def ended(self, now: int, session: int, what: Outcome) -> None:
         """What a try has come to."""
-        case = self.cases.get(link)
+        case = self.cases.get(session)
         if case is None:
             return
         case.out = False
         if what in NEVER_SEEN and case.seen:
             case.seen.pop()
 
-    def answered(self, now: int, link: int, shed: bool) -> None:
+    def answered(self, now: int, session: int, shed: bool) -> None:
         """The final answer has reached the client."""
-        case = self.cases.get(link)
+        case = self.cases.get(session)
         if case is None or case.answered or case.over:
-            self.breaks("lost", now, f"link {link}: an answer after its end")
+            self.breaks("lost", now, f"link {session}: an answer after its end")
             return
-        if now > case.cut_off + SLACK_US:
-            self.breaks("lost", now, f"link {link}: answered {now - case.cut_off} us after its cut-off")
+        if now > case.deadline + SLACK_US:
+            self.breaks("lost", now, f"link {session}: answered {now - case.deadline} us after its cut-off")
         if shed and case.out:
-            self.breaks("twice", now, f"link {link}: shed with a try out")
-        if shed and case.seen and case.repeat is Repeat.EXCLUSIVE:
-            self.breaks("twice", now, f"link {link}: shed though it may have run")
+            self.breaks("twice", now, f"link {session}: shed with a try out")
+        if shed and case.seen and case.idempotency is Idempotency.NON_IDEMPOTENT:
+            self.breaks("twice", now, f"link {session}: shed though it may have run")
         case.answered = True
 
-    def due(self, now: int, link: int) -> None:
+    def due(self, now: int, session: int) -> None:
         """Its cut-off and the slack are over."""
-        case = self.cases.pop(link, None)
+        case = self.cases.pop(session, None)
         if case is not None and not case.answered and not case.over:
-            self.breaks("lost", now, f"link {link}: no answer by its cut-off")
+            self.breaks("lost", now, f"link {session}: no answer by its cut-off")
 
-    def over(self, link: int) -> None:
+    def over(self, session: int) -> None:
         """Nothing more is owed: its client or its node is gone, or it has had its whole life."""
-        case = self.cases.get(link)
+        case = self.cases.get(session)
         if case is not None:
             case.over = True
 
-    def tipped(self, now: int, host: int) -> None:
-        self.breaks("cold", now, f"host {host}: more than it bears while it warms up")
+    def tipped(self, now: int, upstream: int) -> None:
+        self.breaks("cold", now, f"host {upstream}: more than it bears while it warms up")
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -5,14 +5,14 @@
 import time
 from collections.abc import Sequence
 
-from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Roster
-from larchlatch.cluster.duties.leases import Tenure
-from larchlatch.cluster.duties.pacing import Told
-from larchlatch.cluster.members.exchange import Carried, Shared
-from larchlatch.cluster.members.members import Change, Members, State
-from larchlatch.cluster.shared.budgets import Dealing, Limit
-from larchlatch.cluster.shared.rights import Spans
-from larchlatch.cluster.wire.keys import SIGNATURE_BYTES
+from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
+from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.exchange import Carried, Shared
+from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
+from larchlatch.cluster.quota.account import Spans
+from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.slow_start.tokens import Told
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import us
 from larchlatch.days.avoidance import Avoidance
@@ -24,7 +24,7 @@
 from larchlatch.emulator.clock import CHECK, TIMER, TOLD
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.stage import START_US, Stage
-from larchlatch.links import Sought
+from larchlatch.policy.types import TokenCandidate
 
 ROOM = 1000  # datagrams that lie unread at a node that is stopped; the system's buffer holds about so many
 APART_US = 200_000  # by which the wall clocks of nodes may differ, as they are told
@@ -66,7 +66,7 @@
         shared.open(own)
         trust = Plain(names[number])
         self.exchange = Lying(self.members, shared, company.sites, company.keys, trust, trust, company.count)
-        self.exchange.hosts = range(len(stage.hosts))
+        self.exchange.upstreams = range(len(stage.upstreams))
         self.alive = True
         self.stopped = False
         self.unread: list[bytes] = []
@@ -80,24 +80,24 @@
 
     # What its node asks, and tells.
 
-    def admit(self, link: int, tariff: int) -> int:
+    def admit(self, session: int, traffic_class: int) -> int:
         company = self.company
         if company.spending is not None:
-            company.spending.asked(company.stage.clock.now, str(link))
-        back_us = self.budgets.admit(self.now, f"t{tariff}")
+            company.spending.asked(company.stage.clock.now, str(session))
+        back_us = self.budgets.admit(self.now, f"t{traffic_class}")
         if not back_us and company.spending is not None:
-            company.spending.seen(company.stage.clock.now, str(link))
+            company.spending.seen(company.stage.clock.now, str(session))
         return back_us
 
-    def listed(self, hosts: Sequence[int], came_up: int) -> None:
-        self.evidence.follow(hosts)
+    def listed(self, upstreams: Sequence[int], started_at: int) -> None:
+        self.evidence.follow(upstreams)
         cold = self.company.stage.day.cold
-        cold_us = came_up + us(cold.warm_s) - self.company.stage.clock.now if came_up else 0
-        self.pacing.listed(self.now, hosts, max(0, cold_us), us(cold.tip_s))
+        slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
+        self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
 
-    def sought(self, link: int, wants: Sequence[Sought]) -> None:
+    def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
-        taken = self.exchange.sought(self.now, wall, link, [(want.host, want) for want in wants])
+        taken = self.exchange.sought(self.now, wall, session, [(want.upstream, want) for want in wants])
         self.send(taken.datagrams)
         self.ordered(taken.orders)
         self.pace(taken.leaves)
@@ -107,11 +107,13 @@
         ahead = self.company.stage.clock.now - self.now
         for told in leaves:
             node = self.company.stage.nodes[self.number]
-            node.paced(told.until + ahead, told.host if told.link >= 0 else -1, told.link, told.at + ahead)
+            node.paced(
+                told.until + ahead, told.upstream if told.session >= 0 else -1, told.session, told.at + ahead
+            )
 
-    def saw(self, host: int, good: bool | None) -> None:
-        if host in self.evidence.hosts:
-            self.evidence.saw(self.now, host, good)
+    def saw(self, upstream: int, good: bool | None) -> None:
+        if upstream in self.evidence.upstreams:
+            self.evidence.saw(self.now, upstream, good)
 
     # Its part among the others.
 
@@ -129,8 +131,8 @@
         self.ordered([])
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        for host in beat.advice.gone:
-            company.avoidance.found(now, self.number, host)
+        for upstream in beat.advice.gone:
+            company.avoidance.found(now, self.number, upstream)
         if beat.advice.looks or beat.advice.failed:
             company.advised(self.number, beat.advice.looks, beat.advice.failed)
         self.beat_at = now + company.beat_us
@@ -233,9 +235,9 @@
 
     def advised(self, number: int, looks: list[int], failed: list[tuple[int, int]]) -> None:
         node = self.stage.nodes[number]
-        for host, _ in failed:
-            reached = self.stage.reach(node, self.stage.hosts[host])
-            self.avoidance.left_out(self.stage.clock.now, host, reached)
+        for upstream, _ in failed:
+            reached = self.stage.reach(node, self.stage.upstreams[upstream])
+            self.avoidance.left_out(self.stage.clock.now, upstream, reached)
         node.advised(looks, failed)
 
     def send(self, one: int, other: int, data: bytes) -> None:
@@ -310,9 +312,9 @@
     cluster = day.cluster
     spans = Spans(us(cluster.window_s), us(cluster.term_s), cluster.skew)
     limits: tuple[Limit, ...] = ()
-    if cluster.links_per_s:
-        tariffs = tuple(f"t{place}" for place in range(len(day.links.effects)))
-        limits = (Limit("all", int(cluster.links_per_s * cluster.window_s), tariffs),)
+    if cluster.sessions_per_s:
+        traffic_classes = tuple(f"t{place}" for place in range(len(day.sessions.effects)))
+        limits = (Limit("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
     return Dealing(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
 
 
--- a/larchlatch/emulator/crowd.py
+++ b/larchlatch/emulator/crowd.py
@@ -8,9 +8,9 @@
 from larchlatch.days.clients import RETURN_US, Client, front_of
 from larchlatch.emulator.checker import SLACK_US
 from larchlatch.emulator.clock import CHECK, WORLD
-from larchlatch.emulator.nodes import Hand, Node, Try
+from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import START_US, Parked, Stage
-from larchlatch.links import Link
+from larchlatch.policy.types import Session
 
 PARKED_US = SECOND  # a link in mid-flow that finds no node looks for one again after this
 
@@ -39,8 +39,8 @@
         near = [node for node in alive if node.zone == client.zone] or alive
         if not near:
             return None
-        draw = self.stage.chance.draw("front", client.number, client.links)
-        return near[front_of(draw, len(near), self.stage.day.links.uneven)]
+        draw = self.stage.chance.draw("front", client.number, client.sessions)
+        return near[front_of(draw, len(near), self.stage.day.sessions.uneven)]
 
     def come(self, client: Client, parked: Parked | None = None) -> None:
         """A client opens a link, or one in mid-flow comes through another node."""
@@ -48,8 +48,8 @@
         if client.done or now >= client.ends_at or now >= self.stage.end:
             self.gone(client, parked)
             return
-        client.links += 1
-        if client.tries == 0 and parked is None and client.links > 1:
+        client.sessions += 1
+        if client.rejections == 0 and parked is None and client.sessions > 1:
             client.due = now  # it wants its link again from now on
         node = self.front(client)
         if node is None or not node.alive:
@@ -60,109 +60,111 @@
             return
         self.stage.idents += 1
         number = self.stage.idents
-        cut_off = now + us(self.stage.day.links.wait_ms / 1e3)
-        link = Link(number, client.tariff, client.key, client.group, cut_off, parked is not None, client.load)
-        tariff = self.stage.tariffs[client.tariff]
+        deadline = now + us(self.stage.day.sessions.wait_ms / 1e3)
+        session = Session(
+            number, client.traffic_class, client.key, client.group, deadline, parked is not None, client.load
+        )
+        traffic_class = self.stage.traffic_classes[client.traffic_class]
         self.stage.tally.counts["links"] += 1
         self.stage.note("came", number, client.number, node.number)
-        self.stage.checker.came(number, cut_off, tariff.repeat, tariff.memory_us)
-        late = cut_off + SLACK_US + 1
+        self.stage.checker.came(number, deadline, traffic_class.idempotency, traffic_class.dedup_window_us)
+        late = deadline + SLACK_US + 1
         self.stage.clock.at(late, CHECK, self.stage.checker.due, late, number)
         if parked is not None:
             self.stage.parked[number] = parked
-        hand = Hand(link, client)
-        node.arrived(hand)
+        record = SessionRecord(session, client)
+        node.arrived(record)
         if node.backlog is not None:
-            self.doubt(hand, node)
+            self.doubt(record, node)
 
     def gone(self, client: Client, parked: Parked | None = None) -> None:
         client.done = True
         if parked is not None:
-            self.stage.free(parked.host, parked.link, client)
+            self.stage.free(parked.upstream, parked.session, client)
 
-    def doubt(self, hand: Hand, node: Node) -> None:
+    def doubt(self, record: SessionRecord, node: Node) -> None:
         """The node is stopped: a client whose time is up before it goes on leaves without an answer."""
-        self.stage.clock.at(hand.link.cut_off, WORLD, self.left_alone, hand, node)
+        self.stage.clock.at(record.session.deadline, WORLD, self.left_alone, record, node)
 
-    def left_alone(self, hand: Hand, node: Node) -> None:
-        number = hand.link.number
-        if node.backlog is None or not node.alive or hand.gone or number in self.stage.where:
+    def left_alone(self, record: SessionRecord, node: Node) -> None:
+        number = record.session.number
+        if node.backlog is None or not node.alive or record.gone or number in self.stage.where:
             return
-        hand.gone = True
+        record.gone = True
         self.stage.note("left alone", number)
         self.stage.tally.counts["ended unanswered"] += 1
         self.stage.checker.over(number)
         parked = self.stage.parked.pop(number, None)
         if parked is not None:
-            self.stage.free(parked.host, parked.link, hand.client)
+            self.stage.free(parked.upstream, parked.session, record.client)
         node.left(number)
-        self.again(hand.client, 0)
+        self.again(record.client, 0)
 
     def again(self, client: Client, back_us: int) -> None:
         """After a refusal: when it was told to, else after a pause of its own."""
-        client.tries += 1
-        if client.tries > self.stage.day.links.retries:
+        client.rejections += 1
+        if client.rejections > self.stage.day.sessions.retries:
             self.stage.tally.counts["abandoned"] += 1
             client.done = True
             return
-        mean = us(self.stage.day.links.back_ms / 1e3)
-        pause = back_us or round(mean * 2 * self.stage.chance.draw("back", client.number, client.links))
+        mean = us(self.stage.day.sessions.back_ms / 1e3)
+        pause = back_us or round(mean * 2 * self.stage.chance.draw("back", client.number, client.sessions))
         self.stage.clock.at(self.stage.clock.now + max(1, pause), WORLD, self.come, client)
 
     def back(self, client: Client) -> None:
         """Its link broke or was moved: it wants it again."""
-        client.tries = 0
+        client.rejections = 0
         low, high = RETURN_US
-        pause = low + round((high - low) * self.stage.chance.draw("return", client.number, client.links))
+        pause = low + round((high - low) * self.stage.chance.draw("return", client.number, client.sessions))
         self.stage.clock.at(self.stage.clock.now + pause, WORLD, self.come, client)
 
-    def refused(self, hand: Hand, back_us: int, shed: bool) -> None:
-        now, link = self.stage.clock.now, hand.link
+    def refused(self, record: SessionRecord, back_us: int, shed: bool) -> None:
+        now, session = self.stage.clock.now, record.session
         self.stage.tally.counts["shed" if shed else "given_up"] += 1
-        self.stage.note("shed" if shed else "given up", link.number, back_us)
-        self.stage.checker.answered(now, link.number, shed)
-        parked = self.stage.parked.pop(link.number, None)
+        self.stage.note("shed" if shed else "given up", session.number, back_us)
+        self.stage.checker.answered(now, session.number, shed)
+        parked = self.stage.parked.pop(session.number, None)
         if parked is not None:
-            self.stage.free(parked.host, parked.link, hand.client)
-        self.again(hand.client, back_us)
+            self.stage.free(parked.upstream, parked.session, record.client)
+        self.again(record.client, back_us)
 
-    def stands(self, hand: Hand, attempt: Try) -> None:
+    def stands(self, record: SessionRecord, attempt: Attempt) -> None:
         """The answer is through."""
-        now, link, client = self.stage.clock.now, hand.link, hand.client
-        self.stage.note("stands", link.number, attempt.host)
-        self.stage.checker.answered(now, link.number, shed=False)
+        now, session, client = self.stage.clock.now, record.session, record.client
+        self.stage.note("stands", session.number, attempt.upstream)
+        self.stage.checker.answered(now, session.number, shed=False)
         self.stage.tally.stood(now - client.due)
-        client.tries = 0
-        self.stage.where[link.number] = (hand, attempt.node)
-        attempt.node.policy.load_note(now, link, client.load)
-        self.stage.clock.at(max(now, client.ends_at), WORLD, self.finished, link.number)
+        client.rejections = 0
+        self.stage.where[session.number] = (record, attempt.node)
+        attempt.node.policy.record_load(now, session, client.load)
+        self.stage.clock.at(max(now, client.ends_at), WORLD, self.finished, session.number)
 
     def finished(self, number: int) -> None:
         """A client has had what it came for."""
         if number not in self.stage.where:
             return
-        hand, node = self.stage.where.pop(number)
-        assert hand.attempt is not None
+        record, node = self.stage.where.pop(number)
+        assert record.attempt is not None
         self.stage.note("finished", number)
         self.stage.checker.over(number)
-        self.stage.free(hand.attempt.host, number, hand.client)
-        hand.client.done = True
+        self.stage.free(record.attempt.upstream, number, record.client)
+        record.client.done = True
         node.left(number)
 
-    def broke(self, hand: Hand) -> None:
+    def broke(self, record: SessionRecord) -> None:
         """A link that stood has ended from its host's side."""
-        self.unhand(hand, "dropped")
-        self.back(hand.client)
+        self.unhand(record, "dropped")
+        self.back(record.client)
 
-    def moved(self, hand: Hand) -> None:
-        self.unhand(hand, "moved")
-        self.back(hand.client)
+    def moved(self, record: SessionRecord) -> None:
+        self.unhand(record, "moved")
+        self.back(record.client)
 
-    def unhand(self, hand: Hand, why: str) -> None:
-        number = hand.link.number
+    def unhand(self, record: SessionRecord, why: str) -> None:
+        number = record.session.number
         self.stage.note(why, number)
         self.stage.tally.counts[why] += 1
         del self.stage.where[number]
         self.stage.checker.over(number)
-        if hand.attempt is not None:
-            self.stage.free(hand.attempt.host, number, hand.client)
+        if record.attempt is not None:
+            self.stage.free(record.attempt.upstream, number, record.client)
--- a/larchlatch/emulator/listing.py
+++ b/larchlatch/emulator/listing.py
@@ -3,37 +3,37 @@
 from __future__ import annotations
 
 from larchlatch.days.amounts import us
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TOLD
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.stage import Stage
-from larchlatch.links import Listed, State
+from larchlatch.policy.types import Endpoint, EndpointState
 
 
 class Listing:
     def __init__(self, stage: Stage) -> None:
         self.stage = stage
-        self.list: dict[int, Listed] = {
-            host.number: stage.line(host, State.READY)
-            for host in stage.hosts
-            if host.condition is Condition.WELL
+        self.list: dict[int, Endpoint] = {
+            upstream.number: stage.line(upstream, EndpointState.READY)
+            for upstream in stage.upstreams
+            if upstream.condition is Condition.WELL
         }
         self.deaf_until = 0
         self.told_at = [0] * stage.day.nodes.count  # the list is told in order
 
-    def change(self, host: Host, state: State) -> None:
+    def change(self, upstream: Upstream, state: EndpointState) -> None:
         """The list says something else of a host; each node hears of it when it does."""
-        line = self.list[host.number] = self.stage.line(host, state)
-        if state is State.GONE:
-            del self.list[host.number]
-        self.stage.note("list", host.number, state.value)
+        line = self.list[upstream.number] = self.stage.line(upstream, state)
+        if state is EndpointState.GONE:
+            del self.list[upstream.number]
+        self.stage.note("list", upstream.number, state.value)
         for node in self.stage.nodes:
             self.tell(node, [line], whole=False)
 
     def tell_whole(self, node: Node) -> None:
         self.tell(node, list(self.list.values()), whole=True)
 
-    def tell(self, node: Node, lines: list[Listed], whole: bool) -> None:
+    def tell(self, node: Node, lines: list[Endpoint], whole: bool) -> None:
         listing = self.stage.day.listing
         self.stage.idents += 1
         share = self.stage.chance.draw("list", node.number, self.stage.idents)
@@ -42,6 +42,6 @@
         self.told_at[node.number] = at
         self.stage.clock.at(at, TOLD, self.heard, node, lines, whole)
 
-    def heard(self, node: Node, lines: list[Listed], whole: bool) -> None:
+    def heard(self, node: Node, lines: list[Endpoint], whole: bool) -> None:
         if node.alive:
             node.listed(lines, whole)
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -5,15 +5,15 @@
 from collections.abc import Callable
 
 from larchlatch.days.amounts import us
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
-from larchlatch.emulator.nodes import Hand, Node, Try
+from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import Stage
-from larchlatch.links import Outcome
+from larchlatch.policy.types import Outcome
 
 
 class Network:
-    def __init__(self, stage: Stage, falls: Callable[[Host], None]) -> None:
+    def __init__(self, stage: Stage, falls: Callable[[Upstream], None]) -> None:
         self.stage = stage
         self.clock = stage.clock
         self.falls = falls  # a cold host was pushed over
@@ -23,94 +23,100 @@
     def store_us(self) -> int:
         return round(us(self.stage.day.store_ms / 1e3) * self.slowness)
 
-    def tried(self, hand: Hand, attempt: Try) -> None:
-        now, node, host = self.clock.now, attempt.node, self.stage.hosts[attempt.host]
+    def tried(self, record: SessionRecord, attempt: Attempt) -> None:
+        now, node, upstream = self.clock.now, attempt.node, self.stage.upstreams[attempt.upstream]
         self.stage.tally.counts["tries"] += 1
-        self.stage.note("try", attempt.link, node.number, host.number)
-        self.stage.checker.sent(now, attempt.link, node.number, host.number)
-        way = self.stage.latency(node.zone, host.zone)
+        self.stage.note("try", attempt.session, node.number, upstream.number)
+        self.stage.checker.sent(now, attempt.session, node.number, upstream.number)
+        way = self.stage.latency(node.zone, upstream.zone)
         dial = us(self.stage.day.network.dial_ms / 1e3)
-        self.clock.at(attempt.ends_at, TIMER, self.timed_out, attempt, Outcome.SILENT)
-        if not self.stage.reach(node, host):
-            self.clock.at(min(now + dial, attempt.ends_at), TIMER, self.timed_out, attempt, Outcome.UNREACHED)
-        elif host.condition is Condition.DEAD:
-            self.clock.at(now + 2 * way, TOLD, node.ended, attempt, Outcome.UNREACHED)
+        self.clock.at(attempt.ends_at, TIMER, self.timed_out, attempt, Outcome.TIMED_OUT)
+        if not self.stage.reach(node, upstream):
+            self.clock.at(
+                min(now + dial, attempt.ends_at), TIMER, self.timed_out, attempt, Outcome.CONNECT_FAILED
+            )
+        elif upstream.condition is Condition.DEAD:
+            self.clock.at(now + 2 * way, TOLD, node.ended, attempt, Outcome.CONNECT_FAILED)
         else:
-            self.clock.at(now + way, WORLD, self.reached, hand, attempt, way)
+            self.clock.at(now + way, WORLD, self.reached, record, attempt, way)
 
-    def timed_out(self, attempt: Try, what: Outcome) -> None:
+    def timed_out(self, attempt: Attempt, what: Outcome) -> None:
         if attempt.live and not attempt.stands:
             attempt.node.ended(attempt, what)
 
-    def given_up(self, attempt: Try) -> None:
+    def given_up(self, attempt: Attempt) -> None:
         self.timed_out(attempt, Outcome.CANCELLED)
 
-    def reached(self, hand: Hand, attempt: Try, way: int) -> None:
+    def reached(self, record: SessionRecord, attempt: Attempt, way: int) -> None:
         """The link's line has come to the host."""
-        now, host, client = self.clock.now, self.stage.hosts[attempt.host], hand.client
+        now, upstream, client = self.clock.now, self.stage.upstreams[attempt.upstream], record.client
         tell = self.clock.at
-        if host.condition is not Condition.WELL:
-            if host.condition is Condition.DEAD:
-                tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.CUT)
+        if upstream.condition is not Condition.WELL:
+            if upstream.condition is Condition.DEAD:
+                tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.RESET)
             return
-        parked = self.stage.parked.pop(attempt.link, None)
+        parked = self.stage.parked.pop(attempt.session, None)
         if parked is not None:
-            holds = parked.host == host.number and parked.link in host.links
+            holds = parked.upstream == upstream.number and parked.session in upstream.sessions
             self.stage.tally.counts["mid right" if holds else "mid wrong"] += 1
-            self.stage.free(parked.host, parked.link, client)
+            self.stage.free(parked.upstream, parked.session, client)
             if holds:
-                self.taken(hand, attempt, host, way)
+                self.taken(record, attempt, upstream, way)
                 return
-        self.stage.warming.sent(now, host, client.load)
-        if host.pushed(now, client.load):
-            self.stage.checker.tipped(now, host.number)
-            self.falls(host)
+        self.stage.warming.sent(now, upstream, client.load)
+        if upstream.pushed(now, client.load):
+            self.stage.checker.tipped(now, upstream.number)
+            self.falls(upstream)
             return
-        done = host.admit(now, client.work_us)
+        done = upstream.admit(now, client.work_us)
         if done is None:
-            tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.REFUSED)
+            tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.REJECTED)
         else:
-            tell(done + self.store_us, WORLD, self.set_up, hand, attempt, host.life, way)
+            tell(done + self.store_us, WORLD, self.set_up, record, attempt, upstream.life, way)
 
-    def set_up(self, hand: Hand, attempt: Try, life: int, way: int) -> None:
-        host = self.stage.hosts[attempt.host]
-        if host.life != life or host.condition is not Condition.WELL:
+    def set_up(self, record: SessionRecord, attempt: Attempt, life: int, way: int) -> None:
+        upstream = self.stage.upstreams[attempt.upstream]
+        if upstream.life != life or upstream.condition is not Condition.WELL:
             # Its process died in between: the connection ends, unless the machine says nothing any more.
-            if host.condition is not Condition.SILENT:
-                self.clock.at(self.clock.now + way, TOLD, attempt.node.ended, attempt, Outcome.CUT)
+            if upstream.condition is not Condition.SILENT:
+                self.clock.at(self.clock.now + way, TOLD, attempt.node.ended, attempt, Outcome.RESET)
         elif attempt.live:  # else nobody waits there any more
-            self.taken(hand, attempt, host, way)
+            self.taken(record, attempt, upstream, way)
 
-    def taken(self, hand: Hand, attempt: Try, host: Host, way: int) -> None:
+    def taken(self, record: SessionRecord, attempt: Attempt, upstream: Upstream, way: int) -> None:
         """The link stands at its host, which says so."""
-        self.stage.count(host)
-        host.add(attempt.link, hand.client.load, hand.client.group, self.stage.group_us)
+        self.stage.count(upstream)
+        upstream.add(attempt.session, record.client.load, record.client.group, self.stage.group_us)
         attempt.held = True
-        self.clock.at(self.clock.now + way, TOLD, self.up, hand, attempt)
+        self.clock.at(self.clock.now + way, TOLD, self.up, record, attempt)
 
-    def up(self, hand: Hand, attempt: Try) -> None:
-        if attempt.live and attempt.node.alive and attempt.link in self.stage.hosts[attempt.host].links:
-            attempt.node.ended(attempt, Outcome.STANDS)
+    def up(self, record: SessionRecord, attempt: Attempt) -> None:
+        if (
+            attempt.live
+            and attempt.node.alive
+            and attempt.session in self.stage.upstreams[attempt.upstream].sessions
+        ):
+            attempt.node.ended(attempt, Outcome.ESTABLISHED)
         else:
-            self.stage.free(attempt.host, attempt.link, hand.client)
+            self.stage.free(attempt.upstream, attempt.session, record.client)
 
     def probed(self, node: Node, number: int) -> None:
-        host, now = self.stage.hosts[number], self.clock.now
+        upstream, now = self.stage.upstreams[number], self.clock.now
         self.stage.tally.counts["probes"] += 1
-        way = self.stage.latency(node.zone, host.zone)
-        if not self.stage.reach(node, host):
+        way = self.stage.latency(node.zone, upstream.zone)
+        if not self.stage.reach(node, upstream):
             self.clock.at(
                 now + us(self.stage.day.network.dial_ms / 1e3), TOLD, self.report, node, number, None
             )
-        elif host.condition is Condition.DEAD:
+        elif upstream.condition is Condition.DEAD:
             self.clock.at(now + 2 * way, TOLD, self.report, node, number, None)
         else:
-            figures = (host.fullness(now), float(len(host.links)))
+            figures = (upstream.fullness(now), float(len(upstream.sessions)))
             self.clock.at(now + 2 * way, TOLD, self.report, node, number, figures)
 
     def report(self, node: Node, number: int, figures: tuple[float, float] | None) -> None:
         if node.alive and not node.waits(self.report, node, number, figures):
-            x0, held = figures if figures is not None else (None, None)
+            utilization, held = figures if figures is not None else (None, None)
             node.saw(number, figures is not None)
-            node.policy.report(self.clock.now, number, figures is not None, x0, held)
+            node.policy.report(self.clock.now, number, figures is not None, utilization, held)
             node.look()
--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -7,20 +7,29 @@
 from typing import Any, Protocol
 
 from larchlatch.days.clients import Client
-from larchlatch.driving import Driver
 from larchlatch.emulator.checker import Checker
 from larchlatch.emulator.clock import TIMER, Clock
 from larchlatch.emulator.plain import Policy
-from larchlatch.links import DONE, REACHED, Answer, Link, Listed, Outcome, Sought, State
+from larchlatch.policy.driver import Driver
+from larchlatch.policy.types import (
+    DONE,
+    REACHED,
+    Answer,
+    Endpoint,
+    EndpointState,
+    Outcome,
+    Session,
+    TokenCandidate,
+)
 
 
 @dataclass(slots=True)
-class Try:
+class Attempt:
     """A setup try that is out."""
 
-    link: int
+    session: int
     node: Node
-    host: int
+    upstream: int
     sent_at: int
     ends_at: int  # when the node no longer waits
     held: bool = False  # the link stands at the host, by its own view
@@ -29,39 +38,39 @@
 
 
 @dataclass(slots=True)
-class Hand:
+class SessionRecord:
     """A link in hand or standing at a node."""
 
-    link: Link
+    session: Session
     client: Client
-    attempt: Try | None = None
+    attempt: Attempt | None = None
     gone: bool = False  # its client has left without an answer
 
 
 class Clients(Protocol):
     """What clients see of a node."""
 
-    def stands(self, hand: Hand, attempt: Try) -> None: ...
-    def broke(self, hand: Hand) -> None: ...
-    def moved(self, hand: Hand) -> None: ...
-    def refused(self, hand: Hand, back_us: int, shed: bool) -> None: ...
+    def stands(self, record: SessionRecord, attempt: Attempt) -> None: ...
+    def broke(self, record: SessionRecord) -> None: ...
+    def moved(self, record: SessionRecord) -> None: ...
+    def refused(self, record: SessionRecord, back_us: int, shed: bool) -> None: ...
 
 
 class Network(Protocol):
     """The way to hosts."""
 
-    def tried(self, hand: Hand, attempt: Try) -> None: ...
-    def given_up(self, attempt: Try) -> None: ...
+    def tried(self, record: SessionRecord, attempt: Attempt) -> None: ...
+    def given_up(self, attempt: Attempt) -> None: ...
     def probed(self, node: Node, number: int) -> None: ...
 
 
 class Fellows(Protocol):
     """Other nodes, where this one knows of any."""
 
-    def admit(self, link: int, tariff: int) -> int: ...
-    def listed(self, hosts: Sequence[int], came_up: int) -> None: ...
-    def sought(self, link: int, wants: Sequence[Sought]) -> None: ...
-    def saw(self, host: int, good: bool | None) -> None: ...
+    def admit(self, session: int, traffic_class: int) -> int: ...
+    def listed(self, upstreams: Sequence[int], started_at: int) -> None: ...
+    def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None: ...
+    def saw(self, upstream: int, good: bool | None) -> None: ...
 
 
 class Lister(Protocol):
@@ -86,8 +95,8 @@
         self.around = around
         self.number = number
         self.zone = zone
-        self.hands: dict[int, Hand] = {}
-        self.list: dict[int, Listed] = {}  # as it was last told
+        self.records: dict[int, SessionRecord] = {}
+        self.list: dict[int, Endpoint] = {}  # as it was last told
         self.fellows: Fellows | None = None
         self.wake_at = 0
         self.alive = True
@@ -119,124 +128,124 @@
 
     # What it is told.
 
-    def listed(self, lines: list[Listed], whole: bool, asked: bool = True) -> None:
+    def listed(self, lines: list[Endpoint], whole: bool, asked: bool = True) -> None:
         if self.waits(self.listed, lines, whole, asked):
             return
         now = self.around.clock.now
         if whole:
             self.list.clear()
-        self.list.update({line.host: line for line in lines})
+        self.list.update({line.upstream: line for line in lines})
         for line in lines:
-            self.around.checker.told(now, self.number, line.host, line.state)
-        self.policy.hosts_listed(now, lines, whole=whole, asked=asked)
+            self.around.checker.told(now, self.number, line.upstream, line.state)
+        self.policy.update_endpoints(now, lines, whole=whole, asked=asked)
         if self.fellows is not None:
-            ready = [line for line in self.list.values() if line.state is State.READY]
-            came = max((line.came_up for line in ready), default=0)
-            self.fellows.listed([line.host for line in ready], came)
+            ready = [line for line in self.list.values() if line.state is EndpointState.READY]
+            came = max((line.started_at for line in ready), default=0)
+            self.fellows.listed([line.upstream for line in ready], came)
         self.look()
 
-    def arrived(self, hand: Hand) -> None:
-        if hand.gone or self.waits(self.arrived, hand):
+    def arrived(self, record: SessionRecord) -> None:
+        if record.gone or self.waits(self.arrived, record):
             return
         now = self.around.clock.now
-        self.hands[hand.link.number] = hand
+        self.records[record.session.number] = record
         back_us = 0
-        if self.fellows is not None and not hand.link.mid_flow:
-            back_us = self.fellows.admit(hand.link.number, hand.link.tariff)
+        if self.fellows is not None and not record.session.mid_flow:
+            back_us = self.fellows.admit(record.session.number, record.session.traffic_class)
         if back_us:
-            self.shed(now, hand.link, back_us)
+            self.shed(now, record.session, back_us)
             return
-        self.carry_out(now, hand.link, self.policy.place(now, hand.link))
+        self.carry_out(now, record.session, self.policy.place(now, record.session))
         self.look()
 
-    def ended(self, attempt: Try, what: Outcome) -> None:
+    def ended(self, attempt: Attempt, what: Outcome) -> None:
         """The one outcome of a try, or of the link that it set up."""
         if not attempt.live or not self.alive or self.waits(self.ended, attempt, what):
             return
         now = self.around.clock.now
-        attempt.live = attempt.stands = what is Outcome.STANDS
-        self.around.checker.ended(now, attempt.link, what)
-        hand = self.hands.get(attempt.link)
-        if hand is None:
+        attempt.live = attempt.stands = what is Outcome.ESTABLISHED
+        self.around.checker.ended(now, attempt.session, what)
+        record = self.records.get(attempt.session)
+        if record is None:
             return
         if what in REACHED:
-            self.saw(attempt.host, REACHED[what])
-        stood = hand.link.open
-        hand.attempt = attempt if attempt.live or stood else None
-        answer = self.policy.outcome(now, hand.link, what, done=stood)
-        if what is Outcome.STANDS:
-            self.around.clients.stands(hand, attempt)
+            self.saw(attempt.upstream, REACHED[what])
+        stood = record.session.open
+        record.attempt = attempt if attempt.live or stood else None
+        answer = self.policy.outcome(now, record.session, what, done=stood)
+        if what is Outcome.ESTABLISHED:
+            self.around.clients.stands(record, attempt)
         elif stood:
-            del self.hands[attempt.link]
-            self.around.clients.broke(hand)
-        elif answer.host != DONE:
-            self.carry_out(now, hand.link, answer)
+            del self.records[attempt.session]
+            self.around.clients.broke(record)
+        elif answer.upstream != DONE:
+            self.carry_out(now, record.session, answer)
         self.look()
 
-    def saw(self, host: int, good: bool | None) -> None:
+    def saw(self, upstream: int, good: bool | None) -> None:
         if self.fellows is not None:
-            self.fellows.saw(host, good)
+            self.fellows.saw(upstream, good)
 
     def advised(self, looks: list[int], failed: list[tuple[int, int]]) -> None:
         """What others say of hosts; as the module's actor takes it."""
-        for host in looks:
-            self.probe(self.around.clock.now, host)
-        for host, witnesses in failed:
+        for upstream in looks:
+            self.probe(self.around.clock.now, upstream)
+        for upstream, witnesses in failed:
             for _ in range(witnesses):
-                self.policy.report(self.around.clock.now, host, False, None, None)
+                self.policy.report(self.around.clock.now, upstream, False, None, None)
         self.look()
 
-    def paced(self, until: int, host: int, link: int, at: int) -> None:
-        if not self.waits(self.paced, until, host, link, at) and self.alive:
-            self.policy.paced(self.around.clock.now, until, host, link, at)
+    def paced(self, until: int, upstream: int, session: int, at: int) -> None:
+        if not self.waits(self.paced, until, upstream, session, at) and self.alive:
+            self.policy.paced(self.around.clock.now, until, upstream, session, at)
 
-    def left(self, link: int) -> None:
+    def left(self, session: int) -> None:
         """The client has ended its link."""
-        hand = self.hands.pop(link, None)
-        if hand is not None:
-            if hand.attempt is not None:
-                hand.attempt.live = False
-            self.policy.left(self.around.clock.now, hand.link)
+        record = self.records.pop(session, None)
+        if record is not None:
+            if record.attempt is not None:
+                record.attempt.live = False
+            self.policy.left(self.around.clock.now, record.session)
             if self.backlog is None:
                 self.look()
 
     # What it does.
 
-    def carry_out(self, now: int, link: Link, answer: Answer) -> None:
-        super().carry_out(now, link, answer)
+    def carry_out(self, now: int, session: Session, answer: Answer) -> None:
+        super().carry_out(now, session, answer)
         if answer.sought and self.fellows is not None:
-            self.fellows.sought(link.number, answer.sought)
+            self.fellows.sought(session.number, answer.sought)
 
-    def link(self, number: int) -> Link | None:
-        hand = self.hands.get(number)
-        return None if hand is None else hand.link
+    def session(self, number: int) -> Session | None:
+        record = self.records.get(number)
+        return None if record is None else record.session
 
-    def send(self, now: int, link: Link, host: int, until: int) -> None:
-        hand = self.hands[link.number]
-        hand.attempt = Try(link.number, self, host, now, until)
-        self.around.network.tried(hand, hand.attempt)
+    def send(self, now: int, session: Session, upstream: int, until: int) -> None:
+        record = self.records[session.number]
+        record.attempt = Attempt(session.number, self, upstream, now, until)
+        self.around.network.tried(record, record.attempt)
 
-    def shed(self, now: int, link: Link, back_us: int) -> None:
-        self.around.clients.refused(self.hands.pop(link.number), back_us, shed=True)
+    def shed(self, now: int, session: Session, back_us: int) -> None:
+        self.around.clients.refused(self.records.pop(session.number), back_us, shed=True)
 
-    def give_up(self, now: int, link: Link) -> None:
-        self.around.clients.refused(self.hands.pop(link.number), 0, shed=False)
+    def give_up(self, now: int, session: Session) -> None:
+        self.around.clients.refused(self.records.pop(session.number), 0, shed=False)
 
-    def probe(self, now: int, host: int) -> None:
-        self.around.network.probed(self, host)
+    def probe(self, now: int, upstream: int) -> None:
+        self.around.network.probed(self, upstream)
 
-    def move(self, now: int, link: int) -> None:
-        hand = self.hands.pop(link, None)
-        if hand is not None and hand.attempt is not None:
-            hand.attempt.live = False
+    def move(self, now: int, session: int) -> None:
+        record = self.records.pop(session, None)
+        if record is not None and record.attempt is not None:
+            record.attempt.live = False
             # Told before it is moved: the decisions have taken it off its host already.
-            self.policy.left(now, hand.link)
-            self.around.clients.moved(hand)
+            self.policy.left(now, record.session)
+            self.around.clients.moved(record)
 
-    def withdraw(self, now: int, link: int) -> None:
-        hand = self.hands.get(link)
-        if hand is not None and hand.attempt is not None:
-            attempt = hand.attempt
+    def withdraw(self, now: int, session: int) -> None:
+        record = self.records.get(session)
+        if record is not None and record.attempt is not None:
+            attempt = record.attempt
             self.around.clock.at(now, TIMER, self.around.network.given_up, attempt)
 
     def ask_list(self, now: int) -> None:
@@ -257,14 +266,14 @@
         if self.alive and at == self.wake_at:
             self.look()
 
-    def stop(self) -> list[Hand]:
+    def stop(self) -> list[SessionRecord]:
         """It dies: what it had in hand is void."""
         self.alive = False
         # Who has come while it was stopped is none of its links yet, and goes as they do.
         came = [args[0] for what, args in self.backlog or () if what == self.arrived and not args[0].gone]
-        hands = [*self.hands.values(), *came]
-        for hand in hands:
-            if hand.attempt is not None:
-                hand.attempt.live = False
-        self.hands.clear()
-        return hands
+        records = [*self.records.values(), *came]
+        for record in records:
+            if record.attempt is not None:
+                record.attempt.live = False
+        self.records.clear()
+        return records
--- a/larchlatch/emulator/plain.py
+++ b/larchlatch/emulator/plain.py
@@ -6,21 +6,21 @@
 from random import Random
 from typing import Protocol
 
-from larchlatch.brain import Brain, Host
-from larchlatch.links import (
+from larchlatch.policy.balancer import Balancer, Upstream
+from larchlatch.policy.types import (
     DONE,
-    GIVEN_UP,
+    FAILED,
     NEVER_RAN,
     NOT_YET,
     SHED,
     Answer,
-    Due,
-    Link,
-    Listed,
+    DeploymentSettings,
+    DueActions,
+    Endpoint,
+    EndpointState,
+    Idempotency,
     Outcome,
-    Repeat,
-    State,
-    Terms,
+    Session,
 )
 
 AGAIN_US = 50_000  # between two looks for a host
@@ -32,18 +32,18 @@
 class Policy(Protocol):
     """What a node's driver asks and tells."""
 
-    def place(self, now: int, link: Link) -> Answer: ...
-    def outcome(self, now: int, link: Link, what: Outcome, done: bool = False) -> Answer: ...
-    def wait(self, now: int) -> Due: ...
-    def hosts_listed(self, now: int, lines: Iterable[Listed], whole: bool, asked: bool) -> None: ...
+    def place(self, now: int, session: Session) -> Answer: ...
+    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer: ...
+    def wait(self, now: int) -> DueActions: ...
+    def update_endpoints(self, now: int, lines: Iterable[Endpoint], whole: bool, asked: bool) -> None: ...
     def report(
-        self, now: int, number: int, answered: bool, x0: float | None, held: float | None = None
+        self, now: int, number: int, answered: bool, utilization: float | None, held: float | None = None
     ) -> None: ...
-    def load_note(self, now: int, link: Link, load: float) -> None: ...
-    def delay_note(self, now: int, link: Link, delay_us: int) -> None: ...
+    def record_load(self, now: int, session: Session, load: float) -> None: ...
+    def record_delay(self, now: int, session: Session, delay_us: int) -> None: ...
     def quiet(self, now: int, number: int) -> None: ...
-    def paced(self, now: int, until: int, number: int = -1, link: int = -1, at: int = 0) -> None: ...
-    def left(self, now: int, link: Link) -> None: ...
+    def paced(self, now: int, until: int, number: int = -1, session: int = -1, at: int = 0) -> None: ...
+    def left(self, now: int, session: Session) -> None: ...
 
 
 class Plain:
@@ -51,83 +51,83 @@
 
     watches = False
 
-    def __init__(self, terms: Terms, chance: Random) -> None:
-        self.terms = terms
+    def __init__(self, settings: DeploymentSettings, chance: Random) -> None:
+        self.settings = settings
         self.chance = chance
-        self.ready: dict[int, Listed] = {}
+        self.ready: dict[int, Endpoint] = {}
         self.loads: dict[int, float] = {}  # load over capacity, as last probed
         self.own: dict[int, int] = {}  # links of this node's own sent there since
         self.probe_at = 0
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
+    def choose(self, session: Session, upstreams: list[int]) -> int:
         raise NotImplementedError
 
-    def place(self, now: int, link: Link) -> Answer:
-        if link.out or link.open:
+    def place(self, now: int, session: Session) -> Answer:
+        if session.out or session.open:
             return Answer(DONE)
-        repeat = self.terms.tariffs[link.tariff].repeat
-        if now + AGAIN_US >= link.cut_off or link.tries >= self.terms.most_tries:
-            harmless = link.ran_at < 0 or repeat is Repeat.RERUNNABLE
-            return Answer(SHED, BACK_US) if harmless else Answer(GIVEN_UP)
-        if link.ran_at >= 0 and repeat is not Repeat.RERUNNABLE:
-            return Answer(GIVEN_UP)
+        idempotency = self.settings.traffic_classes[session.traffic_class].idempotency
+        if now + AGAIN_US >= session.deadline or session.attempt_count >= self.settings.max_attempts:
+            harmless = session.maybe_executed_at < 0 or idempotency is Idempotency.IDEMPOTENT
+            return Answer(SHED, BACK_US) if harmless else Answer(FAILED)
+        if session.maybe_executed_at >= 0 and idempotency is not Idempotency.IDEMPOTENT:
+            return Answer(FAILED)
         if not self.ready:
-            return Answer(NOT_YET, min(now + AGAIN_US, link.cut_off - AGAIN_US))
-        link.host = self.choose(link, list(self.ready))
-        link.out, link.sent_at = True, now
-        link.tries += 1
-        self.own[link.host] = self.own.get(link.host, 0) + 1
-        return Answer(link.host, link.cut_off)
-
-    def outcome(self, now: int, link: Link, what: Outcome, done: bool = False) -> Answer:
-        if what is Outcome.STANDS:
-            link.out, link.open = False, True
+            return Answer(NOT_YET, min(now + AGAIN_US, session.deadline - AGAIN_US))
+        session.upstream = self.choose(session, list(self.ready))
+        session.out, session.sent_at = True, now
+        session.attempt_count += 1
+        self.own[session.upstream] = self.own.get(session.upstream, 0) + 1
+        return Answer(session.upstream, session.deadline)
+
+    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
+        if what is Outcome.ESTABLISHED:
+            session.out, session.open = False, True
             return Answer(DONE)
-        if what not in NEVER_RAN and link.ran_at < 0:
-            link.ran_at = link.sent_at
-        link.out = link.open = False
-        return Answer(DONE) if done else self.place(now, link)
+        if what not in NEVER_RAN and session.maybe_executed_at < 0:
+            session.maybe_executed_at = session.sent_at
+        session.out = session.open = False
+        return Answer(DONE) if done else self.place(now, session)
 
-    def wait(self, now: int) -> Due:
+    def wait(self, now: int) -> DueActions:
         probes: list[int] = []
         if self.watches and now >= self.probe_at:
             self.probe_at = now + WATCH_US
             probes = list(self.ready)
-        return Due(self.probe_at - now if self.watches else NEVER_US, probes, False, [], [], 0)
+        return DueActions(self.probe_at - now if self.watches else NEVER_US, probes, False, [], [], 0)
 
-    def hosts_listed(self, now: int, lines: Iterable[Listed], whole: bool, asked: bool) -> None:
+    def update_endpoints(self, now: int, lines: Iterable[Endpoint], whole: bool, asked: bool) -> None:
         if whole:
             self.ready.clear()
         for line in lines:
-            if line.state is State.READY:
-                self.ready[line.host] = line
+            if line.state is EndpointState.READY:
+                self.ready[line.upstream] = line
             else:
-                self.ready.pop(line.host, None)
+                self.ready.pop(line.upstream, None)
 
     def report(
-        self, now: int, number: int, answered: bool, x0: float | None, held: float | None = None
+        self, now: int, number: int, answered: bool, utilization: float | None, held: float | None = None
     ) -> None:
         self.own[number] = 0
-        if x0 is not None:
-            self.loads[number] = x0
+        if utilization is not None:
+            self.loads[number] = utilization
 
-    def load_note(self, now: int, link: Link, load: float) -> None:
-        link.load = load
+    def record_load(self, now: int, session: Session, load: float) -> None:
+        session.load = load
 
-    def delay_note(self, now: int, link: Link, delay_us: int) -> None: ...
+    def record_delay(self, now: int, session: Session, delay_us: int) -> None: ...
 
     def quiet(self, now: int, number: int) -> None: ...
 
-    def paced(self, now: int, until: int, number: int = -1, link: int = -1, at: int = 0) -> None: ...
+    def paced(self, now: int, until: int, number: int = -1, session: int = -1, at: int = 0) -> None: ...
 
-    def left(self, now: int, link: Link) -> None: ...
+    def left(self, now: int, session: Session) -> None: ...
 
 
 class Chosen(Plain):
     """A host by chance."""
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
-        return self.chance.choice(hosts)
+    def choose(self, session: Session, upstreams: list[int]) -> int:
+        return self.chance.choice(upstreams)
 
 
 class Least(Plain):
@@ -135,22 +135,30 @@
 
     watches = True
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
-        return min(hosts, key=lambda host: (self.loads.get(host, 0.0) + self.own.get(host, 0) / 1000, host))
+    def choose(self, session: Session, upstreams: list[int]) -> int:
+        return min(
+            upstreams,
+            key=lambda upstream: (self.loads.get(upstream, 0.0) + self.own.get(upstream, 0) / 1000, upstream),
+        )
 
 
-class Master(Brain):
+class Master(Balancer):
     """The ring's master alone, by the decisions' own ring."""
 
     def choose(
-        self, now: int, link: Link, pair: list[Host], others: list[Host], beyond: Iterable[Host]
-    ) -> Host | None:
+        self,
+        now: int,
+        session: Session,
+        pair: list[Upstream],
+        others: list[Upstream],
+        beyond: Iterable[Upstream],
+    ) -> Upstream | None:
         first = pair[0] if pair else None
-        return first if first is not None and self.in_budget(now, first, link) else None
+        return first if first is not None and self.in_budget(now, first, session) else None
 
 
-POLICIES: dict[str, Callable[[Terms, Random], Policy]] = {
-    "larchlatch": Brain,
+POLICIES: dict[str, Callable[[DeploymentSettings, Random], Policy]] = {
+    "larchlatch": Balancer,
     "random": Chosen,
     "master": Master,
     "least": Least,
--- a/larchlatch/emulator/search.py
+++ b/larchlatch/emulator/search.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple, TypeVar
 
-from larchlatch.cluster.duties.leases import (
+from larchlatch.cluster.election.leases import (
     Answer,
     Ballot,
     Candidate,
--- a/larchlatch/emulator/stage.py
+++ b/larchlatch/emulator/stage.py
@@ -10,14 +10,14 @@
 from larchlatch.days.amounts import SECOND, us
 from larchlatch.days.chance import Chance
 from larchlatch.days.clients import Client
-from larchlatch.days.day import Day, terms_for
-from larchlatch.days.hosts import Condition, Host, hosts_of
+from larchlatch.days.day import Day, settings_for
+from larchlatch.days.hosts import Condition, Upstream, upstreams_of
 from larchlatch.days.tally import Tally
 from larchlatch.days.warming import Warming
 from larchlatch.emulator.checker import Checker
 from larchlatch.emulator.clock import Clock
-from larchlatch.emulator.nodes import Hand, Node
-from larchlatch.links import Listed, State
+from larchlatch.emulator.nodes import Node, SessionRecord
+from larchlatch.policy.types import Endpoint, EndpointState
 
 START_US = 1_000 * SECOND  # a day begins then: a time of 0 means long before it
 
@@ -25,8 +25,8 @@
 class Parked(NamedTuple):
     """Where a link in mid-flow is held, and under which number."""
 
-    host: int
-    link: int
+    upstream: int
+    session: int
 
 
 class Stage:
@@ -36,25 +36,27 @@
         self.clock.now = START_US
         self.end = START_US + us(day.span_s)
         self.chance = Chance(day.seed)
-        self.tariffs = terms_for(day, 0).tariffs
-        self.group_us = day.links.group_ms * 1000
+        self.traffic_classes = settings_for(day, 0).traffic_classes
+        self.group_us = day.sessions.group_ms * 1000
         self.tally = Tally()
         self.warming = Warming(day)
         self.digest = xxh3_64()
         self.trace = trace
         self.checker = Checker()
-        self.hosts: list[Host] = list(hosts_of(day))
+        self.upstreams: list[Upstream] = list(upstreams_of(day))
         self.nodes: list[Node] = []
         self.cut: set[int] = set()  # zones
         self.idents = 0
-        self.where: dict[int, tuple[Hand, Node]] = {}  # links that stand, by their numbers
+        self.where: dict[int, tuple[SessionRecord, Node]] = {}  # links that stand, by their numbers
         self.parked: dict[int, Parked] = {}  # of links in mid-flow that have not been tried yet
-        self.counted_at = [START_US] * len(self.hosts)  # up to when the time of its links is counted
+        self.counted_at = [START_US] * len(self.upstreams)  # up to when the time of its links is counted
 
     @staticmethod
-    def line(host: Host, state: State) -> Listed:
-        name = f"h-{host.number}"
-        return Listed(host.number, name, host.zone, host.cell, state, host.size, host.came_up)
+    def line(upstream: Upstream, state: EndpointState) -> Endpoint:
+        name = f"h-{upstream.number}"
+        return Endpoint(
+            upstream.number, name, upstream.zone, upstream.cell, state, upstream.size, upstream.started_at
+        )
 
     def note(self, *words: object) -> None:
         """One line of the trace: equal days have equal ones, byte for byte."""
@@ -63,20 +65,20 @@
         if self.trace is not None:
             self.trace(line)
 
-    def count(self, host: Host) -> None:
+    def count(self, upstream: Upstream) -> None:
         """Count the time of the links at a host up to now; asked before anything changes there."""
-        now, since = self.clock.now, self.counted_at[host.number]
-        self.counted_at[host.number] = now
-        if host.links and host.condition is Condition.WELL:
-            self.tally.served_us += len(host.links) * (now - since) / max(1.0, host.fullness(now))
+        now, since = self.clock.now, self.counted_at[upstream.number]
+        self.counted_at[upstream.number] = now
+        if upstream.sessions and upstream.condition is Condition.WELL:
+            self.tally.served_us += len(upstream.sessions) * (now - since) / max(1.0, upstream.fullness(now))
 
-    def free(self, host: int, number: int, client: Client) -> None:
+    def free(self, upstream: int, number: int, client: Client) -> None:
         """A host is rid of a link."""
-        self.count(self.hosts[host])
-        self.hosts[host].remove(number, client.group, self.group_us)
+        self.count(self.upstreams[upstream])
+        self.upstreams[upstream].remove(number, client.group, self.group_us)
 
-    def standing_at(self, host: Host) -> list[tuple[Hand, Node]]:
-        return [self.where[number] for number in host.links if number in self.where]
+    def standing_at(self, upstream: Upstream) -> list[tuple[SessionRecord, Node]]:
+        return [self.where[number] for number in upstream.sessions if number in self.where]
 
     # Who reaches whom.
 
@@ -87,9 +89,11 @@
     def apart(self, one: int, other: int) -> bool:
         return one != other and (one in self.cut or other in self.cut)
 
-    def reach(self, node: Node, host: Host) -> bool:
-        away = host.condition in (Condition.SILENT, Condition.ABSENT)
-        return not away and not self.apart(node.zone, host.zone)
+    def reach(self, node: Node, upstream: Upstream) -> bool:
+        away = upstream.condition in (Condition.SILENT, Condition.ABSENT)
+        return not away and not self.apart(node.zone, upstream.zone)
 
-    def parted(self, hand: Hand, node: Node) -> bool:
-        return hand.attempt is not None and self.apart(node.zone, self.hosts[hand.attempt.host].zone)
+    def parted(self, record: SessionRecord, node: Node) -> bool:
+        return record.attempt is not None and self.apart(
+            node.zone, self.upstreams[record.attempt.upstream].zone
+        )
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -8,9 +8,9 @@
 
 from larchlatch.days.amounts import us
 from larchlatch.days.clients import demand
-from larchlatch.days.day import Day, terms_for
+from larchlatch.days.day import Day, settings_for
 from larchlatch.days.faults import AnyFault, strike, trace_name
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.days.paths import Manner
 from larchlatch.days.tenures import holders_of
 from larchlatch.emulator.clock import WORLD
@@ -22,11 +22,11 @@
 from larchlatch.emulator.plain import POLICIES, Policy
 from larchlatch.emulator.stage import START_US, Parked, Stage
 from larchlatch.emulator.yard import TICK_US, Yard
-from larchlatch.links import Listed, Terms
+from larchlatch.policy.types import DeploymentSettings, Endpoint
 
 FALLEN_S = 5.0  # a host that was pushed over while cold is down for so long
 
-Make = Callable[[Terms, Random], Policy]
+Make = Callable[[DeploymentSettings, Random], Policy]
 
 
 class World:
@@ -38,7 +38,7 @@
         self.day = day
         self.make: Make = POLICIES[policy] if isinstance(policy, str) else policy
         self.stage = Stage(day, trace)
-        self.clock, self.checker, self.hosts = self.stage.clock, self.stage.checker, self.stage.hosts
+        self.clock, self.checker, self.upstreams = self.stage.clock, self.stage.checker, self.stage.upstreams
         self.listing = Listing(self.stage)
         self.yard = Yard(self.stage, self.listing)
         self.network = Network(self.stage, self.fall)
@@ -53,7 +53,9 @@
     def node(self, place: int) -> Node:
         self.starts[place] += 1
         seed = self.stage.chance.stream(f"node {place} start {self.starts[place]}")
-        node = Node(self.around, place, place % self.day.zones, self.make(terms_for(self.day, place), seed))
+        node = Node(
+            self.around, place, place % self.day.zones, self.make(settings_for(self.day, place), seed)
+        )
         if self.company is not None:
             node.fellows = self.company.voices[place]
         return node
@@ -66,8 +68,8 @@
             self.clock.at(START_US + us(fault.at_s), WORLD, self.befall, place, fault)
         self.clock.at(START_US + TICK_US, WORLD, self.yard.tick)
         self.clock.run(self.stage.end)
-        for host in self.hosts:
-            self.stage.count(host)
+        for upstream in self.upstreams:
+            self.stage.count(upstream)
         return {
             **self.stage.tally.row(),
             **self.stage.warming.row(self.clock.now),
@@ -83,18 +85,26 @@
         self.stage.note("fault", trace_name(fault))
         strike(self, fault, self.stage.chance.stream(f"fault {place}"))
 
-    def fall(self, host: Host) -> None:
-        self.crash(host)
-        self.later(FALLEN_S, self.rise, host)
+    def fall(self, upstream: Upstream) -> None:
+        self.crash(upstream)
+        self.later(FALLEN_S, self.rise, upstream)
 
     def later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
         self.clock.at(self.clock.now + us(after_s), WORLD, what, *args)
 
-    def well(self) -> list[Host]:
-        return [host for host in self.hosts if host.condition is Condition.WELL and not host.draining]
+    def well(self) -> list[Upstream]:
+        return [
+            upstream
+            for upstream in self.upstreams
+            if upstream.condition is Condition.WELL and not upstream.draining
+        ]
 
-    def absent(self) -> list[Host]:
-        return [host for host in self.hosts if host.condition is Condition.ABSENT and not host.life]
+    def absent(self) -> list[Upstream]:
+        return [
+            upstream
+            for upstream in self.upstreams
+            if upstream.condition is Condition.ABSENT and not upstream.life
+        ]
 
     def alive(self) -> list[Node]:
         return [node for node in self.nodes if node.alive]
@@ -103,31 +113,31 @@
         held = self.company.tenures.values() if self.company is not None else ()
         return [self.nodes[number] for number in holders_of(held)]
 
-    def slow(self, host: Host, factor: float) -> None:
-        self.yard.slow(host, factor)
+    def slow(self, upstream: Upstream, factor: float) -> None:
+        self.yard.slow(upstream, factor)
 
-    def vanish(self, host: Host) -> None:
-        self.lost(host)
-        self.yard.vanish(host)
+    def vanish(self, upstream: Upstream) -> None:
+        self.lost(upstream)
+        self.yard.vanish(upstream)
 
-    def crash(self, host: Host) -> None:
-        self.lost(host)
-        self.yard.crash(host)
+    def crash(self, upstream: Upstream) -> None:
+        self.lost(upstream)
+        self.yard.crash(upstream)
 
-    def lost(self, host: Host) -> None:
+    def lost(self, upstream: Upstream) -> None:
         if self.company is not None:
-            self.company.avoidance.gone(self.clock.now, host.number)
+            self.company.avoidance.gone(self.clock.now, upstream.number)
 
-    def rise(self, host: Host) -> None:
+    def rise(self, upstream: Upstream) -> None:
         if self.company is not None:
-            self.company.avoidance.back(self.clock.now, host.number)
-        self.yard.rise(host)
+            self.company.avoidance.back(self.clock.now, upstream.number)
+        self.yard.rise(upstream)
 
-    def drain(self, host: Host) -> None:
-        self.yard.drain(host)
+    def drain(self, upstream: Upstream) -> None:
+        self.yard.drain(upstream)
 
-    def depart(self, host: Host) -> None:
-        self.yard.depart(host)
+    def depart(self, upstream: Upstream) -> None:
+        self.yard.depart(upstream)
 
     def sever(self, zone: int) -> None:
         stage = self.stage
@@ -142,12 +152,12 @@
 
     def scatter(self, share: float, chance: Random) -> None:
         standing = list(self.stage.where.values())
-        for hand, node in chance.sample(standing, round(len(standing) * share)):
-            if hand.link.number not in self.stage.where:
+        for record, node in chance.sample(standing, round(len(standing) * share)):
+            if record.session.number not in self.stage.where:
                 continue  # moved meanwhile: what one client's leaving shows may move another
-            self.crowd.unhand(hand, "lost by the client")
-            node.left(hand.link.number)
-            self.crowd.back(hand.client)
+            self.crowd.unhand(record, "lost by the client")
+            node.left(record.session.number)
+            self.crowd.back(record.client)
 
     def deafen(self, for_s: float) -> None:
         self.listing.deaf_until = self.clock.now + us(for_s)
@@ -170,9 +180,9 @@
     def stall(self, node: Node) -> None:
         """Its process is stopped: what comes to it waits."""
         node.stall()
-        for hand in node.hands.values():
-            if not hand.link.open:
-                self.crowd.doubt(hand, node)
+        for record in node.records.values():
+            if not record.session.open:
+                self.crowd.doubt(record, node)
         if self.company is not None:
             self.company.stall(node.number)
 
@@ -214,32 +224,32 @@
         self.later(nodes.noticed_s, self.noticed, node)
         if node.number not in self.gone:
             self.later(nodes.back_s, self.restart, node, known)
-        for hand in node.stop():
-            number, attempt, client = hand.link.number, hand.attempt, hand.client
+        for record in node.stop():
+            number, attempt, client = record.session.number, record.attempt, record.client
             self.checker.over(number)
             if number in stage.where:
                 assert attempt is not None
                 del stage.where[number]
                 if self.day.passes:
                     pause = us(nodes.noticed_s) + round(
-                        us(self.day.links.beat_s) * stage.chance.draw("beat", number)
+                        us(self.day.sessions.beat_s) * stage.chance.draw("beat", number)
                     )
                     at = self.clock.now + pause
-                    self.clock.at(at, WORLD, crowd.come, client, Parked(attempt.host, number))
+                    self.clock.at(at, WORLD, crowd.come, client, Parked(attempt.upstream, number))
                     continue
                 stage.tally.counts["lost with a node"] += 1
             parked = stage.parked.pop(number, None)
             if parked is not None:
-                stage.free(parked.host, parked.link, client)
+                stage.free(parked.upstream, parked.session, client)
             if attempt is not None and attempt.held:
-                stage.free(attempt.host, number, client)
+                stage.free(attempt.upstream, number, client)
             crowd.back(client)
 
     def noticed(self, node: Node) -> None:
         if not node.alive and self.nodes[node.number] is node:
             self.crowd.fronts[node.number] = False
 
-    def restart(self, dead: Node, known: list[Listed]) -> None:
+    def restart(self, dead: Node, known: list[Endpoint]) -> None:
         if self.company is not None:
             self.company.restart(dead.number)
         node = self.nodes[dead.number] = self.node(dead.number)
--- a/larchlatch/emulator/yard.py
+++ b/larchlatch/emulator/yard.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
 from larchlatch.emulator.listing import Listing
-from larchlatch.emulator.nodes import Hand, Node
+from larchlatch.emulator.nodes import Node, SessionRecord
 from larchlatch.emulator.stage import Stage
-from larchlatch.links import Outcome, State
+from larchlatch.policy.types import EndpointState, Outcome
 
 TICK_US = SECOND  # hosts are looked at for lateness, and drop links, once in this
 QUIET_US = 500_000  # as real nodes do: a host that has answered nothing for so long is told of as quiet
@@ -26,107 +26,111 @@
 
     def tick(self) -> None:
         """Lateness is told, and hosts that bear far too much drop links."""
-        now, wanted = self.stage.clock.now, us(self.stage.day.links.message_ms / 1e3)
+        now, wanted = self.stage.clock.now, us(self.stage.day.sessions.message_ms / 1e3)
         self.stage.clock.at(now + TICK_US, WORLD, self.tick)
-        self.stage.warming.look(now, self.stage.hosts, TICK_US)
-        for host in self.stage.hosts:
-            if host.condition is not Condition.WELL:
+        self.stage.warming.look(now, self.stage.upstreams, TICK_US)
+        for upstream in self.stage.upstreams:
+            if upstream.condition is not Condition.WELL:
                 continue
-            self.stage.count(host)  # its speed may change with its warmth
-            took = host.message_us(now, wanted)
+            self.stage.count(upstream)  # its speed may change with its warmth
+            took = upstream.message_objective_us(now, wanted)
             late = took > NEAR * wanted
             if late or self.late:
-                self.tell_delay(host, took, late)
-            most = list(host.links)[: host.drops(now)]
-            self.cut_off(host, [self.stage.where[number] for number in most if number in self.stage.where])
+                self.tell_delay(upstream, took, late)
+            most = list(upstream.sessions)[: upstream.drops(now)]
+            self.reset_sessions(
+                upstream, [self.stage.where[number] for number in most if number in self.stage.where]
+            )
 
-    def tell_delay(self, host: Host, took: int, late: bool) -> None:
+    def tell_delay(self, upstream: Upstream, took: int, late: bool) -> None:
         """Each node with links there notes once a second what a message takes, and once when it is over."""
-        heard: dict[int, tuple[Node, Hand]] = {}
-        for number in host.links:
+        heard: dict[int, tuple[Node, SessionRecord]] = {}
+        for number in upstream.sessions:
             if number in self.stage.where:
-                hand, node = self.stage.where[number]
-                heard.setdefault(node.number, (node, hand))
-        for number, (node, hand) in heard.items():
-            if late or (number, host.number) in self.late:
-                self.stage.clock.at(self.stage.clock.now, TOLD, self.delay, node, hand, took)
+                record, node = self.stage.where[number]
+                heard.setdefault(node.number, (node, record))
+        for number, (node, record) in heard.items():
+            if late or (number, upstream.number) in self.late:
+                self.stage.clock.at(self.stage.clock.now, TOLD, self.delay, node, record, took)
             if late:
-                self.late.add((number, host.number))
+                self.late.add((number, upstream.number))
             else:
-                self.late.discard((number, host.number))
+                self.late.discard((number, upstream.number))
 
-    def delay(self, node: Node, hand: Hand, took: int) -> None:
-        if node.waits(self.delay, node, hand, took):
+    def delay(self, node: Node, record: SessionRecord, took: int) -> None:
+        if node.waits(self.delay, node, record, took):
             return
-        if node.alive and hand.link.number in node.hands and hand.link.open:
-            node.policy.delay_note(self.stage.clock.now, hand.link, took)
+        if node.alive and record.session.number in node.records and record.session.open:
+            node.policy.record_delay(self.stage.clock.now, record.session, took)
             node.look()
 
-    def hush(self, held: list[tuple[Hand, Node]], still: Callable[[Hand, Node], bool]) -> None:
+    def hush(
+        self, held: list[tuple[SessionRecord, Node]], still: Callable[[SessionRecord, Node], bool]
+    ) -> None:
         """Links on which nothing comes back any more: what nodes make of that, as real ones do."""
-        now, beat = self.stage.clock.now, us(self.stage.day.links.beat_s)
+        now, beat = self.stage.clock.now, us(self.stage.day.sessions.beat_s)
         quiet: dict[tuple[int, int], int] = {}
-        for hand, node in held:
-            assert hand.attempt is not None
-            said = now + round(beat * self.stage.chance.draw("beat", hand.link.number))
-            pair = (node.number, hand.attempt.host)
+        for record, node in held:
+            assert record.attempt is not None
+            said = now + round(beat * self.stage.chance.draw("beat", record.session.number))
+            pair = (node.number, record.attempt.upstream)
             quiet[pair] = min(quiet.get(pair, said), said)
-            self.stage.clock.at(said + SILENT_US, TIMER, self.silent, hand, node, still)
-        for (number, host), said in quiet.items():
-            self.stage.clock.at(said + QUIET_US, TIMER, self.quiet, self.stage.nodes[number], host)
+            self.stage.clock.at(said + SILENT_US, TIMER, self.silent, record, node, still)
+        for (number, upstream), said in quiet.items():
+            self.stage.clock.at(said + QUIET_US, TIMER, self.quiet, self.stage.nodes[number], upstream)
 
-    def silent(self, hand: Hand, node: Node, still: Callable[[Hand, Node], bool]) -> None:
-        if hand.attempt is not None and hand.attempt.live and node.alive and still(hand, node):
-            node.ended(hand.attempt, Outcome.CUT)
+    def silent(self, record: SessionRecord, node: Node, still: Callable[[SessionRecord, Node], bool]) -> None:
+        if record.attempt is not None and record.attempt.live and node.alive and still(record, node):
+            node.ended(record.attempt, Outcome.RESET)
 
-    def quiet(self, node: Node, host: int) -> None:
-        if node.waits(self.quiet, node, host):
+    def quiet(self, node: Node, upstream: int) -> None:
+        if node.waits(self.quiet, node, upstream):
             return
-        if node.alive and not self.stage.reach(node, self.stage.hosts[host]):
-            node.policy.quiet(self.stage.clock.now, host)
-            node.saw(host, None)
+        if node.alive and not self.stage.reach(node, self.stage.upstreams[upstream]):
+            node.policy.quiet(self.stage.clock.now, upstream)
+            node.saw(upstream, None)
             node.look()
 
     # What befalls them.
 
-    def slow(self, host: Host, factor: float) -> None:
-        self.stage.count(host)
-        host.slowness *= factor
-
-    def vanish(self, host: Host) -> None:
-        self.stage.count(host)
-        host.condition = Condition.SILENT
-        life = host.life
-        self.hush(self.stage.standing_at(host), lambda hand, node: host.life == life)
-
-    def crash(self, host: Host) -> None:
-        held = self.stage.standing_at(host)
-        self.stage.count(host)
-        host.condition = Condition.DEAD
-        host.stop()
-        self.cut_off(host, held)
-
-    def cut_off(self, host: Host, held: list[tuple[Hand, Node]]) -> None:
-        for hand, node in held:
-            way = self.stage.latency(node.zone, host.zone)
-            self.stage.clock.at(self.stage.clock.now + way, TOLD, node.ended, hand.attempt, Outcome.CUT)
-
-    def rise(self, host: Host) -> None:
+    def slow(self, upstream: Upstream, factor: float) -> None:
+        self.stage.count(upstream)
+        upstream.slowness *= factor
+
+    def vanish(self, upstream: Upstream) -> None:
+        self.stage.count(upstream)
+        upstream.condition = Condition.SILENT
+        life = upstream.life
+        self.hush(self.stage.standing_at(upstream), lambda record, node: upstream.life == life)
+
+    def crash(self, upstream: Upstream) -> None:
+        held = self.stage.standing_at(upstream)
+        self.stage.count(upstream)
+        upstream.condition = Condition.DEAD
+        upstream.stop()
+        self.reset_sessions(upstream, held)
+
+    def reset_sessions(self, upstream: Upstream, held: list[tuple[SessionRecord, Node]]) -> None:
+        for record, node in held:
+            way = self.stage.latency(node.zone, upstream.zone)
+            self.stage.clock.at(self.stage.clock.now + way, TOLD, node.ended, record.attempt, Outcome.RESET)
+
+    def rise(self, upstream: Upstream) -> None:
         """A host starts, cold; links that it held before are reset."""
-        held = self.stage.standing_at(host)
-        self.stage.count(host)
-        host.start(self.stage.clock.now)
-        self.cut_off(host, held)
-        self.listing.change(host, State.READY)
-
-    def depart(self, host: Host) -> None:
-        held = self.stage.standing_at(host)
-        self.stage.count(host)
-        host.stop()
-        host.condition = Condition.ABSENT
-        self.cut_off(host, held)
-        self.listing.change(host, State.GONE)
-
-    def drain(self, host: Host) -> None:
-        host.draining = True
-        self.listing.change(host, State.DRAINING)
+        held = self.stage.standing_at(upstream)
+        self.stage.count(upstream)
+        upstream.start(self.stage.clock.now)
+        self.reset_sessions(upstream, held)
+        self.listing.change(upstream, EndpointState.READY)
+
+    def depart(self, upstream: Upstream) -> None:
+        held = self.stage.standing_at(upstream)
+        self.stage.count(upstream)
+        upstream.stop()
+        upstream.condition = Condition.ABSENT
+        self.reset_sessions(upstream, held)
+        self.listing.change(upstream, EndpointState.GONE)
+
+    def drain(self, upstream: Upstream) -> None:
+        upstream.draining = True
+        self.listing.change(upstream, EndpointState.DRAINING)
--- a/larchlatch/load/bounds.py
+++ b/larchlatch/load/bounds.py
@@ -5,8 +5,8 @@
 import ipaddress
 import resource
 
+from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.day import Day
-from larchlatch.terms import BadInput
 
 MOST_NODES = 16
 MOST_STANDING = 4000  # links at once: each has two descriptors here and two at a node
@@ -20,29 +20,31 @@
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
-        raise BadInput(f"address: no address ({text})") from None
+        raise InvalidInputError(f"address: no address ({text})") from None
     if address.version != 4 or not address.is_loopback:
-        raise BadInput(f"address: not a loopback address of IPv4 ({text})")
+        raise InvalidInputError(f"address: not a loopback address of IPv4 ({text})")
     return text
 
 
 def playable(day: Day) -> Day:
     """The day, if it can be played on sockets."""
     if day.passes:
-        raise BadInput("day: passes: packets can't be made to pass through another process on sockets")
-    standing = day.links.rate * day.links.life_s
+        raise InvalidInputError(
+            "day: passes: packets can't be made to pass through another process on sockets"
+        )
+    standing = day.sessions.rate * day.sessions.life_s
     for key, asked, most in (
         ("nodes.count", float(day.nodes.count), float(MOST_NODES)),
-        ("links.rate", day.links.rate, MOST_RATE),
+        ("links.rate", day.sessions.rate, MOST_RATE),
         ("span_s", day.span_s, MOST_SPAN_S),
         ("links.rate times links.life_s", standing, float(MOST_STANDING)),
     ):
         if asked > most:
-            raise BadInput(f"day: {key}: {asked:g} is more than is played on sockets ({most:g})")
+            raise InvalidInputError(f"day: {key}: {asked:g} is more than is played on sockets ({most:g})")
     wanted = int(standing * 4) + SPARE
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and wanted > hard:
-        raise BadInput(f"day: links: {wanted} descriptors are wanted, the system grants {hard}")
+        raise InvalidInputError(f"day: links: {wanted} descriptors are wanted, the system grants {hard}")
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     return day
--- a/larchlatch/load/company.py
+++ b/larchlatch/load/company.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from larchlatch.cluster.file import new_secret
-from larchlatch.cluster.shared.counts import WINDOWS
+from larchlatch.cluster.cluster_file import new_secret
+from larchlatch.cluster.quota.counts import WINDOWS
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import SECOND, us
 from larchlatch.days.avoidance import Avoidance
@@ -97,9 +97,9 @@
     def head(self) -> list[str]:
         """What the cluster file says beside the nodes."""
         cluster = self.day.cluster
-        if not cluster.links_per_s:
+        if not cluster.sessions_per_s:
             return [f"beat_ms = {cluster.beat_ms}", f"skew = {cluster.skew}", *self.duties()]
-        tariffs = ", ".join(f'"t{place}"' for place in range(len(self.day.links.effects)))
+        traffic_classes = ", ".join(f'"t{place}"' for place in range(len(self.day.sessions.effects)))
         return [
             f"beat_ms = {cluster.beat_ms}",
             f"floor = {cluster.floor}",
@@ -108,8 +108,8 @@
             f"skew = {cluster.skew}",
             "[[budgets]]",
             'name = "all"',
-            f"links_per_s = {cluster.links_per_s}",
-            f"tariffs = [{tariffs}]",
+            f"links_per_s = {cluster.sessions_per_s}",
+            f"tariffs = [{traffic_classes}]",
             *self.duties(),
         ]
 
@@ -211,11 +211,11 @@
         match row:
             case {"event": "member", "name": name, "state": state}:
                 self.agreement.said(now_us(), number, self.places[name], state == "present")
-            case {"event": "host not reached", "host": host}:
-                self.avoidance.found(now_us(), number, number_of(host))
-            case {"event": "host avoided", "host": host}:
-                reached = self.reach(number % self.day.zones, number_of(host))
-                self.avoidance.left_out(now_us(), number_of(host), reached)
+            case {"event": "host not reached", "host": upstream}:
+                self.avoidance.found(now_us(), number, number_of(upstream))
+            case {"event": "host avoided", "host": upstream}:
+                reached = self.reach(number % self.day.zones, number_of(upstream))
+                self.avoidance.left_out(now_us(), number_of(upstream), reached)
             case {"event": "order carried out", "duty": duty, "lease": lease}:
                 self.tenures[duty].carried_out(lease)
             case {"event": "duty held" | "duty ended" as event, "duty": duty}:
--- a/larchlatch/load/play.py
+++ b/larchlatch/load/play.py
@@ -21,17 +21,17 @@
 from larchlatch.days.clients import RETURN_US, Client, demand, front_of
 from larchlatch.days.day import Day
 from larchlatch.days.faults import AnyFault, Cut, strike
-from larchlatch.days.hosts import Condition, hosts_of
+from larchlatch.days.hosts import Condition, upstreams_of
 from larchlatch.days.paths import Manner
 from larchlatch.days.tally import Tally, histogram
 from larchlatch.days.tenures import holders_of
 from larchlatch.days.warming import Warming
-from larchlatch.links import Repeat, State
 from larchlatch.load.board import Board
 from larchlatch.load.bounds import MOST_NODES
 from larchlatch.load.company import Company
 from larchlatch.load.sites import SOCKETS_US, Directory, Site, Watch
 from larchlatch.node.clock import now_us
+from larchlatch.policy.types import EndpointState, Idempotency
 
 START_S = 20.0  # for all nodes to serve
 LATE_US = 50_000  # clients that this tool has started so late, at the 99th percentile, make a result void
@@ -39,12 +39,16 @@
 STEP_S = 0.02  # between two looks at its own lag
 MORE_S = 0.2  # for something after the final answer to come
 END_S = 2.0  # for what is in hand at the end
-EFFECTS = {Repeat.RERUNNABLE: "idempotent", Repeat.TICKETED: "deduplicated", Repeat.EXCLUSIVE: "at_most_once"}
+EFFECTS = {
+    Idempotency.IDEMPOTENT: "idempotent",
+    Idempotency.KEYED: "deduplicated",
+    Idempotency.NON_IDEMPOTENT: "at_most_once",
+}
 
 
 def settings_for(day: Day, me: int) -> dict[str, Any]:
     """What a node's configuration says of this day."""
-    links, cold = day.links, day.cold
+    sessions, cold = day.sessions, day.cold
     return {
         "areas": [f"z{zone}" for zone in range(day.zones)],
         "caps": {
@@ -53,12 +57,12 @@
             "probes": day.network.probes,
             "cancel": True,
             "retry_after": True,
-            "max_retry_after_us": us(links.wait_ms / 2e3),
+            "max_retry_after_us": us(sessions.wait_ms / 2e3),
         },
         "discovery": "pushed",
         "domain": {
             "groups": True,
-            "message_aim_us": [us(links.message_ms / 1e3)] * len(links.effects),
+            "message_aim_us": [us(sessions.message_ms / 1e3)] * len(sessions.effects),
             "mode": "proxy",
             "tells_delay": True,
         },
@@ -68,18 +72,18 @@
             "ask_within_us": 10 * SECOND,
             "cold_from": cold.least,
             "cold_us": us(cold.warm_s),
-            "tip_multiple": cold.tip_multiple,
+            "tip_multiple": cold.overload_multiple,
             "tip_after_us": us(cold.tip_s),
         },
         "tariffs": [
             {
                 "name": f"t{place}",
-                "expected_time_us": us(links.expected_ms / 1e3),
-                "cut_off_us": us(links.wait_ms / 1e3),
-                "effect": EFFECTS[Repeat(effect)],
-                "repeat_window_us": us(links.memory_s),
+                "expected_time_us": us(sessions.expected_ms / 1e3),
+                "cut_off_us": us(sessions.wait_ms / 1e3),
+                "effect": EFFECTS[Idempotency(effect)],
+                "repeat_window_us": us(sessions.memory_s),
             }
-            for place, effect in enumerate(links.effects)
+            for place, effect in enumerate(sessions.effects)
         ],
         "telemetry": {"via": "probe", "fields": ["inflight", "x0"]},
         "weights": "nominal",
@@ -110,7 +114,7 @@
         return self.breaks == breaks and not self.down
 
 
-class Session:
+class LoadTest:
     def __init__(self, day: Day, address: str = "127.0.0.1") -> None:
         self.day = day
         self.address = address
@@ -120,7 +124,7 @@
         self.watch = Watch()
         self.warming = self.watch.warming = Warming(day)
         by_key = {f"k{client.key}": client for client in self.clients}
-        self.sites = [Site(host, day, by_key, self.watch) for host in hosts_of(day)]
+        self.sites = [Site(upstream, day, by_key, self.watch) for upstream in upstreams_of(day)]
         delays = self.chance.stream("list")
         low, high = day.listing.soon_ms / 1e3, day.listing.late_ms / 1e3
         self.directory = Directory(day, lambda: delays.uniform(low, high))
@@ -157,7 +161,7 @@
                     if board is not None:
                         await board.close()
         late = self.started_late.get_value_at_percentile(99)
-        self.tally.counts["tries"] = sum(site.tries for site in self.sites)
+        self.tally.counts["tries"] = sum(site.attempts for site in self.sites)
         self.tally.counts["probes"] = sum(site.probes for site in self.sites)
         return {
             **self.tally.row(),
@@ -172,11 +176,11 @@
     async def start(self) -> None:
         for site in self.sites:
             await site.listen(self.address)
-            if site.host.condition is Condition.ABSENT:
+            if site.upstream.condition is Condition.ABSENT:
                 assert site.server is not None
                 site.server.close()
             else:
-                self.directory.members[site.host.number] = Directory.member(site, State.READY)
+                self.directory.members[site.upstream.number] = Directory.member(site, EndpointState.READY)
             self.spawn(site.tick())
         await self.directory.listen(self.address)
         for number in range(self.day.nodes.count):
@@ -205,16 +209,16 @@
             "address": self.address,
             "zones": self.day.zones,
             "ports": [site.port for site in self.sites],
-            "host_zones": [site.host.zone for site in self.sites],
+            "host_zones": [site.upstream.zone for site in self.sites],
         }
         self.directory.ways = await self.ways.open(first)
         for site in self.sites:
-            if site.host.condition is Condition.ABSENT:
-                await self.ways.ask({"shut": site.host.number})
+            if site.upstream.condition is Condition.ABSENT:
+                await self.ways.ask({"shut": site.upstream.number})
 
-    def reach(self, zone: int, host: int) -> bool:
+    def reach(self, zone: int, upstream: int) -> bool:
         """Whether nothing lies between a zone's nodes and a host."""
-        far = self.sites[host].host.zone
+        far = self.sites[upstream].upstream.zone
         return zone == far or not {zone, far} & set(self.severed)
 
     def spawn(self, what: Any) -> None:
@@ -298,14 +302,14 @@
             self.spawn(self.lives(client))
         await self.until(self.day.span_s)
         # Whoever still waits for an answer gets it; standing links end with the day.
-        await asyncio.sleep(min(END_S, self.day.links.wait_ms / 1e3))
+        await asyncio.sleep(min(END_S, self.day.sessions.wait_ms / 1e3))
 
     async def warms(self) -> None:
         looked_at = now_us()
         while True:
             await asyncio.sleep(TELL_S)
             now = now_us()
-            self.warming.look(now, [site.host for site in self.sites], now - looked_at)
+            self.warming.look(now, [site.upstream for site in self.sites], now - looked_at)
             looked_at = now
 
     async def watched(self) -> None:
@@ -331,8 +335,8 @@
         near = [place for place in there if place.number % self.day.zones == client.zone] or there
         if not near:
             return None
-        draw = self.chance.draw("front", client.number, client.links)
-        return near[front_of(draw, len(near), self.day.links.uneven)]
+        draw = self.chance.draw("front", client.number, client.sessions)
+        return near[front_of(draw, len(near), self.day.sessions.uneven)]
 
     def over(self, client: Client) -> bool:
         now = self.now_s() - self.began
@@ -345,24 +349,24 @@
         self.tally.wanted_us += end * SECOND - client.due
         due = client.due / SECOND
         while not self.over(client):
-            client.links += 1
-            how, back_us = await self.link(client, due)
+            client.sessions += 1
+            how, back_us = await self.session(client, due)
             if how == "stood":
-                client.tries = 0
+                client.rejections = 0
                 low, high = RETURN_US
-                draw = self.chance.draw("return", client.number, client.links)
+                draw = self.chance.draw("return", client.number, client.sessions)
                 await asyncio.sleep((low + (high - low) * draw) / SECOND)
                 due = self.now_s() - self.began
                 continue
-            client.tries += 1
-            if client.tries > self.day.links.retries:
+            client.rejections += 1
+            if client.rejections > self.day.sessions.retries:
                 self.tally.counts["abandoned"] += 1
                 return
-            mean = self.day.links.back_ms / 1e3
-            own = mean * 2 * self.chance.draw("back", client.number, client.links)
+            mean = self.day.sessions.back_ms / 1e3
+            own = mean * 2 * self.chance.draw("back", client.number, client.sessions)
             await asyncio.sleep(back_us / SECOND if back_us else own)
 
-    async def link(self, client: Client, due_s: float) -> tuple[str, int]:
+    async def session(self, client: Client, due_s: float) -> tuple[str, int]:
         """One link: whether it stood, and when to come back."""
         place = self.front(client)
         if place is None:
@@ -377,8 +381,9 @@
             return "refused", 0
         self.idents += 1
         self.tally.counts["links"] += 1
-        ident, wait_ms = f"id{self.idents}", round(self.day.links.wait_ms)
-        text = f"OPEN {ident} k{client.key} c=t{client.tariff},d={wait_ms},g=g{client.group},h={client.load}"
+        ident, wait_ms = f"id{self.idents}", round(self.day.sessions.wait_ms)
+        values = f"c=t{client.traffic_class},d={wait_ms},g=g{client.group},h={client.load}"
+        text = f"OPEN {ident} k{client.key} {values}"
         began = now_us()
         try:
             if self.watch.spending is not None:
@@ -416,7 +421,7 @@
 
     async def answered(self, reader: asyncio.StreamReader, began: int) -> bytes:
         """The one final answer; none in time is a link lost."""
-        limit = self.day.links.wait_ms / 1e3
+        limit = self.day.sessions.wait_ms / 1e3
         try:
             async with asyncio.timeout(limit + SOCKETS_US / SECOND + LATE_US / SECOND):
                 return await reader.readline()
@@ -458,7 +463,7 @@
     async def beats(self, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError):
             while True:
-                await asyncio.sleep(self.day.links.beat_s)
+                await asyncio.sleep(self.day.sessions.beat_s)
                 writer.write(b"still here\r\n")
 
     # What goes wrong.
@@ -475,10 +480,10 @@
         self.spawn(then())
 
     def well(self) -> list[Site]:
-        return [s for s in self.sites if s.host.condition is Condition.WELL and not s.host.draining]
+        return [s for s in self.sites if s.upstream.condition is Condition.WELL and not s.upstream.draining]
 
     def absent(self) -> list[Site]:
-        return [s for s in self.sites if s.host.condition is Condition.ABSENT and not s.host.life]
+        return [s for s in self.sites if s.upstream.condition is Condition.ABSENT and not s.upstream.life]
 
     def alive(self) -> list[Place]:
         return [place for place in self.places if place.front]
@@ -488,11 +493,11 @@
         return [self.places[number] for number in holders_of(held)]
 
     def slow(self, site: Site, factor: float) -> None:
-        site.host.slowness *= factor
+        site.upstream.slowness *= factor
 
     def vanish(self, site: Site) -> None:
         self.lost(site)
-        site.host.condition = Condition.SILENT
+        site.upstream.condition = Condition.SILENT
 
     def crash(self, site: Site) -> None:
         self.lost(site)
@@ -501,33 +506,33 @@
 
     def shut(self, site: Site) -> None:
         if self.ways is not None:
-            self.spawn(self.ways.ask({"shut": site.host.number}))
+            self.spawn(self.ways.ask({"shut": site.upstream.number}))
 
     def lost(self, site: Site) -> None:
         if self.company is not None:
-            self.company.avoidance.gone(now_us(), site.host.number)
+            self.company.avoidance.gone(now_us(), site.upstream.number)
 
     def rise(self, site: Site) -> None:
         if self.company is not None:
-            self.company.avoidance.back(now_us(), site.host.number)
+            self.company.avoidance.back(now_us(), site.upstream.number)
 
         async def risen() -> None:
             await site.rise()
             if self.ways is not None:
-                await self.ways.ask({"open": site.host.number})
-            await self.directory.change(site, State.READY)
+                await self.ways.ask({"open": site.upstream.number})
+            await self.directory.change(site, EndpointState.READY)
 
         self.spawn(risen())
 
     def drain(self, site: Site) -> None:
-        site.host.draining = True
-        self.spawn(self.directory.change(site, State.DRAINING))
+        site.upstream.draining = True
+        self.spawn(self.directory.change(site, EndpointState.DRAINING))
 
     def depart(self, site: Site) -> None:
         self.shut(site)
         site.crash()
-        site.host.condition = Condition.ABSENT
-        self.spawn(self.directory.change(site, State.GONE))
+        site.upstream.condition = Condition.ABSENT
+        self.spawn(self.directory.change(site, EndpointState.GONE))
 
     def sever(self, zone: int) -> None:
         assert self.ways is not None
@@ -666,5 +671,5 @@
     import uvloop
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        session = Session(day, address)
-        return runner.run(session.play()), session.watch.words
+        load_test = LoadTest(day, address)
+        return runner.run(load_test.play()), load_test.watch.words
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/load/puppet.py
@@ -16,9 +16,9 @@
 import orjson
 
 from larchlatch.__main__ import cli
-from larchlatch.cluster import actor
-from larchlatch.cluster.duties.duties import PACER
-from larchlatch.cluster.members.exchange import Carried
+from larchlatch.cluster import service as actor
+from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.exchange import Carried
 from larchlatch.days.puppets import ORDERS, Drift, Lying
 
 true_us = actor.steady_us
@@ -36,7 +36,7 @@
     def listed(self, *listed: Any) -> None:
         super().listed(*listed)
         assert isinstance(self.exchange, Lying)
-        self.exchange.hosts = list(self.hosts)
+        self.exchange.upstreams = list(self.upstreams)
 
     def ordered(self, orders: list[Carried]) -> None:
         """The judge wants to see each order, also those that are not told at the usual level."""
