--- a/larchlatch/load/sites.py
+++ b/larchlatch/load/sites.py
@@ -13,18 +13,22 @@
 from larchlatch.days.amounts import SECOND, us
 from larchlatch.days.clients import Client
 from larchlatch.days.day import Day
-from larchlatch.days.hosts import Condition, Host
+from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.days.spending import Spending
 from larchlatch.days.warming import Warming
-from larchlatch.links import Repeat, State
 from larchlatch.node.clock import now_us
-from larchlatch.node.wire.lines import PING, PONG, STATS, Opening, opening_of
+from larchlatch.node.wire.lines import PING, PONG, STATS, Opening, parse_opening
+from larchlatch.policy.types import EndpointState, Idempotency
 
 TICK_S = 1.0
 MOST_TOLD = 20  # breaks of rules that are told in words; all are counted
 GRACE_US = 500_000  # of the third rule, and 50 ms for the sockets
 SOCKETS_US = 50_000
-PHASES = {State.READY: "in_service", State.DRAINING: "terminating", State.GONE: "terminated"}
+PHASES = {
+    EndpointState.READY: "in_service",
+    EndpointState.DRAINING: "terminating",
+    EndpointState.GONE: "terminated",
+}
 
 
 class Watch:
@@ -43,10 +47,10 @@
         if len(self.words) < MOST_TOLD:
             self.words.append(f"{now_us() / 1e6:.3f} s: {rule}: {what}")
 
-    def tried(self, ident: str, repeat: Repeat) -> None:
+    def tried(self, ident: str, idempotency: Idempotency) -> None:
         if ident in self.out:
             self.breaks("twice", f"link {ident}: two tries out at once")
-        elif ident in self.seen and repeat is Repeat.EXCLUSIVE:
+        elif ident in self.seen and idempotency is Idempotency.NON_IDEMPOTENT:
             self.breaks("twice", f"link {ident}: exclusive, and may have run")
         self.out.add(ident)
         self.seen.add(ident)
@@ -62,21 +66,21 @@
 class Site:
     """A host's address: what comes there is answered by the host that stands behind it."""
 
-    def __init__(self, host: Host, day: Day, clients: dict[str, Client], watch: Watch) -> None:
-        self.host = host
+    def __init__(self, upstream: Upstream, day: Day, clients: dict[str, Client], watch: Watch) -> None:
+        self.upstream = upstream
         self.day = day
         self.clients = clients
         self.watch = watch
         self.server: asyncio.Server | None = None
         self.port = 0
         self.address = "127.0.0.1"
-        self.tries = 0
+        self.attempts = 0
         self.probes = 0
         self.open: dict[asyncio.StreamWriter, tuple[int, int]] = {}  # each with its link and group
         self.not_after: int | None = None  # the list has told every node by then to send nothing here
         self.numbers = 0
         self.slowness = 1.0  # of what all setups need
-        self.repeats = [Repeat(effect) for effect in day.links.effects]
+        self.idempotencies = [Idempotency(effect) for effect in day.sessions.effects]
 
     @property
     def store_us(self) -> int:
@@ -92,12 +96,12 @@
         try:
             line = await reader.readline()
             while line in (PING, STATS):
-                if self.host.condition is Condition.SILENT:
+                if self.upstream.condition is Condition.SILENT:
                     await asyncio.sleep(3600)
                 self.probes += 1
                 writer.write(PONG if line == PING else self.stats())
                 line = await reader.readline()
-            opening = opening_of(line)
+            opening = parse_opening(line)
             if isinstance(opening, Opening):
                 await self.opened(opening, reader, writer)
             elif line:
@@ -106,31 +110,33 @@
             pass  # the server's own task: nobody is told of its end
         finally:
             number, group = self.open.pop(writer, (0, 0))
-            self.host.remove(number, group, self.day.links.group_ms * 1000)
+            self.upstream.remove(number, group, self.day.sessions.group_ms * 1000)
             with suppress(OSError, RuntimeError):
                 writer.close()
 
     def silent(self) -> bool:
-        return self.host.condition is Condition.SILENT
+        return self.upstream.condition is Condition.SILENT
 
     def stats(self) -> bytes:
         now = now_us()
-        return f"PONG x0={self.host.fullness(now):.4f},inflight={len(self.host.links)}\r\n".encode()
+        return (
+            f"PONG x0={self.upstream.fullness(now):.4f},inflight={len(self.upstream.sessions)}\r\n".encode()
+        )
 
     async def opened(
         self, opening: Opening, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        client, now, host = self.clients[opening.key], now_us(), self.host
-        self.tries += 1
-        self.watch.tried(opening.ident, self.repeats[client.tariff])
+        client, now, upstream = self.clients[opening.key], now_us(), self.upstream
+        self.attempts += 1
+        self.watch.tried(opening.ident, self.idempotencies[client.traffic_class])
         if self.not_after is not None and now > self.not_after + GRACE_US + SOCKETS_US:
             late = now - self.not_after
-            self.watch.breaks("drain", f"link {opening.ident}: to host {host.number}, {late} us late")
+            self.watch.breaks("drain", f"link {opening.ident}: to host {upstream.number}, {late} us late")
         if self.watch.warming is not None:
-            self.watch.warming.sent(now, host, client.load)
-        if host.pushed(now, client.load):
-            self.watch.breaks("cold", f"host {host.number}: more than it bears while it warms up")
-        done = host.admit(now, client.work_us)
+            self.watch.warming.sent(now, upstream, client.load)
+        if upstream.pushed(now, client.load):
+            self.watch.breaks("cold", f"host {upstream.number}: more than it bears while it warms up")
+        done = upstream.admit(now, client.work_us)
         if done is None:
             self.watch.ended(opening.ident, never_ran=True)
             writer.write(b"BUSY\r\n")
@@ -138,7 +144,7 @@
         gone = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait([gone], timeout=(done + self.store_us - now_us()) / 1e6)
-            life = host.life
+            life = upstream.life
             if self.silent():
                 # It says nothing; but a try that its node has given up is out no longer, for the judge.
                 await gone
@@ -148,15 +154,17 @@
             self.watch.ended(opening.ident)
             self.numbers += 1
             self.open[writer] = (self.numbers, client.group)
-            host.add(self.numbers, client.load, client.group, self.day.links.group_ms * 1000)
+            upstream.add(self.numbers, client.load, client.group, self.day.sessions.group_ms * 1000)
             writer.write(b"UP stands\r\n" + f"LOAD {client.load:.1f}\r\n".encode())
             first = await gone
             while first and (rest := await reader.readline()):
                 if self.silent():
                     await asyncio.sleep(3600)
-                if host.life != life:
+                if upstream.life != life:
                     return
-                await asyncio.sleep(host.message_us(now_us(), us(self.day.links.message_ms / 1e3)) / 1e6)
+                await asyncio.sleep(
+                    upstream.message_objective_us(now_us(), us(self.day.sessions.message_ms / 1e3)) / 1e6
+                )
                 writer.write(first + rest)
                 first = await reader.read(1)
         finally:
@@ -171,15 +179,15 @@
                 writer.transport.abort()
 
     def crash(self) -> None:
-        self.host.condition = Condition.DEAD
-        self.host.stop()
+        self.upstream.condition = Condition.DEAD
+        self.upstream.stop()
         if self.server is not None:
             self.server.close()
         self.reset(list(self.open))
 
     async def rise(self) -> None:
         self.reset(list(self.open))
-        self.host.start(now_us())
+        self.upstream.start(now_us())
         self.not_after = None
         if self.server is None or not self.server.is_serving():
             await self.listen(self.address)
@@ -188,13 +196,13 @@
         """Drop links where there are far too many."""
         while True:
             await asyncio.sleep(TICK_S)
-            many = self.host.drops(now_us())
+            many = self.upstream.drops(now_us())
             self.reset([writer for writer, (number, _) in self.open.items() if number][:many])
 
 
-def number_of(host: str) -> int:
+def number_of(upstream: str) -> int:
     """Of a stand-in host, by its name."""
-    return int(host.removeprefix("h-"))
+    return int(upstream.removeprefix("h-"))
 
 
 class Directory:
@@ -221,29 +229,29 @@
         return [{**entry, "host_port": self.way(zone, entry)} for entry in entries]
 
     def way(self, zone: int, entry: dict[str, Any]) -> str:
-        host, _, _ = entry["host_port"].rpartition(":")
-        return f"{host}:{self.ways[zone][number_of(entry['id'])]}"
+        upstream, _, _ = entry["host_port"].rpartition(":")
+        return f"{upstream}:{self.ways[zone][number_of(entry['id'])]}"
 
     @staticmethod
-    def member(site: Site, state: State) -> dict[str, Any]:
-        host = site.host
+    def member(site: Site, state: EndpointState) -> dict[str, Any]:
+        upstream = site.upstream
         return {
-            "id": f"h-{host.number}",
+            "id": f"h-{upstream.number}",
             "host_port": f"{site.address}:{site.port}",
-            "locality": f"z{host.zone}",
-            "cell": host.cell,
+            "locality": f"z{upstream.zone}",
+            "cell": upstream.cell,
             "phase": PHASES[state],
-            "size": host.size,
-            "up_since_ms": host.came_up // 1000,
+            "size": upstream.size,
+            "up_since_ms": upstream.started_at // 1000,
         }
 
-    async def change(self, site: Site, state: State) -> None:
+    async def change(self, site: Site, state: EndpointState) -> None:
         entry = self.member(site, state)
-        self.members[site.host.number] = entry
-        if state is State.GONE:
-            del self.members[site.host.number]
+        self.members[site.upstream.number] = entry
+        if state is EndpointState.GONE:
+            del self.members[site.upstream.number]
         self.changes.append(entry)
-        if state is not State.READY:
+        if state is not EndpointState.READY:
             late = us(self.day.listing.late_ms / 1e3)
             site.not_after = max(now_us() + late, int(self.deaf_until * SECOND) + late)
         async with self.changed:
--- a/larchlatch/load/ways.py
+++ b/larchlatch/load/ways.py
@@ -176,12 +176,12 @@
                 for way in self.crossing(zone):
                     if way not in still:
                         way.mend()
-            case {"open": host}:
+            case {"open": upstream}:
                 for row in self.ways:
-                    await row[host].open()
-            case {"shut": host}:
+                    await row[upstream].open()
+            case {"shut": upstream}:
                 for row in self.ways:
-                    row[host].shut()
+                    row[upstream].shut()
 
     def told(self) -> dict[str, int]:
         return {"passed": sum(way.passed for row in self.ways for way in row)}
--- a/larchlatch/node/control.py
+++ b/larchlatch/node/admin_api.py
@@ -11,8 +11,8 @@
 import structlog
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.memory.counters import Counters
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.metrics import Counters
 from larchlatch.node.wire.listen import Listener, NoAccept, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
 
@@ -33,7 +33,7 @@
     headers: tuple[tuple[str, str], ...] = ()
 
 
-class Control:
+class AdminApi:
     def __init__(self, phase: Phase, drain: Callable[[], None], counters: Counters) -> None:
         self.phase = phase
         self.counters = counters
--- a/larchlatch/node/client.py
+++ b/larchlatch/node/client.py
@@ -12,17 +12,17 @@
 import structlog
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.links import Link, Outcome
+from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.hand import Delivered, GivenUp, Hand, Shed
-from larchlatch.node.memory.room import Quiet, Room
-from larchlatch.node.module import Module
-from larchlatch.node.peer import Try
+from larchlatch.node.descriptor_budget import DescriptorBudget, Quiet
+from larchlatch.node.hot_restart import packets as passing
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.messages import Arrived, AttemptFinished, Left, Stood
+from larchlatch.node.metrics import Counters
 from larchlatch.node.relay import Ended, Relay, Side
+from larchlatch.node.session_record import Delivered, Failed, SessionRecord, Shed
+from larchlatch.node.upstream_actor import StartAttempt
 from larchlatch.node.wire import lines as say
-from larchlatch.node.wire import passing
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.stream import (
     LINGER_S,
@@ -33,7 +33,7 @@
     see_off,
     waited_us,
 )
-from larchlatch.node.words import Arrived, Left, Stood, Tried
+from larchlatch.policy.types import Outcome, Session
 
 FIRST_LINE_S = 2.5  # a client is owed a word 3 s after it has connected, whatever it sends or does not
 PINGED_S = 10.0  # a front that has asked whether this node serves may ask again within this
@@ -48,7 +48,7 @@
 
 # Hands a standing link over to another process of this node; False where that went wrong, and the link is
 # still here.
-Successor = Callable[[Hand, Lines, Lines, Outcome], Awaitable[bool]]
+Successor = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
 
 log = structlog.get_logger()
 
@@ -71,26 +71,26 @@
 
     def __init__(
         self,
-        module: Module,
-        tariffs: list[str],
+        balancer_actor: BalancerActor,
+        traffic_classes: list[str],
         tenants: list[str],
         longest_wait_us: int,
-        room: Room,
+        descriptors: DescriptorBudget,
         counters: Counters,
         ready: anyio.Event,
         phase: Phase,
     ) -> None:
-        self.module = module
-        self.tariffs = {name: place for place, name in enumerate(tariffs)}
+        self.balancer_actor = balancer_actor
+        self.traffic_classes = {name: place for place, name in enumerate(traffic_classes)}
         self.tenants = frozenset(tenants)
         self.longest_wait_us = longest_wait_us  # no link is held for longer, whatever its client says
-        self.room = room
+        self.descriptors = descriptors
         self.counters = counters
         self.ready = ready  # set once the node can serve
         self.phase = phase
         self.numbers = count()
-        self.idents: dict[str, Hand] = {}  # the links in hand or standing here by their clients' ids
-        self.standing: dict[int, Hand] = {}
+        self.idents: dict[str, SessionRecord] = {}  # the links in hand or standing here by their clients' ids
+        self.standing: dict[int, SessionRecord] = {}
         self.in_hand = 0  # links taken that are not over
         self.connections = 0  # that are open here, whatever they wait for
         self.resting: dict[anyio.CancelScope, None] = {}  # ends the waiting of those without a line
@@ -100,13 +100,13 @@
 
     def heard(self, sock: socket.socket) -> Heard | None:
         """What a connection just accepted has said, where this node is behind; None where it is not."""
-        enough, waited = self.module.enough_us, waited_us(sock)
+        enough, waited = self.balancer_actor.enough_us, waited_us(sock)
         # All that is done for a link costs time that the others lack who have waited as long.
         if not 0 < enough < waited:
             return None
         data = overheard(sock)
         whole = data.endswith(b"\n") and data.count(b"\n") == 1 and data != say.PING
-        return Heard(data, say.opening_of(data) if whole else None, now_us() - waited)
+        return Heard(data, say.parse_opening(data) if whole else None, now_us() - waited)
 
     def turned_away(self, sock: socket.socket, heard: Heard) -> bool:
         """Whether a link has too little time left to be set up; it has had its final answer then."""
@@ -114,8 +114,8 @@
         if not isinstance(opening, say.Opening) or opening.goes_on:
             return False
         # No host has heard of it: a retry is harmless, whatever its tariff.
-        if self.unfit(opening) is not None or self.cut_off(opening, heard.came_us) > now_us() + (
-            self.module.enough_us
+        if self.unfit(opening) is not None or self.deadline(opening, heard.came_us) > now_us() + (
+            self.balancer_actor.enough_us
         ):
             return False
         self.counters.add("link shed unread")
@@ -129,7 +129,7 @@
             await see_off(sock, self.linger_s)
         finally:
             self.connections -= 1
-            self.room.give()
+            self.descriptors.give()
 
     async def serve(self, sock: socket.socket, heard: Heard | None = None) -> None:
         """One connection, from its first line to its end; nothing that goes wrong leaves here."""
@@ -150,7 +150,7 @@
             else:
                 sock.close()
             self.connections -= 1
-            self.room.give()
+            self.descriptors.give()
 
     async def served(self, client: Lines, heard: Heard | None) -> None:
         if heard is not None and heard.opening is not None:
@@ -172,7 +172,7 @@
         elif line is Ending.TOO_LONG:
             await self.refuse(client, "line too long")
         elif not isinstance(line, Ending):
-            await self.opened(client, say.opening_of(line), now)
+            await self.opened(client, say.parse_opening(line), now)
 
     async def opened(self, client: Lines, opening: say.Opening | say.BadLine, now: int) -> None:
         """A client's first line has been read."""
@@ -183,11 +183,11 @@
         elif client.ready and not opening.goes_on:
             await self.refuse(client, "more than one line")
         else:
-            await self.taken(client, self.hand(now, opening), now)
+            await self.taken(client, self.record(now, opening), now)
 
     def unfit(self, opening: say.Opening) -> str | None:
         """Why a link can't be served."""
-        if opening.tariff not in self.tariffs:
+        if opening.traffic_class not in self.traffic_classes:
             return "unknown tariff"
         if opening.tenant is not None and self.tenants and opening.tenant not in self.tenants:
             return "unknown tenant"
@@ -204,9 +204,9 @@
             quiet = Quiet(scope.cancel, began)
 
             def begun() -> None:
-                self.room.heard(quiet, anyio.current_time())
+                self.descriptors.heard(quiet, anyio.current_time())
 
-            self.room.add(quiet, began)
+            self.descriptors.add(quiet, began)
             self.unheard += 1
             client.begun = begun
             if client.tail:  # a piece of its line was there before anything was made of the connection
@@ -217,7 +217,7 @@
                     if not pinged:  # a front: whoever ends need not wait for it
                         pinged = True
                         self.unheard -= 1
-                    self.room.heard(quiet, anyio.current_time(), whole=True)
+                    self.descriptors.heard(quiet, anyio.current_time(), whole=True)
                     await self.ready.wait()
                     await client.send(say.PONG if self.phase.welcome else say.NO)
                     scope.deadline = anyio.current_time() + PINGED_S
@@ -226,7 +226,7 @@
                 client.begun = None
                 del self.resting[scope]
                 self.unheard -= not pinged
-                if not self.room.remove(quiet):
+                if not self.descriptors.remove(quiet):
                     self.counters.add("made room (half a line)" if quiet.pieces else "made room (silent)")
         return None
 
@@ -240,7 +240,7 @@
     @property
     def linger_s(self) -> float:
         """How long a connection on which all has been said may wait for its client's end."""
-        return SHORT_LINGER_S if self.room.short else LINGER_S
+        return SHORT_LINGER_S if self.descriptors.short else LINGER_S
 
     def dismiss(self) -> None:
         """This node ends: whoever rests here is told so, and who still comes is turned away."""
@@ -253,42 +253,42 @@
         """How long a client is held at the most, whatever it says."""
         return min(opening.wait_ms * 1000, self.longest_wait_us)
 
-    def cut_off(self, opening: say.Opening, now: int) -> int:
+    def deadline(self, opening: say.Opening, now: int) -> int:
         """When a link that came at this time is to have its answer."""
         wait_us = self.wait_us(opening)
-        cut_off = now + wait_us - lag_us(wait_us)
+        deadline = now + wait_us - lag_us(wait_us)
         ends_in = self.phase.ends_in(anyio.current_time())
-        return cut_off if ends_in is None else min(cut_off, now_us() + int(ends_in * 1e6))
+        return deadline if ends_in is None else min(deadline, now_us() + int(ends_in * 1e6))
 
-    def hand(self, now: int, opening: say.Opening) -> Hand:
-        link = Link(
+    def record(self, now: int, opening: say.Opening) -> SessionRecord:
+        session = Session(
             number=next(self.numbers),
-            tariff=self.tariffs[opening.tariff],
+            traffic_class=self.traffic_classes[opening.traffic_class],
             key=xxh3_64_intdigest(opening.key.encode()),
             group=xxh3_64_intdigest(opening.group.encode()) if opening.group else None,
-            cut_off=self.cut_off(opening, now),
+            deadline=self.deadline(opening, now),
             mid_flow=opening.mid_flow,
             load=opening.load,
         )
-        return Hand(link, opening)
+        return SessionRecord(session, opening)
 
-    async def taken(self, client: Lines, hand: Hand, now: int) -> None:
+    async def taken(self, client: Lines, record: SessionRecord, now: int) -> None:
         """A link from its arrival, then, to its end."""
         self.counters.add("link taken")
         log.debug(
             "taken",
-            key=hand.opening.key,
-            group=hand.opening.group,
+            key=record.opening.key,
+            group=record.opening.group,
             late_us=now_us() - now,
-            wait_ms=hand.opening.wait_ms,
-            mid=hand.opening.mid_flow,
+            wait_ms=record.opening.wait_ms,
+            mid=record.opening.mid_flow,
         )
-        hand.hung_up = client.hung_up
-        async with self.held(hand):
-            await self.settled(client, hand)
-            verdict = hand.verdict
+        record.hung_up = client.hung_up
+        async with self.held(record):
+            await self.settled(client, record)
+            verdict = record.verdict
             if isinstance(verdict, Delivered):
-                await self.delivered(client, hand, verdict)
+                await self.delivered(client, record, verdict)
             elif verdict is None:
                 self.counters.add("link left early")
             else:
@@ -297,73 +297,79 @@
                 await client.send(say.shed_line(verdict.back_us) if isinstance(verdict, Shed) else say.FAILED)
                 await client.finish(Ending.END, self.linger_s)
 
-    async def settled(self, client: Lines, hand: Hand) -> None:
+    async def settled(self, client: Lines, record: SessionRecord) -> None:
         """Until a link has its final answer, or its client has left."""
         async with anyio.create_task_group() as tasks:
             # From the beginning: while the module's mailbox is full, its client may leave.
-            tasks.start_soon(self.heed, client, hand)
-            by = hand.link.cut_off + lag_us(self.wait_us(hand.opening)) // 2
-            if not self.begun(hand):
-                tasks.start_soon(self.module.submit, Arrived(hand))
+            tasks.start_soon(self.heed, client, record)
+            by = record.session.deadline + lag_us(self.wait_us(record.opening)) // 2
+            if not self.begun(record):
+                tasks.start_soon(self.balancer_actor.submit, Arrived(record))
             with anyio.move_on_after(seconds_until(by)) as time:
-                await hand.settled.wait()
-            if time.cancelled_caught and not hand.settled.is_set():
+                await record.settled.wait()
+            if time.cancelled_caught and not record.settled.is_set():
                 # The decisions have not come to it in time. What no host has heard of can't have run.
                 self.counters.add("link answered without a decision")
-                hand.settle(GivenUp() if hand.link.tries else Shed(BACK_US))
+                record.settle(Failed() if record.session.attempt_count else Shed(BACK_US))
             tasks.cancel_scope.cancel()
 
-    def begun(self, hand: Hand) -> bool:
+    def begun(self, record: SessionRecord) -> bool:
         """Whether a link is on its way to its answer; False where the module's mailbox is full."""
-        at = hand.opening.standing_at
+        at = record.opening.standing_at
         if at is None and (self.phase.turns_away(anyio.current_time()) or self.phase.ending):
-            hand.settle(Shed(BACK_US))
+            record.settle(Shed(BACK_US))
         elif at is None:
-            return self.module.offer(Arrived(hand))
+            return self.balancer_actor.offer(Arrived(record))
         else:
-            number = self.module.numbers.get(at)
-            if number is None or not self.module.peers[number].order(Try(hand, hand.link.cut_off)):
-                hand.settle(GivenUp())
+            number = self.balancer_actor.numbers.get(at)
+            if number is None or not self.balancer_actor.upstream_actors[number].order(
+                StartAttempt(record, record.session.deadline)
+            ):
+                record.settle(Failed())
         return True
 
     @asynccontextmanager
-    async def held(self, hand: Hand) -> AsyncIterator[None]:
+    async def held(self, record: SessionRecord) -> AsyncIterator[None]:
         """A link is in hand as long as this lasts."""
         self.in_hand += 1
-        self.idents[hand.opening.ident] = hand
+        self.idents[record.opening.ident] = record
         try:
             yield
         finally:
             self.in_hand -= 1
-            await self.let_go(hand)
+            await self.let_go(record)
 
     async def resume(self, told: passing.Standing, socks: list[socket.socket]) -> None:
         """A standing link that another process of this node hands over: both of its sides go on unbroken."""
         sides: list[Lines] = []
         try:
-            for sock, early in zip(socks, (told.client_early, told.host_early), strict=True):
+            for sock, early in zip(socks, (told.client_early, told.upstream_early), strict=True):
                 sides.append(Lines(await stream_of(sock)))
                 sides[-1].feed(early)
-            client, host = sides
-            opening = say.opening_of(told.line)
-            number = self.module.numbers.get(told.host)
-            if isinstance(opening, say.BadLine) or opening.tariff not in self.tariffs or number is None:
+            client, upstream = sides
+            opening = say.parse_opening(told.line)
+            number = self.balancer_actor.numbers.get(told.upstream)
+            if (
+                isinstance(opening, say.BadLine)
+                or opening.traffic_class not in self.traffic_classes
+                or number is None
+            ):
                 self.counters.add("link not understood")
                 await client.send(say.MOVE)
                 await client.finish(Ending.END)
                 return
-            hand = self.hand(now_us(), opening)
-            hand.link.load = told.load
+            record = self.record(now_us(), opening)
+            record.session.load = told.load
             # Danger: nobody read its host while the link changed hands. Counted from the line, that pause is
             # the host's, and on a busy machine all hosts are quiet to a process that has just begun.
-            hand.asked_at = now_us() if told.asked_at else 0
-            verdict = Delivered(host, b"", number)
-            hand.settle(verdict)
-            async with self.held(hand):
+            record.asked_at = now_us() if told.asked_at else 0
+            verdict = Delivered(upstream, b"", number)
+            record.settle(verdict)
+            async with self.held(record):
                 self.elsewhere.discard(opening.ident)
                 self.counters.add("link taken over")
-                await self.module.post(Stood(hand, number))
-                await self.stands(client, hand, verdict, Outcome(told.last))
+                await self.balancer_actor.post(Stood(record, number))
+                await self.stands(client, record, verdict, Outcome(told.last))
         except Exception:
             self.counters.add("connection failed")
             log.exception("a link could not be taken over")
@@ -373,80 +379,88 @@
             for sock in socks[len(sides) :]:
                 sock.close()
             for _ in socks:
-                self.room.give()
+                self.descriptors.give()
 
-    async def let_go(self, hand: Hand) -> None:
+    async def let_go(self, record: SessionRecord) -> None:
         """Nothing of a link outlives its client's connection."""
-        hand.gone = True
-        self.forget(hand)
-        if hand.attempt is not None:
-            hand.attempt.cancel()
-        await self.module.post(Left(hand))
+        record.gone = True
+        self.forget(record)
+        if record.attempt is not None:
+            record.attempt.cancel()
+        await self.balancer_actor.post(Left(record))
 
-    def forget(self, hand: Hand) -> None:
+    def forget(self, record: SessionRecord) -> None:
         """Its id may come again: where packets pass through, at this node too."""
-        if self.idents.get(hand.opening.ident) is hand:
-            del self.idents[hand.opening.ident]
+        if self.idents.get(record.opening.ident) is record:
+            del self.idents[record.opening.ident]
 
-    async def heed(self, client: Lines, hand: Hand) -> None:
+    async def heed(self, client: Lines, record: SessionRecord) -> None:
         """What a client does while it waits for its answer."""
         early: list[bytes] = []
         try:
             while sum(map(len, early)) < MOST_EARLY:
                 some = await client.some()
                 if some is Ending.END or some is Ending.RESET:
-                    hand.leave()
+                    record.leave()
                     return
-                if isinstance(some, Ending) or not hand.opening.goes_on:
+                if isinstance(some, Ending) or not record.opening.goes_on:
                     # A client waits for its answer: what this one says besides no host could read.
                     self.counters.add("refused: more than one line")
-                    hand.settle(GivenUp())
+                    record.settle(Failed())
                     return
                 early += some  # sent before it came here: it goes to the host once there is one
         finally:
             client.ready = early + client.ready
 
-    async def delivered(self, client: Lines, hand: Hand, verdict: Delivered) -> None:
+    async def delivered(self, client: Lines, record: SessionRecord, verdict: Delivered) -> None:
         """Pass on the host's line, then all others."""
         self.counters.add("link delivered")
         try:
-            await self.stands(client, hand, verdict)
+            await self.stands(client, record, verdict)
         finally:
-            await verdict.host.close(reset=True)
-            self.room.give()
+            await verdict.upstream.close(reset=True)
+            self.descriptors.give()
 
     async def stands(
-        self, client: Lines, hand: Hand, verdict: Delivered, last: Outcome = Outcome.CUT
+        self, client: Lines, record: SessionRecord, verdict: Delivered, last: Outcome = Outcome.RESET
     ) -> None:
         """Pass on all lines until it is over; last: what the end of the host's side would mean."""
-        peer = self.module.peers[verdict.peer]
-        number = hand.link.number
-        peer.standing[number] = self.standing[number] = hand
-        host = verdict.host
+        upstream_actor = self.balancer_actor.upstream_actors[verdict.upstream_actor]
+        number = record.session.number
+        upstream_actor.standing[number] = self.standing[number] = record
+        upstream = verdict.upstream
         ended = Ended(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         try:
             if not verdict.line or await client.send(verdict.line):
-                relay = Relay(hand, client, host, peer, last)
-                hand.pass_on = relay.pass_on
+                relay = Relay(record, client, upstream, upstream_actor, last)
+                record.pass_on = relay.pass_on
                 ended = await relay.run()
                 if ended.side is Side.SUCCESSOR:
-                    if self.successor is not None and await self.successor(hand, client, host, relay.last):
+                    if self.successor is not None and await self.successor(
+                        record, client, upstream, relay.last
+                    ):
                         self.counters.add("link passed on")
                         return
                     ended = Ended(Side.NODE, Ending.END, Outcome.CANCELLED)
-            del peer.standing[number]
-            self.forget(hand)
+            del upstream_actor.standing[number]
+            self.forget(record)
             self.counters.add(f"link ended by {ended.side.value} ({ended.how.value})")
-            log.debug("over", host=peer.name, key=hand.opening.key, side=ended.side.name, how=ended.how.name)
+            log.debug(
+                "over",
+                upstream=upstream_actor.name,
+                key=record.opening.key,
+                side=ended.side.name,
+                how=ended.how.name,
+            )
             if ended.side is not Side.CLIENT:
-                await self.module.post(Tried(hand, ended.outcome, True))
+                await self.balancer_actor.post(AttemptFinished(record, ended.outcome, True))
             if ended.side is Side.NODE:
-                self.counters.add("link moved off a silent host" if hand.silent else "link moved")
+                self.counters.add("link moved off a silent host" if record.silent else "link moved")
                 with anyio.move_on_after(MOVE_S):
                     await client.send(say.MOVE)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(client.finish, ended.how)
-                tasks.start_soon(host.finish, ended.how)
+                tasks.start_soon(upstream.finish, ended.how)
         finally:
-            peer.standing.pop(number, None)
+            upstream_actor.standing.pop(number, None)
             del self.standing[number]
--- a/larchlatch/node/memory/room.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -19,7 +19,7 @@
         self.heard_at = now  # when it connected, or last sent something
 
 
-class Room:
+class DescriptorBudget:
     def __init__(self, sockets: int) -> None:
         self.free = self.most = max(2, sockets - RESERVE)
         self.most_quiet = max(FEWEST_QUIET, self.most // QUIET_SHARE)
--- a/larchlatch/node/listing.py
+++ b/larchlatch/node/discovery.py
@@ -8,10 +8,11 @@
 import h11
 import structlog
 
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.wire import catalog
-from larchlatch.node.words import ListFailed, ListTold, Post
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.endpoints import EndpointList
+from larchlatch.node.messages import ListFailed, ListTold, Post
+from larchlatch.node.metrics import Counters
+from larchlatch.node.wire import discovery_client as catalog
 
 PATH = "/catalog/members"
 # Where changes are pushed, discovery is an agent on this machine that answers at once and at no cost. What it
@@ -41,7 +42,7 @@
         self.whole = whole  # the next list is to be the whole one
 
 
-class Listing:
+class DiscoveryClient:
     """Follows the list for as long as the node lives: at once where the settings say that changes are pushed,
     else from when it is told to ask."""
 
@@ -112,7 +113,7 @@
             log.info("list found", calls=self.failures)
         self.heard_at, self.failures = anyio.current_time(), 0
 
-    async def tell(self, source: Source, told: catalog.Members, faults: list[str]) -> None:
+    async def tell(self, source: Source, told: EndpointList, faults: list[str]) -> None:
         source.revision, self.again_s = told.revision, SHARED_AGAIN_S
         self.counters.add("list whole" if told.whole else "list change")
         if faults:
@@ -135,7 +136,7 @@
         except catalog.Refused as error:
             self.refused = True
             self.lost(error)
-        except BadInput as error:
+        except InvalidInputError as error:
             # Nonsense from discovery is no list: the node works on with the one it has.
             self.refused = True  # it was answered: the next answer is no better for coming at once
             self.counters.add("list unreadable")
--- a/larchlatch/node/lifecycle/handover.py
+++ b/larchlatch/node/hot_restart/handover.py
@@ -14,21 +14,21 @@
 from anyio.abc import TaskGroup, UNIXSocketStream
 from xxhash import xxh3_64_hexdigest
 
-from larchlatch.links import Outcome
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.endpoints import EndpointList
+from larchlatch.config.node import Plan
+from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.client import Door
 from larchlatch.node.clock import BASE_US
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.lifecycle.plan import Plan
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.hand import Hand
-from larchlatch.node.memory.room import RESERVE, Room
-from larchlatch.node.module import Module
+from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
+from larchlatch.node.hot_restart.packets import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.metrics import Counters
+from larchlatch.node.session_record import SessionRecord
 from larchlatch.node.wire import lines as say
-from larchlatch.node.wire.catalog import Members
 from larchlatch.node.wire.listen import Listener
-from larchlatch.node.wire.passing import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome
 from larchlatch.node.wire.stream import Lines
-from larchlatch.terms import BadInput
+from larchlatch.policy.types import Outcome
 
 FIRST_WORD_S = 2.0  # for an answer of the other process, whose loop may lag; then each goes on alone
 START_S = 30.0  # for a new process until it serves: what it is lent meanwhile comes back then
@@ -108,12 +108,12 @@
     return bool(uid == os.getuid())
 
 
-async def word(channel: Channel, within_s: float) -> tuple[Packet, list[socket.socket]] | None:
+async def message(channel: Channel, within_s: float) -> tuple[Packet, list[socket.socket]] | None:
     """The other process's next word; None where there is none in time, or none that can be understood."""
     try:
         with anyio.move_on_after(within_s):
             return await channel.receive()
-    except BadInput as error:
+    except InvalidInputError as error:
         log.warning("the other process is not understood", why=str(error))
     return None
 
@@ -145,26 +145,26 @@
                 continue
             self.channel = Channel(await UNIXSocketStream.from_socket(made))
             # The new one needs descriptors to start with, though it has taken nothing yet.
-            self.door.room.lend(RESERVE)
+            self.door.descriptors.lend(RESERVE)
             try:
                 await self.converse(self.channel)
             finally:
-                self.door.room.lend(-RESERVE)
+                self.door.descriptors.lend(-RESERVE)
                 await self.channel.close()
             self.counters.add("upgrade broken off")
             log.warning("the process that was to follow is gone")
 
     async def converse(self, channel: Channel) -> None:
         """Until the other side ends; then this process goes on as before."""
-        match await word(channel, FIRST_WORD_S):
+        match await message(channel, FIRST_WORD_S):
             case Hello(name, listen), _ if (name, listen) == hello(self.plan):
                 pass
             case _:
                 return
         log.info("another process of this node starts")
-        if not await channel.send(Welcome(self.door.module.members()), [self.listener.sock.fileno()]):
+        if not await channel.send(Welcome(self.door.balancer_actor.members()), [self.listener.sock.fileno()]):
             return
-        match await word(channel, START_S):
+        match await message(channel, START_S):
             case Serving(), _:
                 pass
             case _:
@@ -172,50 +172,50 @@
         self.phase.ceded = True
         self.gate(False)
         self.door.successor = self.pass_on
-        room = self.door.room
+        descriptors = self.door.descriptors
         # One descriptor more for each link that may yet need its host; all others are the new one's.
-        more = min(max(0, room.free), self.door.in_hand - len(self.door.standing) + self.door.unheard)
-        lent = room.free - more
-        room.lend(lent)
+        more = min(max(0, descriptors.free), self.door.in_hand - len(self.door.standing) + self.door.unheard)
+        lent = descriptors.free - more
+        descriptors.lend(lent)
         ceded = Ceded(
-            self.door.module.cede(True),
+            self.door.balancer_actor.cede(True),
             list(self.door.idents),
-            RESERVE + room.held + more,
+            RESERVE + descriptors.held + more,
             None if self.phase.drained_at is None else anyio.current_time() - self.phase.drained_at,
             BASE_US,
         )
         self.counters.add("ceded")
-        log.info("another process of this node serves", links=len(self.door.standing))
+        log.info("another process of this node serves", sessions=len(self.door.standing))
         try:
             if await channel.send(ceded):
                 await channel.receive()  # nothing more is said: it ends
         finally:
             self.door.successor = None
             self.phase.ceded = False
-            self.door.module.cede(False)
-            room.lend(-lent)
+            self.door.balancer_actor.cede(False)
+            descriptors.lend(-lent)
             self.gate(True)
 
-    async def pass_on(self, hand: Hand, client: Lines, host: Lines, last: Outcome) -> bool:
+    async def pass_on(self, record: SessionRecord, client: Lines, upstream: Lines, last: Outcome) -> bool:
         """Hand a standing link over with both of its connections."""
         # One at a time: each has four descriptors here until it is gone, with both processes at their limit.
         async with self.turn:
-            return await self.handed_over(hand, client, host, last)
+            return await self.handed_over(record, client, upstream, last)
 
-    async def handed_over(self, hand: Hand, client: Lines, host: Lines, last: Outcome) -> bool:
+    async def handed_over(self, record: SessionRecord, client: Lines, upstream: Lines, last: Outcome) -> bool:
         fds: list[tuple[Lines, int, bytes]] = []
         try:
-            for lines in (client, host):
+            for lines in (client, upstream):
                 out = lines.hand_out()
                 if out is None:
                     break
                 fds.append((lines, *out))
             else:
                 told = Standing(
-                    say.first_line(hand.opening),
-                    self.door.module.peers[hand.link.host].name,
-                    hand.link.load,
-                    hand.asked_at,
+                    say.first_line(record.opening),
+                    self.door.balancer_actor.upstream_actors[record.session.upstream].name,
+                    record.session.load,
+                    record.asked_at,
                     int(last),
                     fds[0][2],
                     fds[1][2],
@@ -238,7 +238,9 @@
 class Taking:
     """The side of the new process."""
 
-    def __init__(self, channel: Channel, members: Members, listener: Listener, counters: Counters) -> None:
+    def __init__(
+        self, channel: Channel, members: EndpointList, listener: Listener, counters: Counters
+    ) -> None:
         self.channel = channel
         self.members = members
         self.listener = listener
@@ -253,7 +255,7 @@
             return None
         channel = Channel(await UNIXSocketStream.from_socket(sock))
         await channel.send(Hello(*hello(plan)))
-        match await word(channel, FIRST_WORD_S):
+        match await message(channel, FIRST_WORD_S):
             case Welcome(members), [shared] if shared.getsockname()[:2] == plan.listen:
                 return cls(channel, members, Listener(shared), counters)
             case _:
@@ -262,22 +264,24 @@
                 await channel.close()
                 return None
 
-    async def ceded(self, room: Room, phase: Phase, module: Module, door: Door) -> None:
+    async def ceded(
+        self, descriptors: DescriptorBudget, phase: Phase, balancer_actor: BalancerActor, door: Door
+    ) -> None:
         """Say that this process serves, and take over what the other one knows."""
         await self.channel.send(Serving())
-        match await word(self.channel, FIRST_WORD_S):
+        match await message(self.channel, FIRST_WORD_S):
             case Ceded() as ceded, _:
                 pass
             case _:
                 self.counters.add("upgrade on its own")
                 return
         self.holds = ceded.holds
-        room.lend(ceded.holds)
+        descriptors.lend(ceded.holds)
         door.elsewhere.update(ceded.idents)
         if ceded.drained_s is not None:
             # Its operator has ended no drain: it goes on, and its links' time runs from its beginning.
             phase.drain(anyio.current_time() - ceded.drained_s)
-        module.recall(ceded.learned, BASE_US - ceded.clock_us)
+        balancer_actor.recall(ceded.learned, BASE_US - ceded.clock_us)
 
     async def run(self, door: Door, tasks: TaskGroup) -> None:
         """Take over links until the other process has ended."""
@@ -285,7 +289,7 @@
         while True:
             try:
                 came = await self.channel.receive()
-            except BadInput as error:
+            except InvalidInputError as error:
                 log.warning("the other process is not understood", why=str(error))
                 break
             if came is None:
@@ -296,5 +300,5 @@
                 tasks.start_soon(door.resume, told, socks)
         await self.channel.close()
         door.elsewhere.clear()
-        door.room.lend(taken - self.holds)  # the links' own are given back as they end
-        log.info("the process before this one has ended", links=taken // 2)
+        door.descriptors.lend(taken - self.holds)  # the links' own are given back as they end
+        log.info("the process before this one has ended", sessions=taken // 2)
--- a/larchlatch/node/wire/passing.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -10,9 +10,9 @@
 import orjson
 from anyio.abc import UNIXSocketStream
 
-from larchlatch.node.wire.catalog import Members, members_of, wire_form
+from larchlatch.config.deployment import NUMBER, InvalidInputError, need
+from larchlatch.config.endpoints import EndpointList, endpoint_list_of, wire_form
 from larchlatch.node.wire.stream import GONE
-from larchlatch.terms import NUMBER, BadInput, need
 
 MAGIC = b"LL"
 VERSION = 1  # of these packets: another one is not understood, and each process goes on alone
@@ -31,7 +31,7 @@
 class Welcome(NamedTuple):
     """The old one: what it knows, and beside it the descriptor on which it listens."""
 
-    members: Members
+    members: EndpointList
 
 
 class Serving(NamedTuple):
@@ -52,12 +52,12 @@
     """A standing link, with its client's and its host's connection."""
 
     line: bytes  # the client's first one
-    host: str
+    upstream: str
     load: float
     asked_at: int  # when a line was sent that has had no answer yet; 0: none waits
     last: int  # what the end of its host's side would mean
     client_early: bytes  # read of either side, and not passed on
-    host_early: bytes
+    upstream_early: bytes
 
 
 Packet = Hello | Welcome | Serving | Ceded | Standing
@@ -89,7 +89,7 @@
         if isinstance(value, bytes):
             body[name] = value.decode("latin-1")
         else:
-            body[name] = wire_form(value) if isinstance(value, Members) else value
+            body[name] = wire_form(value) if isinstance(value, EndpointList) else value
     text = orjson.dumps(body)
     return HEAD.pack(MAGIC, VERSION, fds, len(text)) + text
 
@@ -98,15 +98,15 @@
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise BadInput(f"packet: no JSON ({error})") from None
+        raise InvalidInputError(f"packet: no JSON ({error})") from None
     top = "packet"
     if not isinstance(raw, dict):
-        raise BadInput(f"{top}: not an object")
+        raise InvalidInputError(f"{top}: not an object")
     match need(raw, "kind", str, top):
         case "Hello":
             return Hello(need(raw, "name", str, top), need(raw, "listen", str, top))
         case "Welcome":
-            return Welcome(members_of(need(raw, "members", dict, top), f"{top}.members"))
+            return Welcome(endpoint_list_of(need(raw, "members", dict, top), f"{top}.members"))
         case "Serving":
             return Serving()
         case "Ceded":
@@ -129,14 +129,14 @@
                 bytes_of(raw, "host_early"),
             )
         case kind:
-            raise BadInput(f"{top}: unknown kind {kind[:40]!r}")
+            raise InvalidInputError(f"{top}: unknown kind {kind[:40]!r}")
 
 
 def bytes_of(raw: dict[str, Any], item: str) -> bytes:
     try:
         return bytes(need(raw, item, str, "packet").encode("latin-1"))
     except UnicodeEncodeError:
-        raise BadInput(f"packet: {item} holds no bytes") from None
+        raise InvalidInputError(f"packet: {item} holds no bytes") from None
 
 
 class Channel:
@@ -173,13 +173,13 @@
                 fds += came
             magic, version, count, length = HEAD.unpack(head)
             if magic != MAGIC or version != VERSION or length > MOST:
-                raise BadInput(f"packet: not of version {VERSION}")
+                raise InvalidInputError(f"packet: not of version {VERSION}")
             text = bytearray()
             while len(text) < length:
                 text += await self.stream.receive(min(65536, length - len(text)))
             packet = decoded(bytes(text))
             if count != len(fds):
-                raise BadInput(f"packet: {len(fds)} descriptors, not {count}")
+                raise InvalidInputError(f"packet: {len(fds)} descriptors, not {count}")
         except (anyio.EndOfStream, *GONE):
             for fd in fds:
                 socket.close(fd)
--- a/larchlatch/node/lifecycle/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Configuration, start and stop."""
--- a/larchlatch/node/words.py
+++ b/larchlatch/node/messages.py
@@ -5,34 +5,34 @@
 from collections.abc import Awaitable, Callable
 from typing import NamedTuple
 
-from larchlatch.links import Outcome
-from larchlatch.node.memory.hand import Hand
-from larchlatch.node.wire.catalog import Members
+from larchlatch.config.endpoints import EndpointList
+from larchlatch.node.session_record import SessionRecord
+from larchlatch.policy.types import Outcome
 
 
 class Arrived(NamedTuple):
     """A client's link to be placed."""
 
-    hand: Hand
+    record: SessionRecord
 
 
-class Due(NamedTuple):
+class HoldExpired(NamedTuple):
     """A link that was held, and is to be asked for again."""
 
-    hand: Hand
+    record: SessionRecord
 
 
 class Stood(NamedTuple):
     """A link that was open at a host before this node started."""
 
-    hand: Hand
-    host: int
+    record: SessionRecord
+    upstream: int
 
 
-class Tried(NamedTuple):
+class AttemptFinished(NamedTuple):
     """What became of a setup try, or of the link that it set up; done: the client needs no answer more."""
 
-    hand: Hand
+    record: SessionRecord
     outcome: Outcome
     done: bool
 
@@ -40,34 +40,34 @@
 class Left(NamedTuple):
     """The client has ended its link."""
 
-    hand: Hand
+    record: SessionRecord
 
 
 class LoadNote(NamedTuple):
-    hand: Hand
+    record: SessionRecord
     load: float
 
 
 class DelayNote(NamedTuple):
-    hand: Hand
+    record: SessionRecord
     delay_us: int
 
 
 class Quiet(NamedTuple):
     """Messages wait on a host's links, and nothing has come back on any of them."""
 
-    host: int
+    upstream: int
 
 
 class Probed(NamedTuple):
-    host: int
+    upstream: int
     answered: bool
-    x0: float | None
+    utilization: float | None
     held: float | None
 
 
 class ListTold(NamedTuple):
-    members: Members
+    members: EndpointList
     asked: bool
 
 
@@ -86,16 +86,16 @@
     """Until then turns at cold hosts are another node's; a host to which a link may go until `at`."""
 
     until: int
-    host: str  # none where it is empty
-    link: int
+    upstream: str  # none where it is empty
+    session: int
     at: int
 
 
-Word = (
+Message = (
     Arrived
-    | Due
+    | HoldExpired
     | Stood
-    | Tried
+    | AttemptFinished
     | Left
     | LoadNote
     | DelayNote
@@ -106,4 +106,4 @@
     | Advised
     | Paced
 )
-Post = Callable[[Word], Awaitable[None]]
+Post = Callable[[Message], Awaitable[None]]
--- a/larchlatch/node/lifecycle/company.py
+++ b/larchlatch/node/ports.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import Any, Protocol
 
-from larchlatch.links import Sought
-from larchlatch.node.memory.counters import Counters
+from larchlatch.node.metrics import Counters
+from larchlatch.policy.types import TokenCandidate
 
 
 class Hearing(Protocol):
@@ -16,7 +16,7 @@
     def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
         """Hosts to look at now; and those that others have found gone, each with how many have."""
 
-    def pace(self, until: int, host: str, link: int, at: int) -> bool:
+    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
         """Until then turns at cold hosts are another node's; a host, where one is named, to which a link may
         go until `at`. Whether it is heard."""
 
@@ -24,16 +24,16 @@
 class Fellows(Protocol):
     """What the module's actor asks of it, and tells it."""
 
-    def admit(self, tariff: str) -> int:
+    def admit(self, traffic_class: str) -> int:
         """Whether one more new link fits the shared budgets: 0, or in how many microseconds to come back."""
 
-    def listed(self, hosts: Iterable[str], cold_us: int, window_us: int) -> None:
+    def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
         """The hosts that are ready; for how long one may be cold, and in which time its budget counts."""
 
-    def sought(self, link: int, wants: list[tuple[str, Sought]]) -> None:
+    def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
         """A link would go to one of these cold hosts."""
 
-    def saw(self, host: str, good: bool | None) -> None:
+    def saw(self, upstream: str, good: bool | None) -> None:
         """Whether a connection to a host was had; None: links there broke off, or say nothing."""
 
     def cede(self) -> dict[str, int]:
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -8,18 +8,18 @@
 
 import anyio
 
-from larchlatch.links import Outcome
 from larchlatch.node.clock import now_us
-from larchlatch.node.memory.hand import Hand
-from larchlatch.node.peer import Peer
+from larchlatch.node.messages import LoadNote
+from larchlatch.node.session_record import SessionRecord
+from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire.stream import Ending, Lines
-from larchlatch.node.words import LoadNote
+from larchlatch.policy.types import Outcome
 
 
 class Side(Enum):
     CLIENT = "client"
-    HOST = "host"
+    UPSTREAM = "host"
     NODE = "node"
     SUCCESSOR = "successor"  # another process of this node goes on with it
 
@@ -33,11 +33,18 @@
 
 
 class Relay:
-    def __init__(self, hand: Hand, client: Lines, host: Lines, peer: Peer, last: Outcome) -> None:
-        self.hand = hand
+    def __init__(
+        self,
+        record: SessionRecord,
+        client: Lines,
+        upstream: Lines,
+        upstream_actor: UpstreamActor,
+        last: Outcome,
+    ) -> None:
+        self.record = record
         self.client = client
-        self.host = host
-        self.peer = peer
+        self.upstream = upstream
+        self.upstream_actor = upstream_actor
         self.last = last  # what the end of the host's side means
         self.ended: Ended | None = None
         self.reading: dict[Side, anyio.CancelScope] = {}
@@ -54,8 +61,8 @@
                 tasks.cancel_scope.cancel()
 
             async def moved() -> None:
-                await self.hand.move.wait()
-                end(Side.NODE, Ending.END, Outcome.CUT if self.hand.silent else Outcome.CANCELLED)
+                await self.record.move.wait()
+                end(Side.NODE, Ending.END, Outcome.RESET if self.record.silent else Outcome.CANCELLED)
 
             async def one(side: Side, direction: Callable[[], Awaitable[Ended | None]]) -> None:
                 ended = await direction()
@@ -68,7 +75,7 @@
 
             tasks.start_soon(moved)
             tasks.start_soon(one, Side.CLIENT, self.pass_up)
-            tasks.start_soon(one, Side.HOST, self.pass_down)
+            tasks.start_soon(one, Side.UPSTREAM, self.pass_down)
         assert self.ended is not None
         return self.ended
 
@@ -92,31 +99,31 @@
         while (some := await self.next(Side.CLIENT, self.client)) is not None:
             if isinstance(some, Ending):
                 return Ended(Side.CLIENT, some, Outcome.CANCELLED)
-            if not self.hand.asked_at:
-                self.hand.asked_at = now_us()
-            if not await self.host.send(b"".join(some)):
-                return Ended(Side.HOST, Ending.RESET, self.last)
+            if not self.record.asked_at:
+                self.record.asked_at = now_us()
+            if not await self.upstream.send(b"".join(some)):
+                return Ended(Side.UPSTREAM, Ending.RESET, self.last)
         return None
 
     async def pass_down(self) -> Ended | None:
         """From the host to the client."""
-        while (some := await self.next(Side.HOST, self.host)) is not None:
+        while (some := await self.next(Side.UPSTREAM, self.upstream)) is not None:
             if isinstance(some, Ending):
-                return Ended(Side.HOST, some, self.last)
+                return Ended(Side.UPSTREAM, some, self.last)
             for line in some:
-                match say.said_by_host(line):
+                match say.parse_upstream_line(line):
                     case say.Load(load):
-                        await self.peer.post(LoadNote(self.hand, load))
+                        await self.upstream_actor.post(LoadNote(self.record, load))
                     case say.Bye():
-                        self.last = Outcome.ENDED
+                        self.last = Outcome.COMPLETED
                     case say.Moved():
                         self.last = Outcome.CANCELLED
                     case _:
-                        self.peer.answered(self.hand)
+                        self.upstream_actor.answered(self.record)
             # While a client does not read, its host is not heard: that must not be taken for silence.
-            self.hand.stalled_at = now_us()
+            self.record.stalled_at = now_us()
             sent = await self.client.send(b"".join(some))
-            self.hand.stalled_at = 0
+            self.record.stalled_at = 0
             if not sent:
                 return Ended(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         return None
--- a/larchlatch/node/lifecycle/reread.py
+++ b/larchlatch/node/reload.py
@@ -7,10 +7,10 @@
 
 import structlog
 
-from larchlatch.node.lifecycle.plan import Plan, plan_of
-from larchlatch.node.listing import Listing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.node import Plan, plan_of
+from larchlatch.node.discovery import DiscoveryClient
+from larchlatch.node.metrics import Counters
 
 FOLLOWED = ("discovery",)
 AT_START = ("seed", "known")  # read at the start alone: new ones change nothing later
@@ -18,11 +18,11 @@
 log = structlog.get_logger()
 
 
-def reread(plan: Plan, path: Path, listing: Listing, counters: Counters) -> Plan:
+def reread(plan: Plan, path: Path, discovery: DiscoveryClient, counters: Counters) -> Plan:
     """What the node goes on with."""
     try:
         new = plan_of(path)
-    except BadInput as error:
+    except InvalidInputError as error:
         # A faulty file must not end a node that holds links: it goes on with what it has.
         counters.add("configuration refused")
         log.error("configuration refused", why=str(error))
@@ -33,6 +33,6 @@
     if later:
         log.warning("changes that want a restart", keys=later)
     if new.discovery != plan.discovery:
-        listing.follow(new.discovery)
+        discovery.follow(new.discovery)
     log.info("configuration read", discovery=new.discovery)
     return replace(plan, discovery=new.discovery)
--- a/larchlatch/node/lifecycle/run.py
+++ b/larchlatch/node/runtime.py
@@ -11,23 +11,23 @@
 from anyio import TASK_STATUS_IGNORED
 from anyio.abc import TaskGroup, TaskStatus
 
+from larchlatch.config.node import Plan
+from larchlatch.node.admin_api import BACKLOG as DOOR_BACKLOG
+from larchlatch.node.admin_api import AdminApi
+from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.client import Door
 from larchlatch.node.clock import now_us
-from larchlatch.node.control import BACKLOG as DOOR_BACKLOG
-from larchlatch.node.control import Control
-from larchlatch.node.lifecycle.company import Join
-from larchlatch.node.lifecycle.handover import Giving, Meeting, Taking
-from larchlatch.node.lifecycle.lag import Lag
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.lifecycle.plan import Plan
-from larchlatch.node.lifecycle.reread import reread
-from larchlatch.node.lifecycle.stop import GRANTED_S, SPARE_S, Leaving
-from larchlatch.node.listing import Listing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.room import Room
-from larchlatch.node.module import Module
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.discovery import DiscoveryClient
+from larchlatch.node.event_loop_lag import Lag
+from larchlatch.node.hot_restart.handover import Giving, Meeting, Taking
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.messages import ListTold
+from larchlatch.node.metrics import Counters
+from larchlatch.node.ports import Join
+from larchlatch.node.reload import reread
+from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
 from larchlatch.node.wire.listen import Listener, NoAccept
-from larchlatch.node.words import ListTold
 
 BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
 FIRST_LIST_S = 1.0  # a node waits so long for the present list before it serves with the one it had
@@ -42,10 +42,12 @@
 class Entrance:
     """Takes in clients while its gate is open."""
 
-    def __init__(self, listener: Listener, door: Door, room: Room, tasks: TaskGroup) -> None:
+    def __init__(
+        self, listener: Listener, door: Door, descriptors: DescriptorBudget, tasks: TaskGroup
+    ) -> None:
         self.listener = listener
         self.door = door
-        self.room = room
+        self.descriptors = descriptors
         self.tasks = tasks
         self.wide = anyio.Event()
         self.scope = anyio.CancelScope()
@@ -73,16 +75,16 @@
         # Danger: closed while the loop still waits on it, it would go on accepting, for nobody.
         await self.idle.wait()
         while (sock := self.listener.accept_now()) is not None:
-            self.room.lend(1)  # the door gives it back; short or not, it can be answered now or never
+            self.descriptors.lend(1)  # the door gives it back; short or not, it can be answered now or never
             self.tasks.start_soon(self.door.serve, sock)
         self.listener.sock.close()
 
     async def accept(self) -> None:
         while True:
-            if not self.room.take(anyio.current_time()):
+            if not self.descriptors.take(anyio.current_time()):
                 # Out of descriptors: who comes now waits in the backlog, which costs nothing.
                 self.door.counters.add("accepting paused")
-                while not self.room.take(anyio.current_time()):
+                while not self.descriptors.take(anyio.current_time()):
                     await anyio.sleep(PAUSE_S)
             sock = None
             try:
@@ -91,7 +93,7 @@
                 self.door.counters.add("accept failed")
             finally:
                 if sock is None:
-                    self.room.give()
+                    self.descriptors.give()
             if sock is None:
                 await anyio.sleep(PAUSE_S)
                 continue
@@ -108,15 +110,28 @@
 ) -> None:
     """Serve by this plan, read from that file, until told to stop; says on which port once it can."""
     counters = Counters()
-    room = Room(plan.sockets)
+    descriptors = DescriptorBudget(plan.sockets)
     chance = random.Random(plan.seed)
-    module = Module(plan.terms, plan.zones, plan.tariffs, chance, plan.reach, room, counters)
-    listing = Listing(plan.discovery, plan.known.revision, plan.pushed, counters, module.post, chance.uniform)
-    module.listing = listing
+    balancer_actor = BalancerActor(
+        plan.settings, plan.zones, plan.traffic_classes, chance, plan.reach, descriptors, counters
+    )
+    discovery = DiscoveryClient(
+        plan.discovery, plan.known.revision, plan.pushed, counters, balancer_actor.post, chance.uniform
+    )
+    balancer_actor.discovery = discovery
     lag = Lag()
     ready = anyio.Event()
     phase = Phase(plan.longest_wait_us / 1e6 + GRANTED_S - SPARE_S, plan.passes_through)
-    door = Door(module, plan.tariffs, plan.tenants, plan.longest_wait_us, room, counters, ready, phase)
+    door = Door(
+        balancer_actor,
+        plan.traffic_classes,
+        plan.tenants,
+        plan.longest_wait_us,
+        descriptors,
+        counters,
+        ready,
+        phase,
+    )
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with anyio.create_task_group() as tasks:
             leaving = Leaving(phase, door, counters, tasks)
@@ -124,12 +139,12 @@
                 # Before all else: operators are answered from the start, if only that it can't serve yet.
                 operators = Listener.bound(plan.control, DOOR_BACKLOG)
                 log.info("operators' door", listen=operators.address)
-                tasks.start_soon(Control(phase, leaving.drain, counters).run, operators)
+                tasks.start_soon(AdminApi(phase, leaving.drain, counters).run, operators)
             tasks.start_soon(lag.run)
             company = None
             if join is not None:
-                company = join(counters, random.Random(chance.getrandbits(64)), module)
-                module.fellows = company
+                company = join(counters, random.Random(chance.getrandbits(64)), balancer_actor)
+                balancer_actor.fellows = company
                 tasks.start_soon(company.run)
             meeting = Meeting.of(plan)
             taking = None if meeting is None else await Taking.reached(plan, meeting, counters)
@@ -137,24 +152,24 @@
             held = plan.known
             if taking is not None and taking.members.revision >= held.revision:
                 held = taking.members
-            listing.revision = held.revision
-            module.heard(now_us(), ListTold(held, asked=False))
-            tasks.start_soon(module.run)
-            tasks.start_soon(listing.run)
+            discovery.revision = held.revision
+            balancer_actor.heard(now_us(), ListTold(held, asked=False))
+            tasks.start_soon(balancer_actor.run)
+            tasks.start_soon(discovery.run)
             if taking is not None:
                 listener = taking.listener
             else:
                 listener = Listener.bound(plan.listen, BACKLOG, shared=plan.control is not None)
-            entrance = Entrance(listener, door, room, tasks)
+            entrance = Entrance(listener, door, descriptors, tasks)
             leaving.shut = entrance.shut
             tasks.start_soon(entrance.run)
             if taking is None:
                 entrance.gate(True)
             with anyio.move_on_after(FIRST_LIST_S):
-                await listing.fresh.wait()
+                await discovery.fresh.wait()
             if taking is not None:
                 # The other process goes on taking what is new up to now, with a loop that is warm.
-                await taking.ceded(room, phase, module, door)
+                await taking.ceded(descriptors, phase, balancer_actor, door)
                 tasks.start_soon(taking.run, door, tasks)
                 entrance.gate(True)
                 if phase.draining:
@@ -169,19 +184,19 @@
                 "serving",
                 node=plan.name,
                 listen=listener.address,
-                hosts=len(module.peers),
+                upstreams=len(balancer_actor.upstream_actors),
                 passes_through=plan.passes_through,
             )
             task_status.started(listener.address[1])
             async for told in signals:
                 if told == signal.SIGHUP:
-                    plan = reread(plan, path, listing, counters)
+                    plan = reread(plan, path, discovery, counters)
                     if company is not None:
                         company.reread()
                     continue
                 log.info("counters", **counters.told(), lag_ms=lag.told_ms())
                 if told == signal.SIGUSR1:
-                    for row in module.told():
+                    for row in balancer_actor.told():
                         log.info("host", **row)
                     for row in company.told() if company is not None else ():
                         log.info("member", **row)
--- a/larchlatch/node/memory/hand.py
+++ b/larchlatch/node/session_record.py
@@ -7,33 +7,33 @@
 
 import anyio
 
-from larchlatch.links import Link
 from larchlatch.node.wire.lines import Opening
 from larchlatch.node.wire.stream import Lines
+from larchlatch.policy.types import Session
 
 
 class Delivered(NamedTuple):
     """The host's connection, and the line with which it took the link."""
 
-    host: Lines
+    upstream: Lines
     line: bytes
-    peer: int
+    upstream_actor: int
 
 
 class Shed(NamedTuple):
     back_us: int
 
 
-class GivenUp(NamedTuple):
+class Failed(NamedTuple):
     """No promise about its effect."""
 
 
-Verdict = Delivered | Shed | GivenUp
+Verdict = Delivered | Shed | Failed
 
 
-class Hand:
-    def __init__(self, link: Link, opening: Opening) -> None:
-        self.link = link
+class SessionRecord:
+    def __init__(self, session: Session, opening: Opening) -> None:
+        self.session = session
         self.opening = opening
         self.verdict: Verdict | None = None
         self.settled = anyio.Event()
--- a/larchlatch/node/lifecycle/stop.py
+++ b/larchlatch/node/shutdown.py
@@ -9,9 +9,9 @@
 from anyio.abc import TaskGroup
 
 from larchlatch.node.client import Door
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.hand import Hand
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.metrics import Counters
+from larchlatch.node.session_record import SessionRecord
 
 GRANTED_S = 0.7  # what PROTOCOL grants a node beyond the longest cut-off before it is ended
 SPARE_S = 0.4  # all is over this long before that: a moved link takes a moment to close
@@ -42,7 +42,7 @@
 
     async def stop(self) -> None:
         """Ends everything when nothing is in hand and the granted time is over."""
-        log.info("stopping", links=len(self.door.standing))
+        log.info("stopping", sessions=len(self.door.standing))
         self.drain()
         until = anyio.current_time() + self.phase.stop_s - EARLY_S
         # Until the time is up new links may come through a front that has not noticed, unless another process
@@ -65,21 +65,21 @@
         self.tasks.cancel_scope.cancel()
 
     async def move(self) -> None:
-        asked: dict[Hand, float] = {}  # links that another process is to go on with, and since when
+        asked: dict[SessionRecord, float] = {}  # links that another process is to go on with, and since when
         while self.phase.leaving:
             now = anyio.current_time()
             standing = [h for h in self.door.standing.values() if not h.move.is_set() and h not in asked]
             # Where packets pass through none is due: links go on through other nodes.
-            for hand in standing[: self.phase.leave(now, len(standing))]:
+            for record in standing[: self.phase.leave(now, len(standing))]:
                 if not self.phase.hands_over:
                     self.counters.add("link sent away")
-                    hand.move.set()
-                elif hand.pass_on is not None:
-                    asked[hand] = now
-                    hand.pass_on()
+                    record.move.set()
+                elif record.pass_on is not None:
+                    asked[record] = now
+                    record.pass_on()
             # A side that does not read keeps its link from stopping between two lines: it has to be moved.
-            for hand in [hand for hand, at in asked.items() if now >= at + PASSING_S]:
-                del asked[hand]
-                hand.move.set()
+            for record in [record for record, at in asked.items() if now >= at + PASSING_S]:
+                del asked[record]
+                record.move.set()
             await anyio.sleep(STEP_S)
         self.moving = False
--- a/larchlatch/node/peer.py
+++ b/larchlatch/node/upstream_actor.py
@@ -11,14 +11,15 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from larchlatch.links import Outcome
+from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.hand import Delivered, GivenUp, Hand
-from larchlatch.node.memory.room import Room
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.messages import AttemptFinished, DelayNote, LoadNote, Post, Probed, Quiet, Stood
+from larchlatch.node.metrics import Counters
+from larchlatch.node.session_record import Delivered, Failed, SessionRecord
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire.stream import Ending, Lines, Unconnected, connect, dial, lines_of, written
-from larchlatch.node.words import DelayNote, LoadNote, Post, Probed, Quiet, Stood, Tried
+from larchlatch.policy.types import Outcome
 
 MAILBOX = 4096  # orders: a crowd of all clients of a node at one host
 BEAT_S = 0.25  # between two looks at what waits for an answer: short against the silence that counts
@@ -35,10 +36,10 @@
 log = structlog.get_logger()
 
 
-class Try(NamedTuple):
+class StartAttempt(NamedTuple):
     """A setup try, given up at `until`."""
 
-    hand: Hand
+    record: SessionRecord
     until: int
 
 
@@ -46,23 +47,14 @@
     """A look at the host."""
 
 
-class Reach(NamedTuple):
-    """What the node's settings say of how hosts are reached and watched."""
-
-    dial_us: int
-    probe_tells_load: bool
-    tells_delay: bool
-    strictest_us: int  # the shortest time within which a message is wanted; 0 where unknown
-
-
-class Peer:
+class UpstreamActor:
     def __init__(
         self,
         number: int,
         name: str,
         address: tuple[str, int],
-        reach: Reach,
-        room: Room,
+        reach: UpstreamSettings,
+        descriptors: DescriptorBudget,
         counters: Counters,
         post: Post,
     ) -> None:
@@ -70,11 +62,11 @@
         self.name = name
         self.address = address
         self.reach = reach
-        self.room = room
+        self.descriptors = descriptors
         self.counters = counters
         self.post = post
         self.open_to_new = True  # by what the list said last
-        self.standing: dict[int, Hand] = {}
+        self.standing: dict[int, SessionRecord] = {}
         self.trying = 0  # setup tries under way
         self.delays: deque[tuple[int, int]] = deque(maxlen=256)  # when an answer came, what it took
         self.noted_at = 0
@@ -84,9 +76,9 @@
         self.awake_at = 0  # when this node went on after it had been behind
         self.probing = False
         self.look: Lines | None = None  # the connection that probes go over
-        self.sender, self.orders = anyio.create_memory_object_stream[Try | Probe](MAILBOX)
+        self.sender, self.orders = anyio.create_memory_object_stream[StartAttempt | Probe](MAILBOX)
 
-    def order(self, order: Try | Probe) -> bool:
+    def order(self, order: StartAttempt | Probe) -> bool:
         """Put it into the mailbox; False where that is full: the module's actor never waits for a peer."""
         try:
             self.sender.send_nowait(order)
@@ -100,134 +92,136 @@
             async for order in self.orders:
                 self.carry_out(tasks, order)
 
-    def carry_out(self, tasks: TaskGroup, order: Try | Probe) -> None:
+    def carry_out(self, tasks: TaskGroup, order: StartAttempt | Probe) -> None:
         if isinstance(order, Probe):
             tasks.start_soon(self.probe)
         else:
-            tasks.start_soon(self.attempt, order.hand, order.until)
+            tasks.start_soon(self.attempt, order.record, order.until)
 
     # Setup tries.
 
-    async def attempt(self, hand: Hand, until: int) -> None:
+    async def attempt(self, record: SessionRecord, until: int) -> None:
         """One setup try, and its outcome told."""
-        outcome = Outcome.UNSENT
+        outcome = Outcome.NOT_SENT
         began = now_us()
-        if self.may_send(hand, until):
+        if self.may_send(record, until):
             self.trying += 1
             with anyio.CancelScope() as scope:
                 outcome = Outcome.CANCELLED
-                hand.attempt = scope
+                record.attempt = scope
                 try:
-                    outcome = await self.tried(hand, until)
+                    outcome = await self.tried(record, until)
                 except Exception:
-                    outcome = Outcome.FAULT  # how far it had come is not known: it may have run
+                    outcome = Outcome.ERROR  # how far it had come is not known: it may have run
                     log.exception("a setup try failed")
-            hand.attempt = None
+            record.attempt = None
             self.trying -= 1
         self.counters.add(f"try {outcome.name.lower()}")
-        log.debug("tried", host=self.name, key=hand.opening.key, outcome=outcome.name, us=now_us() - began)
-        if hand.opening.standing_at is None:
-            await self.post(Tried(hand, outcome, hand.verdict is not None))
-        elif outcome is Outcome.STANDS:
-            await self.post(Stood(hand, self.number))
+        log.debug(
+            "tried", upstream=self.name, key=record.opening.key, outcome=outcome.name, us=now_us() - began
+        )
+        if record.opening.standing_at is None:
+            await self.post(AttemptFinished(record, outcome, record.verdict is not None))
+        elif outcome is Outcome.ESTABLISHED:
+            await self.post(Stood(record, self.number))
         else:
-            hand.settle(GivenUp())
+            record.settle(Failed())
 
-    async def tried(self, hand: Hand, until: int) -> Outcome:
+    async def tried(self, record: SessionRecord, until: int) -> Outcome:
         # Without a descriptor nothing has left this node: the module may try again, whatever the tariff.
         if not await self.room_had(min(self.reach.dial_us / 1e6, seconds_until(until))):
-            return Outcome.UNSENT
-        host: Lines | None = None
+            return Outcome.NOT_SENT
+        upstream: Lines | None = None
         kept = False
         try:
             sock = await dial(self.address, min(self.reach.dial_us / 1e6, seconds_until(until)))
             if isinstance(sock, Unconnected):
-                return Outcome.UNSENT if sock is Unconnected.NO_ROOM else Outcome.UNREACHED
+                return Outcome.NOT_SENT if sock is Unconnected.NO_ROOM else Outcome.CONNECT_FAILED
             with anyio.move_on_after(seconds_until(until)):
                 # What was true at the decision may not be by now: dialling took its time, and the loop.
-                if not self.may_send(hand, until):
+                if not self.may_send(record, until):
                     sock.close()
-                    return Outcome.UNSENT
-                if not await self.said(sock, hand, until):
-                    return Outcome.UNREACHED
-                host = await lines_of(sock)
-                outcome = await self.asked(hand, host)
-                kept = outcome in (Outcome.STANDS, Outcome.ENDED)
+                    return Outcome.NOT_SENT
+                if not await self.said(sock, record, until):
+                    return Outcome.CONNECT_FAILED
+                upstream = await lines_of(sock)
+                outcome = await self.asked(record, upstream)
+                kept = outcome in (Outcome.ESTABLISHED, Outcome.COMPLETED)
                 return outcome
-            return Outcome.SILENT
+            return Outcome.TIMED_OUT
         finally:
             # An answer that comes after this finds the connection closed: it can never reach the client.
             if not kept:
-                if host is not None:
-                    await host.close()
-                self.room.give()
+                if upstream is not None:
+                    await upstream.close()
+                self.descriptors.give()
 
     async def room_had(self, within_s: float) -> bool:
         """Whether there is room for one more connection."""
         # Who makes way takes a moment to go: given up at once, all of a link's attempts would pass in that.
         with anyio.move_on_after(within_s):
-            while not self.room.take(anyio.current_time()):
+            while not self.descriptors.take(anyio.current_time()):
                 await anyio.sleep(ROOM_S)
             return True
         return False
 
-    def may_send(self, hand: Hand, until: int) -> bool:
+    def may_send(self, record: SessionRecord, until: int) -> bool:
         """Whether an attempt that was decided on may still go out."""
         now, why = now_us(), ""
-        if hand.abandoned():
+        if record.abandoned():
             why = "client gone"
-        elif hand.opening.standing_at is None and not self.open_to_new:
+        elif record.opening.standing_at is None and not self.open_to_new:
             why = "host drains"
         elif now >= until:
             why = "too late"
-        elif now + AHEAD_US >= hand.link.repeat_until:
+        elif now + AHEAD_US >= record.session.repeat_until:
             why = "its repeat would be forgotten"
         if why:
             self.counters.add(f"attempt not begun: {why}")
         return not why
 
-    async def said(self, sock: socket.socket, hand: Hand, until: int) -> bool:
+    async def said(self, sock: socket.socket, record: SessionRecord, until: int) -> bool:
         """Whether the link's line was written whole; if not, it can't have run."""
         whole = False
         try:
-            whole = await written(sock, say.try_line(hand.opening, until - now_us()))
+            whole = await written(sock, say.try_line(record.opening, until - now_us()))
         finally:
             if not whole:
                 sock.close()
         return whole
 
-    async def asked(self, hand: Hand, host: Lines) -> Outcome:
+    async def asked(self, record: SessionRecord, upstream: Lines) -> Outcome:
         """What the host answers to the link's line."""
         while True:
-            line = await host.line()
+            line = await upstream.line()
             if line is Ending.TOO_LONG:
-                return Outcome.FAULT
+                return Outcome.ERROR
             if isinstance(line, Ending):
-                return Outcome.CUT
-            match say.said_by_host(line):
+                return Outcome.RESET
+            match say.parse_upstream_line(line):
                 case say.Load(load):
-                    await self.post(LoadNote(hand, load))
+                    await self.post(LoadNote(record, load))
                 case say.Busy():
-                    return Outcome.REFUSED
+                    return Outcome.REJECTED
                 case say.Moved():
                     return Outcome.CANCELLED
                 case say.Up() | say.Bye() as said:
-                    if not hand.settle(Delivered(host, line, self.number)):
+                    if not record.settle(Delivered(upstream, line, self.number)):
                         return Outcome.CANCELLED
-                    return Outcome.STANDS if isinstance(said, say.Up) else Outcome.ENDED
+                    return Outcome.ESTABLISHED if isinstance(said, say.Up) else Outcome.COMPLETED
                 case _:
-                    return Outcome.FAULT
+                    return Outcome.ERROR
 
     # What standing links show.
 
-    def answered(self, hand: Hand) -> None:
+    def answered(self, record: SessionRecord) -> None:
         """A line has come back on a standing link."""
         now = self.heard_at = now_us()
         self.look_up(now)
-        if hand.asked_at:
-            if hand.asked_at >= self.awake_at:
-                self.delays.append((now, now - hand.asked_at))
-            hand.asked_at = 0
+        if record.asked_at:
+            if record.asked_at >= self.awake_at:
+                self.delays.append((now, now - record.asked_at))
+            record.asked_at = 0
 
     def look_up(self, now: int) -> None:
         """Notice whether this node itself has been behind."""
@@ -237,9 +231,9 @@
             self.awake_at = self.looked_at = now
             self.counters.add("host not judged: behind")
 
-    def waits_since(self, hand: Hand) -> int:
+    def waits_since(self, record: SessionRecord) -> int:
         """From when on its host owes the answer that a link waits for."""
-        return max(hand.asked_at, self.awake_at)
+        return max(record.asked_at, self.awake_at)
 
     async def beat(self) -> None:
         suspects: set[int] = set()
@@ -252,11 +246,11 @@
                 n: h for n, h in self.standing.items() if h.asked_at and not h.stalled_at and not h.silent
             }
             # It reads nothing, and holds two descriptors and what waits for it.
-            for hand in self.standing.values():
-                if hand.stalled_at and now >= hand.stalled_at + STALLED_US and not hand.move.is_set():
+            for record in self.standing.values():
+                if record.stalled_at and now >= record.stalled_at + STALLED_US and not record.move.is_set():
                     self.counters.add("client does not read")
-                    hand.move.set()
-            silent = {n for n, hand in waiting.items() if now >= self.waits_since(hand) + SILENT_US}
+                    record.move.set()
+            silent = {n for n, record in waiting.items() if now >= self.waits_since(record) + SILENT_US}
             # A host that has vanished resets nothing: its links would stay open and silent for good. Each is
             # looked at twice: after a lag of this node's own, answers lie here that have not been read yet.
             for number in silent & suspects:
@@ -269,7 +263,7 @@
                 if now >= oldest + QUIET_US:
                     self.noted_at, self.told_slow = now, True
                     self.counters.add("host quiet")
-                    log.debug("quiet", host=self.name, us=now - oldest, links=len(self.standing))
+                    log.debug("quiet", upstream=self.name, us=now - oldest, sessions=len(self.standing))
                     await self.post(Quiet(self.number))
             if self.reach.tells_delay and self.reach.strictest_us and now >= self.noted_at + NOTE_US:
                 self.noted_at = now
@@ -287,7 +281,12 @@
             return
         delay = int(statistics.median(took))
         log.debug(
-            "delay", host=self.name, us=delay, answers=len(took), waits=len(waits), links=len(self.standing)
+            "delay",
+            upstream=self.name,
+            us=delay,
+            answers=len(took),
+            waits=len(waits),
+            sessions=len(self.standing),
         )
         if delay > edge or self.told_slow:
             self.told_slow = delay > edge
@@ -308,10 +307,17 @@
         finally:
             self.probing = False
         answered = said is not None
-        x0, held = said if said is not None else (None, None)
+        utilization, held = said if said is not None else (None, None)
         self.counters.add("probe answered" if answered else "probe failed")
-        log.debug("probed", host=self.name, answered=answered, x0=x0, held=held, us=now_us() - began)
-        await self.post(Probed(self.number, answered, x0, held))
+        log.debug(
+            "probed",
+            upstream=self.name,
+            answered=answered,
+            utilization=utilization,
+            held=held,
+            us=now_us() - began,
+        )
+        await self.post(Probed(self.number, answered, utilization, held))
 
     async def probed(self) -> say.Pong | None:
         # The connection kept from the last probe may have died unseen: that says nothing of the host now.
@@ -321,13 +327,15 @@
                 if isinstance(made, Unconnected):
                     return None
                 self.look = made
-                self.room.lend(1)  # beside links and clients: many hosts would use up what is kept back
+                self.descriptors.lend(
+                    1
+                )  # beside links and clients: many hosts would use up what is kept back
             look = self.look
             said = await self.looked(look)
             if isinstance(said, say.Pong):
                 return said
             self.look = None
-            self.room.lend(-1)
+            self.descriptors.lend(-1)
             await look.close()
             if fresh or not isinstance(said, Ending):
                 break
@@ -335,8 +343,8 @@
 
     async def looked(self, look: Lines) -> say.Said | Ending | None:
         with anyio.move_on_after(PROBE_S):
-            if not await look.send(say.STATS if self.reach.probe_tells_load else say.PING):
+            if not await look.send(say.STATS if self.reach.probes_report_load else say.PING):
                 return Ending.RESET
             line = await look.line()
-            return line if isinstance(line, Ending) else say.said_by_host(line)
+            return line if isinstance(line, Ending) else say.parse_upstream_line(line)
         return None
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -28,7 +28,7 @@
     before: str  # the line up to the figure of d, and from behind it
     behind: str
     key: str
-    tariff: str
+    traffic_class: str
     tenant: str | None
     wait_ms: int
     group: str | None
@@ -42,18 +42,18 @@
         return self.mid_flow or self.standing_at is not None
 
 
-def opening_of(line: bytes) -> Opening | BadLine:
+def parse_opening(line: bytes) -> Opening | BadLine:
     try:
         text = line.decode("utf-8").rstrip("\r\n")
     except UnicodeDecodeError:
         return BadLine("not UTF-8")
     if not text.isprintable():
         return BadLine("not printable")
-    words = text.split(" ")
-    if len(words) != 4 or words[0] != "OPEN" or not words[1] or not words[2]:
+    messages = text.split(" ")
+    if len(messages) != 4 or messages[0] != "OPEN" or not messages[1] or not messages[2]:
         return BadLine("not an OPEN line of four words")
     values: dict[str, str] = {}
-    for item in words[3].split(","):
+    for item in messages[3].split(","):
         name, equals, value = item.partition("=")
         if not equals or not name or not value:
             return BadLine("a name without a value")
@@ -74,11 +74,11 @@
     # The line goes on as it came but for d, which says how long this node will wait.
     found = text.index(",d=") + 3 if ",d=" in text else text.index(" d=") + 3
     return Opening(
-        ident=words[1],
+        ident=messages[1],
         before=text[:found],
         behind=text[found + len(values["d"]) :],
-        key=words[2],
-        tariff=values["c"],
+        key=messages[2],
+        traffic_class=values["c"],
         tenant=values.get("t"),
         wait_ms=int(values["d"]),
         group=values.get("g"),
@@ -131,7 +131,7 @@
 class Pong(NamedTuple):
     """A probe's answer, with the load over capacity where the host told it."""
 
-    x0: float | None
+    utilization: float | None
     held: float | None  # the links that it holds, where it told
 
 
@@ -149,15 +149,15 @@
 }
 
 
-def said_by_host(line: bytes) -> Said:
-    word, _, rest = line.rstrip(b"\r\n").partition(b" ")
-    if word == b"LOAD":
+def parse_upstream_line(line: bytes) -> Said:
+    message, _, rest = line.rstrip(b"\r\n").partition(b" ")
+    if message == b"LOAD":
         load = number_of(rest.decode("latin-1"))
         return Other() if load is None else Load(load)
-    if word == b"PONG":
+    if message == b"PONG":
         report = report_of(rest.decode("latin-1"))
         return Pong(report.get("x0"), report.get("inflight"))
-    return PLAIN.get(word, Other())
+    return PLAIN.get(message, Other())
 
 
 def report_of(text: str) -> dict[str, float]:
--- a/larchlatch/driving.py
+++ b/larchlatch/policy/driver.py
@@ -5,15 +5,15 @@
 import heapq
 from typing import Protocol
 
-from larchlatch.links import GIVEN_UP, NOT_YET, SHED, Answer, Due, Link
+from larchlatch.policy.types import FAILED, NOT_YET, SHED, Answer, DueActions, Session
 
 
 class Decisions(Protocol):
     """The calls by which a driver asks; all else goes in by methods that it calls itself."""
 
-    def place(self, now: int, link: Link) -> Answer: ...
+    def place(self, now: int, session: Session) -> Answer: ...
 
-    def wait(self, now: int) -> Due: ...
+    def wait(self, now: int) -> DueActions: ...
 
 
 class Driver:
@@ -25,26 +25,26 @@
 
     # For subclasses.
 
-    def link(self, number: int) -> Link | None:
+    def session(self, number: int) -> Session | None:
         """The link in hand of this number."""
         raise NotImplementedError
 
-    def send(self, now: int, link: Link, host: int, until: int) -> None:
+    def send(self, now: int, session: Session, upstream: int, until: int) -> None:
         raise NotImplementedError
 
-    def shed(self, now: int, link: Link, back_us: int) -> None:
+    def shed(self, now: int, session: Session, back_us: int) -> None:
         raise NotImplementedError
 
-    def give_up(self, now: int, link: Link) -> None:
+    def give_up(self, now: int, session: Session) -> None:
         raise NotImplementedError
 
-    def probe(self, now: int, host: int) -> None:
+    def probe(self, now: int, upstream: int) -> None:
         raise NotImplementedError
 
-    def move(self, now: int, link: int) -> None:
+    def move(self, now: int, session: int) -> None:
         raise NotImplementedError
 
-    def withdraw(self, now: int, link: int) -> None:
+    def withdraw(self, now: int, session: int) -> None:
         raise NotImplementedError
 
     def ask_list(self, now: int) -> None:
@@ -52,26 +52,26 @@
 
     # What is alike.
 
-    def carry_out(self, now: int, link: Link, answer: Answer) -> None:
-        if answer.host >= 0:
-            self.send(now, link, answer.host, answer.at)
-        elif answer.host == NOT_YET:
-            heapq.heappush(self.held, (answer.at, link.number))
-        elif answer.host == SHED:
-            self.shed(now, link, answer.at)
-        elif answer.host == GIVEN_UP:
-            self.give_up(now, link)
+    def carry_out(self, now: int, session: Session, answer: Answer) -> None:
+        if answer.upstream >= 0:
+            self.send(now, session, answer.upstream, answer.at)
+        elif answer.upstream == NOT_YET:
+            heapq.heappush(self.held, (answer.at, session.number))
+        elif answer.upstream == SHED:
+            self.shed(now, session, answer.at)
+        elif answer.upstream == FAILED:
+            self.give_up(now, session)
 
     def due(self, now: int) -> int:
         """Carry out what has fallen due, once all that was told has been heard; when to look again."""
         while self.held and self.held[0][0] <= now:
             _, number = heapq.heappop(self.held)
-            link = self.link(number)
-            if link is not None:
-                self.carry_out(now, link, self.decisions.place(now, link))
+            session = self.session(number)
+            if session is not None:
+                self.carry_out(now, session, self.decisions.place(now, session))
         due = self.decisions.wait(now)
-        for host in due.probes:
-            self.probe(now, host)
+        for upstream in due.probes:
+            self.probe(now, upstream)
         for number in due.moves:
             self.move(now, number)
         for number in due.withdrawn:
--- a/larchlatch/state_export.py
+++ b/larchlatch/policy/state_export.py
@@ -9,11 +9,11 @@
 from collections import deque
 from typing import Any
 
-from larchlatch.brain import Brain
+from larchlatch.policy.balancer import Balancer
 
 # Key in the exported state, and the attribute of a host that it stands for.
-HOST_VALUES = {
-    "x0": "x0",
+UPSTREAM_VALUES = {
+    "x0": "utilization",
     "able": "able",
     "fills": "fills",
     "strain": "strain",
@@ -22,11 +22,11 @@
     "rest": "rest",
     "turn": "turn",
     "spent": "spent",
-    "came_up": "came_up",
+    "came_up": "started_at",
 }
 # The same for points in time: they are moved by the difference of the two processes' clocks.
-HOST_TIMES = {
-    "x0_at": "x0_at",
+UPSTREAM_TIMES = {
+    "x0_at": "utilization_at",
     "probed_at": "probed_at",
     "strain_at": "strain_at",
     "slow_until": "slow_until",
@@ -34,34 +34,34 @@
     "rest_until": "rest_until",
     "rested_at": "rested_at",
 }
-HOST_STATE = HOST_VALUES | HOST_TIMES
+UPSTREAM_STATE = UPSTREAM_VALUES | UPSTREAM_TIMES
 
 
-def export_state(brain: Brain) -> dict[str, Any]:
+def export_state(balancer: Balancer) -> dict[str, Any]:
     """Return what was observed of hosts and demand, and spent at cold hosts, as plain JSON values."""
     rows = {
-        host.name: {key: getattr(host, attribute) for key, attribute in HOST_STATE.items()}
-        for host in brain.hosts.values()
+        upstream.name: {key: getattr(upstream, attribute) for key, attribute in UPSTREAM_STATE.items()}
+        for upstream in balancer.upstreams.values()
     }
-    return {"hosts": rows, "asked": list(brain.asked), "noted": brain.noted}
+    return {"hosts": rows, "asked": list(balancer.asked), "noted": balancer.noted}
 
 
-def restore_state(brain: Brain, state: dict[str, Any], clock_shift_us: int) -> None:
+def restore_state(balancer: Balancer, state: dict[str, Any], clock_shift_us: int) -> None:
     """Continue from exported state; `clock_shift_us` is this process's clock less the exporter's.
 
     Where the state is unreadable it raises AttributeError, KeyError, TypeError, ValueError or OverflowError,
     and changes nothing.
     """
     restored = {
-        host: {key: type(getattr(host, HOST_STATE[key]))(row[key]) for key in HOST_STATE}
-        for host in brain.hosts.values()
-        if (row := state["hosts"].get(host.name)) and row["came_up"] == host.came_up
+        upstream: {key: type(getattr(upstream, UPSTREAM_STATE[key]))(row[key]) for key in UPSTREAM_STATE}
+        for upstream in balancer.upstreams.values()
+        if (row := state["hosts"].get(upstream.name)) and row["came_up"] == upstream.started_at
     }
     asked = [int(at) + clock_shift_us for at in state["asked"]]
     noted = float(state["noted"])
     # Nothing is assigned before all of it has been read: half a state would be worse than none.
-    for host, values in restored.items():
+    for upstream, values in restored.items():
         for key, value in values.items():
-            moved = value + clock_shift_us if key in HOST_TIMES else value
-            setattr(host, HOST_STATE[key], moved)
-    brain.asked, brain.noted = deque(asked), noted
+            moved = value + clock_shift_us if key in UPSTREAM_TIMES else value
+            setattr(upstream, UPSTREAM_STATE[key], moved)
+    balancer.asked, balancer.noted = deque(asked), noted
--- a/larchlatch/links.py
+++ b/larchlatch/policy/types.py
@@ -1,4 +1,4 @@
-"""The plain types that larchlatch.brain is called with."""
+"""The plain types that larchlatch.policy.balancer is called with."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 NO_END = 2**62  # microseconds: later than all times
 
 
-class Repeat(Enum):
+class Idempotency(Enum):
     """What a second run of a link's set-up would do."""
 
-    RERUNNABLE = "rerunnable"
-    TICKETED = "ticketed"
-    EXCLUSIVE = "exclusive"
+    IDEMPOTENT = "rerunnable"
+    KEYED = "ticketed"
+    NON_IDEMPOTENT = "exclusive"
 
 
-class Group(Enum):
+class DedupScope(Enum):
     """Which hosts discard the repeats of a ticketed link."""
 
     ALL = "all"
@@ -25,7 +25,7 @@
     CELL = "cell"
 
 
-class State(Enum):
+class EndpointState(Enum):
     """What the list says of a host."""
 
     READY = "ready"
@@ -36,104 +36,106 @@
 class Outcome(IntEnum):
     """What became of a setup try."""
 
-    STANDS = 0  # the connection is up; its end is told later
-    ENDED = 1  # delivered, and over
-    REFUSED = 2  # turned away unseen
-    UNREACHED = 3  # no connection in time
-    UNSENT = 4  # never left the node
-    FAULT = 5
-    SILENT = 6  # no answer in time
-    CUT = 7
+    ESTABLISHED = 0  # the connection is up; its end is told later
+    COMPLETED = 1  # delivered, and over
+    REJECTED = 2  # turned away unseen
+    CONNECT_FAILED = 3  # no connection in time
+    NOT_SENT = 4  # never left the node
+    ERROR = 5
+    TIMED_OUT = 6  # no answer in time
+    RESET = 7
     CANCELLED = 8
 
 
 # What an outcome says of whether its host can be reached; None: it makes one doubt. The others say nothing.
 REACHED = {
-    Outcome.STANDS: True,
-    Outcome.ENDED: True,
-    Outcome.REFUSED: True,
-    Outcome.UNREACHED: False,
-    Outcome.CUT: None,
+    Outcome.ESTABLISHED: True,
+    Outcome.COMPLETED: True,
+    Outcome.REJECTED: True,
+    Outcome.CONNECT_FAILED: False,
+    Outcome.RESET: None,
 }
-NEVER_RAN = frozenset({Outcome.REFUSED, Outcome.UNREACHED, Outcome.UNSENT})
+NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
-class Tariff:
-    expected_us: int
-    message_us: int  # a message on an open link is wanted within this; 0 where unknown
-    repeat: Repeat
-    group: Group
-    memory_us: int  # how long a ticketed link's group remembers it
-
-    def repeat_until(self, ran_at: int) -> int:
+class TrafficClass:
+    latency_objective_us: int
+    message_objective_us: int  # a message on an open link is wanted within this; 0 where unknown
+    idempotency: Idempotency
+    dedup_scope: DedupScope
+    dedup_window_us: int  # how long a ticketed link's group remembers it
+
+    def repeat_until(self, maybe_executed_at: int) -> int:
         """Before when a further attempt has to be sent, if the first that may have run was sent then."""
-        return NO_END if self.repeat is Repeat.RERUNNABLE else ran_at + self.memory_us
+        return (
+            NO_END if self.idempotency is Idempotency.IDEMPOTENT else maybe_executed_at + self.dedup_window_us
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class DeploymentSettings:
     """What the operators have agreed for a deployment, as far as decisions read it."""
 
     me: int
     nodes: int
-    tariffs: tuple[Tariff, ...]
-    grouped: bool  # links of one group share work on a host
-    sized: bool  # a listed size stays the same from list to list
-    asked_list: bool
+    traffic_classes: tuple[TrafficClass, ...]
+    uses_groups: bool  # links of one group share work on a host
+    weighted: bool  # a listed size stays the same from list to list
+    polls_discovery: bool
     probes: bool
-    cancels: bool  # a try may be given up before its time
-    probe_tells_load: bool
-    late_told: bool  # a host that is late by its load shows in the delay of messages
-    most_tries: int
-    longest_return_us: int  # 0: clients take no advice
-    ask_within_us: int
-    cold_from: float
-    cold_us: int
-    tip_multiple: float
-    tip_after_us: int
+    can_cancel: bool  # a try may be given up before its time
+    probes_report_load: bool
+    reports_delay: bool  # a host that is late by its load shows in the delay of messages
+    max_attempts: int
+    max_retry_after_us: int  # 0: clients take no advice
+    poll_within_us: int
+    slow_start_min_share: float
+    slow_start_us: int
+    overload_multiple: float
+    overload_window_us: int
 
 
 @dataclass(slots=True)
-class Link:
+class Session:
     """One link in hand: what the client said of it, and what its setup tries have come to."""
 
     number: int
-    tariff: int
+    traffic_class: int
     key: int | None
     group: int | None
-    cut_off: int
+    deadline: int
     mid_flow: bool = False
     load: float = 0.0  # work a second in microseconds; 0: not known
-    tries: int = 0
-    host: int = -1  # where the last setup try went, or where the link stands
+    attempt_count: int = 0
+    upstream: int = -1  # where the last setup try went, or where the link stands
     out: bool = False  # a setup try is out
     open: bool = False  # the link stands on its host
     sought: bool = False  # a pacer has been asked for a place
     asked_at: int = -NO_END  # when it was last counted among those asked for
     sent_at: int = 0
-    stood_at: int = 0  # when it came to stand
-    ran_at: int = -1  # when the first try that may have run was sent; -1: none may have
-    ran_host: int = -1
+    established_at: int = 0  # when it came to stand
+    maybe_executed_at: int = -1  # when the first try that may have run was sent; -1: none may have
+    maybe_executed_upstream: int = -1
     repeat_until: int = NO_END  # a further attempt has to be sent before: its effect is remembered no longer
 
 
-class Listed(NamedTuple):
+class Endpoint(NamedTuple):
     """One line of the host list."""
 
-    host: int
+    upstream: int
     name: str
     zone: int
     cell: int
-    state: State
+    state: EndpointState
     size: float
-    came_up: int
+    started_at: int
 
 
-class Sought(NamedTuple):
+class TokenCandidate(NamedTuple):
     """A cold host to which a link would go, with a pacer's leave."""
 
-    host: int
+    upstream: int
     budget: float  # links that all nodes together may send there in a window
     weight: float  # of this one, in such links
 
@@ -141,16 +143,18 @@
 class Answer(NamedTuple):
     """host >= 0: send there, and give the try up at `at`. Else one of the four below."""
 
-    host: int
+    upstream: int
     at: int = 0
-    sought: tuple[Sought, ...] = ()  # with NOT_YET: what a pacer, where there is one, had better be asked for
+    sought: tuple[
+        TokenCandidate, ...
+    ] = ()  # with NOT_YET: what a pacer, where there is one, had better be asked for
 
 
-class Belief(NamedTuple):
+class UpstreamStatus(NamedTuple):
     """What the node takes a host to be, for whoever has to compare it with the sockets."""
 
-    host: int
-    state: State
+    upstream: int
+    state: EndpointState
     out: int  # setup tries
     open: int  # links that stand there
     load: float | None  # over what it can do, as last probed
@@ -160,11 +164,11 @@
 
 NOT_YET = -1  # ask again at `at`, or sooner if something changes
 SHED = -2  # the final answer: safe to retry; `at` is how long the client had better wait, 0 for no advice
-GIVEN_UP = -3  # the final answer: no promise
+FAILED = -3  # the final answer: no promise
 DONE = -4  # nothing to do
 
 
-class Due(NamedTuple):
+class DueActions(NamedTuple):
     """What falls due now, and how long until the next thing does."""
 
     wait_us: int
--- a/larchlatch/wirehost/codec.py
+++ b/larchlatch/wirehost/codec.py
@@ -4,20 +4,20 @@
 
 from typing import Any
 
-from larchlatch.links import Outcome, State
-from larchlatch.terms import NUMBER, BadInput
+from larchlatch.config.deployment import NUMBER, InvalidInputError
+from larchlatch.policy.types import EndpointState, Outcome
 
 OUTCOMES = {
-    "pass": Outcome.ENDED,
-    "no_room": Outcome.REFUSED,
-    "no_route": Outcome.UNREACHED,
-    "stale_send": Outcome.UNSENT,
-    "fault": Outcome.FAULT,
-    "too_slow": Outcome.SILENT,
-    "cut": Outcome.CUT,
+    "pass": Outcome.COMPLETED,
+    "no_room": Outcome.REJECTED,
+    "no_route": Outcome.CONNECT_FAILED,
+    "stale_send": Outcome.NOT_SENT,
+    "fault": Outcome.ERROR,
+    "too_slow": Outcome.TIMED_OUT,
+    "cut": Outcome.RESET,
     "undone": Outcome.CANCELLED,
 }
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": EndpointState.READY, "DRAINING": EndpointState.DRAINING, "DELETED": EndpointState.GONE}
 MID_FLOW = 8
 HINT_VALID = 1
 LOAD_NOTE = 1
@@ -86,20 +86,20 @@
 def checked(row: Any, items: tuple[tuple[str, Any], ...], where: str) -> list[Any]:
     """The row's values, None for those left off at its end, once each has a type that its item may have."""
     if not isinstance(row, list):
-        raise BadInput(f"{where}: not an array")
+        raise InvalidInputError(f"{where}: not an array")
     values = row[: len(items)] + [None] * (len(items) - len(row))
     for value, (item, kind) in zip(values, items, strict=True):
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
             problem = "is missing" if value is None else f"has the wrong type ({type(value).__name__})"
-            raise BadInput(f"{where}: {item} {problem}")
+            raise InvalidInputError(f"{where}: {item} {problem}")
     return values
 
 
 def message(raw: Any) -> tuple[str, list[Any]]:
     """A message's name and its checked values."""
     if not isinstance(raw, list) or not raw or not isinstance(raw[0], str):
-        raise BadInput("message: not an array that opens with a name")
+        raise InvalidInputError("message: not an array that opens with a name")
     items = MESSAGES.get(raw[0])
     if items is None:
-        raise BadInput(f"message: unknown name {raw[0]!r}")
+        raise InvalidInputError(f"message: unknown name {raw[0]!r}")
     return raw[0], checked(raw[1:], items, raw[0])
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -20,70 +20,72 @@
 from anyio.abc import Process, SocketAttribute, SocketStream, TaskGroup
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from larchlatch.brain import Brain
-from larchlatch.links import (
+from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.types import (
     DONE,
-    GIVEN_UP,
+    FAILED,
     NEVER_RAN,
     NOT_YET,
     SHED,
     Answer,
-    Group,
-    Link,
-    Listed,
+    DedupScope,
+    DeploymentSettings,
+    Endpoint,
+    EndpointState,
+    Idempotency,
     Outcome,
-    Repeat,
-    State,
-    Tariff,
-    Terms,
+    Session,
+    TrafficClass,
 )
-from larchlatch.node.wire.stream import Ending, Lines
 
 SECOND = 1_000_000
-TARIFFS = tuple(
-    Tariff(500_000, 50_000, repeat, group, 1_500_000)
-    for repeat, group in (
-        (Repeat.RERUNNABLE, Group.ALL),
-        (Repeat.TICKETED, Group.ALL),
-        (Repeat.TICKETED, Group.ZONE),
-        (Repeat.TICKETED, Group.CELL),
-        (Repeat.EXCLUSIVE, Group.ALL),
+TRAFFIC_CLASSES = tuple(
+    TrafficClass(500_000, 50_000, idempotency, group, 1_500_000)
+    for idempotency, group in (
+        (Idempotency.IDEMPOTENT, DedupScope.ALL),
+        (Idempotency.KEYED, DedupScope.ALL),
+        (Idempotency.KEYED, DedupScope.ZONE),
+        (Idempotency.KEYED, DedupScope.CELL),
+        (Idempotency.NON_IDEMPOTENT, DedupScope.ALL),
     )
 )
-TERMS = Terms(
+SETTINGS = DeploymentSettings(
     me=0,
     nodes=2,
-    tariffs=TARIFFS,
-    grouped=True,
-    sized=True,
-    asked_list=False,
+    traffic_classes=TRAFFIC_CLASSES,
+    uses_groups=True,
+    weighted=True,
+    polls_discovery=False,
     probes=False,
-    cancels=False,
-    probe_tells_load=False,
-    late_told=True,
-    most_tries=6,
-    longest_return_us=1_500_000,
-    ask_within_us=10 * SECOND,
-    cold_from=0.2,
-    cold_us=20 * SECOND,
-    tip_multiple=3.0,
-    tip_after_us=SECOND,
+    can_cancel=False,
+    probes_report_load=False,
+    reports_delay=True,
+    max_attempts=6,
+    max_retry_after_us=1_500_000,
+    poll_within_us=10 * SECOND,
+    slow_start_min_share=0.2,
+    slow_start_us=20 * SECOND,
+    overload_multiple=3.0,
+    overload_window_us=SECOND,
 )
 
 
-def line(number: int, state: State = State.READY, came_up: int = 0, size: float = 1.0) -> Listed:
-    return Listed(number, f"host-{number}", number % 2, number % 3, state, size, came_up)
+def line(
+    number: int, state: EndpointState = EndpointState.READY, started_at: int = 0, size: float = 1.0
+) -> Endpoint:
+    return Endpoint(number, f"host-{number}", number % 2, number % 3, state, size, started_at)
 
 
 class Ground:
     """What the rules say of each link is kept here, apart from what the brain believes."""
 
-    def __init__(self, seed: int = 1, hosts: int = 6, **terms: object) -> None:
-        self.terms = replace(TERMS, **terms)  # type: ignore[arg-type]
-        self.brain = Brain(self.terms, random.Random(seed))
+    def __init__(self, seed: int = 1, upstreams: int = 6, **deployment_settings: object) -> None:
+        self.settings = replace(SETTINGS, **deployment_settings)  # type: ignore[arg-type]
+        self.balancer = Balancer(self.settings, random.Random(seed))
         self.now = 100 * SECOND
-        self.lines = {number: line(number) for number in range(hosts)}
-        self.links: dict[int, Link] = {}  # without a final answer yet
+        self.lines = {number: line(number) for number in range(upstreams)}
+        self.sessions: dict[int, Session] = {}  # without a final answer yet
         self.held: dict[int, int] = {}
         self.out: dict[int, int] = {}  # a try out, and its host
         self.ends: dict[int, int] = {}
@@ -91,76 +93,83 @@
         self.up: set[int] = set()
         self.cold_sends: list[tuple[int, int]] = []
         self.count = 0
-        self.brain.hosts_listed(self.now, list(self.lines.values()), whole=True, asked=True)
+        self.balancer.update_endpoints(self.now, list(self.lines.values()), whole=True, asked=True)
 
-    def relist(self, *lines: Listed) -> None:
-        self.lines.update({entry.host: entry for entry in lines})
-        self.brain.hosts_listed(self.now, lines, whole=False, asked=True)
+    def relist(self, *lines: Endpoint) -> None:
+        self.lines.update({entry.upstream: entry for entry in lines})
+        self.balancer.update_endpoints(self.now, lines, whole=False, asked=True)
 
     def arrive(
-        self, key: int | None = 1, tariff: int = 0, cut_off: int = 2 * SECOND, load: float = 0.0
-    ) -> Link:
-        link = Link(self.count, tariff, key, key, self.now + cut_off, load=load)
+        self, key: int | None = 1, traffic_class: int = 0, deadline: int = 2 * SECOND, load: float = 0.0
+    ) -> Session:
+        session = Session(self.count, traffic_class, key, key, self.now + deadline, load=load)
         self.count += 1
-        self.links[link.number] = link
-        self.sent[link.number] = []
-        self.answer(link, self.brain.place(self.now, link))
-        return link
-
-    def answer(self, link: Link, answer: Answer) -> None:
-        number, ran = link.number, self.sent[link.number]
-        tariff = TARIFFS[link.tariff]
+        self.sessions[session.number] = session
+        self.sent[session.number] = []
+        self.answer(session, self.balancer.place(self.now, session))
+        return session
+
+    def answer(self, session: Session, answer: Answer) -> None:
+        number, ran = session.number, self.sent[session.number]
+        traffic_class = TRAFFIC_CLASSES[session.traffic_class]
         self.held.pop(number, None)
-        if answer.host == DONE:
+        if answer.upstream == DONE:
             return
-        assert number in self.links, "an answer after the final one"
+        assert number in self.sessions, "an answer after the final one"
         assert number not in self.out, "two tries out at once"
-        assert self.now <= link.cut_off
-        if answer.host == NOT_YET:
-            assert self.now < answer.at <= link.cut_off, "held past its cut-off"
+        assert self.now <= session.deadline
+        if answer.upstream == NOT_YET:
+            assert self.now < answer.at <= session.deadline, "held past its cut-off"
             self.held[number] = answer.at
-        elif answer.host in (SHED, GIVEN_UP):
-            if answer.host == SHED and ran:
-                assert tariff.repeat is not Repeat.EXCLUSIVE, "shed though it may have run"
-                assert tariff.repeat is Repeat.RERUNNABLE or tariff.group is Group.ALL
-            del self.links[number]
+        elif answer.upstream in (SHED, FAILED):
+            if answer.upstream == SHED and ran:
+                assert traffic_class.idempotency is not Idempotency.NON_IDEMPOTENT, (
+                    "shed though it may have run"
+                )
+                assert (
+                    traffic_class.idempotency is Idempotency.IDEMPOTENT
+                    or traffic_class.dedup_scope is DedupScope.ALL
+                )
+            del self.sessions[number]
         else:
-            self.try_sent(link, answer, ran, tariff)
-
-    def try_sent(self, link: Link, answer: Answer, ran: list[tuple[int, int]], tariff: Tariff) -> None:
-        entry = self.lines[answer.host]
-        assert entry.state is State.READY, "sent to a draining or gone host"
-        assert self.now < answer.at <= link.cut_off
-        if ran and tariff.repeat is not Repeat.RERUNNABLE:
-            assert tariff.repeat is Repeat.TICKETED, "a second run of an exclusive link"
-            assert self.now < ran[0][0] + tariff.memory_us, "resent after its group forgot it"
+            self.try_sent(session, answer, ran, traffic_class)
+
+    def try_sent(
+        self, session: Session, answer: Answer, ran: list[tuple[int, int]], traffic_class: TrafficClass
+    ) -> None:
+        entry = self.lines[answer.upstream]
+        assert entry.state is EndpointState.READY, "sent to a draining or gone host"
+        assert self.now < answer.at <= session.deadline
+        if ran and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
+            assert traffic_class.idempotency is Idempotency.KEYED, "a second run of an exclusive link"
+            assert self.now < ran[0][0] + traffic_class.dedup_window_us, "resent after its group forgot it"
             first = self.lines[ran[0][1]]
-            assert tariff.group is not Group.ZONE or entry.zone == first.zone
-            assert tariff.group is not Group.CELL or entry.cell == first.cell
-        if entry.came_up and self.now < entry.came_up + self.terms.cold_us:
-            self.cold_sends.append((self.now, answer.host))
-            turn = (self.now - entry.came_up) // self.terms.tip_after_us
-            in_turn = turn % self.terms.nodes == self.terms.me
-            assert in_turn or self.terms.probe_tells_load, "sent to a fresh host out of turn"
-        self.out[link.number], self.ends[link.number] = answer.host, answer.at
-        link_sent = self.now
-        self.sent[link.number] = [*ran, (link_sent, answer.host)]
-
-    def end(self, link: Link, what: Outcome) -> None:
-        number = link.number
-        if number in self.out and what is not Outcome.STANDS:
-            host = self.out.pop(number)
+            assert traffic_class.dedup_scope is not DedupScope.ZONE or entry.zone == first.zone
+            assert traffic_class.dedup_scope is not DedupScope.CELL or entry.cell == first.cell
+        if entry.started_at and self.now < entry.started_at + self.settings.slow_start_us:
+            self.cold_sends.append((self.now, answer.upstream))
+            turn = (self.now - entry.started_at) // self.settings.overload_window_us
+            in_turn = turn % self.settings.nodes == self.settings.me
+            assert in_turn or self.settings.probes_report_load, "sent to a fresh host out of turn"
+        self.out[session.number], self.ends[session.number] = answer.upstream, answer.at
+        session_sent = self.now
+        self.sent[session.number] = [*ran, (session_sent, answer.upstream)]
+
+    def end(self, session: Session, what: Outcome) -> None:
+        number = session.number
+        if number in self.out and what is not Outcome.ESTABLISHED:
+            upstream = self.out.pop(number)
             if what in NEVER_RAN:
                 self.sent[number] = [
-                    t for t in self.sent[number] if t[1] != host or t is not self.sent[number][-1]
+                    t for t in self.sent[number] if t[1] != upstream or t is not self.sent[number][-1]
                 ]
-        done = number not in self.links or number in self.up or what is Outcome.ENDED
-        if what is Outcome.STANDS:
+        done = number not in self.sessions or number in self.up or what is Outcome.COMPLETED
+        if what is Outcome.ESTABLISHED:
             self.up.add(number)
         elif done:
-            self.links.pop(number, None)
-        self.answer(link, self.brain.outcome(self.now, link, what, done))
-        if what is Outcome.STANDS:
+            self.sessions.pop(number, None)
+        self.answer(session, self.balancer.outcome(self.now, session, what, done))
+        if what is Outcome.ESTABLISHED:
             self.out.pop(number, None)
 
     def run(self, span: int) -> None:
@@ -173,12 +182,12 @@
                 break
             self.now = max(self.now, at)
             if number in self.held:
-                self.answer(self.links[number], self.brain.place(self.now, self.links[number]))
+                self.answer(self.sessions[number], self.balancer.place(self.now, self.sessions[number]))
             else:
-                self.end(self.links[number], Outcome.SILENT)
+                self.end(self.sessions[number], Outcome.TIMED_OUT)
         self.now = stop
-        self.brain.wait(self.now)
-        late = [n for n, link in self.links.items() if n not in self.up and self.now > link.cut_off]
+        self.balancer.wait(self.now)
+        late = [n for n, session in self.sessions.items() if n not in self.up and self.now > session.deadline]
         assert not late, "a link without its final answer at its cut-off"
 
 
@@ -188,9 +197,9 @@
 MANY_S = 20.0  # a test that takes so long hangs; nothing is judged by a few milliseconds
 
 
-def configuration(hosts: list[str], discovery: int, **changes: Any) -> dict[str, Any]:
+def configuration(upstreams: list[str], discovery: int, **changes: Any) -> dict[str, Any]:
     """A node's configuration for hosts at these addresses."""
-    tariff = {"expected_time_us": 500_000, "cut_off_us": 3_000_000, "repeat_window_us": 5_000_000}
+    traffic_class = {"expected_time_us": 500_000, "cut_off_us": 3_000_000, "repeat_window_us": 5_000_000}
     settings: dict[str, Any] = {
         "areas": ["a", "b"],
         "caps": {"dial_timeout_us": 250_000, "most_setup_tries": 6, "probes": False},
@@ -206,9 +215,9 @@
             "tip_after_us": SECOND,
         },
         "tariffs": [
-            {**tariff, "name": "rerun", "effect": "idempotent"},
-            {**tariff, "name": "ticket", "effect": "deduplicated", "group": "cell"},
-            {**tariff, "name": "once", "effect": "at_most_once"},
+            {**traffic_class, "name": "rerun", "effect": "idempotent"},
+            {**traffic_class, "name": "ticket", "effect": "deduplicated", "group": "cell"},
+            {**traffic_class, "name": "once", "effect": "at_most_once"},
         ],
         "telemetry": {"via": "none", "fields": []},
         "tenants": [{"name": "acme"}],
@@ -222,7 +231,11 @@
         "discovery": f"127.0.0.1:{discovery}",
         "seed": "5eed",
         "limits": {"sockets": 1024},
-        "known": {"revision": 1, "complete": True, "members": [member(n, at) for n, at in enumerate(hosts)]},
+        "known": {
+            "revision": 1,
+            "complete": True,
+            "members": [member(n, at) for n, at in enumerate(upstreams)],
+        },
         "settings": settings,
     }
 
@@ -239,7 +252,7 @@
     }
 
 
-class Hosts:
+class Upstreams:
     """Hosts on loopback that answer the tries in their order as told, and watch the second rule."""
 
     def __init__(self, *answers: str) -> None:
@@ -250,25 +263,25 @@
         self.ended = 0  # connections that the node has ended
         self.addresses: list[str] = []
 
-    async def start(self, tasks: TaskGroup, number: int = 1) -> Hosts:
-        for host in range(number):
+    async def start(self, tasks: TaskGroup, number: int = 1) -> Upstreams:
+        for upstream in range(number):
             listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
             self.addresses.append(f"127.0.0.1:{port_of(listener)}")
-            tasks.start_soon(listener.serve, partial(self.serve, host))
+            tasks.start_soon(listener.serve, partial(self.serve, upstream))
         return self
 
-    async def serve(self, host: int, stream: SocketStream) -> None:
-        link = Lines(stream)
-        line = await link.line()
+    async def serve(self, upstream: int, stream: SocketStream) -> None:
+        session = Lines(stream)
+        line = await session.line()
         if isinstance(line, Ending):
             return
         answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        self.lines.append((host, line.decode()))
+        self.lines.append((upstream, line.decode()))
         self.out += 1
         self.most_out = max(self.most_out, self.out)
         if answer == "reset":
             self.out -= 1
-            await link.close(reset=True)
+            await session.close(reset=True)
             return
         if answer.startswith("late "):
             await anyio.sleep(0.6)
@@ -276,21 +289,21 @@
         standing = answer.startswith("UP")
         self.out -= standing
         if answer != "silent":
-            await link.send(answer.encode() if answer.endswith("…") else f"{answer}\r\n".encode())
-        while not isinstance(got := await link.line(), Ending):
+            await session.send(answer.encode() if answer.endswith("…") else f"{answer}\r\n".encode())
+        while not isinstance(got := await session.line(), Ending):
             if answer == "UP echo":
-                await link.send(got)
+                await session.send(got)
             elif answer == "UP slow echo":
                 await anyio.sleep(0.15)
-                await link.send(got)
+                await session.send(got)
             elif answer == "UP half":
-                await link.send(b"half a li")
+                await session.send(b"half a li")
             elif answer == "UP flood":  # more than any buffer between holds
-                while await link.send(b"x" * 4000 + b"\r\n"):
+                while await session.send(b"x" * 4000 + b"\r\n"):
                     pass
         self.out -= not standing
         self.ended += 1
-        await link.close()
+        await session.close()
 
 
 class Discovery:
@@ -403,12 +416,12 @@
 
 
 async def opened(
-    port: int, wait_ms: int = 2000, tariff: str = "rerun", key: str = "k1", ident: str = ""
+    port: int, wait_ms: int = 2000, traffic_class: str = "rerun", key: str = "k1", ident: str = ""
 ) -> Lines:
     """A client that has sent its first line."""
     client = await dial(port)
     await client.send(
-        f"OPEN {ident or f'id{next(IDENTS)}'} {key} c={tariff},t=acme,d={wait_ms},g={key}\r\n".encode()
+        f"OPEN {ident or f'id{next(IDENTS)}'} {key} c={traffic_class},t=acme,d={wait_ms},g={key}\r\n".encode()
     )
     return client
 
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -10,9 +10,19 @@
 import pytest
 from anyio.abc import TaskGroup
 
-from larchlatch.links import Outcome
 from larchlatch.node.wire.stream import Ending
-from tests.ground import SECOND, Discovery, Ground, Hosts, configuration, dial, on_loopback, opened, process
+from larchlatch.policy.types import Outcome
+from tests.ground import (
+    SECOND,
+    Discovery,
+    Ground,
+    Upstreams,
+    configuration,
+    dial,
+    on_loopback,
+    opened,
+    process,
+)
 from tests.test_node import NEWS
 
 STOPPED_S = 1.2  # twice what a setup takes at these hosts
@@ -20,9 +30,9 @@
 
 def test_lines_that_lay_unread_are_turned_away_at_once_where_too_little_time_is_left(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("late UP echo").start(tasks)
+        upstreams = await Upstreams("late UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port, domain={"tells_delay": False})
+        raw = configuration(upstreams.addresses, discovery.port, domain={"tells_delay": False})
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
         async with process(path) as node:
@@ -30,7 +40,9 @@
             assert await first.line() == b"UP echo\r\n"
             node.signal(signal.SIGSTOP)
             # Its machine takes all of these meanwhile; it reads them when they have waited.
-            short = [await opened(node.port, 1500, tariff) for tariff in ("rerun", "ticket", "once")]
+            short = [
+                await opened(node.port, 1500, traffic_class) for traffic_class in ("rerun", "ticket", "once")
+            ]
             long = await opened(node.port, 3000)
             bad, front, half = [await dial(node.port) for _ in range(3)]
             await bad.send(b"OPEN a b c=none,t=acme,d=1500\r\n")
@@ -42,13 +54,13 @@
                 answer = await client.line()
                 assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), "with when to come back"
                 assert isinstance(await client.line(), Ending), "nothing after it"
-            assert len(hosts.lines) <= 2, "a try that could not end in time"
+            assert len(upstreams.lines) <= 2, "a try that could not end in time"
             assert await bad.line() == b"ERR\r\n"
             assert await front.line() == b"PONG\r\n"
             await half.send(b"me,d=3000\r\n")
             for client in (long, half):
                 assert await client.line() == b"UP echo\r\n"
-            assert len(hosts.lines) == 3
+            assert len(upstreams.lines) == 3
             for client in (first, long, half):
                 await client.send(b"go\r\n")
                 assert await client.line() == b"go\r\n"
@@ -61,18 +73,18 @@
 @pytest.mark.parametrize("took", [20_000, 400_000])
 def test_what_a_setup_takes_is_a_running_mean_of_those_that_came_to_stand(took: int) -> None:
     ground = Ground()
-    assert ground.brain.wait(ground.now).enough_us == 0, "nobody is turned away by a guess"
+    assert ground.balancer.wait(ground.now).enough_us == 0, "nobody is turned away by a guess"
     for _ in range(30):
-        link = ground.arrive()
+        session = ground.arrive()
         ground.now += took
-        ground.end(link, Outcome.STANDS)
-    assert ground.brain.wait(ground.now).enough_us == took
+        ground.end(session, Outcome.ESTABLISHED)
+    assert ground.balancer.wait(ground.now).enough_us == took
     failing = ground.arrive()
     ground.now += SECOND
-    ground.end(failing, Outcome.REFUSED)
-    assert ground.brain.wait(ground.now).enough_us == took
+    ground.end(failing, Outcome.REJECTED)
+    assert ground.balancer.wait(ground.now).enough_us == took
     for _ in range(40):
-        link = ground.arrive()
+        session = ground.arrive()
         ground.now += 2 * took
-        ground.end(link, Outcome.STANDS)
-    assert 1.9 * took < ground.brain.wait(ground.now).enough_us <= 2 * took
+        ground.end(session, Outcome.ESTABLISHED)
+    assert 1.9 * took < ground.balancer.wait(ground.now).enough_us <= 2 * took
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -15,7 +15,7 @@
 from larchlatch.broker.broker import Broker, Ticket, Unknown
 from larchlatch.broker.contracts import checked
 from larchlatch.broker.quotas import SLOTS, Dimension, Level, Limits, Quotas, Refusal, Uses, walk
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
@@ -360,7 +360,7 @@
     ],
 )
 def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], told: list[str]) -> None:
-    with pytest.raises(BadInput) as refused:
+    with pytest.raises(InvalidInputError) as refused:
         checked(contracts)
     assert all(word in str(refused.value) for word in told), str(refused.value)
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -16,10 +16,10 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.cluster.duties.duties import Roster
-from larchlatch.cluster.file import fleet_from, new_secret, own_seal, secret_of
-from larchlatch.cluster.members.exchange import Exchange, Shared
-from larchlatch.cluster.members.members import (
+from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
+from larchlatch.cluster.election.election import Roster
+from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.membership.membership import (
     APART_US,
     FAN_OUT,
     WATCHERS,
@@ -27,9 +27,7 @@
     State,
     watchers_of,
 )
-from larchlatch.cluster.shared.budgets import Dealing
-from larchlatch.cluster.shared.rights import Spans
-from larchlatch.cluster.wire.datagrams import (
+from larchlatch.cluster.protocol.datagrams import (
     MOST_BYTES,
     VERSION,
     Datagram,
@@ -43,13 +41,15 @@
     read,
     record_of,
 )
-from larchlatch.cluster.wire.keys import Checks, Seal, seal_of
+from larchlatch.cluster.protocol.signing import Checks, Seal, seal_of
+from larchlatch.cluster.quota.account import Spans
+from larchlatch.cluster.quota.budgets import Dealing
+from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.agreement import SETTLED_US, Agreement
 from larchlatch.days.chance import Chance
 from larchlatch.days.day import checked
 from larchlatch.days.paths import Manner, Part, Paths
 from larchlatch.emulator.world import World
-from larchlatch.terms import BadInput
 
 BEAT = 200_000
 SPANS = Spans(1_000_000, 3_000_000, 0.01)
@@ -370,7 +370,7 @@
     ],
 )
 def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadInput) as error:
+    with pytest.raises(InvalidInputError) as error:
         fleet_from(raw(**change), "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
@@ -381,7 +381,7 @@
     assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
     made = seal_of(secret)
     assert made is not None and made.public.hex() == public
-    with pytest.raises(BadInput, match="can't be written"):
+    with pytest.raises(InvalidInputError, match="can't be written"):
         new_secret(tmp_path / "a.key")
     fleet = fleet_from(raw(), "cluster")
     assert own_seal(fleet, "a", SECRETS["a"].hex()).public == KEYS["a"]
@@ -390,7 +390,7 @@
         ("a", secret, "not the one"),
         ("a", "q", "32"),
     ):
-        with pytest.raises(BadInput, match=why):
+        with pytest.raises(InvalidInputError, match=why):
             own_seal(fleet, name, key)
 
 
@@ -495,9 +495,9 @@
     ],
 )
 def test_a_faulty_fault_between_nodes_is_refused(fault: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadInput, match=told):
+    with pytest.raises(InvalidInputError, match=told):
         checked({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
-    with pytest.raises(BadInput, match=r"cluster\.on"):
+    with pytest.raises(InvalidInputError, match=r"cluster\.on"):
         checked({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -16,26 +16,34 @@
 import pytest
 from msgspec import inspect
 
-from larchlatch.brain import Brain
 from larchlatch.broker.contracts import Contracts, contracts_of
-from larchlatch.cluster.duties.duties import ALLOTTER, PACER, Roster
-from larchlatch.cluster.duties.leases import Tenure, What
-from larchlatch.cluster.file import Raw, fleet_from, fleet_of
-from larchlatch.cluster.members.exchange import Exchange, Shared
-from larchlatch.cluster.members.members import Members
-from larchlatch.cluster.members.members import State as MemberState
-from larchlatch.cluster.shared.budgets import Dealing, Limit
-from larchlatch.cluster.shared.rights import Spans
-from larchlatch.cluster.wire import datagrams
-from larchlatch.cluster.wire.keys import Checks, Seal
+from larchlatch.cluster.cluster_file import Raw, fleet_from, fleet_of
+from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
+from larchlatch.cluster.election.leases import Tenure, What
+from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.membership.membership import Members
+from larchlatch.cluster.membership.membership import State as MemberState
+from larchlatch.cluster.protocol import datagrams
+from larchlatch.cluster.protocol.signing import Checks, Seal
+from larchlatch.cluster.quota.account import Spans
+from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.config.endpoints import EndpointEntry
+from larchlatch.config.endpoints import EndpointList as MemberList
 from larchlatch.days.day import Day, day_of
 from larchlatch.emulator.world import World
-from larchlatch.links import Group, Link, Listed, Outcome, Repeat, Sought, State
-from larchlatch.node.wire import passing
-from larchlatch.node.wire.catalog import Member
-from larchlatch.node.wire.catalog import Members as MemberList
-from larchlatch.state_export import export_state, restore_state
-from tests.ground import TERMS
+from larchlatch.node.hot_restart import packets as passing
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.state_export import export_state, restore_state
+from larchlatch.policy.types import (
+    DedupScope,
+    Endpoint,
+    EndpointState,
+    Idempotency,
+    Outcome,
+    Session,
+    TokenCandidate,
+)
+from tests.ground import SETTINGS
 
 ROOT = Path(__file__).parents[1]
 FIXTURE = Path(__file__).parent / "fixtures" / "compatibility.json"
@@ -58,14 +66,16 @@
 
 
 def packets() -> list[passing.Packet]:
-    listed = Member("s-1", ("127.0.0.1", 3000), "a", 2, State.DRAINING, 1.5, 1_700_000_000 * SECOND)
+    listed = EndpointEntry(
+        "s-1", ("127.0.0.1", 3000), "a", 2, EndpointState.DRAINING, 1.5, 1_700_000_000 * SECOND
+    )
     return [
         passing.Hello("n1", "127.0.0.1:3000"),
         passing.Welcome(MemberList(41, True, [listed])),
         passing.Serving(),
         passing.Ceded({"hosts": {}, "asked": [1], "noted": 0.5}, ["id-1", "id-2"], 60, 1.25, 123456),
         passing.Ceded({}, [], 0, None, 0),
-        passing.Standing(b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.CUT), b"\xff", b"x"),
+        passing.Standing(b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.RESET), b"\xff", b"x"),
     ]
 
 
@@ -76,25 +86,27 @@
 # What the decisions have learned.
 
 
-def used_brain(observed: bool) -> Brain:
+def used_balancer(observed: bool) -> Balancer:
     """A brain that knows two hosts; where it has observed, each exported value differs from its default."""
-    brain = Brain(TERMS, random.Random(1))
-    rows = [Listed(number, f"host-{number}", 0, 0, State.READY, 1.0, 7 * number) for number in range(2)]
-    brain.hosts_listed(NOW, rows, whole=True, asked=True)
+    balancer = Balancer(SETTINGS, random.Random(1))
+    rows = [
+        Endpoint(number, f"host-{number}", 0, 0, EndpointState.READY, 1.0, 7 * number) for number in range(2)
+    ]
+    balancer.update_endpoints(NOW, rows, whole=True, asked=True)
     if observed:
-        link = Link(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
-        answer = brain.place(NOW, link)
-        brain.report(NOW, answer.host, True, 0.5, 10.0)
-        brain.load_note(NOW, link, 2000.0)
-        brain.outcome(NOW + 1000, link, Outcome.CUT, done=True)
-        brain.quiet(NOW + 2000, answer.host)
-        brain.report(NOW + 3000, 1 - answer.host, False, None)
-        brain.report(NOW + 4000, 1 - answer.host, False, None)
-    return brain
+        session = Session(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
+        answer = balancer.place(NOW, session)
+        balancer.report(NOW, answer.upstream, True, 0.5, 10.0)
+        balancer.record_load(NOW, session, 2000.0)
+        balancer.outcome(NOW + 1000, session, Outcome.RESET, done=True)
+        balancer.quiet(NOW + 2000, answer.upstream)
+        balancer.report(NOW + 3000, 1 - answer.upstream, False, None)
+        balancer.report(NOW + 4000, 1 - answer.upstream, False, None)
+    return balancer
 
 
 def exported_state() -> Any:
-    return orjson.loads(orjson.dumps(export_state(used_brain(observed=True))))
+    return orjson.loads(orjson.dumps(export_state(used_balancer(observed=True))))
 
 
 # Datagrams.
@@ -170,7 +182,7 @@
         sent += node.beat(NOW + beat, WALL + beat).datagrams
     node.pacing.pacer = "b"
     node.pacing.heard_at = NOW + 8 * SECOND
-    sent += node.sought(NOW + 8 * SECOND, WALL, 4, [(99, Sought(1, 5.0, 1.0))]).datagrams
+    sent += node.sought(NOW + 8 * SECOND, WALL, 4, [(99, TokenCandidate(1, 5.0, 1.0))]).datagrams
     return [[to, data.hex()] for to, data in sent]
 
 
@@ -219,9 +231,9 @@
 def stored_values() -> dict[str, list[Any]]:
     """Values of enumerations and constants that stand in files, packets, datagrams and traces."""
     return {
-        "idempotency": [each.value for each in Repeat],
-        "dedup_scope": [each.value for each in Group],
-        "endpoint_state": [each.value for each in State],
+        "idempotency": [each.value for each in Idempotency],
+        "dedup_scope": [each.value for each in DedupScope],
+        "endpoint_state": [each.value for each in EndpointState],
         "outcome": [int(each) for each in Outcome],
         "member_state": [each.value for each in MemberState],
         "ballot_kind": [each.value for each in What],
@@ -267,7 +279,7 @@
 
 
 def test_recorded_state_is_restored_whole() -> None:
-    restored = used_brain(observed=False)
+    restored = used_balancer(observed=False)
     restore_state(restored, recorded()["state"], 0)
     assert orjson.loads(orjson.dumps(export_state(restored))) == recorded()["state"]
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,24 +20,25 @@
 import pytest
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.links import Link, Outcome
+from larchlatch.config.endpoints import EndpointList, endpoint_entry_of
+from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node import client as node_client
-from larchlatch.node import peer as node_peer
+from larchlatch.node import runtime as node_run
+from larchlatch.node import upstream_actor as node_peer
+from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us
-from larchlatch.node.lifecycle import run as node_run
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.hand import Delivered, GivenUp, Hand
-from larchlatch.node.memory.room import RESERVE, Room
-from larchlatch.node.module import Module
-from larchlatch.node.peer import Peer, Reach
+from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
+from larchlatch.node.messages import AttemptFinished, Message
+from larchlatch.node.metrics import Counters
+from larchlatch.node.session_record import Delivered, Failed, SessionRecord
+from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire import stream
-from larchlatch.node.wire.catalog import Members, member_of
 from larchlatch.node.wire.stream import Unconnected
-from larchlatch.node.words import Tried, Word
+from larchlatch.policy.types import Outcome, Session
 from tests.ground import (
     Discovery,
-    Hosts,
+    Upstreams,
     call,
     configuration,
     door_address,
@@ -70,13 +71,16 @@
 
 async def at_rest(door: Door) -> None:
     """Nothing is left of what went through it: no connection, id, attempt or descriptor."""
-    module = door.module
+    module = door.balancer_actor
     await until(
         lambda: (
-            not (door.connections or door.in_hand or door.idents or door.standing or module.hands)
+            not (door.connections or door.in_hand or door.idents or door.standing or module.records)
             and not (door.resting or door.unheard)
-            and all(not peer.trying and not peer.standing for peer in module.peers.values())
-            and door.room.free == door.room.most - 1  # for the next one to be accepted
+            and all(
+                not upstream_actor.trying and not upstream_actor.standing
+                for upstream_actor in module.upstream_actors.values()
+            )
+            and door.descriptors.free == door.descriptors.most - 1  # for the next one to be accepted
         )
     )
 
@@ -130,8 +134,8 @@
     monkeypatch.setattr(stream.Lines, "send", send)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("silent").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("silent").start(tasks)
+        port = await started(tasks, upstreams)
         clients.append(raw_client(port, first))
         assert await all_of(clients[0]) == b"ERR\r\n"
         await at_rest(doors[0])
@@ -161,10 +165,10 @@
     """It goes on from elsewhere, says more, and leaves while its link waits for a place."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        rows = [member(0, hosts.addresses[0])]
+        upstreams = await Upstreams("UP r1").start(tasks)
+        rows = [member(0, upstreams.addresses[0])]
         discovery = await Discovery([]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["known"]["members"][0]["phase"] = "terminating"
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
         port = await serving(tasks, raw)
@@ -175,15 +179,15 @@
         client.close()
         with anyio.fail_after(SOON_S):
             await at_rest(doors[0])
-        doors[0].module.listed(now_us(), say_members(rows), True)
+        doors[0].balancer_actor.listed(now_us(), say_members(rows), True)
         assert await (await opened(port)).line() == b"UP r1\r\n"
-        assert len(hosts.lines) == 1, "an attempt for a client that had left"
+        assert len(upstreams.lines) == 1, "an attempt for a client that had left"
 
     on_loopback(body)
 
 
 def say_members(rows: list[dict[str, Any]]) -> Any:
-    return Members(9, False, [member_of(row, "row") for row in rows])
+    return EndpointList(9, False, [endpoint_entry_of(row, "row") for row in rows])
 
 
 @pytest.mark.parametrize("behind", [b"", b"unread\r\n" * 100])
@@ -193,8 +197,8 @@
     """Its end lies in this machine when the connection to the host comes up; nobody has read it yet."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port = await started(tasks, upstreams)
         clients: list[socket.socket] = []
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
@@ -208,7 +212,7 @@
         clients.append(raw_client(port, line_of("a", ",mid=1")))
         await until(lambda: not clients)
         await at_rest(doors[0])
-        assert not hosts.lines
+        assert not upstreams.lines
         assert doors[0].counters.counts["attempt not begun: client gone"] == 1
 
     on_loopback(body)
@@ -218,19 +222,19 @@
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gate = anyio.Event()
-    real = Module.submit
+    real = BalancerActor.submit
 
-    async def submit(module: Module, word: Any) -> None:
+    async def submit(module: BalancerActor, word: Any) -> None:
         await gate.wait()  # as long as its mailbox is full
         await real(module, word)
 
-    monkeypatch.setattr(Module, "offer", lambda module, word: False)
-    monkeypatch.setattr(Module, "submit", submit)
+    monkeypatch.setattr(BalancerActor, "offer", lambda module, word: False)
+    monkeypatch.setattr(BalancerActor, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
+        upstreams = await Upstreams("UP r1").start(tasks)
         discovery = await Discovery([]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
         port = await serving(tasks, raw)
         client = raw_client(port, line_of("a", wait_ms=PATIENT_US // 1000))
@@ -240,7 +244,7 @@
             await until(lambda: doors[0].in_hand == 0)
         gate.set()
         await at_rest(doors[0])
-        assert not hosts.lines
+        assert not upstreams.lines
 
     on_loopback(body)
 
@@ -248,19 +252,19 @@
 def test_a_link_that_the_decisions_never_come_to_is_answered_in_time(
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def submit(module: Module, word: Any) -> None:
+    async def submit(module: BalancerActor, word: Any) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(Module, "offer", lambda module, word: False)
-    monkeypatch.setattr(Module, "submit", submit)
+    monkeypatch.setattr(BalancerActor, "offer", lambda module, word: False)
+    monkeypatch.setattr(BalancerActor, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port = await started(tasks, upstreams)
         began = anyio.current_time()
         assert (await all_of(raw_client(port, line_of("a", wait_ms=1000)))).startswith(b"BUSY ")
         assert anyio.current_time() < began + 1.0
-        assert not hosts.lines
+        assert not upstreams.lines
         await at_rest(doors[0])
 
     on_loopback(body)
@@ -274,61 +278,63 @@
 
     def __init__(self, address: str) -> None:
         name, _, port = address.rpartition(":")
-        self.words: list[Word] = []
-        self.room = Room(1024)
+        self.words: list[Message] = []
+        self.descriptors = DescriptorBudget(1024)
         self.counters = Counters()
-        reach = Reach(250_000, False, False, 0)
-        self.peer = Peer(0, "s-0", (name, int(port)), reach, self.room, self.counters, self.post)
+        reach = UpstreamSettings(250_000, False, False, 0)
+        self.upstream_actor = UpstreamActor(
+            0, "s-0", (name, int(port)), reach, self.descriptors, self.counters, self.post
+        )
 
-    async def post(self, word: Word) -> None:
+    async def post(self, word: Message) -> None:
         self.words.append(word)
 
-    async def attempt(self, hand: Hand, within_us: int = 1_000_000) -> Outcome:
-        await self.peer.attempt(hand, now_us() + within_us)
+    async def attempt(self, record: SessionRecord, within_us: int = 1_000_000) -> Outcome:
+        await self.upstream_actor.attempt(record, now_us() + within_us)
         (word,) = self.words
-        assert isinstance(word, Tried)
-        assert self.peer.trying == 0 and hand.attempt is None
+        assert isinstance(word, AttemptFinished)
+        assert self.upstream_actor.trying == 0 and record.attempt is None
         return word.outcome
 
 
-def hand_of(tariff: str = "once") -> Hand:
-    opening = say.opening_of(f"OPEN a k1 c={tariff},d=1000\r\n".encode())
+def hand_of(traffic_class: str = "once") -> SessionRecord:
+    opening = say.parse_opening(f"OPEN a k1 c={traffic_class},d=1000\r\n".encode())
     assert isinstance(opening, say.Opening)
-    return Hand(Link(0, 0, 1, None, now_us() + 1_000_000), opening)
+    return SessionRecord(Session(0, 0, 1, None, now_us() + 1_000_000), opening)
 
 
-def drains(alone: Alone, hand: Hand) -> None:
-    alone.peer.open_to_new = False
+def drains(alone: Alone, record: SessionRecord) -> None:
+    alone.upstream_actor.open_to_new = False
 
 
-def forgets(alone: Alone, hand: Hand) -> None:
-    hand.link.repeat_until = now_us()
+def forgets(alone: Alone, record: SessionRecord) -> None:
+    record.session.repeat_until = now_us()
 
 
-def leaves(alone: Alone, hand: Hand) -> None:
-    hand.leave()
+def leaves(alone: Alone, record: SessionRecord) -> None:
+    record.leave()
 
 
-def is_answered(alone: Alone, hand: Hand) -> None:
-    hand.settle(GivenUp())
+def is_answered(alone: Alone, record: SessionRecord) -> None:
+    record.settle(Failed())
 
 
 @pytest.mark.parametrize("meanwhile", [drains, forgets, leaves, is_answered])
 def test_nothing_is_sent_that_became_wrong_while_the_connection_came_up(
-    meanwhile: Callable[[Alone, Hand], None], monkeypatch: pytest.MonkeyPatch
+    meanwhile: Callable[[Alone, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        alone, hand = Alone(hosts.addresses[0]), hand_of()
+        upstreams = await Upstreams("UP r1").start(tasks)
+        alone, record = Alone(upstreams.addresses[0]), hand_of()
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             made = await stream.dial(address, within_s)
-            meanwhile(alone, hand)
+            meanwhile(alone, record)
             return made
 
         monkeypatch.setattr(node_peer, "dial", dialled)
-        assert await alone.attempt(hand) is Outcome.UNSENT
-        assert not hosts.lines and alone.room.free == alone.room.most
+        assert await alone.attempt(record) is Outcome.NOT_SENT
+        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
 
     on_loopback(body)
 
@@ -337,8 +343,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        alone = Alone(hosts.addresses[0])
+        upstreams = await Upstreams("UP r1").start(tasks)
+        alone = Alone(upstreams.addresses[0])
         late = now_us() + 30_000
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
@@ -347,8 +353,8 @@
             return made
 
         monkeypatch.setattr(node_peer, "dial", dialled)
-        assert await alone.attempt(hand_of(), 20_000) is Outcome.UNSENT
-        assert not hosts.lines and alone.room.free == alone.room.most
+        assert await alone.attempt(hand_of(), 20_000) is Outcome.NOT_SENT
+        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
 
     on_loopback(body)
 
@@ -360,8 +366,8 @@
         with socket.create_server(("127.0.0.1", 0)) as server:
             made = await stream.dial(server.getsockname()[:2], 1.0)
             assert isinstance(made, socket.socket)
-            host, _ = server.accept()
-        with made, host:
+            upstream, _ = server.accept()
+        with made, upstream:
             made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             ended: list[bool] = []
 
@@ -369,14 +375,14 @@
                 ended.append(await stream.written(made, b"x" * 10_000_000))
 
             tasks.start_soon(write)
-            await anyio.wait_readable(host)
+            await anyio.wait_readable(upstream)
             assert not ended
-            host.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-            host.close()
+            upstream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+            upstream.close()
             await until(lambda: bool(ended))
             assert ended == [False]
-        hosts = await Hosts("reset").start(tasks)
-        assert await Alone(hosts.addresses[0]).attempt(hand_of()) is Outcome.CUT
+        upstreams = await Upstreams("reset").start(tasks)
+        assert await Alone(upstreams.addresses[0]).attempt(hand_of()) is Outcome.RESET
 
     on_loopback(body)
 
@@ -445,11 +451,11 @@
 # The end of a node.
 
 
-def short_lived(hosts: Hosts, discovery: int, **changes: Any) -> dict[str, Any]:
+def short_lived(upstreams: Upstreams, discovery: int, **changes: Any) -> dict[str, Any]:
     """A configuration whose node is granted little time after SIGTERM."""
-    raw = configuration(hosts.addresses, discovery, **changes)
-    for tariff in raw["settings"]["tariffs"]:
-        tariff["cut_off_us"] = 400_000
+    raw = configuration(upstreams.addresses, discovery, **changes)
+    for traffic_class in raw["settings"]["tariffs"]:
+        traffic_class["cut_off_us"] = 400_000
     return raw
 
 
@@ -458,16 +464,16 @@
     """One says nothing at all, one half a line; a link waits for its host's answer, and gets it."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("late UP r1").start(tasks)
+        upstreams = await Upstreams("late UP r1").start(tasks)
         discovery = await Discovery([]).start(tasks)
         path = tmp_path / "node.json"
-        raw = short_lived(hosts, discovery.port, domain={"mode": mode})
+        raw = short_lived(upstreams, discovery.port, domain={"mode": mode})
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         path.write_bytes(orjson.dumps(raw))
         async with process(path) as node:
             resting = [raw_client(node.port, said) for said in (b"", b"OPEN half")]
             waiting = await opened(node.port)
-            await until(lambda: len(hosts.lines) == 1)
+            await until(lambda: len(upstreams.lines) == 1)
             for _ in range(2):  # the second changes nothing
                 node.signal(signal.SIGTERM)
             assert await waiting.line() == b"UP r1\r\n"
@@ -484,10 +490,10 @@
     """Told to end while it waits for its first list, and in one breath with a new configuration."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("late UP r1").start(tasks)
-        silent = await Scripted().start(tasks, lambda host, link: anyio.sleep_forever())
+        upstreams = await Upstreams("late UP r1").start(tasks)
+        silent = await Scripted().start(tasks, lambda upstream, session: anyio.sleep_forever())
         path = tmp_path / "node.json"
-        raw = short_lived(hosts, silent.address[1])
+        raw = short_lived(upstreams, silent.address[1])
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         raw["control"] = door_address()
         path.write_bytes(orjson.dumps(raw))
@@ -495,10 +501,10 @@
         async with process(path, event) as node:
             if crossing == "start":
                 node.signal(signal.SIGTERM)
-                assert (await node.told("serving"))["hosts"] == 1
+                assert (await node.told("serving"))["upstreams"] == 1
             else:
                 waiting = await opened(node.port)
-                await until(lambda: len(hosts.lines) == 1)
+                await until(lambda: len(upstreams.lines) == 1)
                 for told in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                     node.signal(told)
                 assert await waiting.line() == b"UP r1\r\n"
@@ -514,20 +520,20 @@
     async def body(tasks: TaskGroup) -> None:
         stood = anyio.Event()
 
-        async def answer(host: Scripted, link: SocketStream) -> None:
-            await link.send(b"UP r1\r\n")
+        async def answer(upstream: Scripted, session: SocketStream) -> None:
+            await session.send(b"UP r1\r\n")
             await stood.wait()
-            await stream.Lines(link).close(reset=True)
+            await stream.Lines(session).close(reset=True)
 
-        host = await Scripted().start(tasks, answer)
+        upstream = await Scripted().start(tasks, answer)
         discovery = await Discovery([]).start(tasks)
-        port = await serving(tasks, configuration([host.named], discovery.port))
+        port = await serving(tasks, configuration([upstream.named], discovery.port))
         client = await opened(port)
         assert await client.line() == b"UP r1\r\n"
         stood.set()
         assert await client.line() is stream.Ending.RESET
         await at_rest(doors[0])
-        assert len(host.lines) == 1
+        assert len(upstream.lines) == 1
 
     on_loopback(body)
 
@@ -546,8 +552,8 @@
     monkeypatch.setattr(node_run, "Entrance", Kept)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port = await started(tasks, upstreams)
         (entrance,) = entrances
         entrance.gate(False)
         await entrance.idle.wait()
@@ -559,7 +565,7 @@
             raw_client(port, b"")
         for client in wait:
             assert (await all_of(client)).startswith(b"BUSY ")
-        assert not hosts.lines
+        assert not upstreams.lines
 
     on_loopback(body)
 
@@ -570,15 +576,15 @@
     monkeypatch.setattr(node_client, "FIRST_LINE_S", 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port = await started(tasks, upstreams)
         rests = raw_client(port, b"")
         await until(lambda: doors[0].unheard == 1)
         doors[0].dismiss()
         came = [raw_client(port, said) for said in (line_of("a"), b"", b"half a li")]
         for client in (rests, *came):
             assert (await all_of(client)).startswith(b"BUSY ")
-        assert not hosts.lines
+        assert not upstreams.lines
         await at_rest(doors[0])
 
     on_loopback(body)
@@ -588,8 +594,8 @@
     """However long a client would wait: what is still out when the process is killed has no answer."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("silent").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("silent").start(tasks)
+        port = await started(tasks, upstreams)
         phase = doors[0].phase
         phase.stop(anyio.current_time())
         phase.stop_s = 0.3
@@ -618,13 +624,13 @@
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.address = ("127.0.0.1", port_of(listener))
 
-        async def serve(link: SocketStream) -> None:
+        async def serve(session: SocketStream) -> None:
             with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
-                async with link:
-                    self.lines.append(await link.receive())
-                    await answer(self, link)
+                async with session:
+                    self.lines.append(await session.receive())
+                    await answer(self, session)
                     while True:
-                        await link.receive()
+                        await session.receive()
             self.ended += 1
 
         tasks.start_soon(listener.serve, serve)
@@ -638,31 +644,31 @@
 @pytest.mark.parametrize(
     ("said", "comes"),
     [
-        ([b"UP r1\r\nUP r2\r\n"], Outcome.STANDS),  # a second answer is the link's by then, as any line
-        ([b"BUSY\r\nUP r2\r\n"], Outcome.REFUSED),
-        ([b"ERR\r\n", b"UP r2\r\n"], Outcome.FAULT),
-        ([b"UP r", b"1\r\n"], Outcome.STANDS),
-        ([b"x" * 6000], Outcome.FAULT),
-        ([b"LOAD 1\r\n", b"LOAD 2\r\n", b"BYE\r\n"], Outcome.ENDED),
+        ([b"UP r1\r\nUP r2\r\n"], Outcome.ESTABLISHED),  # a second answer is the link's by then, as any line
+        ([b"BUSY\r\nUP r2\r\n"], Outcome.REJECTED),
+        ([b"ERR\r\n", b"UP r2\r\n"], Outcome.ERROR),
+        ([b"UP r", b"1\r\n"], Outcome.ESTABLISHED),
+        ([b"x" * 6000], Outcome.ERROR),
+        ([b"LOAD 1\r\n", b"LOAD 2\r\n", b"BYE\r\n"], Outcome.COMPLETED),
     ],
 )
 def test_an_attempt_has_one_outcome_whatever_else_is_said(said: list[bytes], comes: Outcome) -> None:
     async def body(tasks: TaskGroup) -> None:
-        async def answer(host: Scripted, link: SocketStream) -> None:
+        async def answer(upstream: Scripted, session: SocketStream) -> None:
             for part in said:
-                await link.send(part)
+                await session.send(part)
 
-        host = await Scripted().start(tasks, answer)
-        alone, hand = Alone(host.named), hand_of()
-        await alone.peer.attempt(hand, now_us() + 5_000_000)
-        (told,) = [word for word in alone.words if isinstance(word, Tried)]
+        upstream = await Scripted().start(tasks, answer)
+        alone, record = Alone(upstream.named), hand_of()
+        await alone.upstream_actor.attempt(record, now_us() + 5_000_000)
+        (told,) = [word for word in alone.words if isinstance(word, AttemptFinished)]
         assert told.outcome is comes
-        if isinstance(hand.verdict, Delivered):
-            assert hand.verdict.line in (b"UP r1\r\n", b"BYE\r\n")
-            await hand.verdict.host.close()
-            alone.room.give()
-        await until(lambda: host.ended == 1)
-        assert alone.room.free == alone.room.most and alone.peer.trying == 0
+        if isinstance(record.verdict, Delivered):
+            assert record.verdict.line in (b"UP r1\r\n", b"BYE\r\n")
+            await record.verdict.upstream.close()
+            alone.descriptors.give()
+        await until(lambda: upstream.ended == 1)
+        assert alone.descriptors.free == alone.descriptors.most and alone.upstream_actor.trying == 0
 
     on_loopback(body)
 
@@ -674,19 +680,19 @@
     async def body(tasks: TaskGroup) -> None:
         given_up = anyio.Event()
 
-        async def answer(host: Scripted, link: SocketStream) -> None:
-            await link.send(b"UP r")
+        async def answer(upstream: Scripted, session: SocketStream) -> None:
+            await session.send(b"UP r")
             await given_up.wait()
             if rest is not None:
-                await link.send(rest)
+                await session.send(rest)
 
-        host = await Scripted().start(tasks, answer)
-        alone, hand = Alone(host.named), hand_of()
-        assert await alone.attempt(hand, 100_000) is Outcome.SILENT
+        upstream = await Scripted().start(tasks, answer)
+        alone, record = Alone(upstream.named), hand_of()
+        assert await alone.attempt(record, 100_000) is Outcome.TIMED_OUT
         given_up.set()
-        assert hand.verdict is None
-        await until(lambda: host.ended == 1)
-        assert alone.room.free == alone.room.most
+        assert record.verdict is None
+        await until(lambda: upstream.ended == 1)
+        assert alone.descriptors.free == alone.descriptors.most
 
     on_loopback(body)
 
@@ -697,42 +703,42 @@
     """It lies read in this process when the attempt is broken off: one outcome, nothing left open."""
 
     async def body(tasks: TaskGroup) -> None:
-        async def answer(host: Scripted, link: SocketStream) -> None:
-            await link.send(b"UP r1\r\n")
+        async def answer(upstream: Scripted, session: SocketStream) -> None:
+            await session.send(b"UP r1\r\n")
 
-        host = await Scripted().start(tasks, answer)
-        alone, hand = Alone(host.named), hand_of("rerun")
+        upstream = await Scripted().start(tasks, answer)
+        alone, record = Alone(upstream.named), hand_of("rerun")
         real = stream.Lines.line
 
         async def line(lines: stream.Lines) -> Any:
             got = await real(lines)
-            assert hand.attempt is not None
-            hand.attempt.cancel()
+            assert record.attempt is not None
+            record.attempt.cancel()
             return got
 
         monkeypatch.setattr(stream.Lines, "line", line)
-        outcome = await alone.attempt(hand)
-        assert (outcome is Outcome.STANDS) == isinstance(hand.verdict, Delivered)
-        if isinstance(hand.verdict, Delivered):
-            await hand.verdict.host.close()
-            alone.room.give()
-        await until(lambda: host.ended == 1)
-        assert alone.room.free == alone.room.most
+        outcome = await alone.attempt(record)
+        assert (outcome is Outcome.ESTABLISHED) == isinstance(record.verdict, Delivered)
+        if isinstance(record.verdict, Delivered):
+            await record.verdict.upstream.close()
+            alone.descriptors.give()
+        await until(lambda: upstream.ended == 1)
+        assert alone.descriptors.free == alone.descriptors.most
 
     on_loopback(body)
 
 
 def test_a_second_line_ends_the_attempt_that_is_out_and_none_follows(doors: list[Door]) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("silent", "UP r1").start(tasks, 3)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("silent", "UP r1").start(tasks, 3)
+        port = await started(tasks, upstreams)
         client = raw_client(port, line_of("a"))
-        await until(lambda: len(hosts.lines) == 1)
+        await until(lambda: len(upstreams.lines) == 1)
         client.sendall(b"and now?\r\n")
         assert await all_of(client) == b"ERR\r\n"
-        await until(lambda: hosts.ended == 1)
+        await until(lambda: upstreams.ended == 1)
         await at_rest(doors[0])
-        assert len(hosts.lines) == 1 and hosts.most_out == 1
+        assert len(upstreams.lines) == 1 and upstreams.most_out == 1
 
     on_loopback(body)
 
@@ -747,33 +753,33 @@
     monkeypatch.setattr(node_run, "FIRST_LIST_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks, 2)
+        upstreams = await Upstreams("UP r1").start(tasks, 2)
         closed = socket.create_server(("127.0.0.1", 0))
         port = closed.getsockname()[1]
         closed.close()
-        raw = configuration(hosts.addresses[:1], port)
+        raw = configuration(upstreams.addresses[:1], port)
         raw["limits"] = {"sockets": RESERVE + 24}
         raw["control"] = door_address()
         at = await serving(tasks, raw)
         idle = [raw_client(at, b"") for _ in range(60)]
         await until(lambda: doors[0].counters.counts["made room (silent)"] > 0)
         assert (await call(raw["control"], "GET /ops/readiness"))[0] == 200
-        rows = [member(0, hosts.addresses[0], "terminating"), member(1, hosts.addresses[1])]
+        rows = [member(0, upstreams.addresses[0], "terminating"), member(1, upstreams.addresses[1])]
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
 
-        async def serve(link: SocketStream) -> None:
-            async with link:
-                await link.receive()
+        async def serve(session: SocketStream) -> None:
+            async with session:
+                await session.receive()
                 told = orjson.dumps({"revision": 5, "complete": True, "members": rows}) + b"\n"
-                await link.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                await link.send(b"%x\r\n%s\r\n" % (len(told), told))
+                await session.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                await session.send(b"%x\r\n%s\r\n" % (len(told), told))
                 await anyio.sleep_forever()
 
         tasks.start_soon(listener.serve, serve)
         await until(lambda: doors[0].counters.counts["list whole"] == 1)
         for _ in range(5):
             assert await (await opened(at)).line() == b"UP r1\r\n"
-        assert {host for host, _ in hosts.lines} == {1}
+        assert {upstream for upstream, _ in upstreams.lines} == {1}
         for client in idle:
             client.close()
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,16 +13,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.links import State
-from larchlatch.node import listing as node_listing
-from larchlatch.node.listing import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, Listing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.wire import catalog
-from larchlatch.node.wire.catalog import UNREAD_S, Framing, Limits, decoded
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.endpoints import decoded
+from larchlatch.node import discovery as node_listing
+from larchlatch.node.discovery import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, DiscoveryClient
+from larchlatch.node.messages import ListTold, Message
+from larchlatch.node.metrics import Counters
+from larchlatch.node.wire import discovery_client as catalog
+from larchlatch.node.wire.discovery_client import UNREAD_S, Framing, Limits
 from larchlatch.node.wire.stream import Lines
-from larchlatch.node.words import ListTold, Word
-from larchlatch.terms import BadInput
-from tests.ground import Hosts, configuration, member, on_loopback, opened, port_of, until
+from larchlatch.policy.types import EndpointState
+from tests.ground import Upstreams, configuration, member, on_loopback, opened, port_of, until
 from tests.test_node import serving
 
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
@@ -130,12 +131,12 @@
     """What a listing has told."""
 
     def __init__(self) -> None:
-        self.words: list[Word] = []
+        self.words: list[Message] = []
         self.told = anyio.Event()
         self.room = anyio.Event()  # the mailbox takes what comes
         self.room.set()
 
-    async def post(self, word: Word) -> None:
+    async def post(self, word: Message) -> None:
         self.words.append(word)
         if isinstance(word, ListTold):
             self.told.set()
@@ -143,8 +144,10 @@
             await self.room.wait()
 
 
-def followed(port: int, heard: Heard, uniform: Callable[[float, float], float], at: int = 1) -> Listing:
-    return Listing(("127.0.0.1", port), at, True, Counters(), heard.post, uniform)
+def followed(
+    port: int, heard: Heard, uniform: Callable[[float, float], float], at: int = 1
+) -> DiscoveryClient:
+    return DiscoveryClient(("127.0.0.1", port), at, True, Counters(), heard.post, uniform)
 
 
 def test_the_bounds_of_discovery_add_up() -> None:
@@ -172,7 +175,7 @@
     pushed: bool, calls: list[tuple[float, float, bool, bool]]
 ) -> None:
     now, share = 1000.0, 0.0
-    listing = Listing(
+    listing = DiscoveryClient(
         ("127.0.0.1", 1), 1, pushed, Counters(), Heard().post, lambda low, high: low + share * (high - low)
     )
     for took, share, told, refused in calls:  # noqa: B007
@@ -197,7 +200,7 @@
             running.start_soon(followed(service.port, heard, lambda low, high: high).run)
             await heard.told.wait()
             (told,) = [word for word in heard.words if isinstance(word, ListTold)]
-            assert told.members.members[0].state is State.DRAINING
+            assert told.members.members[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
@@ -271,18 +274,18 @@
     """A drain beside it is heard; the host that it speaks of stays as it was, also in a whole list."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks, 3)
+        upstreams = await Upstreams("UP r1").start(tasks, 3)
         rows = [
-            member(0, hosts.addresses[0], "terminating"),
+            member(0, upstreams.addresses[0], "terminating"),
             {**member(1, "nowhere"), "size": "large"},
             *([{"host_port": 7}] if nameless else []),
-            member(2, hosts.addresses[2], "terminating"),
+            member(2, upstreams.addresses[2], "terminating"),
         ]
         service = await Service(tells({"revision": 9, "complete": True, "members": rows})).start(tasks)
-        port = await serving(tasks, configuration(hosts.addresses, service.port))
+        port = await serving(tasks, configuration(upstreams.addresses, service.port))
         for number in range(20):
             assert await (await opened(port, key=f"key{number}")).line() == b"UP r1\r\n"
-        assert {host for host, _ in hosts.lines} == {1}
+        assert {upstream for upstream, _ in upstreams.lines} == {1}
 
     on_loopback(body)
 
@@ -321,5 +324,5 @@
             for whole in framing.feed(piece + b"\n"):
                 if whole:
                     decoded(whole)
-    except BadInput as error:
+    except InvalidInputError as error:
         assert str(error).startswith("list")
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,16 +11,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.duties.duties import ALLOTTER, Duties, Holder, Roster
-from larchlatch.cluster.duties.leases import Answer, Ballot, Candidate, Elector, Fence, State, Tenure, What
-from larchlatch.cluster.file import Fleet, fits_tariffs, fleet_from, follows
-from larchlatch.cluster.wire.datagrams import Bid, Promised, Record, Vote
+from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_from, follows
+from larchlatch.cluster.election.election import ALLOTTER, Duties, Holder, Roster
+from larchlatch.cluster.election.leases import Answer, Ballot, Candidate, Elector, Fence, State, Tenure, What
+from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
+from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.day import checked, day_of
 from larchlatch.days.drawing import with_drawn
 from larchlatch.days.tenures import Tenures
 from larchlatch.emulator.search import PLANTED, SOUND, Case, Search
 from larchlatch.emulator.world import World
-from larchlatch.terms import BadInput
 
 SECOND = 1_000_000
 TENURE = Tenure(term_us=3 * SECOND, skew=0.01, apart_us=200_000)
@@ -279,7 +279,7 @@
 )
 def test_a_faulty_table_of_duties_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
-    with pytest.raises(BadInput) as error:
+    with pytest.raises(InvalidInputError) as error:
         fleet_from({"nodes": nodes, "duties": change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
@@ -294,11 +294,11 @@
 def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
     before = fleet("n0", "n1", "n2")
     follows(fleet("n0", "n1", "n3"), before)
-    with pytest.raises(BadInput, match=r"duties\.electors.*n1, n2, n3, n4"):
+    with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
         follows(fleet("n0", "n3", "n4"), before)
-    fits_tariffs(before, ["student", "parent"])
-    with pytest.raises(BadInput, match=r"all.*student"):
-        fits_tariffs(before, ["parent"])
+    fits_traffic_classes(before, ["student", "parent"])
+    with pytest.raises(InvalidInputError, match=r"all.*student"):
+        fits_traffic_classes(before, ["parent"])
 
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,20 +18,20 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.brain import Brain
+from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.amounts import SECOND
 from larchlatch.days.chance import Chance
 from larchlatch.days.clients import demand
-from larchlatch.days.day import Cold, checked, day_of, terms_for
-from larchlatch.days.hosts import Host
+from larchlatch.days.day import Cold, checked, day_of, settings_for
+from larchlatch.days.hosts import Upstream
 from larchlatch.emulator.clock import CHECK, TIMER, TOLD, WORLD, Clock
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.plain import POLICIES, Plain
 from larchlatch.emulator.stage import START_US
 from larchlatch.emulator.sweep import interval, rows_of, runs_of, summed
 from larchlatch.emulator.world import Make, World
-from larchlatch.links import DONE, NOT_YET, Answer, Link, Listed, Outcome, State
-from larchlatch.terms import BadInput
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.types import DONE, NOT_YET, Answer, Endpoint, EndpointState, Outcome, Session
 
 DAYS = Path(__file__).parent.parent / "days"
 SMALL: dict[str, Any] = {
@@ -139,52 +139,54 @@
 class Sleeper(Plain):
     """Answers nobody."""
 
-    def place(self, now: int, link: Link) -> Answer:
+    def place(self, now: int, session: Session) -> Answer:
         return Answer(NOT_YET, now + 10 * SECOND)
 
 
 class Doubler(Plain):
     """Sends an exclusive link once more, whatever became of it."""
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
-        return self.chance.choice(hosts)
+    def choose(self, session: Session, upstreams: list[int]) -> int:
+        return self.chance.choice(upstreams)
 
-    def outcome(self, now: int, link: Link, what: Outcome, done: bool = False) -> Answer:
-        return super().outcome(now, link, Outcome.REFUSED if what is Outcome.CUT else what, done)
+    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
+        return super().outcome(now, session, Outcome.REJECTED if what is Outcome.RESET else what, done)
 
 
 class Deaf(Plain):
     """Has never heard of a drain."""
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
-        return self.chance.choice(hosts)
+    def choose(self, session: Session, upstreams: list[int]) -> int:
+        return self.chance.choice(upstreams)
 
-    def hosts_listed(self, now: int, lines: Any, whole: bool, asked: bool) -> None:
-        super().hosts_listed(now, [line._replace(state=State.READY) for line in lines], whole, asked)
+    def update_endpoints(self, now: int, lines: Any, whole: bool, asked: bool) -> None:
+        super().update_endpoints(
+            now, [line._replace(state=EndpointState.READY) for line in lines], whole, asked
+        )
 
 
 class Pusher(Plain):
     """Sends all to the host that came last."""
 
-    def choose(self, link: Link, hosts: list[int]) -> int:
-        return max(hosts, key=lambda host: (self.ready[host].came_up, host))
+    def choose(self, session: Session, upstreams: list[int]) -> int:
+        return max(upstreams, key=lambda upstream: (self.ready[upstream].started_at, upstream))
 
 
 @pytest.mark.parametrize(
     ("policy", "rule"), [(Sleeper, "lost"), (Doubler, "twice"), (Deaf, "drain"), (Pusher, "cold")]
 )
 def test_the_checker_sees_a_policy_that_breaks_a_rule(policy: Make, rule: str) -> None:
-    links = {**SMALL["links"], "load_ms": 100.0, "setup_ms": 100.0, "effects": ["exclusive"]}
-    told = world(policy, faults=TROUBLE, links=links)
+    sessions = {**SMALL["links"], "load_ms": 100.0, "setup_ms": 100.0, "effects": ["exclusive"]}
+    told = world(policy, faults=TROUBLE, links=sessions)
     told.play()
     assert told.checker.broken[rule] > 0
     assert any(f": {rule}: " in word for word in told.checker.words)
 
 
 def test_the_checker_sees_two_tries_out_and_an_answer_after_the_last(monkeypatch: pytest.MonkeyPatch) -> None:
-    def twice(node: Node, now: int, link: Link, host: int, until: int) -> None:
-        sent(node, now, link, host, until)
-        sent(node, now, link, host, until)
+    def twice(node: Node, now: int, session: Session, upstream: int, until: int) -> None:
+        sent(node, now, session, upstream, until)
+        sent(node, now, session, upstream, until)
 
     sent = Node.send
     monkeypatch.setattr(Node, "send", twice)
@@ -193,11 +195,11 @@
     assert told.checker.broken["twice"] > 0
     monkeypatch.undo()
     told = world("random", span_s=3.0)
-    told.checker.came(10**9, START_US + SECOND, told.stage.tariffs[0].repeat, 0)
+    told.checker.came(10**9, START_US + SECOND, told.stage.traffic_classes[0].idempotency, 0)
     told.checker.answered(START_US, 10**9, shed=True)
     assert told.checker.kept
     told.checker.answered(START_US, 10**9, shed=False)
-    told.checker.came(10**9 + 1, START_US, told.stage.tariffs[0].repeat, 0)
+    told.checker.came(10**9 + 1, START_US, told.stage.traffic_classes[0].idempotency, 0)
     told.checker.answered(START_US + SECOND, 10**9 + 1, shed=False)
     assert told.checker.broken["lost"] == 2
 
@@ -251,44 +253,48 @@
 
 
 def test_a_day_that_asks_for_too_much_from_end_to_end_keeps_the_rules() -> None:
-    links = {"rate": 60.0, "setup_ms": 400.0, "life_s": 5.0, "load_ms": 50.0}
-    told = world(hosts=[{"count": 3, "size": 1.0}], links=links)
+    sessions = {"rate": 60.0, "setup_ms": 400.0, "life_s": 5.0, "load_ms": 50.0}
+    told = world(hosts=[{"count": 3, "size": 1.0}], links=sessions)
     row = told.play()
     assert told.checker.kept, told.checker.words
     assert 0 < row["delivered"] < row["links"] / 2 and row["shed"] + row["given_up"] > 100
 
 
 def test_a_node_killed_with_tries_out_leaves_no_link_at_a_host() -> None:
-    links = {**SMALL["links"], "setup_ms": 300.0}
+    sessions = {**SMALL["links"], "setup_ms": 300.0}
     kills = [{"kind": "kill", "at_s": at, "nodes": 3} for at in (2.0, 4.5, 7.0)]
-    told = world(links=links, faults=kills)
+    told = world(links=sessions, faults=kills)
     out: list[Any] = []
     real = told.kill
 
     def kill(node: Node) -> None:
-        out.extend(hand for hand in node.hands.values() if hand.attempt is not None and not hand.link.open)
+        out.extend(
+            record
+            for record in node.records.values()
+            if record.attempt is not None and not record.session.open
+        )
         real(node)
 
     told.kill = kill  # type: ignore[method-assign]
     told.play()
     assert len(out) > 3 and told.checker.kept
     told.clock.run(told.clock.now + 3 * SECOND)
-    held = {number for host in told.hosts for number in host.links}
+    held = {number for upstream in told.upstreams for number in upstream.sessions}
     assert held == set(told.stage.where), "a host holds what no node knows of"
 
 
 def test_a_host_that_dies_between_a_line_and_its_answer_ends_the_try_as_one_that_may_have_run() -> None:
     seen = []
 
-    class Watcher(Brain):
-        def outcome(self, now: int, link: Link, what: Outcome, done: bool = False) -> Answer:
-            if not link.open and what is Outcome.CUT:
-                seen.append(link)
-            return super().outcome(now, link, what, done)
+    class Watcher(Balancer):
+        def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
+            if not session.open and what is Outcome.RESET:
+                seen.append(session)
+            return super().outcome(now, session, what, done)
 
-    links = {**SMALL["links"], "setup_ms": 300.0, "effects": ["exclusive"]}
+    sessions = {**SMALL["links"], "setup_ms": 300.0, "effects": ["exclusive"]}
     crashes = [{"kind": "crash", "at_s": at, "hosts": 3} for at in (2.0, 5.0, 8.0)]
-    told = world(Watcher, links=links, faults=crashes)
+    told = world(Watcher, links=sessions, faults=crashes)
     row = told.play()
     assert len(seen) > 3 and told.checker.kept
     assert row["given_up"] >= len(seen), "exclusive: no second try, and no promise"
@@ -300,12 +306,12 @@
 def queue(cores: int, use: float, seed: int, number: int = 20_000) -> float:
     """The mean wait before service at a host with exponential arrivals and work, in mean services."""
     chance = random.Random(seed)
-    host = Host(0, 0, 0, float(cores), Cold())
+    upstream = Upstream(0, 0, 0, float(cores), Cold())
     work, now, waits = 10_000.0, 0.0, []
     for _ in range(number):
         now += chance.expovariate(cores * use / work)
         took = chance.expovariate(1 / work)
-        end = host.admit(round(now), took)
+        end = upstream.admit(round(now), took)
         if end is not None:
             waits.append(end - round(now) - round(took))
     return fmean(waits) / work
@@ -344,12 +350,12 @@
     """The share of a host varies as one over the root of its tokens, however hosts are named."""
     spread = {}
     for size in (1.0, 4.0):
-        brain = Brain(terms_for(checked({}, "day"), 0), random.Random(1))
-        hosts = [Listed(n, name.format(n), 0, 0, State.READY, size, 0) for n in range(40)]
-        brain.hosts_listed(0, hosts, True, True)
+        balancer = Balancer(settings_for(checked({}, "day"), 0), random.Random(1))
+        upstreams = [Endpoint(n, name.format(n), 0, 0, EndpointState.READY, size, 0) for n in range(40)]
+        balancer.update_endpoints(0, upstreams, True, True)
         arcs = dict.fromkeys(range(40), 0)
-        before = brain.ring[-1] - 2**64
-        for spot in brain.ring:
+        before = balancer.ring[-1] - 2**64
+        for spot in balancer.ring:
             arcs[spot & 0xFFFFFF] += spot - before
             before = spot
         shares = [arc / 2**64 * 40 for arc in arcs.values()]
@@ -372,7 +378,7 @@
         (count, policy, seed) for count in (1, 2) for policy in ("larchlatch", "random") for seed in (1, 2)
     }
     assert set(summed(rows, ["nodes.count"], "served")) == {(1,), (2,)}
-    with pytest.raises(BadInput, match="no figure of that name"):
+    with pytest.raises(InvalidInputError, match="no figure of that name"):
         summed(rows, [], "happiness")
 
 
@@ -402,7 +408,7 @@
 
 def test_the_node_reads_nothing_of_the_tools() -> None:
     probe = (
-        "import sys, larchlatch.__main__, larchlatch.node.lifecycle.run, larchlatch.wirehost.loop;"
+        "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.wirehost.loop;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'matplotlib', 'hdrh', 'numpy')"
         " or m.startswith(('larchlatch.emulator', 'larchlatch.load'))])"
     )
@@ -414,5 +420,5 @@
     told = world()
     node = told.nodes[0]
     before = told.clock.made
-    node.carry_out(told.clock.now, Link(1, 0, 1, 1, 0), Answer(DONE))
+    node.carry_out(told.clock.now, Session(1, 0, 1, 1, 0), Answer(DONE))
     assert told.clock.made == before and not node.held
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,16 +11,16 @@
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.node import plan_from
 from larchlatch.days.day import checked
 from larchlatch.emulator.world import World
-from larchlatch.links import Repeat
 from larchlatch.load import play
 from larchlatch.load.bounds import playable
-from larchlatch.load.play import Place, Session
+from larchlatch.load.play import LoadTest, Place
 from larchlatch.load.sites import Watch
 from larchlatch.load.ways import Ways
-from larchlatch.node.lifecycle.plan import plan_from
-from larchlatch.terms import BadInput
+from larchlatch.policy.types import Idempotency
 
 SHORT: dict[str, Any] = {
     "span_s": 6.0,
@@ -42,30 +42,30 @@
     async def ends(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
-    async def body(killed: bool) -> Session:
-        session = Session(checked({**SHORT, "faults": []}, "day"))
+    async def body(killed: bool) -> LoadTest:
+        load_test = LoadTest(checked({**SHORT, "faults": []}, "day"))
         server = await asyncio.start_server(ends, "127.0.0.1", 0)
         place = Place(0, "127.0.0.1", server.sockets[0].getsockname()[1])
         place.process = await asyncio.create_subprocess_exec("sleep", "60")
-        session.places = [place]
+        load_test.places = [place]
         connect = asyncio.open_connection
 
         async def connected(*at: Any) -> Any:
             made = await connect(*at)
             if killed:
-                session.kill(place)
+                load_test.kill(place)
                 await asyncio.sleep(0.05)
             return made
 
         with monkeypatch.context() as patch:
             patch.setattr(asyncio, "open_connection", connected)
-            how = await session.link(session.clients[0], 0.0)
+            how = await load_test.session(load_test.clients[0], 0.0)
         assert how == ("refused", 0)
-        for task in session.tasks:
+        for task in load_test.tasks:
             task.cancel()
-        await session.end(place)
+        await load_test.end(place)
         server.close()
-        return session
+        return load_test
 
     assert asyncio.run(body(killed=True)).watch.broken["lost"] == 0
     watch = asyncio.run(body(killed=False)).watch
@@ -140,25 +140,25 @@
     ],
 )
 def test_a_day_that_sockets_can_not_carry_is_refused_with_its_key(change: dict[str, Any], key: str) -> None:
-    with pytest.raises(BadInput) as told:
+    with pytest.raises(InvalidInputError) as told:
         playable(checked(change, "day"))
     assert key in str(told.value)
 
 
 def test_hosts_see_two_tries_at_once_and_an_exclusive_link_run_twice() -> None:
     watch = Watch()
-    watch.tried("a", Repeat.RERUNNABLE)
-    watch.tried("a", Repeat.RERUNNABLE)  # the first is still out
+    watch.tried("a", Idempotency.IDEMPOTENT)
+    watch.tried("a", Idempotency.IDEMPOTENT)  # the first is still out
     assert watch.broken["twice"] == 1
-    for repeat, never_ran, breaks in (
-        (Repeat.EXCLUSIVE, True, 0),
-        (Repeat.EXCLUSIVE, False, 1),
-        (Repeat.RERUNNABLE, False, 0),
+    for idempotency, never_ran, breaks in (
+        (Idempotency.NON_IDEMPOTENT, True, 0),
+        (Idempotency.NON_IDEMPOTENT, False, 1),
+        (Idempotency.IDEMPOTENT, False, 0),
     ):
         watch = Watch()
-        watch.tried("a", repeat)
+        watch.tried("a", idempotency)
         watch.ended("a", never_ran)
-        watch.tried("a", repeat)
+        watch.tried("a", idempotency)
         assert watch.broken["twice"] == breaks
 
 
@@ -173,22 +173,22 @@
     }
     plan = plan_from(raw)
     world = World(day)
-    assert plan.terms == world.nodes[1].policy.terms  # type: ignore[attr-defined]
+    assert plan.settings == world.nodes[1].policy.settings  # type: ignore[attr-defined]
     assert plan.longest_wait_us == 3_000_000
 
 
 def test_a_short_day_on_sockets_keeps_the_rules_and_serves_as_the_emulator_says() -> None:
     day = playable(checked(SHORT, "day"))
-    session = play.Session(day)
-    row = asyncio.run(session.play())
+    load_test = play.LoadTest(day)
+    row = asyncio.run(load_test.play())
     assert not any(row["broken"].values())
-    assert row["clients"] == len(session.clients) > 50
-    counts = session.tally.counts
+    assert row["clients"] == len(load_test.clients) > 50
+    counts = load_test.tally.counts
     answered = counts["delivered"] + counts["shed"] + counts["given_up"] + counts["ended unanswered"]
     assert answered == counts["links"], "each link has one answer, or a node that died"
     assert counts["ended unanswered"] <= 10 and counts["lost with a node"] > 0 and row["dropped"] > 0
     assert counts["lost by the client"] > 0
-    assert all(place.process is None or place.process.returncode is not None for place in session.places)
+    assert all(place.process is None or place.process.returncode is not None for place in load_test.places)
     # What a machine that is busy makes late may cost a client its life, but not most of them.
     assert abs(row["served"] - World(day).play()["served"]) < 0.25
 
