--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,27 +21,37 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.brain import REST_US, Brain
-from larchlatch.links import Answer, Link
+from larchlatch.config.node import plan_from
 from larchlatch.node import client as node_client
-from larchlatch.node import peer
-from larchlatch.node.lifecycle.plan import plan_from
-from larchlatch.node.lifecycle.run import node
-from larchlatch.node.memory.room import RESERVE
-from larchlatch.node.wire.lines import BadLine, Opening, Up, opening_of, said_by_host, try_line
+from larchlatch.node import upstream_actor as upstream_actor
+from larchlatch.node.descriptor_budget import RESERVE
+from larchlatch.node.runtime import node
+from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
 from larchlatch.node.wire.stream import Ending, Lines
-from tests.ground import Discovery, Hosts, configuration, dial, member, on_loopback, opened, process, until
+from larchlatch.policy.balancer import REST_US, Balancer
+from larchlatch.policy.types import Answer, Session
+from tests.ground import (
+    Discovery,
+    Upstreams,
+    configuration,
+    dial,
+    member,
+    on_loopback,
+    opened,
+    process,
+    until,
+)
 
 ANSWERS = ["UP r1", "BUSY", "ERR", "reset", "silent", "MOVE", "BUSY inflight=7,queue=2", "odd words"]
 NO_FILE = Path("none.json")  # where nothing is read anew
 NEWS = {"revision": 2, "complete": False, "members": []}
-TARIFFS = ["rerun", "ticket", "once"]
+TRAFFIC_CLASSES = ["rerun", "ticket", "once"]
 
 
-async def started(tasks: TaskGroup, hosts: Hosts, **changes: Any) -> int:
+async def started(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> int:
     """A node before these hosts; the port it listens on."""
     discovery = await Discovery([NEWS]).start(tasks)
-    return await serving(tasks, configuration(hosts.addresses, discovery.port, **changes))
+    return await serving(tasks, configuration(upstreams.addresses, discovery.port, **changes))
 
 
 async def serving(tasks: TaskGroup, raw: dict[str, Any]) -> int:
@@ -61,31 +71,33 @@
 @given(
     st.lists(st.sampled_from(ANSWERS), min_size=1, max_size=5), st.sampled_from(["rerun", "ticket", "once"])
 )
-def test_rules_hold_whatever_hosts_answer(answers: list[str], tariff: str) -> None:
+def test_rules_hold_whatever_hosts_answer(answers: list[str], traffic_class: str) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts(*answers).start(tasks, 3)
-        port = await started(tasks, hosts)
-        client = await opened(port, wait_ms=500, tariff=tariff)
+        upstreams = await Upstreams(*answers).start(tasks, 3)
+        port = await started(tasks, upstreams)
+        client = await opened(port, wait_ms=500, traffic_class=traffic_class)
         first = await client.line()
         assert isinstance(first, bytes), "no final answer"
         word = first.split()[0]
         assert word in (b"UP", b"BUSY", b"ERR")
-        assert hosts.most_out <= 1, "two tries out at once"
-        sent = len(hosts.lines)
+        assert upstreams.most_out <= 1, "two tries out at once"
+        sent = len(upstreams.lines)
         may_have_run = [
             answer not in ("BUSY", "BUSY inflight=7,queue=2")
             for answer in (answers + answers[-1:] * sent)[: sent - (word == b"UP")]
         ]
-        if tariff != "rerun" and any(may_have_run):
+        if traffic_class != "rerun" and any(may_have_run):
             ran = may_have_run.index(True)
-            where = {host for host, _ in hosts.lines[ran:]}
+            where = {upstream for upstream, _ in upstreams.lines[ran:]}
             assert len(where) == 1, "resent outside the group that remembers it"
-            assert tariff != "once" or len(hosts.lines) == ran + 1, "a second run of an exclusive link"
+            assert traffic_class != "once" or len(upstreams.lines) == ran + 1, (
+                "a second run of an exclusive link"
+            )
             assert word != b"BUSY", "shed though it may have run where others would not know"
         if word != b"UP":
             assert await client.line() is Ending.END, "something after the final answer"
             await anyio.sleep(0.05)
-            assert len(hosts.lines) == sent, "sent after the final answer"
+            assert len(upstreams.lines) == sent, "sent after the final answer"
 
     on_loopback(body)
 
@@ -94,11 +106,11 @@
     """The try was given up: its host must find the connection closed, and the client one answer alone."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("late UP r1").start(tasks)
-        client = await opened(await started(tasks, hosts), wait_ms=300)
+        upstreams = await Upstreams("late UP r1").start(tasks)
+        client = await opened(await started(tasks, upstreams), wait_ms=300)
         lines = await rest_of(client)
         assert len(lines) == 1 and lines[0].startswith(b"BUSY")
-        await until(lambda: hosts.ended == 1)
+        await until(lambda: upstreams.ended == 1)
 
     on_loopback(body)
 
@@ -107,8 +119,8 @@
     """A crowd keeps the loop busy: the client's time runs from when its line came, not from its reading."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("silent").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("silent").start(tasks)
+        port = await started(tasks, upstreams)
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(b"OPEN id1 k1 c=once,t=acme,d=1000\r\n")
             sent = time.monotonic()
@@ -124,15 +136,15 @@
 
 def test_lines_pass_both_ways_and_ends_pass_on() -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        client = await opened(await started(tasks, hosts), ident="echo")
+        upstreams = await Upstreams("UP echo").start(tasks)
+        client = await opened(await started(tasks, upstreams), ident="echo")
         assert await client.line() == b"UP echo\r\n"
         for text in (b"one\r\n", b"two, longer\r\n"):
             await client.send(text)
             assert await client.line() == text
         await client.finish(Ending.END)
-        await until(lambda: hosts.ended == 1)
-        line = hosts.lines[0][1]
+        await until(lambda: upstreams.ended == 1)
+        line = upstreams.lines[0][1]
         assert line.startswith("OPEN echo k1 c=rerun,t=acme,d=") and line.endswith(",g=k1\r\n")
         assert 1000 < int(line.split("d=")[1].split(",")[0]) <= 2000
 
@@ -143,16 +155,16 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A vanished host resets nothing; half a line of it must not run into what the node says."""
-    monkeypatch.setattr(peer, "SILENT_US", 300_000)
+    monkeypatch.setattr(upstream_actor, "SILENT_US", 300_000)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP half").start(tasks)
-        client = await opened(await started(tasks, hosts))
+        upstreams = await Upstreams("UP half").start(tasks)
+        client = await opened(await started(tasks, upstreams))
         assert await client.line() == b"UP half\r\n"
         await client.send(b"hello\r\n")
         assert await rest_of(client) == [b"MOVE\r\n"]
         assert not client.tail
-        await until(lambda: hosts.ended == 1)
+        await until(lambda: upstreams.ended == 1)
 
     on_loopback(body)
 
@@ -162,12 +174,12 @@
 ) -> None:
     """Only the module can take all its links away; a host that answers another link is not quiet."""
     told: list[int] = []
-    monkeypatch.setattr(Brain, "quiet", lambda brain, now, host: told.append(host))
-    monkeypatch.setattr(peer, "SILENT_US", 10**9)
+    monkeypatch.setattr(Balancer, "quiet", lambda balancer, now, upstream: told.append(upstream))
+    monkeypatch.setattr(upstream_actor, "SILENT_US", 10**9)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP half", "UP echo", "UP half").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP half", "UP echo", "UP half").start(tasks)
+        port = await started(tasks, upstreams)
         clients = []
         for answer in (b"UP half\r\n", b"UP echo\r\n", b"UP half\r\n"):
             clients.append(await opened(port))
@@ -208,8 +220,8 @@
 
 def test_bad_lines_get_a_failure_and_touch_nothing_else() -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP echo").start(tasks)
+        port = await started(tasks, upstreams)
         standing = await opened(port, ident="mine")
         assert await standing.line() == b"UP echo\r\n"
         before = len(os.listdir("/proc/self/fd"))
@@ -219,7 +231,7 @@
                 await client.send(line)
                 assert await rest_of(client) == [b"ERR\r\n"], line[:60]
             await client.close()
-        assert len(hosts.lines) == 1
+        assert len(upstreams.lines) == 1
         await standing.send(b"still there\r\n")
         assert await standing.line() == b"still there\r\n"
         # Descriptors are the node's first limit: none may stay behind.
@@ -232,12 +244,12 @@
     """Hosts turn it away with an error: a few such clients would have all hosts rest that the node knows."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP echo").start(tasks)
+        port = await started(tasks, upstreams)
         first = await opened(port, ident="mine")
         assert await first.line() == b"UP echo\r\n"
         assert await rest_of(await opened(port, ident="mine", key="other")) == [b"ERR\r\n"]
-        assert len(hosts.lines) == 1
+        assert len(upstreams.lines) == 1
         await first.finish(Ending.END)
         while await (await opened(port, ident="mine")).line() != b"UP echo\r\n":
             await anyio.sleep(0.02)
@@ -249,12 +261,12 @@
     """What it says besides would be passed on, and no host could read it."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("silent").start(tasks)
-        client = await opened(await started(tasks, hosts))
-        await until(lambda: len(hosts.lines) == 1)
+        upstreams = await Upstreams("silent").start(tasks)
+        client = await opened(await started(tasks, upstreams))
+        await until(lambda: len(upstreams.lines) == 1)
         await client.send(b"and now?\r\n")
         assert await rest_of(client) == [b"ERR\r\n"]
-        await until(lambda: hosts.ended == 1)
+        await until(lambda: upstreams.ended == 1)
 
     on_loopback(body)
 
@@ -264,9 +276,9 @@
     monkeypatch.setattr(node_client, "FIRST_LINE_S", 0.6)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
+        upstreams = await Upstreams("UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": RESERVE + 20}
         port = await serving(tasks, raw)
         crowd = [await dial(port) for _ in range(100)]
@@ -285,19 +297,19 @@
 
 def test_a_fault_in_the_decisions_costs_one_link_its_answer_alone(monkeypatch: pytest.MonkeyPatch) -> None:
     """A node that ended by it would take all standing links along."""
-    place = Brain.place
+    place = Balancer.place
 
-    def faulty(brain: Brain, now: int, link: Link) -> Answer:
-        if link.tariff == 2:
+    def faulty(balancer: Balancer, now: int, session: Session) -> Answer:
+        if session.traffic_class == 2:
             raise ValueError("made up")
-        return place(brain, now, link)
+        return place(balancer, now, session)
 
-    monkeypatch.setattr(Brain, "place", faulty)
+    monkeypatch.setattr(Balancer, "place", faulty)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        port = await started(tasks, hosts)
-        assert await rest_of(await opened(port, tariff="once")) == [b"ERR\r\n"]
+        upstreams = await Upstreams("UP echo").start(tasks)
+        port = await started(tasks, upstreams)
+        assert await rest_of(await opened(port, traffic_class="once")) == [b"ERR\r\n"]
         assert await (await opened(port)).line() == b"UP echo\r\n"
 
     on_loopback(body)
@@ -305,9 +317,9 @@
 
 def test_many_links_leave_no_descriptor_and_no_room_lost() -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
+        upstreams = await Upstreams("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": RESERVE + 70}
         port = await serving(tasks, raw)
         before = len(os.listdir("/proc/self/fd"))
@@ -334,20 +346,20 @@
     """A try that can't even be opened has not run: its link is told so at once, whatever its tariff."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
+        upstreams = await Upstreams("UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": RESERVE + 4}
         port = await serving(tasks, raw)
-        first = await opened(port, tariff="once")
+        first = await opened(port, traffic_class="once")
         assert await first.line() == b"UP echo\r\n"
-        second = await opened(port, tariff="once")
+        second = await opened(port, traffic_class="once")
         assert (await rest_of(second))[0].startswith(b"BUSY")
-        third = await opened(port, tariff="once")
+        third = await opened(port, traffic_class="once")
         await first.close()
         assert await third.line() in (b"UP echo\r\n", b"BUSY\r\n")
         await third.close()
-        while await (await opened(port, tariff="once")).line() != b"UP echo\r\n":
+        while await (await opened(port, traffic_class="once")).line() != b"UP echo\r\n":
             await anyio.sleep(0.02)
 
     on_loopback(body)
@@ -357,11 +369,11 @@
     """Nobody listens there: proven not to have run, so even an exclusive link goes on to the next host."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        hosts.addresses = ["127.0.0.1:1", *hosts.addresses]
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP echo").start(tasks)
+        upstreams.addresses = ["127.0.0.1:1", *upstreams.addresses]
+        port = await started(tasks, upstreams)
         for number in range(6):
-            client = await opened(port, tariff="once", key=f"k{number}")
+            client = await opened(port, traffic_class="once", key=f"k{number}")
             assert await client.line() == b"UP echo\r\n"
 
     on_loopback(body)
@@ -371,7 +383,7 @@
     """A list that is not followed any more sends links to hosts that are gone."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Hosts("UP old").start(tasks), await Hosts("UP new").start(tasks)
+        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
         gone = member(0, old.addresses[0], "terminated")
         discovery = await Discovery(
             [],
@@ -391,7 +403,7 @@
     overbooks the list service, and while it waits its turn the drain behind it is not read."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Hosts("UP old").start(tasks), await Hosts("UP new").start(tasks)
+        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
         gone = member(0, old.addresses[0], "terminated")
         discovery = await Discovery(
             [
@@ -410,7 +422,7 @@
 
 def test_a_version_that_runs_back_is_made_up_for_by_the_whole_list() -> None:
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Hosts("UP old").start(tasks), await Hosts("UP new").start(tasks)
+        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
         discovery = await Discovery(
             [
                 {"revision": 5, "complete": False, "members": []},
@@ -430,11 +442,11 @@
 
 def test_a_host_replaced_under_a_new_id_at_its_address_takes_links_and_keeps_its_standing_ones() -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        gone, fresh = member(0, hosts.addresses[0], "terminated"), member(7, hosts.addresses[0])
+        upstreams = await Upstreams("UP echo").start(tasks)
+        gone, fresh = member(0, upstreams.addresses[0], "terminated"), member(7, upstreams.addresses[0])
         replaced = {"revision": 3, "complete": False, "members": [gone, fresh]}
         discovery = await Discovery([NEWS], [replaced], []).start(tasks)
-        port = await serving(tasks, configuration(hosts.addresses, discovery.port))
+        port = await serving(tasks, configuration(upstreams.addresses, discovery.port))
         standing = await opened(port, key="stands")
         assert await standing.line() == b"UP echo\r\n"
         await until(lambda: len(discovery.asked) >= 3)
@@ -450,9 +462,9 @@
     """Discovery tells nothing: each gone host costs a refused connection or two, not a link's whole time."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        hosts.addresses = ["127.0.0.1:1"] * 9 + hosts.addresses
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP echo").start(tasks)
+        upstreams.addresses = ["127.0.0.1:1"] * 9 + upstreams.addresses
+        port = await started(tasks, upstreams)
         answers = []
         began = time.monotonic()
         for number in range(20):
@@ -461,10 +473,10 @@
         # Each gone host is tried once, and again when its rest is over, which doubles: a slow machine meets
         # more of them. Six such tries cost a link its answer.
         took_us = (time.monotonic() - began) * 1e6
-        refused = sum(1 + int(math.log2(took_us / REST_US + 1)) for _ in hosts.addresses[:-1])
+        refused = sum(1 + int(math.log2(took_us / REST_US + 1)) for _ in upstreams.addresses[:-1])
         assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
         assert answers.count(b"BUSY\r\n") <= refused // 6, (answers, took_us)
-        assert hosts.most_out == 1
+        assert upstreams.most_out == 1
 
     on_loopback(body)
 
@@ -473,10 +485,10 @@
     """All at once they would come back as a crowd; cut off without a word they would be lost."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
+        upstreams = await Upstreams("UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
         path = tmp_path / "node.json"
-        path.write_bytes(orjson.dumps(configuration(hosts.addresses, discovery.port)))
+        path.write_bytes(orjson.dumps(configuration(upstreams.addresses, discovery.port)))
         async with process(path) as running:
             front = await dial(running.port)
             await front.send(b"PING\r\n")
@@ -508,7 +520,7 @@
     """By default a process ends at SIGHUP: its links would be lost, and a slip in a file as well."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Hosts("UP echo").start(tasks), await Hosts("UP new").start(tasks)
+        old, new = await Upstreams("UP echo").start(tasks), await Upstreams("UP new").start(tasks)
         first = await Discovery([NEWS]).start(tasks)
         # Its version is older than what the node has heard of, and it does not name the first host.
         whole = {"revision": 1, "complete": True, "members": [member(1, new.addresses[0])]}
@@ -563,11 +575,11 @@
 @given(st.binary(max_size=200), st.booleans())
 def test_any_bytes_are_decoded_to_a_value(noise: bytes, opens: bool) -> None:
     line = (b"OPEN a b c=x,d=5," if opens else b"") + noise
-    opening = opening_of(line)
+    opening = parse_opening(line)
     if isinstance(opening, Opening):
-        again = opening_of(try_line(opening, 7_000))
+        again = parse_opening(try_line(opening, 7_000))
         assert isinstance(again, Opening) and again.wait_ms == 7 and again.key == opening.key
     else:
         assert isinstance(opening, BadLine) or line.rstrip(b"\r\n") == b"PING"
-    said_by_host(noise)
-    assert said_by_host(b"UP receipt\r\n") == Up()
+    parse_upstream_line(noise)
+    assert parse_upstream_line(b"UP receipt\r\n") == Up()
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -15,13 +15,13 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.node import control
-from larchlatch.node.lifecycle import phase as phases
-from larchlatch.node.lifecycle.phase import Phase
+from larchlatch.node import admin_api as control
+from larchlatch.node import lifecycle_state as phases
+from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.wire.stream import Ending, Lines
 from tests.ground import (
     Discovery,
-    Hosts,
+    Upstreams,
     answered,
     call,
     configuration,
@@ -36,10 +36,10 @@
 START, STOP, READY = "POST /ops/drain/start", "POST /ops/drain/stop", "GET /ops/readiness"
 
 
-async def with_door(tasks: TaskGroup, hosts: Hosts, **changes: Any) -> tuple[int, str]:
+async def with_door(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> tuple[int, str]:
     """A node with a door: the port for clients, and the door's address."""
     discovery = await Discovery([NEWS]).start(tasks)
-    raw = configuration(hosts.addresses, discovery.port, **changes)
+    raw = configuration(upstreams.addresses, discovery.port, **changes)
     raw["control"] = door_address()
     return await serving(tasks, raw), raw["control"]
 
@@ -56,8 +56,8 @@
     """Each unfinished call holds a descriptor and a task: the oldest makes way, nobody waits behind it."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        _, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        _, door = await with_door(tasks, upstreams)
         host, _, port = door.rpartition(":")
         idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * control.CALLERS)]
         for number, caller in enumerate(idle):
@@ -90,8 +90,8 @@
     what: str, more: str, status: int, says: str
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port, door = await with_door(tasks, upstreams)
         got, text = await call(door, what, more)
         assert got == status and says.lower() in text.lower()
         assert await ping(port) == b"PONG\r\n"
@@ -106,8 +106,8 @@
     text = f"{READY} HTTP/1.1\r\nHost: door\r\n\r\n".encode()
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        _, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        _, door = await with_door(tasks, upstreams)
         host, _, port = door.rpartition(":")
         for cut in range(1, len(text), 3):
             caller = Lines(await anyio.connect_tcp(host, int(port)))
@@ -147,13 +147,13 @@
     monkeypatch.setattr(phases, "STILL_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
-        port, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
+        port, door = await with_door(tasks, upstreams)
         standing = [await opened(port, key=f"k{n}") for n in range(8)]
         for client in standing:
             assert await client.line() == b"UP r1\r\n"
         setup = await opened(port)
-        while len(hosts.lines) < 9:
+        while len(upstreams.lines) < 9:
             await anyio.sleep(0.01)
         assert (await call(door, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
@@ -178,8 +178,8 @@
     monkeypatch.setattr(phases, "DRAIN_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
-        port, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams("UP r1").start(tasks)
+        port, door = await with_door(tasks, upstreams)
         standing = [await opened(port, key=f"k{n}") for n in range(40)]
         moved = 0
 
@@ -207,15 +207,15 @@
     monkeypatch.setattr(phases, "DRAIN_S", 1.5)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP flood").start(tasks)
-        port, door = await with_door(tasks, hosts)
+        upstreams = await Upstreams("UP flood").start(tasks)
+        port, door = await with_door(tasks, upstreams)
         client = await opened(port)
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
         await anyio.sleep(0.3)  # it reads no more: what its host sends fills all buffers
         await call(door, START)
         with anyio.fail_after(3.0):
-            while not hosts.ended:
+            while not upstreams.ended:
                 await anyio.sleep(0.01)
 
     on_loopback(body)
@@ -224,9 +224,9 @@
 @pytest.mark.parametrize("first", ["drain", "stop"])
 def test_a_drain_and_a_stop_in_either_order_move_all_links_once(first: str, tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks)
+        upstreams = await Upstreams("UP r1").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(hosts.addresses, discovery.port)
+        raw = configuration(upstreams.addresses, discovery.port)
         raw["control"] = door_address()
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -12,17 +12,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.duties import pacing
-from larchlatch.cluster.duties.duties import PACER, Roster
-from larchlatch.cluster.duties.leases import Tenure
-from larchlatch.cluster.duties.pacing import Pacing, Told
-from larchlatch.cluster.wire.datagrams import Leave, Seek, Want
+from larchlatch.cluster.election.election import PACER, Roster
+from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
+from larchlatch.cluster.slow_start import tokens as pacing
+from larchlatch.cluster.slow_start.tokens import Pacing, Told
 from larchlatch.days.day import Day, day_of
-from larchlatch.days.hosts import Host
+from larchlatch.days.hosts import Upstream
 from larchlatch.days.puppets import Drift
 from larchlatch.days.warming import Warming
 from larchlatch.emulator.world import World
-from larchlatch.links import NOT_YET, Sought
+from larchlatch.policy.types import NOT_YET, TokenCandidate
 from tests.ground import Ground, line
 
 SECOND = 1_000_000
@@ -31,7 +31,7 @@
 START, WALL = 1000 * SECOND, 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c", "d")
 ROSTER = Roster(NAMES[:3], NAMES, (PACER,), Tenure(TERM, 0.01, 200_000), 7)
-HOST, BUDGET = 99, 5.0
+UPSTREAM, BUDGET = 99, 5.0
 
 
 class Side:
@@ -40,7 +40,7 @@
     def __init__(self, name: str, now: int) -> None:
         self.name = name
         self.pacing = Pacing(name, ROSTER, now)
-        self.pacing.listed(now, [HOST], 1000 * SECOND, WINDOW)
+        self.pacing.listed(now, [UPSTREAM], 1000 * SECOND, WINDOW)
         self.incarnation = now
         self.until = 0  # turns are handed over, by what the decisions know
         self.leaves: dict[int, int] = {}
@@ -58,8 +58,8 @@
         while self.words and self.words[0][0] <= now:
             _, told = self.words.popleft()
             self.until = told.until
-            if told.host:
-                self.leaves[told.link] = told.at
+            if told.upstream:
+                self.leaves[told.session] = told.at
 
     def take(self, now: int, note: Seek | Leave, order: tuple[int, int], lag_us: int) -> Leave | None:
         if isinstance(note, Seek):
@@ -89,7 +89,7 @@
         self.by_turn = 0
         self.taken_twice = 0  # turns that their node used while the pacer counted on its promise
         self.holder, self.lease, self.held_until = "a", 1, START + 10**12
-        self.links = 0
+        self.sessions = 0
 
     def now_of(self, name: str, now: int) -> int:
         return self.drifts[name].at(now)
@@ -162,8 +162,8 @@
                 if own < at:
                     self.by_leave.append(now)
         if self.chance.random() < 0.5:
-            self.links += 1
-            self.link(now, own, name, side)
+            self.sessions += 1
+            self.session(now, own, name, side)
 
     def ask(self, now: int, own: int, name: str, seek: Seek | None) -> None:
         """Of the pacer, which may be that node itself."""
@@ -174,11 +174,11 @@
         if leave is not None:
             self.sides[name].take(own, leave, (0, 0), self.lag())
 
-    def link(self, now: int, own: int, name: str, side: Side) -> None:
+    def session(self, now: int, own: int, name: str, side: Side) -> None:
         """One more link: it asks for leave, or goes by a turn of its node's, or not at all."""
         if own < side.until:
-            want = [(HOST, Sought(HOST, BUDGET, 1.0))]
-            seek = side.pacing.sought(own, WALL + now, side.incarnation, self.links, want)
+            want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
+            seek = side.pacing.sought(own, WALL + now, side.incarnation, self.sessions, want)
             self.ask(now, own, name, seek)
         elif now // WINDOW % len(NAMES) == NAMES.index(name):
             self.by_turn += 1
@@ -250,14 +250,14 @@
 def paced(now: int = START, lease: int = 5) -> Pacing:
     """A pacer to which all have handed their turns over."""
     one = Pacing("a", ROSTER, now)
-    one.listed(now, [HOST], 100 * SECOND, WINDOW)
+    one.listed(now, [UPSTREAM], 100 * SECOND, WINDOW)
     one.pace(now - TERM, lease)
     one.promised = dict.fromkeys(NAMES, now + TERM)
     return one
 
 
 def asked(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> Seek:
-    want = Want(HOST, int(budget * 1000), int(weight * 1000))
+    want = Want(UPSTREAM, int(budget * 1000), int(weight * 1000))
     return msgspec.structs.replace(Seek("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
 
 
@@ -299,7 +299,7 @@
     assert one.answer(START, asked(2), (6, 300_000)) is None, "a lease that has only begun"
     assert one.answer(START, asked(3, mark=8), (5, 300_000)) is None
     assert one.answer(START, asked(4, sender="x"), (5, 300_000)) is None
-    stranger = msgspec.structs.replace(asked(6), wants=[Want(HOST + 1, 9000, 1)])
+    stranger = msgspec.structs.replace(asked(6), wants=[Want(UPSTREAM + 1, 9000, 1)])
     assert one.answer(START, stranger, (5, 300_000)) is None, "a host that is not on the list"
     one.pace(START, 6)
     assert one.answer(START + SECOND, asked(5), (6, 300_000)) is None, "what the one before gave is out yet"
@@ -312,7 +312,7 @@
     for beat in range(50):
         one.look(now + beat * BEAT, WALL, 1, "b")
         for _ in range(20):
-            want = [(HOST, Sought(HOST, BUDGET, 1.0))]
+            want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
             asked += one.sought(now + beat * BEAT, WALL, 1, 7, want) is not None
     assert 1000 * 10 / 200 - 5 <= asked <= 1000 * 10 / 200 + 16
 
@@ -328,22 +328,24 @@
 
 def test_a_leave_is_for_its_link_alone_and_ends() -> None:
     # Danger: a heavy link that was refused would take the leave of a light one.
-    ground = Ground(hosts=0, nodes=40, probes=False)
-    ground.relist(line(0, came_up=ground.now), line(1, came_up=ground.now))
-    brain, now = ground.brain, ground.now
-    brain.paced(now, now + 10 * SECOND)
-    one, other = (ground.arrive(key=key, cut_off=2 * SECOND) for key in (1, 2))
+    ground = Ground(upstreams=0, nodes=40, probes=False)
+    ground.relist(line(0, started_at=ground.now), line(1, started_at=ground.now))
+    balancer, now = ground.balancer, ground.now
+    balancer.paced(now, now + 10 * SECOND)
+    one, other = (ground.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
     assert not ground.out, "all hosts are cold, and turns are handed over"
-    sought = {want.host for link in (one, other) for want in (brain.place(now, link).sought or ())}
+    sought = {
+        want.upstream for session in (one, other) for want in (balancer.place(now, session).sought or ())
+    }
     assert sought <= {0, 1}
-    brain.paced(now, now + 10 * SECOND, 1, one.number, now + 100_000)
-    assert brain.place(now, other).host == NOT_YET
-    late = brain.place(now + 200_000, one)
-    assert late.host == NOT_YET, "it has run out"
-    brain.paced(now + 200_000, now + 10 * SECOND, 1, one.number, now + 300_000)
-    assert brain.place(now + 210_000, one).host == 1
+    balancer.paced(now, now + 10 * SECOND, 1, one.number, now + 100_000)
+    assert balancer.place(now, other).upstream == NOT_YET
+    late = balancer.place(now + 200_000, one)
+    assert late.upstream == NOT_YET, "it has run out"
+    balancer.paced(now + 200_000, now + 10 * SECOND, 1, one.number, now + 300_000)
+    assert balancer.place(now + 210_000, one).upstream == 1
     again = ground.arrive(key=3)
-    assert again.number in ground.held and not ground.brain.hosts[1].leaves, "it was used"
+    assert again.number in ground.held and not ground.balancer.upstreams[1].leaves, "it was used"
 
 
 PACE = Path(__file__).parent.parent / "days" / "pace.toml"
@@ -375,10 +377,10 @@
 
 def test_the_judge_sees_too_much_at_a_cold_host() -> None:
     judged = Warming(day(True))
-    host = Host(0, 0, 0, 2.0, day(True).cold)
-    host.start(START)
+    upstream = Upstream(0, 0, 0, 2.0, day(True).cold)
+    upstream.start(START)
     for number in range(30):
-        judged.sent(START + number, host, judged.load_us)
+        judged.sent(START + number, upstream, judged.load_us)
     assert judged.over > 10 and judged.row(START + SECOND)["bears_s"] == 1.0
 
 
@@ -386,13 +388,13 @@
     # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
     # that it is. Turns would be promised for a term more, and used again sooner.
     one, now = Pacing("b", ROSTER, START), START
-    one.listed(now, [HOST], 100 * SECOND, WINDOW)
+    one.listed(now, [UPSTREAM], 100 * SECOND, WINDOW)
     for _ in range(10):
         seek, _ = one.look(now, WALL, 1, "a")
         if seek is not None:
             one.told(now, Leave("a", "b", 1, seek.number, 5, 300_000, now, 0))
         now += BEAT
-    want = [(HOST, Sought(HOST, BUDGET, 1.0))]
+    want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
     soon = one.sought(now, WALL, 1, 7, want)
     assert soon is not None and soon.lease == 5 and one.handed_until >= now + TERM
     late = one.heard_at + TERM - 50_000
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -11,15 +11,16 @@
 import pytest
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.node import peer
-from larchlatch.node.listing import Listing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.room import Room
-from larchlatch.node.words import ListTold, Probed, Word
+from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.node import upstream_actor as upstream_actor
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.discovery import DiscoveryClient
+from larchlatch.node.messages import ListTold, Message, Probed
+from larchlatch.node.metrics import Counters
 from tests.ground import (
     IDENTS,
     Discovery,
-    Hosts,
+    Upstreams,
     configuration,
     dial,
     member,
@@ -44,8 +45,8 @@
 
 def test_a_clients_dialogue_cut_at_any_byte_reaches_its_host_whole() -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        port = await started(tasks, hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        port = await started(tasks, upstreams)
         first = "OPEN {} k1 c=rerun,t=acme,d=2000,g=k1\r\n"
         lines = b"one line\r\nand another\r\n"
         for at in range(1, len(first) + 4):
@@ -55,7 +56,7 @@
             await cut(client.send, lines, at % len(lines))
             assert await client.line() + await client.line() == lines  # type: ignore[operator]
             await client.close()
-        assert len(hosts.lines) == len(first) + 3 and hosts.most_out <= 1
+        assert len(upstreams.lines) == len(first) + 3 and upstreams.most_out <= 1
 
     on_loopback(body)
 
@@ -78,7 +79,7 @@
         raw = configuration([f"127.0.0.1:{port_of(listener)}"], discovery.port)
         port = await serving(tasks, raw)
         for at in range(1, len(said) + 1):  # noqa: B007
-            got = b"".join(await rest_of(await opened(port, wait_ms=150, tariff="once")))
+            got = b"".join(await rest_of(await opened(port, wait_ms=150, traffic_class="once")))
             if said.startswith(b"UP"):
                 assert got == said
             else:
@@ -106,12 +107,12 @@
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
         for at in range(1, len(answer), 2):  # noqa: B007
-            got: list[Word] = []
+            got: list[Message] = []
 
-            async def post(word: Word, got: list[Word] = got) -> None:
+            async def post(word: Message, got: list[Message] = got) -> None:
                 got.append(word)
 
-            listing = Listing(
+            listing = DiscoveryClient(
                 ("127.0.0.1", port_of(listener)), 1, True, Counters(), post, lambda low, high: high
             )
             async with anyio.create_task_group() as watching:
@@ -130,7 +131,7 @@
 
     async def body(tasks: TaskGroup) -> None:
         asked = 0
-        hosts = await Hosts("UP r1").start(tasks)
+        upstreams = await Upstreams("UP r1").start(tasks)
 
         async def serve(stream: SocketStream) -> None:
             nonlocal asked
@@ -141,7 +142,7 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
-        port = await serving(tasks, configuration(hosts.addresses, port_of(listener)))
+        port = await serving(tasks, configuration(upstreams.addresses, port_of(listener)))
         for _ in range(5):
             assert await (await opened(port)).line() == b"UP r1\r\n"
             await anyio.sleep(0.3)
@@ -153,25 +154,29 @@
 def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(peer, "STALLED_US", 500_000)
+    monkeypatch.setattr(upstream_actor, "STALLED_US", 500_000)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP flood").start(tasks)
-        client = await opened(await started(tasks, hosts))
+        upstreams = await Upstreams("UP flood").start(tasks)
+        client = await opened(await started(tasks, upstreams))
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
-        await until(lambda: hosts.ended == 1)
+        await until(lambda: upstreams.ended == 1)
 
     on_loopback(body)
 
 
 def test_the_node_tells_host_by_host_what_it_believes_beside_its_sockets(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks, 2)
-        story = {"revision": 3, "complete": False, "members": [member(1, hosts.addresses[1], "terminating")]}
+        upstreams = await Upstreams("UP r1").start(tasks, 2)
+        story = {
+            "revision": 3,
+            "complete": False,
+            "members": [member(1, upstreams.addresses[1], "terminating")],
+        }
         discovery = await Discovery([NEWS, story]).start(tasks)
         path = tmp_path / "node.json"
-        path.write_bytes(orjson.dumps(configuration(hosts.addresses, discovery.port)))
+        path.write_bytes(orjson.dumps(configuration(upstreams.addresses, discovery.port)))
         async with process(path) as running:
             clients = [await opened(running.port, key=f"k{number}") for number in range(3)]
             for client in clients:
@@ -198,16 +203,18 @@
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
-        room = Room(100)
+        room = DescriptorBudget(100)
 
-        async def post(word: Word) -> None:
+        async def post(word: Message) -> None:
             pass
 
-        reach = peer.Reach(250_000, False, False, 0)
-        host = peer.Peer(0, "s-0", ("127.0.0.1", port_of(listener)), reach, room, Counters(), post)
+        reach = UpstreamSettings(250_000, False, False, 0)
+        upstream = upstream_actor.UpstreamActor(
+            0, "s-0", ("127.0.0.1", port_of(listener)), reach, room, Counters(), post
+        )
         free = room.free
-        assert await host.probed() is not None and room.free == free - 1
-        assert await host.probed() is None and room.free == free
+        assert await upstream.probed() is not None and room.free == free - 1
+        assert await upstream.probed() is None and room.free == free
 
     on_loopback(body)
 
@@ -217,17 +224,19 @@
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
-        told: list[Word] = []
+        told: list[Message] = []
 
-        async def post(word: Word) -> None:
+        async def post(word: Message) -> None:
             told.append(word)
 
-        reach = peer.Reach(250_000, False, False, 0)
-        host = peer.Peer(0, "s-0", ("127.0.0.1", port_of(listener)), reach, Room(100), Counters(), post)
-        await host.probe()
+        reach = UpstreamSettings(250_000, False, False, 0)
+        upstream = upstream_actor.UpstreamActor(
+            0, "s-0", ("127.0.0.1", port_of(listener)), reach, DescriptorBudget(100), Counters(), post
+        )
+        await upstream.probe()
         async with anyio.create_task_group() as both:
-            both.start_soon(host.probe)
-            both.start_soon(host.probe)
+            both.start_soon(upstream.probe)
+            both.start_soon(upstream.probe)
         assert [word.answered for word in told if isinstance(word, Probed)] == [True, False]
 
     on_loopback(body)
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from larchlatch.node import client as node_client
-from larchlatch.node.memory.room import FEWEST_QUIET, RESERVE, SPARED, Quiet, Room
+from larchlatch.node.descriptor_budget import FEWEST_QUIET, RESERVE, SPARED, DescriptorBudget, Quiet
 from larchlatch.node.wire.stream import Ending
-from tests.ground import IDENTS, Discovery, Hosts, configuration, dial, on_loopback
+from tests.ground import IDENTS, Discovery, Upstreams, configuration, dial, on_loopback
 from tests.test_node import NEWS, serving
 
 STEPS = st.tuples(
@@ -28,7 +28,7 @@
 def test_whatever_comes_no_more_is_held_than_there_is_and_the_quiet_give_way(
     steps: list[tuple[str, int, float]], sockets: int
 ) -> None:
-    room, now = Room(sockets), 50.0
+    room, now = DescriptorBudget(sockets), 50.0
     there: list[Quiet] = []  # connected, in their order
     out: list[Quiet] = []
     held = 0
@@ -84,9 +84,9 @@
     monkeypatch.setattr(node_client, "PINGED_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP r1").start(tasks, 2)
+        upstreams = await Upstreams("UP r1").start(tasks, 2)
         discovery = await Discovery([NEWS]).start(tasks)
-        raw: dict[str, Any] = configuration(hosts.addresses, discovery.port)
+        raw: dict[str, Any] = configuration(upstreams.addresses, discovery.port)
         raw["limits"]["sockets"] = 192
         port = await serving(tasks, raw)
         told = []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,18 +10,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.brain import LOOK_US, Brain
-from larchlatch.links import DONE, SHED, Link, Outcome, State
-from tests.ground import SECOND, TERMS, Ground, line
+from larchlatch.policy.balancer import LOOK_US, Balancer
+from larchlatch.policy.types import DONE, SHED, EndpointState, Outcome, Session
+from tests.ground import SECOND, SETTINGS, Ground, line
 
-FAILURES = [Outcome.REFUSED, Outcome.UNREACHED, Outcome.FAULT, Outcome.SILENT, Outcome.CUT]
+FAILURES = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET]
 STEP = st.one_of(
     st.tuples(st.just("arrive"), st.integers(0, 5), st.integers(0, 4)),
     st.tuples(
-        st.just("end"), st.integers(0, 40), st.sampled_from([*FAILURES, Outcome.STANDS, Outcome.ENDED])
+        st.just("end"),
+        st.integers(0, 40),
+        st.sampled_from([*FAILURES, Outcome.ESTABLISHED, Outcome.COMPLETED]),
     ),
     st.tuples(st.just("pass"), st.integers(1, 1500), st.just(0)),
-    st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from([*State, "fresh"])),
+    st.tuples(st.just("list"), st.integers(0, 7), st.sampled_from([*EndpointState, "fresh"])),
     st.tuples(st.just("note"), st.integers(0, 40), st.sampled_from([0, 30_000, 900_000])),
 )
 
@@ -33,25 +35,25 @@
     made = []
     for verb, number, what in steps:
         if verb == "arrive":
-            made.append(ground.arrive(key=number or None, tariff=int(str(what))))
+            made.append(ground.arrive(key=number or None, traffic_class=int(str(what))))
         elif verb == "pass":
             ground.run(number * 1000)
         elif verb == "list":
             fresh = what == "fresh"
-            state = what if isinstance(what, State) else State.READY
+            state = what if isinstance(what, EndpointState) else EndpointState.READY
             ground.relist(line(number, state, ground.now if fresh else 0))
         elif made:
-            link = made[number % len(made)]
-            if verb == "note" and link.host >= 0:
-                ground.brain.delay_note(ground.now, link, int(str(what)))
-            elif isinstance(what, Outcome) and (link.number in ground.out or link.number in ground.up):
-                if link.number in ground.up:
-                    what = Outcome.CUT if what in FAILURES else Outcome.ENDED
-                ground.end(link, what)
-                if what is not Outcome.STANDS:
-                    ground.up.discard(link.number)
+            session = made[number % len(made)]
+            if verb == "note" and session.upstream >= 0:
+                ground.balancer.record_delay(ground.now, session, int(str(what)))
+            elif isinstance(what, Outcome) and (session.number in ground.out or session.number in ground.up):
+                if session.number in ground.up:
+                    what = Outcome.RESET if what in FAILURES else Outcome.COMPLETED
+                ground.end(session, what)
+                if what is not Outcome.ESTABLISHED:
+                    ground.up.discard(session.number)
     ground.run(10 * SECOND)
-    assert not [n for n in ground.links if n not in ground.up]
+    assert not [n for n in ground.sessions if n not in ground.up]
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
@@ -60,48 +62,53 @@
     """A crowd at every node at once: a fresh host gets at most the turn's budget in any window."""
     sends = []
     for me in range(nodes):
-        ground = Ground(nodes=nodes, me=me, hosts=4)
+        ground = Ground(nodes=nodes, me=me, upstreams=4)
         for number in range(12):
-            ground.end(ground.arrive(key=number + 1), Outcome.STANDS)
-        ground.relist(line(9, came_up=ground.now))
+            ground.end(ground.arrive(key=number + 1), Outcome.ESTABLISHED)
+        ground.relist(line(9, started_at=ground.now))
         for number, gap in enumerate(gaps):
             ground.run(gap * 1000)
-            link = ground.arrive(key=1000 + number)
-            if link.number in ground.out:
-                ground.end(link, Outcome.STANDS)
-        sends += [at for at, host in ground.cold_sends if host == 9 and at < 102 * SECOND]
+            session = ground.arrive(key=1000 + number)
+            if session.number in ground.out:
+                ground.end(session, Outcome.ESTABLISHED)
+        sends += [at for at, upstream in ground.cold_sends if upstream == 9 and at < 102 * SECOND]
     # Early on a turn's budget is one link; a window touches two turns at most.
     assert all(sum(at <= other < at + SECOND for other in sends) <= 2 for at in sends)
 
 
 @pytest.mark.parametrize("calm", [True, False])
-@pytest.mark.parametrize(("nodes", "links", "least"), [(10, 30, 8), (40, 8, 8), (200, 2, 2), (200, 8, 8)])
+@pytest.mark.parametrize(("nodes", "sessions", "least"), [(10, 30, 8), (40, 8, 8), (200, 2, 2), (200, 8, 8)])
 def test_a_fresh_host_is_filled_where_each_node_sees_few_links_but_never_over(
-    nodes: int, links: int, least: int, calm: bool
+    nodes: int, sessions: int, least: int, calm: bool
 ) -> None:
     """By turns alone it stays empty beside full ones; were each node's own links all that counted, a crowd
     at all nodes at once would push it over."""
     full, sends = 100.0, []
     for me in range(nodes):
-        ground = Ground(nodes=nodes, me=me, seed=me, hosts=4, probes=True, probe_tells_load=True)
+        ground = Ground(nodes=nodes, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True)
         start = ground.now
-        ground.relist(line(9, came_up=start))
-        ground.run(10 * SECOND // links * me // nodes if calm else 0)
-        for number in range(links):
-            for host in ground.lines:
-                ground.brain.report(ground.now, host, True, 0.05 if host == 9 else 0.5, held=full / 2)
-            link = ground.arrive(key=1 + 1000 * me + number)
+        ground.relist(line(9, started_at=start))
+        ground.run(10 * SECOND // sessions * me // nodes if calm else 0)
+        for number in range(sessions):
+            for upstream in ground.lines:
+                ground.balancer.report(
+                    ground.now, upstream, True, 0.05 if upstream == 9 else 0.5, held=full / 2
+                )
+            session = ground.arrive(key=1 + 1000 * me + number)
             ground.run(SECOND // 100)  # its candidates are probed
-            ground.run(10 * SECOND // links - SECOND // 100)
-            if link.number in ground.out:
-                ground.end(link, Outcome.STANDS)
-        sends += [at - start for at, host in ground.cold_sends if host == 9]
-    terms = ground.terms
+            ground.run(10 * SECOND // sessions - SECOND // 100)
+            if session.number in ground.out:
+                ground.end(session, Outcome.ESTABLISHED)
+        sends += [at - start for at, upstream in ground.cold_sends if upstream == 9]
+    deployment_settings = ground.settings
     # What a host may be sent in a second, as it warms evenly: the stated multiple of what fills it meanwhile.
-    rate = terms.tip_multiple * full * SECOND / terms.cold_us
+    rate = deployment_settings.overload_multiple * full * SECOND / deployment_settings.slow_start_us
 
     def allowed(at: int) -> float:
-        return rate * (terms.cold_from + (1 - terms.cold_from) * at / terms.cold_us)
+        return rate * (
+            deployment_settings.slow_start_min_share
+            + (1 - deployment_settings.slow_start_min_share) * at / deployment_settings.slow_start_us
+        )
 
     assert all(sum(at <= other < at + SECOND for other in sends) <= allowed(at) for at in sends)
     # Ten seconds hold ten turns, most of them of nodes that have no link then.
@@ -117,12 +124,12 @@
         for me in range(
             1, 5
         ):  # the fifth has its turn at the fresh host, and about half of all links a chance
-            ground = Ground(nodes=5, me=me, hosts=1, probes=True, probe_tells_load=True)
-            ground.brain.report(ground.now, 0, True, 0.5, held=50)
-            ground.relist(line(9, came_up=ground.now - 10 * SECOND))
-            link = ground.arrive(key=key)
-            host = ground.brain.hosts[9]
-            taken.append([ground.brain.in_budget(ground.now, host, link) for _ in range(100)])
+            ground = Ground(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
+            ground.balancer.report(ground.now, 0, True, 0.5, held=50)
+            ground.relist(line(9, started_at=ground.now - 10 * SECOND))
+            session = ground.arrive(key=key)
+            upstream = ground.balancer.upstreams[9]
+            taken.append([ground.balancer.in_budget(ground.now, upstream, session) for _ in range(100)])
         assert len({tuple(row) for row in taken}) == 1 and len(set(taken[0])) == 1
         rows.append(taken[0][0])
     assert 4 <= sum(rows) <= 16
@@ -131,39 +138,39 @@
 def test_what_a_probe_shows_of_a_cold_host_counts_where_it_warms_faster_than_stated() -> None:
     """The stated warm-up is the slowest: a fleet half of whose hosts are new can't wait for it. A host is
     never held to be able to do more than a warm one of its size, nor what it could before a new start."""
-    ground = Ground(nodes=40, hosts=4, probes=True, probe_tells_load=True)
-    brain, start = ground.brain, ground.now
+    ground = Ground(nodes=40, upstreams=4, probes=True, probes_report_load=True)
+    balancer, start = ground.balancer, ground.now
     for number in range(4):
-        brain.report(start, number, True, 0.5, held=50)
-    ground.relist(line(9, came_up=start))
-    host = brain.hosts[9]
+        balancer.report(start, number, True, 0.5, held=50)
+    ground.relist(line(9, started_at=start))
+    upstream = balancer.upstreams[9]
 
     def budget(now: int) -> float:
-        return brain.turn_budget(now, host, brain.warmth(now, host), brain.fills(host))
+        return balancer.turn_budget(now, upstream, balancer.warmth(now, upstream), balancer.fills(upstream))
 
     stated = budget(start)
-    brain.report(start, 9, True, 0.05, held=40)  # too few to tell by
+    balancer.report(start, 9, True, 0.05, held=40)  # too few to tell by
     assert budget(start) == stated
-    brain.report(start, 9, True, 0.5, held=20)
+    balancer.report(start, 9, True, 0.5, held=20)
     assert budget(start) == pytest.approx(2 * stated)
-    brain.report(start, 9, True, 0.5, held=500)
+    balancer.report(start, 9, True, 0.5, held=500)
     assert budget(start) == pytest.approx(5 * stated)
-    ground.relist(line(9, came_up=start + SECOND))
+    ground.relist(line(9, started_at=start + SECOND))
     assert budget(start + SECOND) == stated
 
 
 def test_links_are_not_moved_towards_a_fresh_host_that_can_not_take_them() -> None:
     """They would come back to the host that they were moved off, and cost a set-up each time."""
-    ground = Ground(hosts=1, nodes=2, me=0)
-    links = [ground.arrive(key=key) for key in range(1, 40)]
-    for link in links:
-        ground.end(link, Outcome.STANDS)
+    ground = Ground(upstreams=1, nodes=2, me=0)
+    sessions = [ground.arrive(key=key) for key in range(1, 40)]
+    for session in sessions:
+        ground.end(session, Outcome.ESTABLISHED)
     ground.now += SECOND
-    ground.relist(line(9, came_up=ground.now - 3 * SECOND), line(8, State.DRAINING))
+    ground.relist(line(9, started_at=ground.now - 3 * SECOND), line(8, EndpointState.DRAINING))
     for _ in range(4):  # half of these seconds are the other node's turn at the fresh host
-        ground.brain.delay_note(ground.now, links[0], 400_000)
-        moves = ground.brain.wait(ground.now).moves
-        in_turn = (ground.now - ground.lines[9].came_up) // SECOND % 2 == 0
+        ground.balancer.record_delay(ground.now, sessions[0], 400_000)
+        moves = ground.balancer.wait(ground.now).moves
+        in_turn = (ground.now - ground.lines[9].started_at) // SECOND % 2 == 0
         assert bool(moves) == in_turn
         ground.now += SECOND
 
@@ -172,84 +179,84 @@
     """It would grow with every link for as long as the node lives, on a fleet that has no cold host."""
     ground = Ground()
     for number in range(200):
-        ground.end(ground.arrive(key=number), Outcome.ENDED)
+        ground.end(ground.arrive(key=number), Outcome.COMPLETED)
         ground.run(SECOND // 10)
-    assert len(ground.brain.asked) <= 11
+    assert len(ground.balancer.asked) <= 11
 
 
 def test_same_ring_on_every_node_and_local_remapping() -> None:
-    one, other = Ground(seed=1, hosts=8), Ground(seed=2, hosts=8, me=1)
-    before = {key: one.arrive(key).host for key in range(1, 200)}
-    assert before == {key: other.arrive(key).host for key in range(1, 200)}
-    fresh = Ground(seed=3, hosts=8)
-    fresh.relist(line(5, State.GONE))
-    moved = [key for key in before if fresh.arrive(key).host != before[key]]
+    one, other = Ground(seed=1, upstreams=8), Ground(seed=2, upstreams=8, me=1)
+    before = {key: one.arrive(key).upstream for key in range(1, 200)}
+    assert before == {key: other.arrive(key).upstream for key in range(1, 200)}
+    fresh = Ground(seed=3, upstreams=8)
+    fresh.relist(line(5, EndpointState.GONE))
+    moved = [key for key in before if fresh.arrive(key).upstream != before[key]]
     assert len(moved) < len(before) // 3
 
 
 def test_less_loaded_of_two_candidates() -> None:
     ground = Ground()
-    hosts = []
+    upstreams = []
     for _ in range(5):
-        link = ground.arrive(key=77)
-        hosts.append(link.host)
-        ground.end(link, Outcome.STANDS)
-    assert 1 <= len(set(hosts)) <= 2
+        session = ground.arrive(key=77)
+        upstreams.append(session.upstream)
+        ground.end(session, Outcome.ESTABLISHED)
+    assert 1 <= len(set(upstreams)) <= 2
 
 
 def test_silent_host_is_passed_over_and_tried_again_with_care() -> None:
     """A silent host must not take every link of its keys, nor a crowd when it may be back."""
     ground = Ground()
-    bad = ground.arrive(key=5).host
-    ground.end(ground.links[0], Outcome.UNREACHED)
+    bad = ground.arrive(key=5).upstream
+    ground.end(ground.sessions[0], Outcome.CONNECT_FAILED)
     for _ in range(3):
-        link = ground.arrive(key=5)
-        while link.number in ground.out and ground.out[link.number] == bad:
-            ground.end(link, Outcome.UNREACHED)
-    tries = sum(ground.arrive(key=5).host == bad for _ in range(20))
-    assert tries <= 1
+        session = ground.arrive(key=5)
+        while session.number in ground.out and ground.out[session.number] == bad:
+            ground.end(session, Outcome.CONNECT_FAILED)
+    attempt_count = sum(ground.arrive(key=5).upstream == bad for _ in range(20))
+    assert attempt_count <= 1
 
 
 def test_a_host_that_drops_links_is_not_given_them_back_at_once() -> None:
     """Dropped clients return at once: placed where they were dropped, they would be dropped again."""
     ground = Ground()
-    links = [ground.arrive(key=5) for _ in range(6)]
-    for link in links:
-        ground.end(link, Outcome.STANDS)
-    worst = links[0].host
-    for link in links:
-        if link.host == worst:
-            ground.end(link, Outcome.CUT)
-            ground.up.discard(link.number)
-    assert all(ground.arrive(key=5).host != worst for _ in range(6))
+    sessions = [ground.arrive(key=5) for _ in range(6)]
+    for session in sessions:
+        ground.end(session, Outcome.ESTABLISHED)
+    worst = sessions[0].upstream
+    for session in sessions:
+        if session.upstream == worst:
+            ground.end(session, Outcome.RESET)
+            ground.up.discard(session.number)
+    assert all(ground.arrive(key=5).upstream != worst for _ in range(6))
 
 
 def test_no_host_at_all_is_answered_in_time() -> None:
-    ground = Ground(hosts=1)
-    ground.relist(line(0, State.GONE))
-    link = ground.arrive()
+    ground = Ground(upstreams=1)
+    ground.relist(line(0, EndpointState.GONE))
+    session = ground.arrive()
     ground.run(2 * SECOND)
-    assert link.number not in ground.links
+    assert session.number not in ground.sessions
 
 
 def test_shed_advice_stays_within_what_clients_honour() -> None:
-    ground = Ground(longest_return_us=1000)
-    link = ground.arrive(cut_off=1000)
-    answer = ground.brain.final(ground.now, link)
-    assert answer.host == SHED and 0 < answer.at <= 1000
+    ground = Ground(max_retry_after_us=1000)
+    session = ground.arrive(deadline=1000)
+    answer = ground.balancer.final(ground.now, session)
+    assert answer.upstream == SHED and 0 < answer.at <= 1000
 
 
 def test_asked_list_is_asked_for_until_it_answers() -> None:
     """Without a subscription drains are never heard of, yet count as told."""
-    ground = Ground(asked_list=True)
-    ground.brain.list_failed(ground.now)
+    ground = Ground(polls_discovery=True)
+    ground.balancer.discovery_failed(ground.now)
     at = [ground.now]
     for _ in range(6000):
         ground.now += SECOND // 10
-        if ground.brain.wait(ground.now).ask_list:
+        if ground.balancer.wait(ground.now).ask_list:
             at.append(ground.now)
-            ground.brain.list_failed(ground.now)
-    within = ground.brain.terms.ask_within_us
+            ground.balancer.discovery_failed(ground.now)
+    within = ground.balancer.settings.poll_within_us
     assert len(at) > 40 and all(later - earlier <= 2 * within + SECOND for earlier, later in pairwise(at))
 
 
@@ -257,24 +264,24 @@
 def test_nodes_that_lose_the_list_together_get_through_an_overbooked_service(nodes: int) -> None:
     """One that serves a call for every seven nodes a second, dead ones too: asked on and on by all, it
     would answer each call too late, and nobody would hear of a drain."""
-    grounds = [Ground(asked_list=True, nodes=nodes, seed=seed) for seed in range(nodes)]
+    grounds = [Ground(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
     for ground in grounds:
-        ground.brain.list_failed(ground.now)
+        ground.balancer.discovery_failed(ground.now)
     start = grounds[0].now
     free_at, through = 0.0, 0
     waiting: list[tuple[float, Ground]] = []  # when a call is answered, and whose it is
     for now in range(start, start + 60 * SECOND, SECOND // 20):
         for answer in [answer for answer in waiting if answer[0] <= now]:
             waiting.remove(answer)
-            answer[1].brain.list_failed(now)
+            answer[1].balancer.discovery_failed(now)
         for ground in grounds:
             ground.now = now
-            if not ground.brain.listening and ground.brain.wait(now).ask_list:
+            if not ground.balancer.listening and ground.balancer.wait(now).ask_list:
                 free_at = max(free_at, now) + 7 * SECOND / nodes
                 if free_at > now + 2 * SECOND:
                     waiting.append((now + 2 * SECOND, ground))
                 else:
-                    ground.brain.hosts_listed(now, [], whole=False, asked=True)
+                    ground.balancer.update_endpoints(now, [], whole=False, asked=True)
                     through += 1
     assert through >= 0.9 * nodes
 
@@ -282,133 +289,139 @@
 def test_links_are_moved_off_a_slow_host_but_not_when_all_are_slow() -> None:
     """A host with late messages earns nothing; a slowdown of everything must not set all links moving."""
     ground = Ground()
-    links = [ground.arrive(key=key) for key in range(1, 40)]
-    for link in links:
-        ground.end(link, Outcome.STANDS)
-    ground.brain.delay_note(ground.now, links[0], 400_000)
+    sessions = [ground.arrive(key=key) for key in range(1, 40)]
+    for session in sessions:
+        ground.end(session, Outcome.ESTABLISHED)
+    ground.balancer.record_delay(ground.now, sessions[0], 400_000)
     moved = []
     for _ in range(20):
-        ground.brain.delay_note(ground.now, links[0], 400_000)
-        moved += ground.brain.wait(ground.now).moves
+        ground.balancer.record_delay(ground.now, sessions[0], 400_000)
+        moved += ground.balancer.wait(ground.now).moves
         ground.now += SECOND
     # A tenth of the host's links a round and all nodes: one from each node with few would empty it at once.
-    assert 1 <= len(moved) <= 12 and all(links[number].host == links[0].host for number in moved)
+    assert 1 <= len(moved) <= 12 and all(
+        sessions[number].upstream == sessions[0].upstream for number in moved
+    )
     ground.run(SECOND)
-    for link in links:
-        ground.brain.delay_note(ground.now, link, 400_000)
-    assert not ground.brain.wait(ground.now).moves
+    for session in sessions:
+        ground.balancer.record_delay(ground.now, session, 400_000)
+    assert not ground.balancer.wait(ground.now).moves
 
 
 def test_a_new_link_waits_briefly_for_its_candidates_load() -> None:
     """Probes that never answer must not hold a link: it waits once, then is placed."""
-    ground = Ground(probes=True, probe_tells_load=True)
-    link = ground.arrive(key=3)
-    assert link.number in ground.held and len(ground.brain.wait(ground.now).probes) == 2
+    ground = Ground(probes=True, probes_report_load=True)
+    session = ground.arrive(key=3)
+    assert session.number in ground.held and len(ground.balancer.wait(ground.now).probes) == 2
     ground.run(SECOND // 10)
-    assert link.number in ground.out
+    assert session.number in ground.out
 
 
 def test_slow_hosts_take_no_new_link_even_when_all_are_slow() -> None:
     """Links added to hosts that are late for everybody keep all of them late: the fleet never recovers."""
     ground = Ground()
-    links = [ground.arrive(key=key) for key in range(1, 40)]
-    for link in links:
-        ground.end(link, Outcome.STANDS)
-        ground.brain.delay_note(ground.now, link, 400_000)
+    sessions = [ground.arrive(key=key) for key in range(1, 40)]
+    for session in sessions:
+        ground.end(session, Outcome.ESTABLISHED)
+        ground.balancer.record_delay(ground.now, session, 400_000)
     late = ground.arrive(key=50)
     assert late.number not in ground.out
-    hopeless = ground.arrive(key=50, cut_off=SECOND)
-    assert hopeless.number not in ground.links, "held though no host can be had before its cut-off"
-    for link in links:
-        ground.brain.delay_note(ground.now, link, 10_000)
-    soon = ground.arrive(key=50, cut_off=4 * SECOND)
+    hopeless = ground.arrive(key=50, deadline=SECOND)
+    assert hopeless.number not in ground.sessions, "held though no host can be had before its cut-off"
+    for session in sessions:
+        ground.balancer.record_delay(ground.now, session, 10_000)
+    soon = ground.arrive(key=50, deadline=4 * SECOND)
     ground.run(SECOND + SECOND // 10)
     assert soon.number in ground.out
 
 
 def test_a_link_whose_try_is_out_gets_no_second_one() -> None:
     ground = Ground()
-    link = ground.arrive()
-    assert ground.brain.place(ground.now, link).host == DONE
-    ground.end(link, Outcome.STANDS)
-    assert ground.brain.place(ground.now, link).host == DONE
+    session = ground.arrive()
+    assert ground.balancer.place(ground.now, session).upstream == DONE
+    ground.end(session, Outcome.ESTABLISHED)
+    assert ground.balancer.place(ground.now, session).upstream == DONE
 
 
 def test_a_setup_that_takes_long_is_waited_for() -> None:
     """Given up in a shared queue, it is served all the same: time-outs fill the queue with dead work."""
     ground = Ground()
-    link = ground.arrive(key=1, cut_off=4 * SECOND)
-    assert ground.ends[link.number] == link.cut_off
+    session = ground.arrive(key=1, deadline=4 * SECOND)
+    assert ground.ends[session.number] == session.deadline
 
 
 def test_a_link_standing_on_a_host_that_no_list_names() -> None:
     """A node that restarts with an old list is handed links on hosts that the list has never named."""
     ground = Ground()
-    link = Link(500, 0, 1, 1, 0)
-    ground.brain.standing(ground.now, link, 77)
-    assert ground.arrive(key=1).host != 77
-    assert ground.brain.outcome(ground.now, link, Outcome.CUT, done=True).host == DONE
+    session = Session(500, 0, 1, 1, 0)
+    ground.balancer.standing(ground.now, session, 77)
+    assert ground.arrive(key=1).upstream != 77
+    assert ground.balancer.outcome(ground.now, session, Outcome.RESET, done=True).upstream == DONE
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
-@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(list(State))), max_size=30))
-def test_a_ring_changed_line_by_line_is_the_ring_of_the_last_list(changes: list[tuple[int, State]]) -> None:
+@given(st.lists(st.tuples(st.integers(0, 9), st.sampled_from(list(EndpointState))), max_size=30))
+def test_a_ring_changed_line_by_line_is_the_ring_of_the_last_list(
+    changes: list[tuple[int, EndpointState]],
+) -> None:
     ground = Ground()
     for number, state in changes:
         ground.relist(line(number, state))
-    fresh = Ground(seed=9, hosts=0)
+    fresh = Ground(seed=9, upstreams=0)
     fresh.relist(*ground.lines.values())
     for key in range(1, 30):
-        link = Link(1000, 0, key, key, ground.now + SECOND)
-        there = [host.number for host in ground.brain.walk(link)]
-        assert there == [host.number for host in fresh.brain.walk(link)]
+        session = Session(1000, 0, key, key, ground.now + SECOND)
+        there = [upstream.number for upstream in ground.balancer.walk(session)]
+        assert there == [upstream.number for upstream in fresh.balancer.walk(session)]
 
 
 def test_a_node_with_hardly_a_link_goes_by_probed_load() -> None:
     """One node of hundreds holds a link or two a host: counted alone, these say nothing of its load."""
-    ground = Ground(nodes=200, probes=True, probe_tells_load=True)
-    link = ground.arrive(key=3)
-    master, second = ground.brain.wait(ground.now).probes
-    first = next(ground.brain.walk(link)).number
+    ground = Ground(nodes=200, probes=True, probes_report_load=True)
+    session = ground.arrive(key=3)
+    master, second = ground.balancer.wait(ground.now).probes
+    first = next(ground.balancer.walk(session)).number
     for number in (master, second):
-        ground.brain.report(ground.now, number, True, 0.9 if number == first else 0.3)
+        ground.balancer.report(ground.now, number, True, 0.9 if number == first else 0.3)
     ground.run(SECOND // 10)
-    assert ground.out[link.number] not in (-1, first)
+    assert ground.out[session.number] not in (-1, first)
 
 
 def test_a_group_too_large_for_two_hosts_spreads_and_a_small_one_does_not() -> None:
     """Two hosts of a large fleet drop the links of a group that makes up a tenth of all, over and over."""
-    ground = Ground(hosts=60)
+    ground = Ground(upstreams=60)
     placed = {}
     for number in range(120):
-        link = Link(1000 + number, 0, number + 1, 7 if number % 3 else number + 100, ground.now + SECOND)
-        placed[number] = ground.brain.place(ground.now, link).host
-        ground.brain.outcome(ground.now, link, Outcome.STANDS)
-    spread = {host for number, host in placed.items() if number % 3 and number > 40}
+        session = Session(
+            1000 + number, 0, number + 1, 7 if number % 3 else number + 100, ground.now + SECOND
+        )
+        placed[number] = ground.balancer.place(ground.now, session).upstream
+        ground.balancer.outcome(ground.now, session, Outcome.ESTABLISHED)
+    spread = {upstream for number, upstream in placed.items() if number % 3 and number > 40}
     assert 10 <= len(spread) <= 45
-    small = Ground(hosts=60)
+    small = Ground(upstreams=60)
     keys = [7 if number % 40 == 0 else number + 100 for number in range(161)]
-    assert len({link.host for link in map(small.arrive, keys) if link.key == 7}) <= 3
+    assert len({session.upstream for session in map(small.arrive, keys) if session.key == 7}) <= 3
 
 
 def test_links_that_stand_only_to_be_dropped_or_to_stand_late_are_no_success() -> None:
     """Hosts over capacity let links stand: credited for that, nodes would feed the storm at full speed."""
     for late in (False, True):
-        ground = Ground(hosts=40)
+        ground = Ground(upstreams=40)
         tried = 0
         for key in range(1, 60):
-            link = ground.arrive(key=key, cut_off=4 * SECOND)
-            if link.number in ground.out:
+            session = ground.arrive(key=key, deadline=4 * SECOND)
+            if session.number in ground.out:
                 tried += 1
-                ground.end(link, Outcome.STANDS)
+                ground.end(session, Outcome.ESTABLISHED)
                 if late:
-                    ground.brain.delay_note(ground.now, link, 900_000)
+                    ground.balancer.record_delay(ground.now, session, 900_000)
                 else:
                     ground.now += 100_000
-                    ground.end(link, Outcome.CUT)
-                    ground.up.discard(link.number)
+                    ground.end(session, Outcome.RESET)
+                    ground.up.discard(session.number)
             ground.now += 150_000
-            ground.links.clear()
+            ground.sessions.clear()
             ground.held.clear()
         assert tried < 40
 
@@ -417,217 +430,217 @@
     """A host with seconds of work piled up keeps all its links late while a tenth of them leaves."""
     moved = []
     for delay in (51_000, 900_000):
-        ground = Ground(hosts=6)
-        links = [ground.arrive(key=key) for key in range(1, 300)]
-        for link in links:
-            ground.end(link, Outcome.STANDS)
-        ground.brain.delay_note(ground.now, links[0], delay)
-        moved.append(len(ground.brain.wait(ground.now).moves))
+        ground = Ground(upstreams=6)
+        sessions = [ground.arrive(key=key) for key in range(1, 300)]
+        for session in sessions:
+            ground.end(session, Outcome.ESTABLISHED)
+        ground.balancer.record_delay(ground.now, sessions[0], delay)
+        moved.append(len(ground.balancer.wait(ground.now).moves))
     assert 2 * moved[0] < moved[1] <= 30
 
 
 def test_setups_are_paced_while_most_hosts_that_bear_links_are_slow() -> None:
     """Let in as fast as they are moved off, links only go round between hosts that are all late."""
-    ground = Ground(hosts=40)
-    links = [ground.arrive(key=key) for key in range(1, 9)]
-    for link in links:
-        ground.end(link, Outcome.STANDS)
+    ground = Ground(upstreams=40)
+    sessions = [ground.arrive(key=key) for key in range(1, 9)]
+    for session in sessions:
+        ground.end(session, Outcome.ESTABLISHED)
     ground.run(2 * SECOND)
     for _ in range(8):
-        for link in links:
-            ground.brain.delay_note(ground.now, link, 400_000)
+        for session in sessions:
+            ground.balancer.record_delay(ground.now, session, 400_000)
     sent = sum(ground.arrive(key=key).number in ground.out for key in range(100, 120))
     assert sent <= 1
 
 
 def test_a_link_passes_over_candidates_whose_probes_say_that_they_are_full() -> None:
     """Both candidates full, the less loaded of them would only be late a little less."""
-    ground = Ground(nodes=200, probes=True, probe_tells_load=True)
-    link = ground.arrive(key=3)
-    full = ground.brain.wait(ground.now).probes
+    ground = Ground(nodes=200, probes=True, probes_report_load=True)
+    session = ground.arrive(key=3)
+    full = ground.balancer.wait(ground.now).probes
     for number in full:
-        ground.brain.report(ground.now, number, True, 1.1)
+        ground.balancer.report(ground.now, number, True, 1.1)
     ground.run(SECOND // 10)
-    assert ground.out[link.number] not in full
+    assert ground.out[session.number] not in full
 
 
 def test_odd_fleets_and_numbers_leave_every_link_with_its_answer() -> None:
     """A list that empties and comes back, names hundreds at once, a node beyond the stated number."""
-    for hosts, me in ((0, 0), (1, 7), (300, 500)):
-        ground = Ground(hosts=hosts, me=me)
-        links = [ground.arrive(key=key) for key in (1, 2)]
-        ground.brain.hosts_listed(ground.now, [], whole=True, asked=True)
-        ground.lines = {number: line(number, State.GONE) for number in ground.lines}
-        links.append(ground.arrive(key=3))
+    for upstreams, me in ((0, 0), (1, 7), (300, 500)):
+        ground = Ground(upstreams=upstreams, me=me)
+        sessions = [ground.arrive(key=key) for key in (1, 2)]
+        ground.balancer.update_endpoints(ground.now, [], whole=True, asked=True)
+        ground.lines = {number: line(number, EndpointState.GONE) for number in ground.lines}
+        sessions.append(ground.arrive(key=3))
         ground.run(3 * SECOND)
-        assert not ground.links
+        assert not ground.sessions
         ground.relist(*(line(number) for number in range(300)))
         assert ground.arrive(key=4).number in ground.out
 
 
 def test_links_leave_a_host_that_only_probes_show_to_be_full() -> None:
     """It answers at once and serves nobody in time: without a look now and then its links would stay."""
-    ground = Ground(probes=True, probe_tells_load=True, late_told=False)
-    links = []
+    ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
+    sessions = []
     for key in range(1, 60):
-        link = ground.arrive(key=key)
-        for number in ground.brain.wait(ground.now).probes:
-            ground.brain.report(ground.now, number, True, 0.4)
+        session = ground.arrive(key=key)
+        for number in ground.balancer.wait(ground.now).probes:
+            ground.balancer.report(ground.now, number, True, 0.4)
         ground.run(SECOND // 5)
-        ground.end(link, Outcome.STANDS)
-        links.append(link)
-    full = links[0].host
-    there = [link for link in links if link.host == full]
+        ground.end(session, Outcome.ESTABLISHED)
+        sessions.append(session)
+    full = sessions[0].upstream
+    there = [session for session in sessions if session.upstream == full]
     moved: list[int] = []
     for _ in range(100):
         ground.now += SECOND // 10
-        due = ground.brain.wait(ground.now)
+        due = ground.balancer.wait(ground.now)
         for number in due.probes:
-            ground.brain.report(ground.now, number, True, 1.05 if number == full else 0.4)
+            ground.balancer.report(ground.now, number, True, 1.05 if number == full else 0.4)
         moved += due.moves
     assert len(moved) > len(there) // 3
-    assert {links[number].host for number in moved} == {full}
+    assert {sessions[number].upstream for number in moved} == {full}
 
 
 def test_no_link_is_moved_where_probes_show_all_hosts_to_be_as_full() -> None:
     """Links would be handed round, each move costing its client, and no host be better off."""
-    ground = Ground(probes=True, probe_tells_load=True, late_told=False)
+    ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
-        link = ground.arrive(key=key)
-        for number in ground.brain.wait(ground.now).probes:
-            ground.brain.report(ground.now, number, True, 0.8)
+        session = ground.arrive(key=key)
+        for number in ground.balancer.wait(ground.now).probes:
+            ground.balancer.report(ground.now, number, True, 0.8)
         ground.run(SECOND // 10)
-        if link.number in ground.out:
-            ground.end(link, Outcome.STANDS)
+        if session.number in ground.out:
+            ground.end(session, Outcome.ESTABLISHED)
     for step in range(100):
         ground.now += SECOND // 10
-        due = ground.brain.wait(ground.now)
+        due = ground.balancer.wait(ground.now)
         for number in due.probes:
-            ground.brain.report(ground.now, number, True, 0.8 + 0.02 * (step % 10))
+            ground.balancer.report(ground.now, number, True, 0.8 + 0.02 * (step % 10))
         assert not due.moves
 
 
 def test_all_links_leave_a_host_that_is_quiet_and_out_of_reach_at_once() -> None:
     """A vanished host resets nothing: moved off bit by bit, its links would earn nothing for seconds."""
     for answered in (True, False):
-        ground = Ground(probes=True, probe_tells_load=True, late_told=False)
-        links = [Link(number, 0, number + 1, None, 0) for number in range(40)]
-        for link in links:
-            ground.brain.standing(ground.now, link, link.number % 2)
-        ground.brain.quiet(ground.now, 0)
-        due = ground.brain.wait(ground.now)
+        ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
+        sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
+        for session in sessions:
+            ground.balancer.standing(ground.now, session, session.number % 2)
+        ground.balancer.quiet(ground.now, 0)
+        due = ground.balancer.wait(ground.now)
         assert 0 in due.probes and 0 < len(due.moves) < 20
         ground.now += SECOND // 2
-        ground.brain.report(ground.now, 0, answered, 0.5 if answered else None)
-        moved = due.moves + ground.brain.wait(ground.now).moves
-        assert answered or sorted(moved) == [link.number for link in links if link.host == 0]
+        ground.balancer.report(ground.now, 0, answered, 0.5 if answered else None)
+        moved = due.moves + ground.balancer.wait(ground.now).moves
+        assert answered or sorted(moved) == [session.number for session in sessions if session.upstream == 0]
         assert not answered or moved == due.moves
 
 
 def test_a_host_that_may_have_filled_up_is_probed_again_before_the_next_link() -> None:
     """A crowd comes within the time that a probe serves: the figure is from before, and the host full."""
     for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
-        ground = Ground(hosts=2, probes=True, probe_tells_load=True, late_told=False)
+        ground = Ground(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
         probed = {0: 0, 1: 0}
         for key in range(1, 40):
-            link = ground.arrive(key=key)
-            for number in ground.brain.wait(ground.now).probes:
-                ground.brain.report(ground.now, number, True, load)
+            session = ground.arrive(key=key)
+            for number in ground.balancer.wait(ground.now).probes:
+                ground.balancer.report(ground.now, number, True, load)
                 probed[number] += 1
             ground.run(SECOND // 20)
-            ground.end(link, Outcome.STANDS)
+            ground.end(session, Outcome.ESTABLISHED)
         # Where there is much room a probe serves its time: looks at every few links would scatter groups.
         assert all(least <= number <= most for number in probed.values())
 
 
 def test_a_vanished_host_neither_holds_up_relief_of_others_nor_costs_links_their_tries() -> None:
     """Its links fill others: were it counted as slow with these, most would be, and none be relieved."""
-    ground = Ground(hosts=5, probes=True, probe_tells_load=True, late_told=False)
+    ground = Ground(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
-        ground.brain.standing(ground.now, Link(number, 0, number + 1, None, 0), number % 5)
-    ground.brain.wait(ground.now)
-    ground.brain.quiet(ground.now, 0)
-    ground.brain.report(ground.now, 0, False, None)
+        ground.balancer.standing(ground.now, Session(number, 0, number + 1, None, 0), number % 5)
+    ground.balancer.wait(ground.now)
+    ground.balancer.quiet(ground.now, 0)
+    ground.balancer.report(ground.now, 0, False, None)
     for number in (4, 3, 2, 1):
-        ground.brain.report(ground.now, number, True, 1.5 if number < 3 else 0.2)
-    moved = ground.brain.wait(ground.now).moves
+        ground.balancer.report(ground.now, number, True, 1.5 if number < 3 else 0.2)
+    moved = ground.balancer.wait(ground.now).moves
     assert {number % 5 for number in moved} == {0, 1, 2}
     for step in range(8):
         ground.now += SECOND // 2
-        link = ground.arrive(key=step + 1)
-        for number in ground.brain.wait(ground.now).probes:
-            ground.brain.report(ground.now, number, number != 0, 0.2)
+        session = ground.arrive(key=step + 1)
+        for number in ground.balancer.wait(ground.now).probes:
+            ground.balancer.report(ground.now, number, number != 0, 0.2)
         ground.run(SECOND // 20)
-        assert ground.out.get(link.number) != 0
-        if link.number in ground.out:
-            ground.end(link, Outcome.STANDS)
+        assert ground.out.get(session.number) != 0
+        if session.number in ground.out:
+            ground.end(session, Outcome.ESTABLISHED)
 
 
 def test_a_try_that_later_ones_have_overtaken_is_given_up_for_another_host() -> None:
     """A host that has lost a setup never answers it: its client would wait till the cut-off, and fail."""
-    for tariff, overtaken, withdrawn in ((0, True, True), (0, False, False), (4, True, False)):
-        ground = Ground(cancels=True)
-        stuck = ground.arrive(key=1, tariff=tariff, cut_off=3 * SECOND)
+    for traffic_class, overtaken, withdrawn in ((0, True, True), (0, False, False), (4, True, False)):
+        ground = Ground(can_cancel=True)
+        stuck = ground.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND)
         first = ground.out[stuck.number]
         for wait in (SECOND // 10, SECOND // 2):
-            assert not ground.brain.wait(ground.now).withdrawn, "a little later is no sign"
+            assert not ground.balancer.wait(ground.now).withdrawn, "a little later is no sign"
             ground.run(wait)
-            later = ground.arrive(key=2, cut_off=3 * SECOND)
+            later = ground.arrive(key=2, deadline=3 * SECOND)
             if overtaken:
-                ground.end(later, Outcome.STANDS)
+                ground.end(later, Outcome.ESTABLISHED)
         ground.now += LOOK_US
-        due = ground.brain.wait(ground.now)
+        due = ground.balancer.wait(ground.now)
         assert (stuck.number in due.withdrawn) is withdrawn
         if withdrawn:
             ground.end(stuck, Outcome.CANCELLED)
             assert ground.out[stuck.number] != first
             ground.now += LOOK_US
-            assert not ground.brain.wait(ground.now).withdrawn
+            assert not ground.balancer.wait(ground.now).withdrawn
 
 
 def test_a_small_host_over_its_capacity_is_relieved_where_a_large_one_has_room() -> None:
     """Among a few hosts its own figure lifts the mean: held against that it would stay full for good."""
     for large, relieved in ((0.4, True), (0.9, False)):
-        ground = Ground(hosts=0, probes=True, probe_tells_load=True, late_told=False)
+        ground = Ground(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         ground.relist(line(0, size=1.5), line(1, size=1.5), line(2, size=6.0))
         for number in range(60):
-            ground.brain.standing(ground.now, Link(number, 0, number + 1, None, 0), number % 3)
+            ground.balancer.standing(ground.now, Session(number, 0, number + 1, None, 0), number % 3)
         for number, load in ((2, large), (1, 1.0), (0, 1.15)):
-            ground.brain.report(ground.now, number, True, load)
-        assert bool(ground.brain.wait(ground.now).moves) is relieved
+            ground.balancer.report(ground.now, number, True, load)
+        assert bool(ground.balancer.wait(ground.now).moves) is relieved
 
 
-def guess(brain: Brain, now: int, number: int, key: int) -> int:
+def guess(balancer: Balancer, now: int, number: int, key: int) -> int:
     """Where a link in mid-flow is taken."""
-    return brain.place(now, Link(number, 0, key, key, now + 2 * SECOND, mid_flow=True)).host
+    return balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND, mid_flow=True)).upstream
 
 
 def test_a_link_in_mid_flow_is_not_looked_for_at_a_host_that_came_after_it() -> None:
     now = 100 * SECOND
     for fresh_up, holds in ((now - 4 * SECOND, True), (now - 30 * SECOND, False)):
-        before, after = (Brain(TERMS, random.Random(seed)) for seed in (1, 2))
+        before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
         old = [line(number) for number in range(4)]
-        before.hosts_listed(now, old, whole=True, asked=True)
-        after.hosts_listed(now, [*old, line(4, came_up=fresh_up)], whole=True, asked=True)
+        before.update_endpoints(now, old, whole=True, asked=True)
+        after.update_endpoints(now, [*old, line(4, started_at=fresh_up)], whole=True, asked=True)
         pairs = [(guess(before, now, key, key), guess(after, now, key, key)) for key in range(1, 200)]
         assert all(was == now_at for was, now_at in pairs) == holds
 
 
 def test_links_in_mid_flow_are_not_all_looked_for_at_the_few_hosts_that_are_warm() -> None:
     now = 100 * SECOND
-    brain = Brain(replace(TERMS, nodes=1, tip_multiple=100.0), random.Random(1))
-    cold = [line(number, came_up=now - 4 * SECOND) for number in range(1, 6)]
-    brain.hosts_listed(now, [line(0), *cold], whole=True, asked=True)
-    places = [guess(brain, now, key, key) for key in range(1, 60)]
+    balancer = Balancer(replace(SETTINGS, nodes=1, overload_multiple=100.0), random.Random(1))
+    cold = [line(number, started_at=now - 4 * SECOND) for number in range(1, 6)]
+    balancer.update_endpoints(now, [line(0), *cold], whole=True, asked=True)
+    places = [guess(balancer, now, key, key) for key in range(1, 60)]
     assert places.count(0) < len(places) / 2
 
 
 def test_a_link_in_mid_flow_finds_a_cold_host_where_all_are_cold_and_none_that_drains() -> None:
     now = 100 * SECOND
-    brain = Brain(replace(TERMS, nodes=1, me=0), random.Random(1))
-    cold = [line(number, came_up=now - SECOND) for number in range(3)]
-    brain.hosts_listed(now, [*cold, line(3, State.DRAINING)], whole=True, asked=True)
-    assert {guess(brain, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
+    balancer = Balancer(replace(SETTINGS, nodes=1, me=0), random.Random(1))
+    cold = [line(number, started_at=now - SECOND) for number in range(3)]
+    balancer.update_endpoints(now, [*cold, line(3, EndpointState.DRAINING)], whole=True, asked=True)
+    assert {guess(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
 
 
 @pytest.mark.parametrize(("load", "strays"), [(0.3, True), (0.8, False), (None, False)])
@@ -636,33 +649,37 @@
 ) -> None:
     now, went = 100 * SECOND, []
     for key in range(1, 40):
-        brain = Brain(replace(TERMS, probe_tells_load=True, probes=True), random.Random(key))
-        brain.hosts_listed(now, [line(number) for number in range(8)], whole=True, asked=True)
-        link = Link(key, 0, key, key, now + 2 * SECOND)
-        pair, _ = brain.pair(now, link, brain.walk(link))
-        bad = [host.number for host in pair] + [n for n in range(8) if brain.hosts[n] not in pair][:1]
-        for host in brain.hosts.values():
-            host.probed_at = now
-            brain.report(now, host.number, True, load)
-            if host.number in bad:
-                host.slow_until = now + 2 * SECOND
-        went.append(brain.place(now, link).host)
+        balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
+        balancer.update_endpoints(now, [line(number) for number in range(8)], whole=True, asked=True)
+        session = Session(key, 0, key, key, now + 2 * SECOND)
+        pair, _ = balancer.pair(now, session, balancer.walk(session))
+        bad = [upstream.number for upstream in pair] + [
+            n for n in range(8) if balancer.upstreams[n] not in pair
+        ][:1]
+        for upstream in balancer.upstreams.values():
+            upstream.probed_at = now
+            balancer.report(now, upstream.number, True, load)
+            if upstream.number in bad:
+                upstream.slow_until = now + 2 * SECOND
+        went.append(balancer.place(now, session).upstream)
         assert went[-1] not in bad
-    assert all(host >= 0 for host in went) == strays, "three of eight are slow, both of each link's own too"
+    assert all(upstream >= 0 for upstream in went) == strays, (
+        "three of eight are slow, both of each link's own too"
+    )
 
 
 def placed_by_many(figure: float, room: float, nodes: int = 60, cold: bool = False) -> list[int]:
     """Where so many nodes put a link, all having read the same figures of its pair and of the others."""
     chosen = []
     for me in range(nodes):
-        ground = Ground(seed=me, hosts=8, nodes=nodes, me=me, probes=True, probe_tells_load=True)
-        pair = [host.number for host in islice(ground.brain.walk(Link(0, 0, 1, 1, 0)), 2)]
+        ground = Ground(seed=me, upstreams=8, nodes=nodes, me=me, probes=True, probes_report_load=True)
+        pair = [upstream.number for upstream in islice(ground.balancer.walk(Session(0, 0, 1, 1, 0)), 2)]
         for number in range(8):
-            ground.brain.hosts[number].probed_at = ground.now
-            ground.brain.report(ground.now, number, True, figure if number in pair else room, 20.0)
+            ground.balancer.upstreams[number].probed_at = ground.now
+            ground.balancer.report(ground.now, number, True, figure if number in pair else room, 20.0)
         if cold:
-            ground.brain.hosts[next(n for n in range(8) if n not in pair)].came_up = ground.now
-        chosen.append(ground.arrive().host)
+            ground.balancer.upstreams[next(n for n in range(8) if n not in pair)].started_at = ground.now
+        chosen.append(ground.arrive().upstream)
         assert chosen[-1] >= 0
     return [chosen.count(number) for number in pair]
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,11 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.node.lifecycle.plan import plan_from, plan_of
-from larchlatch.node.lifecycle.reread import reread
-from larchlatch.node.listing import Listing
-from larchlatch.node.memory.counters import Counters
-from larchlatch.terms import BadInput
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.node import plan_from, plan_of
+from larchlatch.node.discovery import DiscoveryClient
+from larchlatch.node.metrics import Counters
+from larchlatch.node.reload import reread
 from tests.ground import configuration
 
 GOOD = configuration(["127.0.0.1:1"], 1)
@@ -55,7 +55,7 @@
     names = [str(item) for item in path if isinstance(item, str)]
     try:
         plan_from(spoilt(path, wrong, missing))
-    except BadInput as error:
+    except InvalidInputError as error:
         assert "\n" not in str(error)
         assert any(name in str(error) for name in names), f"names none of {names}: {error}"
 
@@ -65,7 +65,7 @@
     async def post(word: object) -> None: ...
 
     plan = plan_from(GOOD)
-    listing = Listing(plan.discovery, 1, True, Counters(), post, lambda low, high: high)
+    listing = DiscoveryClient(plan.discovery, 1, True, Counters(), post, lambda low, high: high)
     counters = Counters()
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,25 +12,26 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.duties.duties import Roster
-from larchlatch.cluster.file import fleet_from
-from larchlatch.cluster.members.exchange import Exchange, Shared
-from larchlatch.cluster.members.members import Members
-from larchlatch.cluster.shared import counts, evidence
-from larchlatch.cluster.shared.budgets import Budgets, Dealing, Limit
-from larchlatch.cluster.shared.evidence import FRESH_US, HEED_US, LOOK_US, Evidence
-from larchlatch.cluster.shared.rights import Rights, Share, Spans, dealt
-from larchlatch.cluster.wire.datagrams import Ask, Finding, Grant
-from larchlatch.days.day import Day, checked, day_of, terms_for
+from larchlatch.cluster.cluster_file import fleet_from
+from larchlatch.cluster.election.election import Roster
+from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.health import observations as evidence
+from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
+from larchlatch.cluster.membership.membership import Members
+from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
+from larchlatch.cluster.quota import counts
+from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
+from larchlatch.cluster.quota.budgets import Budgets, Dealing, Limit
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.days.day import Day, checked, day_of, settings_for
 from larchlatch.days.puppets import Drift
 from larchlatch.days.spending import Spending
 from larchlatch.emulator.company import Plain, key_of
 from larchlatch.emulator.world import World
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.room import Room
-from larchlatch.node.module import Module
-from larchlatch.node.peer import Reach
-from larchlatch.terms import BadInput
+from larchlatch.node.balancer_actor import BalancerActor
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.metrics import Counters
 from tests.test_cluster import ENTRY, OTHER
 
 SECOND = 1_000_000
@@ -69,7 +70,7 @@
     for drift in drifts:
         drift.run(START, chance.choice((-0.01, 0.0, 0.01)))
     sides = [Side(name, START, drift, chance) for name, drift in zip(NAMES, drifts, strict=True)]
-    judge, bag, cut, links = Spending(LIMIT, SECOND), list[tuple[int, float, str, bytes]](), "", 0
+    judge, bag, cut, sessions = Spending(LIMIT, SECOND), list[tuple[int, float, str, bytes]](), "", 0
     wanting: list[str] = []
     for now in range(START, START + span_s * SECOND, STEP):
         if now % (3 * SECOND) == START % (3 * SECOND):
@@ -96,10 +97,10 @@
                 side.beat_at = now + BEAT
                 sent += [(name, *d) for d in side.exchange.beat(side.drift.at(now), now).datagrams]
             for _ in range(chance.choice((0, 0, 0, 0, 1, 1, 2)) * (name in wanting)):
-                links += 1
-                judge.asked(now, str(links))
+                sessions += 1
+                judge.asked(now, str(sessions))
                 if not side.budgets.admit(side.drift.at(now), "t"):
-                    judge.seen(now, str(links))
+                    judge.seen(now, str(sessions))
         for one, to, data in sent:
             if chance.random() < loss or (one in cut) is not (to in cut):
                 continue
@@ -296,9 +297,9 @@
 
 
 def test_what_is_spent_goes_to_the_next_process_of_a_node_with_all_else_it_learned() -> None:
-    def module(fellows: Any) -> Module:
-        reach, room = Reach(250_000, False, False, 0), Room(100)
-        made = Module(terms_for(Day(), 0), [], [], random.Random(1), reach, room, Counters())
+    def module(fellows: Any) -> BalancerActor:
+        reach, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
+        made = BalancerActor(settings_for(Day(), 0), [], [], random.Random(1), reach, room, Counters())
         made.fellows = fellows
         return made
 
@@ -425,7 +426,7 @@
     ],
 )
 def test_a_faulty_budget_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
-    with pytest.raises(BadInput) as error:
+    with pytest.raises(InvalidInputError) as error:
         fleet_from({"nodes": [ENTRY, OTHER], **change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,30 +19,40 @@
 import pytest
 from anyio.abc import TaskGroup, UNIXSocketStream
 
-from larchlatch.brain import Brain
-from larchlatch.cluster.file import new_secret
+from larchlatch.cluster.cluster_file import new_secret
+from larchlatch.config.deployment import InvalidInputError
+from larchlatch.config.endpoints import EndpointEntry, EndpointList
+from larchlatch.config.node import plan_from
+from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.spending import Spending
-from larchlatch.links import Link, Outcome
 from larchlatch.node.client import Door
 from larchlatch.node.clock import now_us
-from larchlatch.node.lifecycle.handover import Meeting, hello
-from larchlatch.node.lifecycle.phase import Phase
-from larchlatch.node.lifecycle.plan import plan_from
-from larchlatch.node.memory.counters import Counters
-from larchlatch.node.memory.room import Room
-from larchlatch.node.peer import Peer, Reach
-from larchlatch.node.wire.catalog import Member, Members
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.hot_restart.handover import Meeting, hello
+from larchlatch.node.hot_restart.packets import (
+    Ceded,
+    Channel,
+    Hello,
+    Packet,
+    Serving,
+    Standing,
+    Welcome,
+    encoded,
+)
+from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.wire.lines import MOVE
-from larchlatch.node.wire.passing import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome, encoded
 from larchlatch.node.wire.stream import Ending, Lines
-from larchlatch.state_export import export_state, restore_state
-from larchlatch.terms import BadInput
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.state_export import export_state, restore_state
+from larchlatch.policy.types import Outcome, Session
 from tests.ground import (
     SECOND,
-    TERMS,
+    SETTINGS,
     Discovery,
-    Hosts,
     Running,
+    Upstreams,
     call,
     configuration,
     door_address,
@@ -67,12 +77,12 @@
         self.number = 0
         self.arguments: list[str] = []  # that its processes are started with
 
-    async def start(self, hosts: Hosts, **changes: Any) -> Site:
+    async def start(self, upstreams: Upstreams, **changes: Any) -> Site:
         discovery = await Discovery([NEWS]).start(self.tasks)
         # The stand-ins share this machine with the tests: late by its load, hosts would count as slow, and
         # links be shed as they should. Nothing here is about slow hosts.
         changes["domain"] = {"tells_delay": False, **changes.get("domain", {})}
-        self.raw = configuration(hosts.addresses, discovery.port, **changes)
+        self.raw = configuration(upstreams.addresses, discovery.port, **changes)
         self.raw["listen"] = door_address()
         self.write()
         return self
@@ -140,8 +150,8 @@
     """Exclusive links all along: each host counts what it is sent, each client what it is answered."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(hosts, domain={"mode": mode})
+        upstreams = await Upstreams("UP echo").start(tasks, 3)
+        site = await Site(tasks, tmp_path).start(upstreams, domain={"mode": mode})
         async with site.process() as first:
             for _ in range(15):
                 tasks.start_soon(site.talk)
@@ -161,7 +171,7 @@
         seen = site.seen
         assert set(seen) <= {"UP", "lines", "moved", "broken"}, "turned back or without an answer"
         assert seen["UP"] >= 30 and seen["broken"] <= seen["UP"]
-        ids = Counter(line.split()[1] for _, line in hosts.lines)
+        ids = Counter(line.split()[1] for _, line in upstreams.lines)
         assert max(ids.values()) == 1, "an exclusive link tried twice"
         assert len(ids) == seen["UP"]
 
@@ -170,8 +180,8 @@
 
 def test_no_line_is_lost_or_doubled_over_an_upgrade(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        site = await Site(tasks, tmp_path).start(upstreams)
         async with site.process() as first, anyio.create_task_group() as clients:
             for _ in range(25):
                 clients.start_soon(site.talk, 0.005)
@@ -187,8 +197,8 @@
 
 def test_descriptors_of_both_together_keep_within_the_limit(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        site = await Site(tasks, tmp_path).start(upstreams)
         limit = site.raw["limits"]["sockets"] = 256
         site.write()
         most = 0
@@ -221,8 +231,8 @@
 
 def test_a_drain_goes_on_over_an_upgrade(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        site = await Site(tasks, tmp_path).start(upstreams)
         async with site.process() as first:
             for _ in range(20):
                 tasks.start_soon(site.talk)
@@ -266,8 +276,8 @@
     monkeypatch.setenv("TMPDIR", "")
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        site = await Site(tasks, tmp_path).start(upstreams)
         async with site.process() as first:
             for _ in range(5):
                 tasks.start_soon(site.talk)
@@ -312,8 +322,8 @@
 
 def test_the_old_process_killed_halfway_leaves_the_new_one_with_what_it_has(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        site = await Site(tasks, tmp_path).start(upstreams)
         async with site.process() as first:
             for _ in range(30):
                 tasks.start_soon(site.talk)
@@ -335,8 +345,8 @@
 
 def test_a_stale_or_foreign_file_in_the_folder_costs_nothing(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks)
+        site = await Site(tasks, tmp_path).start(upstreams)
         meeting = Meeting(tmp_path, plan_from(site.raw, door_address()))
         (tmp_path / meeting.name).write_bytes(b"no socket at all")
         async with site.process() as first:
@@ -355,9 +365,9 @@
 
 def test_an_upgrade_while_the_list_is_out_of_reach_goes_by_what_the_old_one_heard(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 2)
-        told = [member(n, at) for n, at in enumerate(hosts.addresses)]
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 2)
+        told = [member(n, at) for n, at in enumerate(upstreams.addresses)]
+        site = await Site(tasks, tmp_path).start(upstreams)
         discovery = await Discovery([{"revision": 9, "complete": True, "members": told}], []).start(tasks)
         # The file has never heard of these hosts, and from now on nobody tells of them.
         site.raw["known"] = {"revision": 1, "complete": True, "members": []}
@@ -381,8 +391,8 @@
     out: set[str] = set()  # links without an answer yet: none may be when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP echo").start(tasks, 3)
+        site = await Site(tasks, tmp_path).start(upstreams)
         key, address = new_secret(tmp_path / "n0.key"), door_address()
         (tmp_path / "cluster.toml").write_text(
             f'[[budgets]]\nname = "all"\nlinks_per_s = 20\ntariffs = ["once"]\n'
@@ -395,7 +405,7 @@
             str(tmp_path / "n0.key"),
         ]
 
-        async def link() -> None:
+        async def session() -> None:
             began = now_us()
             client = await site.opened()
             ident = str(began)
@@ -410,7 +420,7 @@
 
         async def come() -> None:
             while anyio.current_time() < end:
-                tasks.start_soon(link)
+                tasks.start_soon(session)
                 await anyio.sleep(0.02)
 
         async with site.process() as first:
@@ -445,20 +455,20 @@
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
 
-        counters, room = Counters(), Room(64)
-        reach = Reach(250_000, False, True, 50_000)
+        counters, room = Counters(), DescriptorBudget(64)
+        reach = UpstreamSettings(250_000, False, True, 50_000)
         module: Any = SimpleNamespace(numbers={"s-0": 0}, enough_us=0, post=post)
-        module.peers = {0: Peer(0, "s-0", ("127.0.0.1", 1), reach, room, counters, post)}
+        module.upstream_actors = {0: UpstreamActor(0, "s-0", ("127.0.0.1", 1), reach, room, counters, post)}
         phase = Phase(5.0, False)
         door = Door(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND, 0):
             pairs = [connected(), connected()]
-            told = Standing(b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.CUT), b"", b"")
+            told = Standing(b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b"")
             tasks.start_soon(door.resume, told, [ours for ours, _ in pairs])
             await until(lambda: bool(door.standing))
-            [hand] = door.standing.values()
-            assert hand.asked_at >= began if asked_at else hand.asked_at == 0
+            [record] = door.standing.values()
+            assert record.asked_at >= began if asked_at else record.asked_at == 0
             for _, theirs in pairs:
                 theirs.close()
             await until(lambda: not door.standing)
@@ -470,8 +480,8 @@
     """What its hosts answered meanwhile lies unread: it moves no link, and turns nobody away."""
 
     async def body(tasks: TaskGroup) -> None:
-        hosts = await Hosts("UP slow echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(hosts)
+        upstreams = await Upstreams("UP slow echo").start(tasks, 3)
+        site = await Site(tasks, tmp_path).start(upstreams)
         async with site.process() as running, anyio.create_task_group() as clients:
             for _ in range(30):
                 clients.start_soon(site.talk, 0.0)
@@ -493,10 +503,14 @@
 
 PACKETS: list[Packet] = [
     Hello("n0", "127.0.0.1:3000"),
-    Welcome(Members(7, True, [Member("s-0", ("127.0.0.1", 3000), "a", 3, line(0).state, 1.0, 9000)])),
+    Welcome(
+        EndpointList(7, True, [EndpointEntry("s-0", ("127.0.0.1", 3000), "a", 3, line(0).state, 1.0, 9000)])
+    ),
     Serving(),
     Ceded({"hosts": {}, "asked": [], "noted": 0.0}, ["id1", "idé"], 12, 0.5, 17),
-    Standing(b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, 0, int(Outcome.CUT), b"half a l\xff", b"one\r\ntwo"),
+    Standing(
+        b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, 0, int(Outcome.RESET), b"half a l\xff", b"one\r\ntwo"
+    ),
 ]
 
 
@@ -532,7 +546,7 @@
         ours, theirs = socket.socketpair()
         ours.send(b"LL\x01\x00" + len(text).to_bytes(4) + text)
         theirs.setblocking(False)
-        with pytest.raises(BadInput, match="packet"):
+        with pytest.raises(InvalidInputError, match="packet"):
             await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
         ours.close()
         theirs.close()
@@ -543,37 +557,40 @@
 # What Brain hands on.
 
 
-def brain(came_up: int, **terms: Any) -> Brain:
-    made = Brain(
-        replace(TERMS, probes=True, probe_tells_load=True, late_told=False, **terms), random.Random(3)
+def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
+    made = Balancer(
+        replace(SETTINGS, probes=True, probes_report_load=True, reports_delay=False, **deployment_settings),
+        random.Random(3),
+    )
+    made.update_endpoints(
+        100 * SECOND, [line(0), line(1), line(2, started_at=started_at)], whole=True, asked=True
     )
-    made.hosts_listed(100 * SECOND, [line(0), line(1), line(2, came_up=came_up)], whole=True, asked=True)
     return made
 
 
-def filled(made: Brain, now: int, first: int, times: int) -> int:
+def filled(made: Balancer, now: int, first: int, times: int) -> int:
     """How many of so many new links go to the cold host."""
     went = 0
     for number in range(first, first + times):
-        link = Link(number, 0, number, number, now + 2 * SECOND)
-        for host in made.hosts.values():
-            host.probed_at = now
-            made.report(now, host.number, True, *((0.05, 0.0) if host.came_up else (0.5, 50.0)))
-        answer = made.place(now, link)
-        if answer.host >= 0:
-            went += answer.host == 2
-            made.outcome(now, link, Outcome.STANDS)
+        session = Session(number, 0, number, number, now + 2 * SECOND)
+        for upstream in made.upstreams.values():
+            upstream.probed_at = now
+            made.report(now, upstream.number, True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0)))
+        answer = made.place(now, session)
+        if answer.upstream >= 0:
+            went += answer.upstream == 2
+            made.outcome(now, session, Outcome.ESTABLISHED)
     return went
 
 
 def test_a_cold_hosts_budget_is_spent_once_by_both_processes() -> None:
     now = 100 * SECOND
     for seed in range(20):
-        came_up = now - 14 * SECOND - seed * SECOND // 20
-        alone, old, new = (brain(came_up, nodes=1) for _ in range(3))
+        started_at = now - 14 * SECOND - seed * SECOND // 20
+        alone, old, new = (balancer(started_at, nodes=1) for _ in range(3))
         whole = filled(alone, now, 1000 * seed, 400)
         assert whole > 0
-        idle = brain(came_up, nodes=1)
+        idle = balancer(started_at, nodes=1)
         idle.cede(True)
         assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
         spent = filled(old, now, 1000 * seed, 200)
@@ -587,23 +604,23 @@
 
 def test_what_was_learned_comes_with_the_clocks_difference_and_not_for_a_host_started_anew() -> None:
     now, shift = 100 * SECOND, 7 * SECOND
-    old, new = brain(0), brain(now - SECOND)
-    for host in (0, 1, 2):
-        old.report(now, host, True, 0.9, 90.0)
-        old.quiet(now, host)
+    old, new = balancer(0), balancer(now - SECOND)
+    for upstream in (0, 1, 2):
+        old.report(now, upstream, True, 0.9, 90.0)
+        old.quiet(now, upstream)
     plain = orjson.loads(orjson.dumps(export_state(old)))
     restore_state(new, plain, shift)
     for number in (0, 1):
-        assert new.hosts[number].x0 == 0.9
-        assert new.hosts[number].slow_until == old.hosts[number].slow_until + shift
-    assert new.hosts[2].x0 == 0.0, "the process that was seen there is gone"
+        assert new.upstreams[number].utilization == 0.9
+        assert new.upstreams[number].slow_until == old.upstreams[number].slow_until + shift
+    assert new.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
 
 
 @pytest.mark.parametrize(
     "change", [{"hosts": {"host-0": {"came_up": 0}}}, {"asked": ["x"]}, {"noted": None}, {"hosts": 3}]
 )
 def test_what_can_not_be_read_leaves_no_half_of_it_behind(change: dict[str, Any]) -> None:
-    old, new = brain(0), brain(0)
+    old, new = balancer(0), balancer(0)
     old.report(100 * SECOND, 1, True, 0.9, 90.0)
     before = export_state(new)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
