--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -11,8 +11,8 @@
 import structlog
 
 from larchlatch import VERSION
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.node import Plan, plan_of
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.ports import Join
 from larchlatch.node.runtime import node
 
--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -8,8 +8,8 @@
 from msgspec import Meta, field
 
 from larchlatch.broker.quotas import Dimension, Level, Limits
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.errors import ConfigurationError
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -72,10 +72,10 @@
     for place, team in enumerate(contracts.teams):
         where = f"teams[{place}]"
         if team.pool not in pools:
-            raise InvalidInputError(f"contracts: {where}.pool: there is no pool {team.pool!r}")
+            raise ConfigurationError("contracts", f"{where}.pool: there is no pool {team.pool!r}")
         for key in KEYS.values():
             if team.most is not None and getattr(team.most, key) < getattr(team.promised, key):
-                raise InvalidInputError(f"contracts: {where}.most.{key}: less than is promised")
+                raise ConfigurationError("contracts", f"{where}.most.{key}: less than is promised")
         parts_fit(team.parts, where)
     for pool in contracts.pools:
         promises_fit(pool, [team for team in contracts.teams if team.pool == pool.name])
@@ -85,7 +85,7 @@
 def once(names: list[str], where: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise InvalidInputError(f"contracts: {where}: {name!r} stands twice")
+            raise ConfigurationError("contracts", f"{where}: {name!r} stands twice")
 
 
 def promises_fit(pool: Pool, teams: list[Team]) -> None:
@@ -96,9 +96,10 @@
             sum_of += getattr(team.promised, key)
             if sum_of > able * (1 + SLACK):
                 with_it = f"{teams[0].name!r} and {team.name!r}" if place else f"{team.name!r}"
-                raise InvalidInputError(
-                    f"contracts: teams {with_it} can't both be met: {key}: {sum_of:g} is promised of pool "
-                    f"{pool.name!r}, which can do {able:g}: {sum_of - able:g} too many"
+                raise ConfigurationError(
+                    "contracts",
+                    f"teams {with_it} can't both be met: {key}: {sum_of:g} is promised of pool "
+                    f"{pool.name!r}, which can do {able:g}: {sum_of - able:g} too many",
                 )
 
 
@@ -106,12 +107,12 @@
     once([part.name for part in parts], f"{where}.parts")
     whole = sum(part.share for part in parts)
     if whole > 1 + SLACK:
-        raise InvalidInputError(
-            f"contracts: {where}.parts: their shares sum to {whole:g}, {whole - 1:g} too many"
+        raise ConfigurationError(
+            "contracts", f"{where}.parts: their shares sum to {whole:g}, {whole - 1:g} too many"
         )
     for place, part in enumerate(parts):
         if part.most < part.share:
-            raise InvalidInputError(f"contracts: {where}.parts[{place}].most: less than its share")
+            raise ConfigurationError("contracts", f"{where}.parts[{place}].most: less than its share")
         parts_fit(part.parts, f"{where}.parts[{place}]")
 
 
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -4,9 +4,7 @@
 
 import os
 import secrets
-from collections.abc import Iterable
-from pathlib import Path
-from typing import Annotated, Any
+from typing import TYPE_CHECKING, Annotated, Any
 
 from msgspec import Meta, field
 from xxhash import xxh3_64_intdigest
@@ -16,9 +14,13 @@
 from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.endpoints import address_of
 from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.errors import ConfigurationError
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+    from pathlib import Path
 
 NAME_BYTES = 32  # a record names its origin: long names leave room for fewer records in a datagram
 MOST_NODES = 1000
@@ -96,19 +98,21 @@
     for place, entry in enumerate(read.nodes):
         where = f"{top}: nodes[{place}]"
         if entry.name in peers:
-            raise InvalidInputError(f"{where}.name: there are two of this name ({entry.name})")
+            raise ConfigurationError(f"{where}.name", f"there are two of this name ({entry.name})")
         if len(entry.name.encode()) > NAME_BYTES:
-            raise InvalidInputError(f"{where}.name: longer than {NAME_BYTES} bytes")
+            raise ConfigurationError(f"{where}.name", f"longer than {NAME_BYTES} bytes")
         address = address_of(entry.address, f"{where}.address")
         if not address[1]:
-            raise InvalidInputError(f"{where}.address: the others have to know its port ({entry.address})")
+            raise ConfigurationError(
+                f"{where}.address", f"the others have to know its port ({entry.address})"
+            )
         if address in taken:
-            raise InvalidInputError(f"{where}.address: {taken[address]} has it as well ({entry.address})")
+            raise ConfigurationError(f"{where}.address", f"{taken[address]} has it as well ({entry.address})")
         key = key_of(entry.key)
         if key is None:
-            raise InvalidInputError(f"{where}.key: not {PUBLIC_BYTES} bytes as hexadecimal digits")
+            raise ConfigurationError(f"{where}.key", f"not {PUBLIC_BYTES} bytes as hexadecimal digits")
         if any(key == peer.key for peer in peers.values()):
-            raise InvalidInputError(f"{where}.key: another node has it as well")
+            raise ConfigurationError(f"{where}.key", "another node has it as well")
         peers[entry.name] = Peer(name=entry.name, address=address, site=entry.site, key=key)
         taken[address] = entry.name
     dealing = dealing_of(read, top)
@@ -128,18 +132,18 @@
         return Roster()
     where = f"{top}: duties"
     if len(work.electors) % 2 == 0:
-        raise InvalidInputError(
-            f"{where}.electors: an odd number of them, or half could promise one thing, half another"
+        raise ConfigurationError(
+            f"{where}.electors", "an odd number of them, or half could promise one thing, half another"
         )
     for place, name in enumerate(work.electors):
         if name not in dealing.names:
-            raise InvalidInputError(f"{where}.electors[{place}]: not among the nodes ({name})")
+            raise ConfigurationError(f"{where}.electors[{place}]", f"not among the nodes ({name})")
         if name in work.electors[:place]:
-            raise InvalidInputError(f"{where}.electors[{place}]: named twice ({name})")
+            raise ConfigurationError(f"{where}.electors[{place}]", f"named twice ({name})")
     if read.beat_ms * BEATS_A_TERM > work.term_ms:
-        raise InvalidInputError(f"{where}.term_ms: less than {BEATS_A_TERM} beats ({work.term_ms})")
+        raise ConfigurationError(f"{where}.term_ms", f"less than {BEATS_A_TERM} beats ({work.term_ms})")
     if work.allot and not dealing.limits:
-        raise InvalidInputError(f"{where}.allot: there are no budgets to deal out")
+        raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
     tenure = Tenure(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
     duties = (ALLOTTER,) * work.allot + (PACER,) * work.pace
     mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
@@ -154,21 +158,21 @@
     for place, budget in enumerate(read.budgets):
         where = f"{top}: budgets[{place}]"
         if any(budget.name == limit.name for limit in limits):
-            raise InvalidInputError(f"{where}.name: there are two of this name ({budget.name})")
+            raise ConfigurationError(f"{where}.name", f"there are two of this name ({budget.name})")
         for traffic_class in budget.traffic_classes:
             if traffic_class in taken:
-                raise InvalidInputError(
-                    f"{where}.tariffs: {traffic_class} is in {taken[traffic_class]} as well"
+                raise ConfigurationError(
+                    f"{where}.tariffs", f"{traffic_class} is in {taken[traffic_class]} as well"
                 )
             taken[traffic_class] = budget.name
         sessions = int(budget.sessions_per_s * read.window_ms / 1000)
         if sessions < 1:
-            raise InvalidInputError(
-                f"{where}.links_per_s: less than one link in a window ({budget.sessions_per_s})"
+            raise ConfigurationError(
+                f"{where}.links_per_s", f"less than one link in a window ({budget.sessions_per_s})"
             )
         limits.append(Limit(budget.name, sessions, tuple(budget.traffic_classes)))
     if limits and read.beat_ms * BEATS_A_TERM > read.term_ms:
-        raise InvalidInputError(f"{top}: term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
+        raise ConfigurationError(top, f"term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
     names = tuple(sorted(entry.name for entry in read.nodes))
     allot = read.duties is not None and read.duties.allot
     mark = digest(dealing_text(limits, names, read.floor, spans, allot))
@@ -203,8 +207,8 @@
     for limit in fleet.dealing.limits:
         for traffic_class in limit.traffic_classes:
             if traffic_class not in known:
-                raise InvalidInputError(
-                    f"cluster: budgets: {limit.name}: this node has no such tariff ({traffic_class})"
+                raise ConfigurationError(
+                    "cluster", f"budgets: {limit.name}: this node has no such tariff ({traffic_class})"
                 )
 
 
@@ -214,13 +218,15 @@
     old, new = set(before.roster.electors), set(fleet.roster.electors)
     if old and new and (len(new - old) > 1 or len(old - new) > 1):
         names = ", ".join(sorted(old ^ new))
-        raise InvalidInputError(f"cluster: duties.electors: more than one is exchanged at a time ({names})")
+        raise ConfigurationError(
+            "cluster", f"duties.electors: more than one is exchanged at a time ({names})"
+        )
 
 
 def own_entry(fleet: Fleet, name: str) -> Peer:
     """What the file has for this node; BadInput where it has nothing."""
     if name not in fleet.peers:
-        raise InvalidInputError(f"cluster: nodes: this node is not among them ({name})")
+        raise ConfigurationError("cluster", f"nodes: this node is not among them ({name})")
     return fleet.peers[name]
 
 
@@ -229,9 +235,9 @@
     own = own_entry(fleet, name)
     seal = seal_of(secret)
     if seal is None:
-        raise InvalidInputError("cluster key: not 32 bytes as hexadecimal digits")
+        raise ConfigurationError("cluster key", "not 32 bytes as hexadecimal digits")
     if seal.public != own.key:
-        raise InvalidInputError(f"cluster key: not the one that the file has for {name}")
+        raise ConfigurationError("cluster key", f"not the one that the file has for {name}")
     return seal
 
 
@@ -240,7 +246,7 @@
         return path.read_text(encoding="ascii").strip()
     except (OSError, UnicodeDecodeError) as error:
         why = error.strerror if isinstance(error, OSError) else "not hexadecimal digits"
-        raise InvalidInputError(f"cluster key: can't be read ({why}: {path})") from None
+        raise ConfigurationError("cluster key", f"can't be read ({why}: {path})") from None
 
 
 def new_secret(path: Path) -> str:
@@ -252,5 +258,5 @@
         with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as out:
             out.write(secret + "\n")
     except OSError as error:
-        raise InvalidInputError(f"cluster key: can't be written ({error.strerror}: {path})") from None
+        raise ConfigurationError("cluster key", f"can't be written ({error.strerror}: {path})") from None
     return seal.public.hex()
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -3,9 +3,7 @@
 from __future__ import annotations
 
 from collections import Counter, deque
-from collections.abc import Callable, Mapping, Sequence
-from random import Random
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from xxhash import xxh3_64_intdigest
 
@@ -21,6 +19,10 @@
 )
 from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+    from random import Random
+
 ALLOTTER = "allotter"  # deals out what budgets hold above all floors
 PACER = "pacer"  # says which node may send a link to a cold host
 STANDING = 3  # nodes that would have a duty at a time: all others have them to vote for, and ask nothing
--- a/larchlatch/cluster/election/leases.py
+++ b/larchlatch/cluster/election/leases.py
@@ -8,11 +8,13 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from math import ceil
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
 
 RENEWED = 2  # a lease is renewed when half of its term is left: a lost round or two must not end it
 ROUNDS = 8  # rounds of asking that fit into a term: longer than an answer takes, and lost ones cost little
@@ -258,7 +260,8 @@
     @staticmethod
     def ends_at(asked_at: int, left_us: int) -> int:
         """Until when an order holds that was asked for then, by the clock of who asked; left_us: of the lease
-        when it was given."""
+        when it was given.
+        """
         # It was given after it was asked for: it ends before any other can hold the duty, however long it was
         # under way, and however far the clocks are off (docs/duties.md has the reckoning).
         return asked_at + left_us
--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -2,13 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
-from random import Random
-from typing import NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Duties, Roster
 from larchlatch.cluster.health.observations import Advice, Evidence
-from larchlatch.cluster.membership.membership import Change, Members
 from larchlatch.cluster.protocol.datagrams import (
     Ask,
     Bid,
@@ -29,7 +26,13 @@
 from larchlatch.cluster.quota.budgets import Budgets, Dealing
 from larchlatch.cluster.quota.counts import Counts
 from larchlatch.cluster.slow_start.tokens import Pacing, Told
-from larchlatch.policy.types import TokenCandidate
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Mapping
+    from random import Random
+
+    from larchlatch.cluster.membership.membership import Change, Members
+    from larchlatch.policy.types import TokenCandidate
 
 
 class Sealing(Protocol):
@@ -59,7 +62,8 @@
 
 class Taken(NamedTuple):
     """What came of a datagram: who is there again, answers that go out at once, orders carried out, and
-    what the pacer gives leave for."""
+    what the pacer gives leave for.
+    """
 
     changes: list[Change]
     datagrams: list[tuple[str, bytes]]
--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -7,12 +7,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.protocol.datagrams import Finding
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+
 TELLING = 2  # failed looks in a row that are told to others: one may be a lost packet
 WITNESSES = 2  # so many others must have found the same; in two sites, where there are several
 FRESH_US = 3_000_000  # a look, failed or good, counts for so long: hosts on probation are probed every 2 s
@@ -83,7 +85,8 @@
         several: bool,
     ) -> Advice:
         """What to make of it; ages: of the records with claims; several: whether members of more than one
-        site are present."""
+        site are present.
+        """
         said: dict[int, set[str]] = {}
         lately: dict[int, set[str]] = {}
         for name, findings in claims.items():
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -6,13 +6,11 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass, field
 from enum import Enum
 from heapq import nsmallest
 from itertools import islice, zip_longest
-from random import Random
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.protocol.datagrams import (
     MOST_BYTES,
@@ -27,6 +25,10 @@
     size_of,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+    from random import Random
+
 USUAL_BEAT_US = 200_000  # for which the figures here were measured
 FAN_OUT = 3  # members that a beat goes to: a record reaches all in a few beats, also with one in five lost
 BASE_SILENCE_US = 1_600_000  # eight usual beats: by six, some of eight were misjudged at one in five lost
--- a/larchlatch/cluster/quota/budgets.py
+++ b/larchlatch/cluster/quota/budgets.py
@@ -3,14 +3,16 @@
 from __future__ import annotations
 
 from collections import Counter
-from collections.abc import Callable, Mapping, Sequence
-from random import Random
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.election.leases import Fence
 from larchlatch.cluster.protocol.datagrams import Ask, Grant, Standing
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+    from random import Random
+
 ASKS = 8  # notes that a beat asks by, over all budgets: bounds what a node sends, whatever is wanted
 LENDERS = 3  # asked for one budget in a beat: more would each lend a little, and all have to be asked again
 LOANS = 24  # that a node has of one budget at a time: each has to be renewed once in half a term
@@ -218,7 +220,8 @@
 
     def answer(self, now: int, ask: Ask, order: tuple[int, int] = (0, 0)) -> Grant | None:
         """What is lent to whoever asks: taken off here before it is told; order: the lease by which this node
-        may deal out the pools now, and how long that holds."""
+        may deal out the pools now, and how long that holds.
+        """
         self.heard[ask.sender] = ask.incarnation, ask.number
         lease, left_us = order
         if self.dealing.allot and lease != self.lease:
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -8,11 +8,13 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Sequence
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.protocol.datagrams import Record
-from larchlatch.cluster.quota.budgets import Dealing
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from larchlatch.cluster.protocol.datagrams import Record
+    from larchlatch.cluster.quota.budgets import Dealing
 
 WINDOWS = 10  # the stretch that is told of: a cut of a few windows shows in it, and has left it soon after
 THIN_US = 100_000  # samples of one origin are so far apart, which is enough for ten a window of a second
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -4,10 +4,7 @@
 
 import socket
 import time
-from collections.abc import Iterable, Mapping
-from pathlib import Path
-from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
 import structlog
@@ -19,12 +16,18 @@
 from larchlatch.cluster.membership.membership import Change, Members, State
 from larchlatch.cluster.protocol.datagrams import MOST_BYTES
 from larchlatch.cluster.protocol.signing import Checks, Seal
-from larchlatch.cluster.slow_start.tokens import Told
-from larchlatch.config.deployment import InvalidInputError
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import now_us
-from larchlatch.node.metrics import Counters
-from larchlatch.node.ports import Hearing
-from larchlatch.policy.types import TokenCandidate
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Mapping
+    from pathlib import Path
+    from random import Random
+
+    from larchlatch.cluster.slow_start.tokens import Told
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.ports import Hearing
+    from larchlatch.policy.types import TokenCandidate
 
 ROOM = 1 << 20  # bytes that may lie unread: a node that is stopped for a while must not lose what is newest
 AT_ONCE = 200  # datagrams read before others have their turn: a flood must not keep the node from its links
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -9,16 +9,19 @@
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from itertools import takewhile
 from math import ceil
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.election.election import PACER, Roster
 from larchlatch.cluster.election.leases import Fence
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
-from larchlatch.policy.types import TokenCandidate
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from larchlatch.policy.types import TokenCandidate
 
 RENEWALS = 3  # in the time for which turns are handed over, where a host is cold: two may be lost
 IDLE_RENEWALS = 2  # and where none is: so that a host that comes up need not wait until all have promised
--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -4,6 +4,7 @@
 
 from typing import Any
 
+from larchlatch.errors import InvalidInputError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
 REPEATS = {
@@ -16,17 +17,13 @@
 MOST = 2**53  # beyond it a number in JSON is no longer exact: microseconds of centuries
 
 
-class InvalidInputError(Exception):
-    """Something that came in is not as its page says; the text says what and where."""
-
-
 def need(holder: dict[str, Any], item: str, kind: Any, where: str) -> Any:
     """The item of that name, or a plain complaint."""
     if item not in holder:
-        raise InvalidInputError(f"{where}: {item} is missing")
+        raise InvalidInputError(where, f"{item} is missing")
     value = holder[item]
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise InvalidInputError(f"{where}: {item} has the wrong type ({type(value).__name__})")
+        raise InvalidInputError(where, f"{item} has the wrong type ({type(value).__name__})")
     return value
 
 
@@ -41,14 +38,14 @@
         need(holder, item, NUMBER, where) if default is None else maybe(holder, item, NUMBER, where, default)
     )
     if not 0 <= value < MOST:
-        raise InvalidInputError(f"{where}: {item} is out of range ({value})")
+        raise InvalidInputError(where, f"{item} is out of range ({value})")
     return int(value)
 
 
 def known(value: str, names: dict[str, Any], where: str) -> Any:
     """What the wire's word stands for."""
     if value not in names:
-        raise InvalidInputError(f"{where}: unknown value {value!r}")
+        raise InvalidInputError(where, f"unknown value {value!r}")
     return names[value]
 
 
@@ -64,11 +61,11 @@
     for place, entry in enumerate(need(conf, "tariffs", list, top)):
         where = f"{top}.tariffs[{place}]"
         if not isinstance(entry, dict):
-            raise InvalidInputError(f"{where}: not an object")
+            raise InvalidInputError(where, "not an object")
         wanted = message_objective_us[place] if place < len(message_objective_us) else 0
         if not isinstance(wanted, NUMBER):
             raise InvalidInputError(
-                f"{top}.domain: message_aim_us[{place}] has the wrong type ({type(wanted).__name__})"
+                f"{top}.domain", f"message_aim_us[{place}] has the wrong type ({type(wanted).__name__})"
             )
         traffic_classes.append(
             TrafficClass(
--- a/larchlatch/config/endpoints.py
+++ b/larchlatch/config/endpoints.py
@@ -6,7 +6,8 @@
 
 import orjson
 
-from larchlatch.config.deployment import NUMBER, InvalidInputError, known, need, whole
+from larchlatch.config.deployment import NUMBER, known, need, whole
+from larchlatch.errors import InvalidInputError, ProtocolError
 from larchlatch.policy.types import EndpointState
 
 STATES = {
@@ -41,16 +42,16 @@
 def address_of(text: str, where: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise InvalidInputError(f"{where}: not an address with a port ({text[:60]!r})")
+        raise ProtocolError(where, f"not an address with a port ({text[:60]!r})")
     return host.strip("[]"), int(port)
 
 
 def endpoint_entry_of(raw: Any, where: str) -> EndpointEntry:
     if not isinstance(raw, dict):
-        raise InvalidInputError(f"{where}: not an object")
+        raise ProtocolError(where, "not an object")
     cell, size = raw.get("cell"), raw.get("size")
     if isinstance(size, NUMBER) and size >= LARGEST:
-        raise InvalidInputError(f"{where}.size: too large ({size:g})")
+        raise ProtocolError(f"{where}.size", f"too large ({size:g})")
     return EndpointEntry(
         name=need(raw, "id", str, where),
         address=address_of(need(raw, "host_port", str, where), f"{where}.host_port"),
@@ -64,7 +65,7 @@
 
 def endpoint_list_of(raw: Any, where: str) -> EndpointList:
     if not isinstance(raw, dict):
-        raise InvalidInputError(f"{where}: not an object")
+        raise ProtocolError(where, "not an object")
     rows = need(raw, "members", list, where)
     return EndpointList(
         revision=need(raw, "revision", int, where),
@@ -79,7 +80,7 @@
     One faulty entry costs no other host its news: a drain that stands beside it was told.
     """
     if not isinstance(raw, dict):
-        raise InvalidInputError(f"{where}: not an object")
+        raise ProtocolError(where, "not an object")
     members: list[EndpointEntry] = []
     faults: list[str] = []
     unreadable: list[str] = []
@@ -122,4 +123,4 @@
     try:
         return readable_of(orjson.loads(text), "list")
     except orjson.JSONDecodeError as error:
-        raise InvalidInputError(f"list: no JSON ({error})") from None
+        raise ProtocolError("list", f"no JSON ({error})") from None
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -4,15 +4,19 @@
 
 import os
 from dataclasses import dataclass, replace
-from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
-from larchlatch.config.deployment import InvalidInputError, maybe, need, read_deployment_settings, whole
+from larchlatch.config.deployment import maybe, need, read_deployment_settings, whole
 from larchlatch.config.endpoints import EndpointList, address_of, endpoint_list_of
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.policy.types import DeploymentSettings
+from larchlatch.errors import ConfigurationError
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from larchlatch.policy.types import DeploymentSettings
 
 DIAL_US = 250_000  # where the settings name no time for connecting
 CONTROL = "EDGE_CONTROL"  # in the environment: the door's address where the configuration names none
@@ -44,11 +48,11 @@
     try:
         raw = orjson.loads(path.read_bytes())
     except OSError as error:
-        raise InvalidInputError(f"configuration: can't be read ({error.strerror}: {path})") from None
+        raise ConfigurationError("configuration", f"can't be read ({error.strerror}: {path})") from None
     except orjson.JSONDecodeError as error:
-        raise InvalidInputError(f"configuration: no JSON ({error})") from None
+        raise ConfigurationError("configuration", f"no JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise InvalidInputError("configuration: not an object")
+        raise ConfigurationError("configuration", "not an object")
     return plan_from(raw, os.environ.get(CONTROL))
 
 
@@ -64,7 +68,7 @@
     try:
         number = int(seed, 16) if isinstance(seed, str) else seed
     except ValueError:
-        raise InvalidInputError(f"{top}: seed is no hexadecimal number ({seed[:40]!r})") from None
+        raise ConfigurationError(top, f"seed is no hexadecimal number ({seed[:40]!r})") from None
     limits = maybe(raw, "limits", dict, top, {})
     known = raw.get("known")
     return Plan(
@@ -110,7 +114,7 @@
         return None
     address = address_of(text, top)
     if address == listen and address[1]:
-        raise InvalidInputError(f"{top}: the address where clients are taken ({text})")
+        raise ConfigurationError(top, f"the address where clients are taken ({text})")
     return address
 
 
@@ -119,6 +123,6 @@
     for place, row in enumerate(rows):
         where = f"settings.{item}[{place}]"
         if not isinstance(row, dict):
-            raise InvalidInputError(f"{where}: not an object")
+            raise ConfigurationError(where, "not an object")
         names.append(need(row, "name", str, where))
     return names
--- a/larchlatch/config/toml_file.py
+++ b/larchlatch/config/toml_file.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 import tomllib
-from pathlib import Path
-from typing import Any, TypeVar
+from typing import TYPE_CHECKING, Any, TypeVar
 
 import msgspec
 
-from larchlatch.config.deployment import InvalidInputError
+from larchlatch.errors import ConfigurationError
+
+if TYPE_CHECKING:
+    from pathlib import Path
 
 T = TypeVar("T")
 
@@ -31,9 +33,9 @@
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise InvalidInputError(f"{top}: can't be read ({error.strerror}: {path})") from None
+        raise ConfigurationError(top, f"can't be read ({error.strerror}: {path})") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidInputError(f"{top}: no TOML ({error})") from None
+        raise ConfigurationError(top, f"no TOML ({error})") from None
 
 
 def converted(raw: Any, kind: type[T], top: str) -> T:
@@ -42,4 +44,4 @@
     except msgspec.ValidationError as error:
         # msgspec says what is wrong, and where behind a dollar sign.
         what, _, where = str(error).partition(" - at `$")
-        raise InvalidInputError(f"{top}: {where.strip('`.') or 'the whole'}: {what}") from None
+        raise ConfigurationError(top, f"{where.strip('`.') or 'the whole'}: {what}") from None
--- a/larchlatch/days/day.py
+++ b/larchlatch/days/day.py
@@ -8,10 +8,10 @@
 
 from msgspec import Meta, field
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.toml_file import Strict, converted, read_toml
 from larchlatch.days.amounts import SECOND, Amount, Count, Few, Positive, Share, us
 from larchlatch.days.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
+from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
 
@@ -115,37 +115,39 @@
     day = converted(raw, Day, top)
     for place, effect in enumerate(day.sessions.effects):
         if effect not in {idempotency.value for idempotency in Idempotency}:
-            raise InvalidInputError(f"{top}: links.effects[{place}]: no such effect ({effect!r})")
+            raise ConfigurationError(top, f"links.effects[{place}]: no such effect ({effect!r})")
     if day.listing.late_ms < day.listing.soon_ms:
-        raise InvalidInputError(f"{top}: listing.late_ms: less than listing.soon_ms")
+        raise ConfigurationError(top, "listing.late_ms: less than listing.soon_ms")
     cluster = day.cluster
     if cluster.allot and not (cluster.on and cluster.sessions_per_s):
-        raise InvalidInputError(f"{top}: cluster.allot: there is no budget to deal out")
+        raise ConfigurationError(top, "cluster.allot: there is no budget to deal out")
     if cluster.pace and not cluster.on:
-        raise InvalidInputError(f"{top}: cluster.pace: cluster.on is false: nodes don't talk to each other")
+        raise ConfigurationError(top, "cluster.pace: cluster.on is false: nodes don't talk to each other")
     if cluster.electors % 2 == 0 or ((cluster.allot or cluster.pace) and cluster.electors > day.nodes.count):
-        raise InvalidInputError(f"{top}: cluster.electors: an odd number of the nodes ({cluster.electors})")
+        raise ConfigurationError(top, f"cluster.electors: an odd number of the nodes ({cluster.electors})")
     absent = 0
     for place, entry in enumerate(day.upstreams):
         if entry.late > entry.count:
-            raise InvalidInputError(f"{top}: hosts[{place}].late: more than the hosts there are")
+            raise ConfigurationError(top, f"hosts[{place}].late: more than the hosts there are")
         absent += entry.late
     for place, fault in enumerate(day.faults):
         where = f"{top}: faults[{place}]"
         upstreams = getattr(fault, "upstreams", 0)
         if upstreams > (absent if isinstance(fault, Join) else day.places):
-            raise InvalidInputError(f"{where}.hosts: more than there are ({upstreams})")
+            raise ConfigurationError(f"{where}.hosts", f"more than there are ({upstreams})")
         if isinstance(fault, Kill | Stall | Part | Skew | Liar) and fault.nodes > day.nodes.count:
-            raise InvalidInputError(f"{where}.nodes: more than there are ({fault.nodes})")
+            raise ConfigurationError(f"{where}.nodes", f"more than there are ({fault.nodes})")
         if isinstance(fault, BETWEEN) and not day.cluster.on:
-            raise InvalidInputError(f"{where}: cluster.on is false: nodes don't talk to each other")
+            raise ConfigurationError(where, "cluster.on is false: nodes don't talk to each other")
         if isinstance(fault, Part):
             if (fault.nodes > 0) is (fault.zone >= 0):
-                raise InvalidInputError(f"{where}: one of nodes and zone says who is cut off")
+                raise ConfigurationError(where, "one of nodes and zone says who is cut off")
             if fault.zone >= day.zones:
-                raise InvalidInputError(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
+                raise ConfigurationError(
+                    f"{where}.zone", f"there are {day.zones}, counted from 0 ({fault.zone})"
+                )
         if isinstance(fault, Cut) and fault.zone >= day.zones:
-            raise InvalidInputError(f"{where}.zone: there are {day.zones}, counted from 0 ({fault.zone})")
+            raise ConfigurationError(f"{where}.zone", f"there are {day.zones}, counted from 0 ({fault.zone})")
     return day
 
 
@@ -164,15 +166,15 @@
     for word in words[:-1]:
         if isinstance(at, list):
             if not word.isdigit() or int(word) >= len(at):
-                raise InvalidInputError(f"day: {key}: there is no {word}")
+                raise ConfigurationError("day", f"{key}: there is no {word}")
             at = at[int(word)]
         else:
             at = at.setdefault(word, {})
         if not isinstance(at, dict | list):
-            raise InvalidInputError(f"day: {key}: {word} is a value by itself")
+            raise ConfigurationError("day", f"{key}: {word} is a value by itself")
     if isinstance(at, list):
         if not words[-1].isdigit() or int(words[-1]) >= len(at):
-            raise InvalidInputError(f"day: {key}: there is no {words[-1]}")
+            raise ConfigurationError("day", f"{key}: there is no {words[-1]}")
         at[int(words[-1])] = value
     else:
         at[words[-1]] = value
--- a/larchlatch/emulator/plot.py
+++ b/larchlatch/emulator/plot.py
@@ -7,8 +7,8 @@
 
 import matplotlib
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.emulator.sweep import summed
+from larchlatch.errors import ConfigurationError
 
 matplotlib.use("Agg")  # no screen
 
@@ -19,7 +19,7 @@
     """by: the key that each line is of; log: whether the other one goes by powers."""
     for key in (over, by):
         if not all(key in row for row in rows):
-            raise InvalidInputError(f"results: not every row has {key}")
+            raise ConfigurationError("results", f"not every row has {key}")
     points = summed(rows, [by, over], figure)
     picture, axes = pyplot.subplots(figsize=(7, 4.5), layout="constrained")
     for policy in dict.fromkeys(policy for policy, _ in points):
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.day import day_of
 from larchlatch.days.drawing import with_drawn
 from larchlatch.emulator.world import World
+from larchlatch.errors import ConfigurationError
 
 # Student's t for a two-sided interval of 95%, by the runs less one; beyond the table it is near enough 1.96.
 T95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12)
@@ -48,7 +48,7 @@
     """KEY=A,B,C."""
     key, equals, values = text.partition("=")
     if not equals or not key or not all(values.split(",")):
-        raise InvalidInputError(f"vary: not KEY=A,B,C ({text})")
+        raise ConfigurationError("vary", f"not KEY=A,B,C ({text})")
     return key, [value_of(value) for value in values.split(",")]
 
 
@@ -99,11 +99,11 @@
     found: dict[tuple[Any, ...], list[float]] = {}
     for row in rows:
         if figure not in row:
-            raise InvalidInputError(
-                f"results: no figure of that name ({figure}); there are {', '.join(sorted(row))}"
+            raise ConfigurationError(
+                "results", f"no figure of that name ({figure}); there are {', '.join(sorted(row))}"
             )
         if not isinstance(row[figure], int | float):
-            raise InvalidInputError(f"results: {figure} is no number")
+            raise ConfigurationError("results", f"{figure} is no number")
         found.setdefault(tuple(row.get(key) for key in keys), []).append(float(row[figure]))
     return {key: interval(values) for key, values in found.items()}
 
@@ -114,12 +114,12 @@
         for number, line in enumerate(path.read_bytes().splitlines(), 1):
             row = msgspec.json.decode(line)
             if not isinstance(row, dict):
-                raise InvalidInputError(f"results: line {number}: not an object")
+                raise ConfigurationError("results", f"line {number}: not an object")
             rows.append(row)
     except OSError as error:
-        raise InvalidInputError(f"results: can't be read ({error.strerror}: {path})") from None
+        raise ConfigurationError("results", f"can't be read ({error.strerror}: {path})") from None
     except msgspec.DecodeError as error:
-        raise InvalidInputError(f"results: line {len(rows) + 1}: no JSON ({error})") from None
+        raise ConfigurationError("results", f"line {len(rows) + 1}: no JSON ({error})") from None
     if not rows:
-        raise InvalidInputError(f"results: empty ({path})")
+        raise ConfigurationError("results", f"empty ({path})")
     return rows
--- a/larchlatch/load/bounds.py
+++ b/larchlatch/load/bounds.py
@@ -5,8 +5,8 @@
 import ipaddress
 import resource
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.day import Day
+from larchlatch.errors import ConfigurationError
 
 MOST_NODES = 16
 MOST_STANDING = 4000  # links at once: each has two descriptors here and two at a node
@@ -20,17 +20,17 @@
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
-        raise InvalidInputError(f"address: no address ({text})") from None
+        raise ConfigurationError("address", f"no address ({text})") from None
     if address.version != 4 or not address.is_loopback:
-        raise InvalidInputError(f"address: not a loopback address of IPv4 ({text})")
+        raise ConfigurationError("address", f"not a loopback address of IPv4 ({text})")
     return text
 
 
 def playable(day: Day) -> Day:
     """The day, if it can be played on sockets."""
     if day.passes:
-        raise InvalidInputError(
-            "day: passes: packets can't be made to pass through another process on sockets"
+        raise ConfigurationError(
+            "day", "passes: packets can't be made to pass through another process on sockets"
         )
     standing = day.sessions.rate * day.sessions.life_s
     for key, asked, most in (
@@ -40,11 +40,11 @@
         ("links.rate times links.life_s", standing, float(MOST_STANDING)),
     ):
         if asked > most:
-            raise InvalidInputError(f"day: {key}: {asked:g} is more than is played on sockets ({most:g})")
+            raise ConfigurationError("day", f"{key}: {asked:g} is more than is played on sockets ({most:g})")
     wanted = int(standing * 4) + SPARE
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and wanted > hard:
-        raise InvalidInputError(f"day: links: {wanted} descriptors are wanted, the system grants {hard}")
+        raise ConfigurationError("day", f"links: {wanted} descriptors are wanted, the system grants {hard}")
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
     return day
--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -2,20 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 import h11
 import orjson
 import structlog
-from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.node.lifecycle_state import Phase
-from larchlatch.node.metrics import Counters
 from larchlatch.node.wire.listen import Listener, NoAccept, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from anyio.abc import SocketStream, TaskGroup
+
+    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.metrics import Counters
+
 BACKLOG = 64  # callers that wait to be accepted
 CALLERS = 16  # calls at once; each holds a descriptor, so the oldest makes way for the next
 CALL_S = 5.0  # for a whole call: a caller that says nothing holds nothing for longer
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -3,21 +3,14 @@
 from __future__ import annotations
 
 import heapq
-from random import Random
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
 import structlog
-from anyio.abc import TaskGroup
 
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
-from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node import messages as messages
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.descriptor_budget import DescriptorBudget
-from larchlatch.node.discovery import DiscoveryClient
-from larchlatch.node.metrics import Counters
-from larchlatch.node.ports import Fellows
 from larchlatch.node.session_record import Failed, SessionRecord, Shed
 from larchlatch.node.upstream_actor import Probe, StartAttempt, UpstreamActor
 from larchlatch.policy import types
@@ -25,6 +18,17 @@
 from larchlatch.policy.state_export import export_state, restore_state
 from larchlatch.policy.types import Answer, DeploymentSettings, Endpoint, EndpointState, Outcome
 
+if TYPE_CHECKING:
+    from random import Random
+
+    from anyio.abc import TaskGroup
+
+    from larchlatch.config.upstream import UpstreamSettings
+    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.discovery import DiscoveryClient
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.ports import Fellows
+
 TICK_US = 4_000  # held links are looked at together once in this: hundreds would each wake the loop by itself
 FAILED_US = 100_000  # before the decisions are asked again how long to wait, after they failed
 MAILBOX = 1024  # words: when it is full, whoever reads from sockets waits
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -2,7 +2,10 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
 
 RESERVE = 48  # descriptors for the loop, the log, the listener, the list and probes of a first-size fleet
 QUIET_SHARE = 3  # connections without a whole line may hold a third, links and hosts the rest
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -2,18 +2,22 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import TYPE_CHECKING
 
 import anyio
 import h11
 import structlog
 
-from larchlatch.config.deployment import InvalidInputError
-from larchlatch.config.endpoints import EndpointList
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.messages import ListFailed, ListTold, Post
-from larchlatch.node.metrics import Counters
 from larchlatch.node.wire import discovery_client as catalog
 
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from larchlatch.config.endpoints import EndpointList
+    from larchlatch.node.metrics import Counters
+
 PATH = "/catalog/members"
 # Where changes are pushed, discovery is an agent on this machine that answers at once and at no cost. What it
 # has counts as told, whether or not a watch is open: a host may be drained in the instant a watch breaks, or
@@ -44,7 +48,8 @@
 
 class DiscoveryClient:
     """Follows the list for as long as the node lives: at once where the settings say that changes are pushed,
-    else from when it is told to ask."""
+    else from when it is told to ask.
+    """
 
     def __init__(
         self,
--- a/larchlatch/node/hot_restart/handover.py
+++ b/larchlatch/node/hot_restart/handover.py
@@ -5,30 +5,34 @@
 import os
 import socket
 import struct
-from collections.abc import Callable
 from contextlib import suppress
 from pathlib import Path
+from typing import TYPE_CHECKING
 
 import anyio
 import structlog
 from anyio.abc import TaskGroup, UNIXSocketStream
 from xxhash import xxh3_64_hexdigest
 
-from larchlatch.config.deployment import InvalidInputError
-from larchlatch.config.endpoints import EndpointList
-from larchlatch.config.node import Plan
-from larchlatch.node.balancer_actor import BalancerActor
-from larchlatch.node.client import Door
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import BASE_US
 from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
 from larchlatch.node.hot_restart.packets import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome
-from larchlatch.node.lifecycle_state import Phase
-from larchlatch.node.metrics import Counters
-from larchlatch.node.session_record import SessionRecord
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire.listen import Listener
-from larchlatch.node.wire.stream import Lines
-from larchlatch.policy.types import Outcome
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from larchlatch.config.endpoints import EndpointList
+    from larchlatch.config.node import Plan
+    from larchlatch.node.balancer_actor import BalancerActor
+    from larchlatch.node.client import Door
+    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.session_record import SessionRecord
+    from larchlatch.node.wire.stream import Lines
+    from larchlatch.policy.types import Outcome
 
 FIRST_WORD_S = 2.0  # for an answer of the other process, whose loop may lag; then each goes on alone
 START_S = 30.0  # for a new process until it serves: what it is lent meanwhile comes back then
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -4,16 +4,19 @@
 
 import socket
 import struct
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import anyio
 import orjson
-from anyio.abc import UNIXSocketStream
 
-from larchlatch.config.deployment import NUMBER, InvalidInputError, need
+from larchlatch.config.deployment import NUMBER, need
 from larchlatch.config.endpoints import EndpointList, endpoint_list_of, wire_form
+from larchlatch.errors import ProtocolError
 from larchlatch.node.wire.stream import GONE
 
+if TYPE_CHECKING:
+    from anyio.abc import UNIXSocketStream
+
 MAGIC = b"LL"
 VERSION = 1  # of these packets: another one is not understood, and each process goes on alone
 HEAD = struct.Struct("!2sBBI")  # magic, version, descriptors, bytes of the body
@@ -98,10 +101,10 @@
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise InvalidInputError(f"packet: no JSON ({error})") from None
+        raise ProtocolError("packet", f"no JSON ({error})") from None
     top = "packet"
     if not isinstance(raw, dict):
-        raise InvalidInputError(f"{top}: not an object")
+        raise ProtocolError(top, "not an object")
     match need(raw, "kind", str, top):
         case "Hello":
             return Hello(need(raw, "name", str, top), need(raw, "listen", str, top))
@@ -129,14 +132,14 @@
                 bytes_of(raw, "host_early"),
             )
         case kind:
-            raise InvalidInputError(f"{top}: unknown kind {kind[:40]!r}")
+            raise ProtocolError(top, f"unknown kind {kind[:40]!r}")
 
 
 def bytes_of(raw: dict[str, Any], item: str) -> bytes:
     try:
         return bytes(need(raw, item, str, "packet").encode("latin-1"))
     except UnicodeEncodeError:
-        raise InvalidInputError(f"packet: {item} holds no bytes") from None
+        raise ProtocolError("packet", f"{item} holds no bytes") from None
 
 
 class Channel:
@@ -173,13 +176,13 @@
                 fds += came
             magic, version, count, length = HEAD.unpack(head)
             if magic != MAGIC or version != VERSION or length > MOST:
-                raise InvalidInputError(f"packet: not of version {VERSION}")
+                raise ProtocolError("packet", f"not of version {VERSION}")
             text = bytearray()
             while len(text) < length:
                 text += await self.stream.receive(min(65536, length - len(text)))
             packet = decoded(bytes(text))
             if count != len(fds):
-                raise InvalidInputError(f"packet: {len(fds)} descriptors, not {count}")
+                raise ProtocolError("packet", f"{len(fds)} descriptors, not {count}")
         except (anyio.EndOfStream, *GONE):
             for fd in fds:
                 socket.close(fd)
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -3,11 +3,12 @@
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.config.endpoints import EndpointList
-from larchlatch.node.session_record import SessionRecord
-from larchlatch.policy.types import Outcome
+if TYPE_CHECKING:
+    from larchlatch.config.endpoints import EndpointList
+    from larchlatch.node.session_record import SessionRecord
+    from larchlatch.policy.types import Outcome
 
 
 class Arrived(NamedTuple):
--- a/larchlatch/node/ports.py
+++ b/larchlatch/node/ports.py
@@ -4,10 +4,12 @@
 
 from collections.abc import Callable, Iterable, Mapping
 from random import Random
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Any, Protocol
 
 from larchlatch.node.metrics import Counters
-from larchlatch.policy.types import TokenCandidate
+
+if TYPE_CHECKING:
+    from larchlatch.policy.types import TokenCandidate
 
 
 class Hearing(Protocol):
@@ -18,7 +20,8 @@
 
     def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
         """Until then turns at cold hosts are another node's; a host, where one is named, to which a link may
-        go until `at`. Whether it is heard."""
+        go until `at`. Whether it is heard.
+        """
 
 
 class Fellows(Protocol):
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 from dataclasses import fields, replace
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import structlog
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.node import Plan, plan_of
-from larchlatch.node.discovery import DiscoveryClient
-from larchlatch.node.metrics import Counters
+from larchlatch.errors import InvalidInputError
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from larchlatch.node.discovery import DiscoveryClient
+    from larchlatch.node.metrics import Counters
 
 FOLLOWED = ("discovery",)
 AT_START = ("seed", "known")  # read at the start alone: new ones change nothing later
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -4,14 +4,12 @@
 
 import random
 import signal
-from pathlib import Path
+from typing import TYPE_CHECKING
 
 import anyio
 import structlog
 from anyio import TASK_STATUS_IGNORED
-from anyio.abc import TaskGroup, TaskStatus
 
-from larchlatch.config.node import Plan
 from larchlatch.node.admin_api import BACKLOG as DOOR_BACKLOG
 from larchlatch.node.admin_api import AdminApi
 from larchlatch.node.balancer_actor import BalancerActor
@@ -24,11 +22,18 @@
 from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.messages import ListTold
 from larchlatch.node.metrics import Counters
-from larchlatch.node.ports import Join
 from larchlatch.node.reload import reread
 from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
 from larchlatch.node.wire.listen import Listener, NoAccept
 
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from anyio.abc import TaskGroup, TaskStatus
+
+    from larchlatch.config.node import Plan
+    from larchlatch.node.ports import Join
+
 BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
 FIRST_LIST_S = 1.0  # a node waits so long for the present list before it serves with the one it had
 PAUSE_S = 0.02  # between two looks for room when descriptors have run out
--- a/larchlatch/node/session_record.py
+++ b/larchlatch/node/session_record.py
@@ -2,14 +2,16 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 
-from larchlatch.node.wire.lines import Opening
-from larchlatch.node.wire.stream import Lines
-from larchlatch.policy.types import Session
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from larchlatch.node.wire.lines import Opening
+    from larchlatch.node.wire.stream import Lines
+    from larchlatch.policy.types import Session
 
 
 class Delivered(NamedTuple):
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -2,16 +2,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
+from typing import TYPE_CHECKING
 
 import anyio
 import structlog
-from anyio.abc import TaskGroup
 
-from larchlatch.node.client import Door
-from larchlatch.node.lifecycle_state import Phase
-from larchlatch.node.metrics import Counters
-from larchlatch.node.session_record import SessionRecord
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+    from anyio.abc import TaskGroup
+
+    from larchlatch.node.client import Door
+    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.session_record import SessionRecord
 
 GRANTED_S = 0.7  # what PROTOCOL grants a node beyond the longest cut-off before it is ended
 SPARE_S = 0.4  # all is over this long before that: a moved link takes a moment to close
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -4,19 +4,22 @@
 
 import re
 from collections import deque
-from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
-from typing import Any, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import anyio
 import h11
-from anyio.abc import SocketStream
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.endpoints import EndpointList, decoded
+from larchlatch.errors import ProtocolError
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.stream import Unconnected, dial
 
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from anyio.abc import SocketStream
+
 CHUNK = 65536  # bytes read at a time
 MOST = 8 * 1024 * 1024  # bytes of one list: thousands of hosts
 UNREAD_S = 0.02  # for what has come already to be read: a turn of the loop
@@ -37,7 +40,7 @@
         *lines, self.tail = (self.tail + chunk).split(b"\n")
         pieces = [piece for line in lines if (piece := self.line(line)) is not None]
         if self.size + len(self.tail) > MOST:
-            raise InvalidInputError("list: too long")
+            raise ProtocolError("list", "too long")
         return pieces
 
     def line(self, line: bytes) -> bytes | None:
@@ -47,10 +50,10 @@
         # An empty line is sent between objects alone, and a line that begins one right within another can't
         # be its own: the one before has been cut short, and would swallow all that follows.
         if self.lines and (not bare or (self.depth <= 1 and bare.startswith(b"{"))):
-            raise InvalidInputError("list: broken off within an object")
+            raise ProtocolError("list", "broken off within an object")
         rest = STRINGS.sub(b"", bare)
         if b'"' in rest:
-            raise InvalidInputError("list: a string without an end")
+            raise ProtocolError("list", "a string without an end")
         self.depth += rest.count(b"{") + rest.count(b"[") - rest.count(b"}") - rest.count(b"]")
         self.lines.append(line)
         self.size += len(line)
@@ -138,7 +141,7 @@
             while (chunk := await body.more()) is not None:
                 text += chunk
                 if len(text) > MOST:
-                    raise InvalidInputError("list: too long")
+                    raise ProtocolError("list", "too long")
     return decoded(text)
 
 
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -98,8 +98,8 @@
         """Its descriptor for another process, and what was read of it and not passed on; it is this one's no
         more then. None where something still waits to be sent, or it has ended."""
         # Nothing in anyio's interface tells of what it has read ahead: left behind, a line would be lost.
-        transport: Any = getattr(self.stream, "_transport")  # noqa: B009
-        protocol: Any = getattr(self.stream, "_protocol")  # noqa: B009
+        transport: Any = getattr(self.stream, "_transport")
+        protocol: Any = getattr(self.stream, "_protocol")
         if self.closed or transport.is_closing() or protocol.exception or transport.get_write_buffer_size():
             return None
         fd = os.dup(self.stream.extra(SocketAttribute.raw_socket).fileno())
--- a/larchlatch/policy/balancer.py
+++ b/larchlatch/policy/balancer.py
@@ -17,9 +17,8 @@
 
 from bisect import bisect_right
 from collections import deque
-from collections.abc import Iterable, Iterator
 from itertools import chain, islice
-from random import Random
+from typing import TYPE_CHECKING
 
 from xxhash import xxh3_64_intdigest
 
@@ -42,6 +41,10 @@
     UpstreamStatus,
 )
 
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
+    from random import Random
+
 SECOND = 1_000_000  # microseconds
 # Outcomes that tell of what all setups depend on; no connection tells of one host or its links alone.
 TELLING = frozenset({Outcome.COMPLETED, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET})
@@ -425,7 +428,8 @@
 
     def in_budget(self, now: int, upstream: Upstream, session: Session, share: float = 0.0) -> bool:
         """Whether a host that may still be cold can take one more link from this node now; share: of all
-        links, those that may want it too, where it is not one of the link's own candidates."""
+        links, those that may want it too, where it is not one of the link's own candidates.
+        """
         warmth = self.warmth(now, upstream)
         # What another process of this node spends of its budget is not seen here: only one of them has it.
         if warmth >= 1.0 or self.ceded:
--- a/larchlatch/policy/state_export.py
+++ b/larchlatch/policy/state_export.py
@@ -7,9 +7,10 @@
 from __future__ import annotations
 
 from collections import deque
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
-from larchlatch.policy.balancer import Balancer
+if TYPE_CHECKING:
+    from larchlatch.policy.balancer import Balancer
 
 # Key in the exported state, and the attribute of a host that it stands for.
 UPSTREAM_VALUES = {
--- a/larchlatch/wirehost/codec.py
+++ b/larchlatch/wirehost/codec.py
@@ -4,7 +4,8 @@
 
 from typing import Any
 
-from larchlatch.config.deployment import NUMBER, InvalidInputError
+from larchlatch.config.deployment import NUMBER
+from larchlatch.errors import ProtocolError
 from larchlatch.policy.types import EndpointState, Outcome
 
 OUTCOMES = {
@@ -86,20 +87,20 @@
 def checked(row: Any, items: tuple[tuple[str, Any], ...], where: str) -> list[Any]:
     """The row's values, None for those left off at its end, once each has a type that its item may have."""
     if not isinstance(row, list):
-        raise InvalidInputError(f"{where}: not an array")
+        raise ProtocolError(where, "not an array")
     values = row[: len(items)] + [None] * (len(items) - len(row))
     for value, (item, kind) in zip(values, items, strict=True):
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
             problem = "is missing" if value is None else f"has the wrong type ({type(value).__name__})"
-            raise InvalidInputError(f"{where}: {item} {problem}")
+            raise ProtocolError(where, f"{item} {problem}")
     return values
 
 
 def message(raw: Any) -> tuple[str, list[Any]]:
     """A message's name and its checked values."""
     if not isinstance(raw, list) or not raw or not isinstance(raw[0], str):
-        raise InvalidInputError("message: not an array that opens with a name")
+        raise ProtocolError("message", "not an array that opens with a name")
     items = MESSAGES.get(raw[0])
     if items is None:
-        raise InvalidInputError(f"message: unknown name {raw[0]!r}")
+        raise ProtocolError("message", f"unknown name {raw[0]!r}")
     return raw[0], checked(raw[1:], items, raw[0])
--- a/larchlatch/wirehost/loop.py
+++ b/larchlatch/wirehost/loop.py
@@ -10,7 +10,8 @@
 
 import orjson
 
-from larchlatch.config.deployment import InvalidInputError, known, need, read_deployment_settings
+from larchlatch.config.deployment import known, need, read_deployment_settings
+from larchlatch.errors import InvalidInputError, ProtocolError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.driver import Driver
 from larchlatch.policy.types import Endpoint, Outcome, Session
@@ -50,7 +51,7 @@
         self, handle: str, grade: str, key: Any, room: Any, deadline: Any, hint: Any, bits: Any
     ) -> Session:
         if grade not in self.traffic_classes:
-            raise InvalidInputError(f"ASK: grade names no tariff of the settings ({grade!r})")
+            raise ProtocolError("ASK", f"grade names no tariff of the settings ({grade!r})")
         bits = bits or 0
         session = Session(
             self.numbers, self.traffic_classes[grade], key, room, deadline or 0, bool(bits & codec.MID_FLOW)
@@ -149,9 +150,9 @@
             self.balancer.discovery_failed(now)
             return
         if mode not in ("diff", "snapshot", "disk"):
-            raise InvalidInputError(f"TOPOLOGY: unknown mode {mode!r}")
+            raise ProtocolError("TOPOLOGY", f"unknown mode {mode!r}")
         if slot not in lists:
-            raise InvalidInputError(f"TOPOLOGY: slot {slot} names no INVENTORY")
+            raise ProtocolError("TOPOLOGY", f"slot {slot} names no INVENTORY")
         lines = []
         for upstream, hall, _, pack, state, size, started_at in lists[slot]:
             lines.append(
@@ -185,7 +186,7 @@
 
     def part(self, now: int, part: Any) -> dict[str, Any] | None:
         if not isinstance(part, dict):
-            raise InvalidInputError("batch: a part is not an object")
+            raise ProtocolError("batch", "a part is not an object")
         who = need(part, "i", str, "batch: part")
         touched = None
         try:
@@ -200,7 +201,7 @@
                     self.instances.pop(who, None)
                     touched = None
                 elif who not in self.instances:
-                    raise InvalidInputError(f"{name}: {who} has had no POWER_ON")
+                    raise ProtocolError(name, f"{who} has had no POWER_ON")
                 else:
                     touched = self.instances[who]
                     touched.hear(now, name, values, self.lists)
@@ -219,9 +220,9 @@
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise InvalidInputError(f"batch: no JSON ({error})") from None
+            raise ProtocolError("batch", f"no JSON ({error})") from None
         if not isinstance(batch, dict):
-            raise InvalidInputError("batch: not an object")
+            raise ProtocolError("batch", "not an object")
         now = need(batch, "sim_time_us", int, "batch")
         parts = [self.part(now, part) for part in need(batch, "parts", list, "batch")]
         return orjson.dumps({"parts": [part for part in parts if part is not None]})
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -15,7 +15,7 @@
 from larchlatch.broker.broker import Broker, Ticket, Unknown
 from larchlatch.broker.contracts import checked
 from larchlatch.broker.quotas import SLOTS, Dimension, Level, Limits, Quotas, Refusal, Uses, walk
-from larchlatch.config.deployment import InvalidInputError
+from larchlatch.errors import InvalidInputError
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -44,12 +44,12 @@
 from larchlatch.cluster.protocol.signing import Checks, Seal, seal_of
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.agreement import SETTLED_US, Agreement
 from larchlatch.days.chance import Chance
 from larchlatch.days.day import checked
 from larchlatch.days.paths import Manner, Part, Paths
 from larchlatch.emulator.world import World
+from larchlatch.errors import InvalidInputError
 
 BEAT = 200_000
 SPANS = Spans(1_000_000, 3_000_000, 0.01)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.endpoints import decoded
+from larchlatch.errors import InvalidInputError
 from larchlatch.node import discovery as node_listing
 from larchlatch.node.discovery import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, DiscoveryClient
 from larchlatch.node.messages import ListTold, Message
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -15,12 +15,12 @@
 from larchlatch.cluster.election.election import ALLOTTER, Duties, Holder, Roster
 from larchlatch.cluster.election.leases import Answer, Ballot, Candidate, Elector, Fence, State, Tenure, What
 from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.day import checked, day_of
 from larchlatch.days.drawing import with_drawn
 from larchlatch.days.tenures import Tenures
 from larchlatch.emulator.search import PLANTED, SOUND, Case, Search
 from larchlatch.emulator.world import World
+from larchlatch.errors import InvalidInputError
 
 SECOND = 1_000_000
 TENURE = Tenure(term_us=3 * SECOND, skew=0.01, apart_us=200_000)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -18,7 +18,6 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.days.amounts import SECOND
 from larchlatch.days.chance import Chance
 from larchlatch.days.clients import demand
@@ -30,6 +29,7 @@
 from larchlatch.emulator.stage import START_US
 from larchlatch.emulator.sweep import interval, rows_of, runs_of, summed
 from larchlatch.emulator.world import Make, World
+from larchlatch.errors import InvalidInputError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.types import DONE, NOT_YET, Answer, Endpoint, EndpointState, Outcome, Session
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,10 +11,10 @@
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.node import plan_from
 from larchlatch.days.day import checked
 from larchlatch.emulator.world import World
+from larchlatch.errors import InvalidInputError
 from larchlatch.load import play
 from larchlatch.load.bounds import playable
 from larchlatch.load.play import LoadTest, Place
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,8 +13,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.node import plan_from, plan_of
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.metrics import Counters
 from larchlatch.node.reload import reread
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -22,13 +22,13 @@
 from larchlatch.cluster.quota import counts
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 from larchlatch.cluster.quota.budgets import Budgets, Dealing, Limit
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.day import Day, checked, day_of, settings_for
 from larchlatch.days.puppets import Drift
 from larchlatch.days.spending import Spending
 from larchlatch.emulator.company import Plain, key_of
 from larchlatch.emulator.world import World
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.metrics import Counters
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,11 +20,11 @@
 from anyio.abc import TaskGroup, UNIXSocketStream
 
 from larchlatch.cluster.cluster_file import new_secret
-from larchlatch.config.deployment import InvalidInputError
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.config.node import plan_from
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.spending import Spending
+from larchlatch.errors import InvalidInputError
 from larchlatch.node.client import Door
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
