--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -136,9 +136,9 @@
         click.echo(f"cluster: in order; {who}, {budgets} budgets")
         return
     if contracts is not None:
-        from larchlatch.broker.contracts import contracts_of  # msgspec is not for nodes
+        from larchlatch.broker.contracts import read_contracts  # msgspec is not for nodes
 
-        told = contracts_of(contracts)
+        told = read_contracts(contracts)
         click.echo(f"contracts: in order; {len(told.teams)} teams, {len(told.pools)} pools")
         return
     if config is None:
--- a/larchlatch/broker/broker.py
+++ b/larchlatch/broker/broker.py
@@ -1,137 +1,157 @@
-"""Who is admitted, link by link and message by message: yes, or no, by which level, and when to come back."""
+"""The broker's decisions: who is admitted, session by session and message by message."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from larchlatch.broker.contracts import (
-    Contracts,
-    Part,
-    limits_of_part,
-    limits_of_team,
-    pool_level,
-)
-from larchlatch.broker.quotas import Account, Dimension, Level, Quotas, Refusal
+from larchlatch.broker.limits import part_limits, pool_root, team_limits
+from larchlatch.broker.quota_tree import Dimension, QuotaNode, QuotaTree, QuotaUsage, Rejection
 
-DEEPEST = 3  # levels below a team: bank, branch, desk
-MOST_UNNAMED = 10_000  # parts below one level that no contract names, at one time
+if TYPE_CHECKING:
+    from larchlatch.broker.contracts import Contracts, Part, Pool
+
+MAX_DEPTH = 3  # levels below a team: bank, branch, desk
+MAX_UNNAMED = 10_000  # children of one level that no contract names, at one time
 
 
 @dataclass(frozen=True, slots=True)
-class Unknown:
-    """Nobody has a contract for this."""
+class NoContract:
+    """Nobody has a contract for what was asked."""
 
-    why: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Ticket:
-    """A link that was admitted, to be handed back when it ends."""
+class AdmittedSession:
+    """A session that was admitted; it is released when it ends."""
 
     pool: str
-    leaf: Level
+    leaf: QuotaNode
     open: bool = True
 
 
 class Broker:
+    """Admits sessions and messages of many teams by their contracts, at one node of the installation.
+
+    Times are whole microseconds of a clock that the caller hands in.
+    """
+
     def __init__(self, contracts: Contracts, nodes: int, now: int) -> None:
         self.nodes = nodes
         self.contracts = contracts
         self.window_us = round(contracts.window_s * 1_000_000)
-        self.pools: dict[str, Quotas] = {}
-        self.services: dict[str, tuple[str, Level]] = {}
-        self.unknown = 0
+        self.trees: dict[str, QuotaTree] = {}
+        self.services: dict[str, tuple[str, QuotaNode]] = {}  # pool's name and team's node by service
+        self.without_contract = 0
         for pool in contracts.pools:
-            root = pool_level(pool, contracts.window_s, nodes)
-            for team in contracts.teams:
-                if team.pool == pool.name:
-                    limits = limits_of_team(team, pool, contracts.window_s, nodes)
-                    level = root.children[team.name] = Level(team.name, limits, root)
-                    self.services[team.service] = (pool.name, level)
-                    self.grow(level, team.parts, team.unnamed)
-            self.pools[pool.name] = Quotas(root, self.window_us, now)
-
-    def grow(self, level: Level, parts: list[Part], unnamed: float) -> None:
-        level.unnamed = unnamed
+            self.trees[pool.name] = QuotaTree(self._build_root(pool), self.window_us, now)
+
+    def _build_root(self, pool: Pool) -> QuotaNode:
+        window_s = self.contracts.window_s
+        root = pool_root(pool, window_s, self.nodes)
+        for team in self.contracts.teams:
+            if team.pool != pool.name:
+                continue
+            node = QuotaNode(team.name, team_limits(team, pool, window_s, self.nodes), root)
+            root.children[team.name] = node
+            self.services[team.service] = (pool.name, node)
+            self._add_parts(node, team.parts, team.unnamed)
+        return root
+
+    def _add_parts(self, node: QuotaNode, parts: list[Part], unnamed_share: float) -> None:
+        node.unnamed_share = unnamed_share
         for part in parts:
-            limits = limits_of_part(level.limits.share, part.share, part.most)
-            child = level.children[part.name] = Level(part.name, limits, level)
-            self.grow(child, part.parts, part.unnamed)
-
-    def leaf(self, now: int, quotas: Quotas, team: Level, path: tuple[str, ...]) -> Level | Unknown:
-        """The level that asks; one that no contract names is made, where its parent has a share for such."""
-        if len(path) > DEEPEST:
-            return Unknown(f"{team.address}: more than {DEEPEST} levels below a team")
-        level = team
-        for name in path:
-            child = level.children.get(name)
-            if child is None:
-                share = level.unnamed
-                if share <= 0:
-                    return Unknown(f"{level.address}: no part {name!r}")
-                if sum(not other.stated for other in level.children.values()) >= MOST_UNNAMED:
-                    return Unknown(f"{level.address}: too many parts that no contract names")
-                child = quotas.child(now, level, name, limits_of_part(level.limits.share, share, 1.0))
-            level = child
-        return level
-
-    # What is asked.
-
-    def link(self, now: int, service: str, path: tuple[str, ...] = ()) -> Ticket | Refusal | Unknown:
-        """A new link for a service, from this bank, branch and desk of its team."""
+            limits = part_limits(node.limits.share, part.share, part.most)
+            child = node.children[part.name] = QuotaNode(part.name, limits, node)
+            self._add_parts(child, part.parts, part.unnamed)
+
+    # Admission.
+
+    def admit_session(
+        self, now: int, service: str, path: tuple[str, ...] = ()
+    ) -> AdmittedSession | Rejection | NoContract:
+        """Admit a new session for a service, from this bank, branch and desk of its team."""
         found = self.services.get(service)
         if found is None:
-            self.unknown += 1
-            return Unknown(f"no service {service!r}")
+            self.without_contract += 1
+            return NoContract(f"no service {service!r}")
         pool, team = found
-        quotas = self.pools[pool]
-        leaf = self.leaf(now, quotas, team, path)
-        if isinstance(leaf, Unknown):
-            self.unknown += 1
+        tree = self.trees[pool]
+        leaf = self._leaf(now, tree, team, path)
+        if isinstance(leaf, NoContract):
+            self.without_contract += 1
             return leaf
-        refusal = quotas.admit(now, leaf, {Dimension.LINKS: 1, Dimension.HELD: 1})
-        return refusal or Ticket(pool, leaf)
-
-    def message(self, now: int, ticket: Ticket, number: int = 1) -> Refusal | None:
-        return self.pools[ticket.pool].admit(now, ticket.leaf, {Dimension.MESSAGES: number})
-
-    def ended(self, now: int, ticket: Ticket) -> None:
-        """A link has ended; told twice, once counts."""
-        if ticket.open:
-            ticket.open = False
-            self.pools[ticket.pool].ended(now, ticket.leaf)
-
-    # New contracts while links stand.
-
-    def follow(self, now: int, contracts: Contracts) -> None:
-        """What stands goes on and counts, by the new figures; who has no contract now takes nothing new."""
-        fresh = Broker(contracts, self.nodes, now)
-        for name, quotas in fresh.pools.items():
-            before = self.pools.get(name)
-            if before is not None:
-                self.graft(now, before, before.pool, quotas.pool)
-                if before.window_us != quotas.window_us:
-                    before.count_by(quotas.window_us)
-                fresh.pools[name] = before
-        self.pools = {**{n: q for n, q in self.pools.items() if q.pool.held}, **fresh.pools}
-        self.contracts, self.window_us = contracts, fresh.window_us
-        self.services = {}
-        for team in contracts.teams:
-            self.services[team.service] = (team.pool, self.pools[team.pool].pool.children[team.name])
-
-    def graft(self, now: int, quotas: Quotas, old: Level, new: Level) -> None:
-        """The old level, with what it holds and has used, takes over what the new one says."""
-        quotas.follow(now, old, new.limits)
-        old.unnamed, old.stated = new.unnamed, new.stated
+        amounts = {Dimension.NEW_SESSIONS: 1, Dimension.HELD_SESSIONS: 1}
+        return tree.admit(now, leaf, amounts) or AdmittedSession(pool, leaf)
+
+    def _leaf(
+        self, now: int, tree: QuotaTree, team: QuotaNode, path: tuple[str, ...]
+    ) -> QuotaNode | NoContract:
+        """Return the node that asks; one that no contract names is made where its parent allows for it."""
+        if len(path) > MAX_DEPTH:
+            return NoContract(f"{team.address}: more than {MAX_DEPTH} levels below a team")
+        node = team
+        for name in path:
+            child = node.children.get(name) or self._unnamed_child(now, tree, node, name)
+            if isinstance(child, NoContract):
+                return child
+            node = child
+        return node
+
+    @staticmethod
+    def _unnamed_child(now: int, tree: QuotaTree, parent: QuotaNode, name: str) -> QuotaNode | NoContract:
+        if parent.unnamed_share <= 0:
+            return NoContract(f"{parent.address}: no part {name!r}")
+        if sum(not child.from_contract for child in parent.children.values()) >= MAX_UNNAMED:
+            return NoContract(f"{parent.address}: too many parts that no contract names")
+        return tree.child(now, parent, name, part_limits(parent.limits.share, parent.unnamed_share, 1.0))
+
+    def admit_message(self, now: int, session: AdmittedSession, number: int = 1) -> Rejection | None:
+        """Admit messages on a session; None where they are admitted."""
+        return self.trees[session.pool].admit(now, session.leaf, {Dimension.MESSAGES: number})
+
+    def release(self, now: int, session: AdmittedSession) -> None:
+        """Note that a session has ended; a second call changes nothing."""
+        if session.open:
+            session.open = False
+            self.trees[session.pool].release(now, session.leaf)
+
+    # New contracts while sessions are established.
+
+    def set_contracts(self, now: int, contracts: Contracts) -> None:
+        """Follow new contracts: sessions go on and count, those without a contract get no new ones."""
+        replacement = Broker(contracts, self.nodes, now)
+        for name, new_tree in replacement.trees.items():
+            tree = self.trees.get(name)
+            if tree is None:
+                continue
+            self._merge(now, tree, tree.root, new_tree.root)
+            if tree.window_us != new_tree.window_us:
+                tree.set_window(new_tree.window_us)
+            replacement.trees[name] = tree
+        in_use = {name: tree for name, tree in self.trees.items() if tree.root.held}
+        self.trees = {**in_use, **replacement.trees}
+        self.contracts, self.window_us = contracts, replacement.window_us
+        self.services = {
+            team.service: (team.pool, self.trees[team.pool].root.children[team.name])
+            for team in contracts.teams
+        }
+
+    def _merge(self, now: int, tree: QuotaTree, old: QuotaNode, new: QuotaNode) -> None:
+        """Give the old node, with what it holds and has used, the limits and children of the new one."""
+        tree.set_limits(now, old, new.limits)
+        old.unnamed_share, old.from_contract = new.unnamed_share, new.from_contract
         for name, child in new.children.items():
             if name in old.children:
-                self.graft(now, quotas, old.children[name], child)
+                self._merge(now, tree, old.children[name], child)
             else:
                 child.parent = old
                 old.children[name] = child
-        for name, child in list(old.children.items()):
+        for name, child in old.children.items():
             if name not in new.children:
-                child.stated = False  # forgotten once nothing of it stands
+                child.from_contract = False  # removed once nothing of it is established
 
-    def accounts(self, now: int) -> list[Account]:
-        return [row for quotas in self.pools.values() for row in quotas.accounts(now)]
+    def usage(self, now: int) -> list[QuotaUsage]:
+        """Return a row for each node of each pool's tree and each dimension."""
+        return [row for tree in self.trees.values() for row in tree.usage(now)]
--- /dev/null
+++ b/larchlatch/broker/limits.py
@@ -0,0 +1,50 @@
+"""What contracts come to at one node of the installation: whole numbers in a window."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from larchlatch.broker.contracts import ROUNDING
+from larchlatch.broker.quota_tree import QuotaLimits, QuotaNode
+
+if TYPE_CHECKING:
+    from larchlatch.broker.contracts import Figures, Pool, Team
+
+Amounts = tuple[int, int, int]  # by dimension
+
+
+def _at_least_one(amount: float) -> int:
+    # A node with less than one of something would never admit anything.
+    return 0 if amount <= 0 else max(1, int(amount + ROUNDING))
+
+
+def node_amounts(figures: Figures, window_s: float, nodes: int) -> Amounts:
+    """Return one node's part of the installation's figures, in a window."""
+    return (
+        _at_least_one(figures.sessions_per_s * window_s / nodes),
+        _at_least_one(figures.messages_per_s * window_s / nodes),
+        _at_least_one(figures.held / nodes),
+    )
+
+
+def share_of(amounts: Amounts, share: float) -> Amounts:
+    """Return a share of a level's amounts."""
+    sessions, messages, held = amounts
+    return _at_least_one(sessions * share), _at_least_one(messages * share), _at_least_one(held * share)
+
+
+def part_limits(parent: Amounts, share: float, maximum: float) -> QuotaLimits:
+    """Return the limits of a part of a level with these amounts."""
+    return QuotaLimits(share_of(parent, share), share_of(parent, max(share, maximum)))
+
+
+def pool_root(pool: Pool, window_s: float, nodes: int) -> QuotaNode:
+    """Return the root of a pool's tree."""
+    able = node_amounts(pool.able, window_s, nodes)
+    return QuotaNode(pool.name, QuotaLimits(able, able))
+
+
+def team_limits(team: Team, pool: Pool, window_s: float, nodes: int) -> QuotaLimits:
+    """Return the limits of a team; without a maximum of its own it may borrow all that the pool has."""
+    promised = node_amounts(team.promised, window_s, nodes)
+    return QuotaLimits(promised, node_amounts(team.most or pool.able, window_s, nodes))
--- /dev/null
+++ b/larchlatch/broker/sliding_window.py
@@ -0,0 +1,50 @@
+"""A counter over a sliding window, kept in slots of equal length."""
+
+from __future__ import annotations
+
+# Slots of a window. One more is kept, so that the limit is strict for any stretch as long as the window, at
+# the cost of 1/65 of the rate.
+SLOTS = 64
+
+
+class SlidingWindowCounter:
+    """How much was used in the last window.
+
+    The caller numbers the slots by its own clock; a slot number below the newest one counts as the newest.
+    """
+
+    __slots__ = ("newest", "slots", "total")
+
+    def __init__(self) -> None:
+        self.slots = [0] * (SLOTS + 1)  # the oldest is still leaving the window
+        self.newest = 0
+        self.total = 0
+
+    def advance(self, slot: int) -> int:
+        """Move on to `slot` and return what is used in the window that ends there."""
+        if slot > self.newest:
+            first_expired = max(self.newest + 1, slot - SLOTS)
+            for number in range(first_expired, slot + 1):
+                self._clear(number % (SLOTS + 1))
+            self.newest = slot
+        return self.total
+
+    def _clear(self, index: int) -> None:
+        self.total -= self.slots[index]
+        self.slots[index] = 0
+
+    def add(self, slot: int, amount: int) -> None:
+        """Count `amount` as used in `slot`."""
+        self.advance(slot)
+        self.slots[self.newest % (SLOTS + 1)] += amount
+        self.total += amount
+
+    def slots_until_free(self, slot: int, amount: int) -> int:
+        """Return in how many slots `amount` will have left the window."""
+        self.advance(slot)
+        leaving = 0
+        for ahead in range(1, SLOTS + 2):
+            leaving += self.slots[(self.newest + ahead) % (SLOTS + 1)]
+            if leaving >= amount:
+                return ahead
+        return SLOTS + 1
--- a/larchlatch/cluster/quota/account.py
+++ b/larchlatch/cluster/quota/account.py
@@ -11,7 +11,7 @@
 from math import ceil
 from typing import NamedTuple
 
-from larchlatch.broker.quotas import SLOTS, Uses
+from larchlatch.broker.sliding_window import SLOTS, SlidingWindowCounter
 
 MEAN = 4  # windows that demand is taken over: a loan lasts about as long, and in one of them chance decides
 Loan = tuple[str, int, int]  # to whom, in which of its lives, by which of its asks
@@ -74,9 +74,11 @@
     refused: int = 0
     borrowed: dict[int, Borrowed] = field(default_factory=dict)  # by the number of the ask
     lent: dict[Loan, Lent] = field(default_factory=dict)
-    uses: Uses = field(default_factory=Uses)
-    asks: Uses = field(default_factory=Uses)  # all that was asked for, refused or not, in the last window
-    lately: Uses = field(default_factory=Uses)  # and in some windows
+    uses: SlidingWindowCounter = field(default_factory=SlidingWindowCounter)
+    asks: SlidingWindowCounter = field(
+        default_factory=SlidingWindowCounter
+    )  # all that was asked for, refused or not, in the last window
+    lately: SlidingWindowCounter = field(default_factory=SlidingWindowCounter)  # and in some windows
     closed: bool = True  # another process of this node may be spending
     opens_at: int = 0
     whole_at: int = 0
@@ -95,7 +97,7 @@
     def close(self, now: int) -> int:
         """Another process of this node spends from now on; what this one has in the last window."""
         self.closed = True
-        return self.uses.roll(self.slot(now))
+        return self.uses.advance(self.slot(now))
 
     def take_over(self, now: int, used: int) -> None:
         """From now on this process spends and the one before it no more; used: by that in its last window."""
@@ -148,7 +150,7 @@
         slot, limit = self.slot(now), self.limit(now)
         self.asks.add(slot, 1)
         self.lately.add(slot // MEAN, 1)
-        used = self.uses.roll(slot)
+        used = self.uses.advance(slot)
         if used < limit:
             self.uses.add(slot, 1)
             self.spent += 1
@@ -156,17 +158,17 @@
         self.refused += 1
         if self.closed or self.now < self.opens_at:
             return max(self.opens_at - self.now, self.slot_us)
-        return self.uses.frees(slot, used - limit + 1) * self.slot_us
+        return self.uses.slots_until_free(slot, used - limit + 1) * self.slot_us
 
     # Lending and borrowing.
 
     def need(self, now: int) -> int:
         """What it wants in a window: a rise shows in the last, the level of demand in the mean."""
-        return max(self.asks.roll(self.slot(now)), self.mean(now))
+        return max(self.asks.advance(self.slot(now)), self.mean(now))
 
     def mean(self, now: int) -> int:
         """What was asked for in a window of late."""
-        return -(-self.lately.roll(self.slot(now) // MEAN) // MEAN)
+        return -(-self.lately.advance(self.slot(now) // MEAN) // MEAN)
 
     def wants(self, now: int) -> int:
         """What it had better borrow."""
@@ -179,7 +181,7 @@
         self.look(now)
         if self.closed or self.now < self.whole_at or self.grows_to is not None:
             return 0
-        busy = max(self.share.floor, self.mean(now), self.uses.roll(self.slot(now)))
+        busy = max(self.share.floor, self.mean(now), self.uses.advance(self.slot(now)))
         return max(0, self.share.own - self.lent_out - busy)
 
     def lend(self, now: int, loan: Loan, amount: int) -> int:
--- a/larchlatch/cluster/quota/budgets.py
+++ b/larchlatch/cluster/quota/budgets.py
@@ -312,7 +312,7 @@
                     rights.share.own,
                     rights.share.floor,
                     may,
-                    rights.uses.roll(rights.slot(now)),
+                    rights.uses.advance(rights.slot(now)),
                     rights.had_in,
                     rights.lent_out,
                     rights.spent,
--- a/tests/test_broker.py
+++ b/tests/test_broker.py
@@ -12,16 +12,17 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.broker.broker import Broker, Ticket, Unknown
-from larchlatch.broker.contracts import checked
-from larchlatch.broker.quotas import SLOTS, Dimension, Level, Limits, Quotas, Refusal, Uses, walk
+from larchlatch.broker.broker import AdmittedSession, Broker, NoContract
+from larchlatch.broker.contracts import parse_contracts
+from larchlatch.broker.quota_tree import Dimension, QuotaLimits, QuotaNode, QuotaTree, Rejection, iterate
+from larchlatch.broker.sliding_window import SLOTS, SlidingWindowCounter
 from larchlatch.errors import InvalidInputError
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
 LATER = START + 2 * SECOND  # the window before the start has passed
 EXAMPLE = Path(__file__).parent.parent / "deploy" / "contracts.example.toml"
-LINK = {Dimension.LINKS: 1}
+ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
 
 def figures(links: float, held: float = 100_000) -> dict[str, float]:
@@ -45,11 +46,11 @@
     }
 
 
-def tree(pool: int, **shares: int) -> tuple[Quotas, dict[str, Level]]:
-    root = Level("pool", Limits((pool,) * 3, (pool,) * 3))
+def tree(pool_limit: int, **shares: int) -> tuple[QuotaTree, dict[str, QuotaNode]]:
+    root = QuotaNode("pool", QuotaLimits((pool_limit,) * 3, (pool_limit,) * 3))
     for name, share in shares.items():
-        root.children[name] = Level(name, Limits((share,) * 3, (pool,) * 3), root)
-    return Quotas(root, SECOND, START), root.children
+        root.children[name] = QuotaNode(name, QuotaLimits((share,) * 3, (pool_limit,) * 3), root)
+    return QuotaTree(root, SECOND, START), root.children
 
 
 # Windows.
@@ -64,7 +65,7 @@
     now, taken = LATER, []
     for gap, number in asks:
         now += gap
-        if quotas.admit(now, teams["a"], {Dimension.LINKS: number}) is None:
+        if quotas.admit(now, teams["a"], {Dimension.NEW_SESSIONS: number}) is None:
             taken.append((now, number))
     for first, _ in taken:
         assert sum(number for at, number in taken if first <= at < first + SECOND) <= limit
@@ -72,35 +73,38 @@
 
 def test_in_the_long_run_a_level_gets_its_limit_within_two_in_a_hundred() -> None:
     quotas, teams = tree(200, a=200)
-    admitted = sum(quotas.admit(LATER + n * 1000, teams["a"], LINK) is None for n in range(60_000))
+    admitted = sum(quotas.admit(LATER + n * 1000, teams["a"], ONE_SESSION) is None for n in range(60_000))
     assert 0.98 * 200 * 60 <= admitted <= 200 * 61
 
 
 def test_uses_are_forgotten_after_a_window_and_say_when() -> None:
-    uses = Uses()
-    uses.add(10, 5)
-    assert uses.roll(10 + SLOTS) == 5 and uses.frees(10 + SLOTS, 5) == 1
-    assert uses.roll(11 + SLOTS) == 0
-    uses.add(10**9, 2)
-    uses.add(10**9 + 3, 2)
-    assert uses.frees(10**9 + 3, 1) == SLOTS - 2 and uses.frees(10**9 + 3, 4) == SLOTS + 1
-    assert uses.roll(5) == 4, "a clock that runs back frees nothing"
+    counter = SlidingWindowCounter()
+    counter.add(10, 5)
+    assert counter.advance(10 + SLOTS) == 5 and counter.slots_until_free(10 + SLOTS, 5) == 1
+    assert counter.advance(11 + SLOTS) == 0
+    counter.add(10**9, 2)
+    counter.add(10**9 + 3, 2)
+    assert (
+        counter.slots_until_free(10**9 + 3, 1) == SLOTS - 2
+        and counter.slots_until_free(10**9 + 3, 4) == SLOTS + 1
+    )
+    assert counter.advance(5) == 4, "a clock that runs back frees nothing"
 
 
 def test_one_who_comes_back_when_told_is_admitted() -> None:
     quotas, teams = tree(10, a=10)
     now = LATER
     for _ in range(10):
-        assert quotas.admit(now, teams["a"], LINK) is None
-    refusal = quotas.admit(now + 1, teams["a"], LINK)
-    assert isinstance(refusal, Refusal) and 0 < refusal.back_us <= SECOND * (SLOTS + 1) // SLOTS
-    assert quotas.admit(now + refusal.back_us + quotas.slot_us, teams["a"], LINK) is None
+        assert quotas.admit(now, teams["a"], ONE_SESSION) is None
+    rejection = quotas.admit(now + 1, teams["a"], ONE_SESSION)
+    assert isinstance(rejection, Rejection) and 0 < rejection.retry_after_us <= SECOND * (SLOTS + 1) // SLOTS
+    assert quotas.admit(now + rejection.retry_after_us + quotas.slot_us, teams["a"], ONE_SESSION) is None
 
 
 def test_a_node_that_starts_hands_out_no_full_window_at_once() -> None:
     quotas, teams = tree(100, a=100)
-    at_once = sum(quotas.admit(START, teams["a"], LINK) is None for _ in range(200))
-    in_a_second = sum(quotas.admit(START + n * 5000, teams["a"], LINK) is None for n in range(200))
+    at_once = sum(quotas.admit(START, teams["a"], ONE_SESSION) is None for _ in range(200))
+    in_a_second = sum(quotas.admit(START + n * 5000, teams["a"], ONE_SESSION) is None for n in range(200))
     assert at_once <= 2 and 80 <= in_a_second <= 100
 
 
@@ -127,59 +131,66 @@
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(ASK, max_size=200))
 def test_over_random_trees_and_arrivals_all_or_nothing_and_all_accounted_for(asks: list[Any]) -> None:
-    broker = Broker(checked(nested(40)), 1, START)
+    broker = Broker(parse_contracts(nested(40)), 1, START)
     now = LATER
-    open_: list[Ticket] = []
-    root = broker.pools["p"].pool
+    open_: list[AdmittedSession] = []
+    root = broker.trees["p"].root
     for gap, verb, team, path in asks:
         now += gap
-        before = {id(level): (level.held, level.admitted) for level in walk(root)}
+        before = {id(node): (node.held, node.admitted) for node in iterate(root)}
         if verb == "link":
-            came = broker.link(now, f"s-{team}", tuple(path))
-            touched = {id(level) for level in came.leaf.path()} if isinstance(came, Ticket) else set()
-            for level in walk(root):
-                held, admitted = before.get(id(level), (0, 0))
-                more = id(level) in touched
-                assert (level.held, level.admitted) == (held + more, admitted + more), "all, or nothing"
-            if isinstance(came, Ticket):
+            came = broker.admit_session(now, f"s-{team}", tuple(path))
+            touched = (
+                {id(node) for node in came.leaf.path_to_root()}
+                if isinstance(came, AdmittedSession)
+                else set()
+            )
+            for node in iterate(root):
+                held, admitted = before.get(id(node), (0, 0))
+                more = id(node) in touched
+                assert (node.held, node.admitted) == (held + more, admitted + more), "all, or nothing"
+            if isinstance(came, AdmittedSession):
                 open_.append(came)
-                slot = now // broker.pools["p"].slot_us
-                for level in came.leaf.path():
-                    assert all(level.used(what, slot) <= level.limits.most[what] for what in Dimension)
+                slot = now // broker.trees["p"].slot_us
+                for node in came.leaf.path_to_root():
+                    assert all(
+                        node.used(dimension, slot) <= node.limits.maximum[dimension]
+                        for dimension in Dimension
+                    )
         elif verb == "end" and open_:
             ticket = open_.pop(len(path) % len(open_))
-            broker.ended(now, ticket)
-            broker.ended(now, ticket)
+            broker.release(now, ticket)
+            broker.release(now, ticket)
         elif verb == "message" and open_:
-            broker.message(now, open_[-1])
+            broker.admit_message(now, open_[-1])
         elif verb == "new contracts":
-            broker.follow(now, checked(nested(10 + 10 * len(path))))
-        for level in walk(root):
-            assert level.held >= sum(child.held for child in level.children.values()) >= 0
+            broker.set_contracts(now, parse_contracts(nested(10 + 10 * len(path))))
+        for node in iterate(root):
+            assert node.held >= sum(child.held for child in node.children.values()) >= 0
         assert root.held == len(open_), "an admitted link is held until it ends"
-        for row in broker.accounts(now):
+        for row in broker.usage(now):
             assert row.used >= 0 and row.borrowed >= 0 and row.lent >= 0
             assert row.borrowed == 0 or row.used == row.share + row.borrowed
     for ticket in open_:
-        broker.ended(now, ticket)
-    assert all(level.held == 0 for level in walk(root))
+        broker.release(now, ticket)
+    assert all(node.held == 0 for node in iterate(root))
 
 
 def test_a_flood_takes_nothing_from_teams_that_keep_to_their_promise() -> None:
     """Ten times its budget for a minute; each of the others as alone."""
     got: dict[bool, dict[str, int]] = {}
     for flood in (False, True):
-        broker = Broker(checked(raw(a=30, b=30, c=20)), 1, START)
+        broker = Broker(parse_contracts(raw(a=30, b=30, c=20)), 1, START)
         chance, counts = random.Random(4), dict.fromkeys("abc", 0)
         due = [(LATER + round(chance.random() * 60 * SECOND), team) for team in "bc" for _ in range(28 * 60)]
         due = [(at, team) for at, team in due if team == "b" or chance.random() < 0.65]
         if flood:
             due += [(LATER + n * 60 * SECOND // 18_000, "a") for n in range(18_000)]
         for at, team in sorted(due):
-            came = broker.link(at, f"s-{team}")
-            if isinstance(came, Ticket):
+            came = broker.admit_session(at, f"s-{team}")
+            if isinstance(came, AdmittedSession):
                 counts[team] += 1
-                broker.ended(at, came)
+                broker.release(at, came)
         got[flood] = counts
     for team in "bc":
         assert got[True][team] >= 0.97 * got[False][team], got
@@ -191,10 +202,10 @@
     now = LATER
     for n in range(3000):
         now = LATER + n * 1000
-        quotas.admit(now, teams["a"], LINK)
+        quotas.admit(now, teams["a"], ONE_SESSION)
     slot = now // quotas.slot_us
-    assert teams["a"].used(Dimension.LINKS, slot) >= 97, "all that the other leaves"
-    rows = {row.level: row for row in quotas.accounts(now) if row.what is Dimension.LINKS}
+    assert teams["a"].used(Dimension.NEW_SESSIONS, slot) >= 97, "all that the other leaves"
+    rows = {row.address: row for row in quotas.usage(now) if row.dimension is Dimension.NEW_SESSIONS}
     assert rows["pool/a"].borrowed == rows["pool/b"].lent > 40
     # Both ask from now on, in the same instants; the one that is back first in each.
     admitted = {"a": 0, "b": 0}
@@ -202,7 +213,7 @@
     for n in range(3000):
         at = now + n * 1000
         for name in ("b", "a"):
-            took = quotas.admit(at, teams[name], LINK) is None
+            took = quotas.admit(at, teams[name], ONE_SESSION) is None
             admitted[name] += took
             late[name] += took and at >= now + SECOND * (SLOTS + 1) // SLOTS
     assert late["b"] >= 0.95 * 50 * 2 and abs(late["a"] - late["b"]) <= 6, (admitted, late)
@@ -213,22 +224,26 @@
     counts = dict.fromkeys("ab", 0)
     for n in range(20_000):
         for name in counts:
-            counts[name] += quotas.admit(LATER + n * 1000, teams[name], LINK) is None
+            counts[name] += quotas.admit(LATER + n * 1000, teams[name], ONE_SESSION) is None
     # c is idle: its 60 go as 20 to 40.
     assert abs(counts["a"] / (40 * 20) - 1) < 0.05 and abs(counts["b"] / (80 * 20) - 1) < 0.05, counts
 
 
 def test_a_parent_out_of_share_refuses_though_a_child_has_some_and_is_named() -> None:
-    root = Level("pool", Limits((10,) * 3, (10,) * 3))
-    team = root.children["t"] = Level("t", Limits((10,) * 3, (10,) * 3), root)
-    bank = team.children["b"] = Level("b", Limits((8,) * 3, (10,) * 3), team)
-    other = team.children["o"] = Level("o", Limits((2,) * 3, (10,) * 3), team)
-    quotas = Quotas(root, SECOND, START)
+    root = QuotaNode("pool", QuotaLimits((10,) * 3, (10,) * 3))
+    team = root.children["t"] = QuotaNode("t", QuotaLimits((10,) * 3, (10,) * 3), root)
+    bank = team.children["b"] = QuotaNode("b", QuotaLimits((8,) * 3, (10,) * 3), team)
+    other = team.children["o"] = QuotaNode("o", QuotaLimits((2,) * 3, (10,) * 3), team)
+    quotas = QuotaTree(root, SECOND, START)
     for _ in range(10):
-        assert quotas.admit(LATER, bank, LINK) is None
-    refusal = quotas.admit(LATER, other, LINK)
-    assert isinstance(refusal, Refusal) and refusal.level == "pool" and refusal.what is Dimension.LINKS
-    assert other.used(Dimension.LINKS, LATER // quotas.slot_us) == 0 and root.admitted == 10
+        assert quotas.admit(LATER, bank, ONE_SESSION) is None
+    rejection = quotas.admit(LATER, other, ONE_SESSION)
+    assert (
+        isinstance(rejection, Rejection)
+        and rejection.address == "pool"
+        and rejection.dimension is Dimension.NEW_SESSIONS
+    )
+    assert other.used(Dimension.NEW_SESSIONS, LATER // quotas.slot_us) == 0 and root.admitted == 10
 
 
 def test_held_links_are_never_cut_off_and_count_until_they_end() -> None:
@@ -236,86 +251,92 @@
     contracts["pools"][0]["able"]["held"] = 20
     for team in contracts["teams"]:
         team["promised"]["held"] = 10
-    broker = Broker(checked(contracts), 1, START)
-    held = [broker.link(LATER + n, "s-a") for n in range(20)]
-    assert all(isinstance(came, Ticket) for came in held), "b is idle: its part is lent"
-    refusal = broker.link(LATER + 30, "s-b")
-    assert isinstance(refusal, Refusal) and refusal.what is Dimension.HELD
+    broker = Broker(parse_contracts(contracts), 1, START)
+    held = [broker.admit_session(LATER + n, "s-a") for n in range(20)]
+    assert all(isinstance(came, AdmittedSession) for came in held), "b is idle: its part is lent"
+    rejection = broker.admit_session(LATER + 30, "s-b")
+    assert isinstance(rejection, Rejection) and rejection.dimension is Dimension.HELD_SESSIONS
     ends = iter(held)
     # The lender is back: what ends goes to it, and the borrower takes nothing while over its own part.
     for n in range(10):
         ticket = next(ends)
-        assert isinstance(ticket, Ticket)
-        broker.ended(LATER + 10 * SECOND + n, ticket)
-        assert isinstance(broker.link(LATER + 10 * SECOND + n, "s-b"), Ticket)
-        assert isinstance(broker.link(LATER + 10 * SECOND + n, "s-a"), Refusal)
+        assert isinstance(ticket, AdmittedSession)
+        broker.release(LATER + 10 * SECOND + n, ticket)
+        assert isinstance(broker.admit_session(LATER + 10 * SECOND + n, "s-b"), AdmittedSession)
+        assert isinstance(broker.admit_session(LATER + 10 * SECOND + n, "s-a"), Rejection)
 
 
 def test_new_contracts_below_what_is_held_cut_nothing_off() -> None:
     contracts = raw(a=50)
-    broker = Broker(checked(contracts), 1, START)
-    tickets = [broker.link(LATER + n * 20_000, "s-a") for n in range(40)]
-    assert all(isinstance(ticket, Ticket) for ticket in tickets)
+    broker = Broker(parse_contracts(contracts), 1, START)
+    tickets = [broker.admit_session(LATER + n * 20_000, "s-a") for n in range(40)]
+    assert all(isinstance(ticket, AdmittedSession) for ticket in tickets)
     contracts["pools"][0]["able"]["held"] = contracts["teams"][0]["promised"]["held"] = 30
     contracts["teams"].append({**contracts["teams"][0], "name": "b", "service": "s-b"})
     contracts["teams"][0]["promised"] = figures(50, 20)
     contracts["teams"][1]["promised"] = figures(50, 10)
-    broker.follow(LATER + SECOND, checked(contracts))
+    broker.set_contracts(LATER + SECOND, parse_contracts(contracts))
     later = LATER + 3 * SECOND
-    assert broker.pools["p"].pool.held == 40
-    assert isinstance(broker.link(later, "s-a"), Refusal) and isinstance(broker.link(later, "s-b"), Refusal)
+    assert broker.trees["p"].root.held == 40
+    assert isinstance(broker.admit_session(later, "s-a"), Rejection) and isinstance(
+        broker.admit_session(later, "s-b"), Rejection
+    )
     for ticket in tickets[:25]:
-        assert isinstance(ticket, Ticket)
-        broker.ended(later, ticket)
-    assert isinstance(broker.link(later, "s-a"), Ticket) and isinstance(broker.link(later, "s-b"), Ticket)
+        assert isinstance(ticket, AdmittedSession)
+        broker.release(later, ticket)
+    assert isinstance(broker.admit_session(later, "s-a"), AdmittedSession) and isinstance(
+        broker.admit_session(later, "s-b"), AdmittedSession
+    )
     del contracts["teams"][0]
-    broker.follow(later + 1, checked(contracts))
-    assert isinstance(broker.link(later + 2, "s-a"), Unknown) and broker.pools["p"].pool.held == 17
+    broker.set_contracts(later + 1, parse_contracts(contracts))
+    assert (
+        isinstance(broker.admit_session(later + 2, "s-a"), NoContract) and broker.trees["p"].root.held == 17
+    )
 
 
 @pytest.mark.parametrize("window_s", [0.2, 10.0])
 def test_new_contracts_with_another_window_go_on_by_that(window_s: float) -> None:
-    broker = Broker(checked(raw(a=50)), 1, START)
-    assert isinstance(broker.link(LATER, "s-a"), Ticket)
-    broker.follow(LATER, checked({**raw(a=50), "window_s": window_s}))
+    broker = Broker(parse_contracts(raw(a=50)), 1, START)
+    assert isinstance(broker.admit_session(LATER, "s-a"), AdmittedSession)
+    broker.set_contracts(LATER, parse_contracts({**raw(a=50), "window_s": window_s}))
     window = round(window_s * SECOND)
-    at_once = sum(isinstance(broker.link(LATER + 1, "s-a"), Ticket) for _ in range(2000))
+    at_once = sum(isinstance(broker.admit_session(LATER + 1, "s-a"), AdmittedSession) for _ in range(2000))
     assert at_once <= 100 * window_s * 0.1 + 1, "no fresh window: the one before counts as used"
     later = LATER + 3 * window
-    admitted = sum(isinstance(broker.link(later, "s-a"), Ticket) for _ in range(2000))
+    admitted = sum(isinstance(broker.admit_session(later, "s-a"), AdmittedSession) for _ in range(2000))
     assert admitted == 100 * window_s, "all of a whole window, for nobody else asks"
 
 
 def test_thousands_of_desks_come_and_go_without_a_fresh_budget() -> None:
     contracts = raw(a=100)
     contracts["teams"][0]["parts"] = [{"name": "bank", "share": 1.0, "unnamed": 0.01}]
-    broker = Broker(checked(contracts), 1, START)
-    bank = broker.pools["p"].pool.children["a"].children["bank"]
+    broker = Broker(parse_contracts(contracts), 1, START)
+    bank = broker.trees["p"].root.children["a"].children["bank"]
     seen = set()
     for n in range(5000):
-        came = broker.link(LATER + n * 20_000, "s-a", ("bank", f"branch-{n}"))
-        assert isinstance(came, Ticket)
-        broker.ended(LATER + n * 20_000, came)
+        came = broker.admit_session(LATER + n * 20_000, "s-a", ("bank", f"branch-{n}"))
+        assert isinstance(came, AdmittedSession)
+        broker.release(LATER + n * 20_000, came)
         seen.add(len(bank.children))
     assert max(seen) <= 50 * 2, "those idle for a window are forgotten"
     now = LATER + 200 * SECOND
-    first = broker.link(now, "s-a", ("bank", "desk"))
-    assert isinstance(first, Ticket)
-    broker.pools["p"].forget(broker.pools["p"].pool, now // broker.pools["p"].slot_us)
+    first = broker.admit_session(now, "s-a", ("bank", "desk"))
+    assert isinstance(first, AdmittedSession)
+    broker.trees["p"].remove_idle(broker.trees["p"].root, now // broker.trees["p"].slot_us)
     assert bank.children["desk"] is first.leaf, "it holds a link, and has used a part of its window"
-    assert isinstance(broker.link(now, "s-a", ("elsewhere",)), Unknown)
-    assert isinstance(broker.link(now, "s-a", ("bank", "b", "d", "x")), Unknown)
-    assert isinstance(broker.link(now, "s-none"), Unknown) and broker.unknown == 3
+    assert isinstance(broker.admit_session(now, "s-a", ("elsewhere",)), NoContract)
+    assert isinstance(broker.admit_session(now, "s-a", ("bank", "b", "d", "x")), NoContract)
+    assert isinstance(broker.admit_session(now, "s-none"), NoContract) and broker.without_contract == 3
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 7])
 def test_all_nodes_together_promise_no_more_than_the_contract(nodes: int) -> None:
-    brokers = [Broker(checked(raw(a=50, b=50)), nodes, START) for _ in range(nodes)]
+    brokers = [Broker(parse_contracts(raw(a=50, b=50)), nodes, START) for _ in range(nodes)]
     admitted = 0
     for n in range(2000):
         for broker in brokers:
-            came = broker.link(LATER + n * 500, "s-a")
-            if isinstance(came, Ticket):
+            came = broker.admit_session(LATER + n * 500, "s-a")
+            if isinstance(came, AdmittedSession):
                 admitted += 1
     assert admitted <= 100 * 1 + nodes, "a second of the whole pool, for the other team is idle"
     assert admitted >= 100 - 2 * nodes
@@ -361,7 +382,7 @@
 )
 def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], told: list[str]) -> None:
     with pytest.raises(InvalidInputError) as refused:
-        checked(contracts)
+        parse_contracts(contracts)
     assert all(word in str(refused.value) for word in told), str(refused.value)
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -16,7 +16,7 @@
 import pytest
 from msgspec import inspect
 
-from larchlatch.broker.contracts import Contracts, contracts_of
+from larchlatch.broker.contracts import Contracts, read_contracts
 from larchlatch.cluster.cluster_file import Raw, fleet_from, fleet_of
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure, What
@@ -319,7 +319,7 @@
 
 def test_example_files_of_the_deployment_are_read_and_digested_as_before() -> None:
     assert cluster_marks() == recorded()["cluster_marks"]
-    assert contracts_of(ROOT / "deploy" / "contracts.example.toml").teams
+    assert read_contracts(ROOT / "deploy" / "contracts.example.toml").teams
 
 
 @pytest.mark.parametrize(("name", "seed"), SMALL_DAYS)
