--- /dev/null
+++ b/tests/test_import_contract.py
@@ -0,0 +1,45 @@
+"""The layers of docs/architecture.md hold, and an import against them is found."""
+
+from __future__ import annotations
+
+import shutil
+import subprocess
+import sys
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+LINT = Path(sys.executable).parent / "lint-imports"
+
+
+def contract_holds(root: Path) -> subprocess.CompletedProcess[str]:
+    """Check the import contract of the project that lies in this folder."""
+    return subprocess.run([LINT, "--no-cache"], cwd=root, capture_output=True, text=True)
+
+
+def test_the_layers_hold() -> None:
+    done = contract_holds(ROOT)
+    assert done.returncode == 0, done.stdout
+
+
+@pytest.mark.parametrize(
+    ("module", "imported"),
+    [
+        ("policy/driver.py", "larchlatch.node.clock"),
+        ("config/toml_file.py", "larchlatch.node.clock"),
+        ("node/clock.py", "larchlatch.cluster.service"),
+        ("cluster/quota/account.py", "larchlatch.node.clock"),
+        ("node/relay.py", "larchlatch.policy.balancer"),
+    ],
+)
+def test_a_planted_import_against_the_layers_is_found(module: str, imported: str, tmp_path: Path) -> None:
+    shutil.copytree(
+        ROOT / "larchlatch", tmp_path / "larchlatch", ignore=shutil.ignore_patterns("__pycache__")
+    )
+    shutil.copy(ROOT / "pyproject.toml", tmp_path)
+    path = tmp_path / "larchlatch" / module
+    path.write_text(path.read_text() + f"\nimport {imported}\n")
+    done = contract_holds(tmp_path)
+    assert done.returncode == 1, done.stdout
+    assert imported in done.stdout
