--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -11,7 +11,7 @@
 import structlog
 
 from larchlatch import VERSION
-from larchlatch.config.node import Plan, plan_of
+from larchlatch.config.node import NodeConfiguration, read_node_configuration
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.ports import Join
 from larchlatch.node.runtime import node
@@ -25,10 +25,10 @@
 )
 
 
-def read(path: Path) -> Plan:
+def read(path: Path) -> NodeConfiguration:
     """The configuration, or one line that says what is wrong with it, and exit code 2."""
     try:
-        return plan_of(path)
+        return read_node_configuration(path)
     except InvalidInputError as error:
         click.echo(f"larchlatch: {error}", err=True)
         sys.exit(2)
@@ -81,8 +81,8 @@
 )
 def serve(config: Path, verbose: bool, cluster: Path | None, cluster_key: Path | None) -> None:
     """Run one node until SIGTERM; SIGHUP rereads its configuration, SIGUSR1 prints its counters."""
-    plan = read(config)
-    join = None if cluster is None else joining(plan, cluster, cluster_key)
+    configuration = read(config)
+    join = None if cluster is None else joining(configuration, cluster, cluster_key)
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -93,10 +93,10 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if verbose else logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(),
     )
-    anyio.run(node, plan, config, join, backend_options={"use_uvloop": True})
+    anyio.run(node, configuration, config, join, backend_options={"use_uvloop": True})
 
 
-def joining(plan: Plan, path: Path, key: Path | None) -> Join:
+def joining(configuration: NodeConfiguration, path: Path, key: Path | None) -> Join:
     """How the node joins its cluster; what is wrong with file or key is said now, not when it runs."""
     from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
     from larchlatch.cluster.service import Cluster  # nodes without a cluster load none of it
@@ -104,10 +104,10 @@
     if key is None:
         raise click.UsageError("--cluster wants '--cluster-key' as well")
     fleet = fleet_of(path)
-    seal = own_seal(fleet, plan.name, secret_of(key))
-    fits_traffic_classes(fleet, plan.traffic_classes)
+    seal = own_seal(fleet, configuration.name, secret_of(key))
+    fits_traffic_classes(fleet, configuration.traffic_class_names)
     return lambda counters, chance, hearing: Cluster(
-        plan.name, plan.traffic_classes, path, fleet, seal, counters, chance, hearing
+        configuration.name, configuration.traffic_class_names, path, fleet, seal, counters, chance, hearing
     )
 
 
@@ -143,10 +143,10 @@
         return
     if config is None:
         raise click.UsageError("Missing option '--config', '--contracts' or '--cluster'.")
-    plan = read(config)
+    configuration = read(config)
     click.echo(
-        f"{plan.name}: in order; {len(plan.known.members)} hosts known, {len(plan.traffic_classes)} tariffs, "
-        f"{len(plan.zones)} zones"
+        f"{configuration.name}: in order; {len(configuration.known_endpoints.endpoints)} hosts known, {len(configuration.traffic_class_names)} tariffs, "
+        f"{len(configuration.zones)} zones"
     )
 
 
--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -8,7 +8,7 @@
 from msgspec import Meta, field
 
 from larchlatch.broker.quotas import Dimension, Level, Limits
-from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.config.toml_file import Strict, convert_table, read_toml
 from larchlatch.errors import ConfigurationError
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
@@ -64,7 +64,7 @@
 
 
 def checked(raw: Any) -> Contracts:
-    contracts = converted(raw, Contracts, "contracts")
+    contracts = convert_table(raw, Contracts, "contracts")
     once([pool.name for pool in contracts.pools], "pools")
     once([team.name for team in contracts.teams], "teams")
     once([team.service for team in contracts.teams], "teams: service")
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -14,8 +14,8 @@
 from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
-from larchlatch.config.endpoints import address_of
-from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.config.endpoints import parse_address
+from larchlatch.config.toml_file import Strict, convert_table, read_toml
 from larchlatch.errors import ConfigurationError
 
 if TYPE_CHECKING:
@@ -92,7 +92,7 @@
 
 
 def fleet_from(raw: Any, top: str) -> Fleet:
-    read = converted(raw, Raw, top)
+    read = convert_table(raw, Raw, top)
     peers: dict[str, Peer] = {}
     taken: dict[tuple[str, int], str] = {}
     for place, entry in enumerate(read.nodes):
@@ -101,7 +101,7 @@
             raise ConfigurationError(f"{where}.name", f"there are two of this name ({entry.name})")
         if len(entry.name.encode()) > NAME_BYTES:
             raise ConfigurationError(f"{where}.name", f"longer than {NAME_BYTES} bytes")
-        address = address_of(entry.address, f"{where}.address")
+        address = parse_address(entry.address, f"{where}.address")
         if not address[1]:
             raise ConfigurationError(
                 f"{where}.address", f"the others have to know its port ({entry.address})"
--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -1,104 +1,99 @@
-"""The one reader of the settings: shapes checked, names turned into larchlatch's own."""
+"""The deployment settings: the object `settings` of a configuration, also sent by the simulator."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from larchlatch.errors import InvalidInputError
+from larchlatch.config.reading import NUMBER, non_negative_int, one_of, optional, required
+from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
-REPEATS = {
+# Words of the key `effect`.
+IDEMPOTENCY_BY_EFFECT = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
+# Words of the key `group` of a traffic class.
+DEDUP_SCOPE_BY_GROUP = {scope.value: scope for scope in DedupScope}
+DEFAULT_GROUP = DedupScope.ALL.value
 
-NUMBER = (int, float)
-MOST = 2**53  # beyond it a number in JSON is no longer exact: microseconds of centuries
 
+def read_deployment_settings(raw: dict[str, Any], where: str) -> DeploymentSettings:
+    """Return the settings that decisions depend on, checked and with their defaults.
 
-def need(holder: dict[str, Any], item: str, kind: Any, where: str) -> Any:
-    """The item of that name, or a plain complaint."""
-    if item not in holder:
-        raise InvalidInputError(where, f"{item} is missing")
-    value = holder[item]
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise InvalidInputError(where, f"{item} has the wrong type ({type(value).__name__})")
-    return value
+    Args:
+        raw: The JSON object that holds the settings.
+        where: The place of that object, for the messages.
 
+    Raises:
+        ConfigurationError: A value is missing or wrong.
 
-def maybe(holder: dict[str, Any], item: str, kind: Any, where: str, default: Any) -> Any:
-    """The item of that name, the default where it is missing or null, or a plain complaint."""
-    return default if holder.get(item) is None else need(holder, item, kind, where)
-
-
-def whole(holder: dict[str, Any], item: str, where: str, default: int | None = None) -> int:
-    """A number of at least 0 as a whole one: lengths of time, counts."""
-    value = (
-        need(holder, item, NUMBER, where) if default is None else maybe(holder, item, NUMBER, where, default)
-    )
-    if not 0 <= value < MOST:
-        raise InvalidInputError(where, f"{item} is out of range ({value})")
-    return int(value)
-
-
-def known(value: str, names: dict[str, Any], where: str) -> Any:
-    """What the wire's word stands for."""
-    if value not in names:
-        raise InvalidInputError(where, f"unknown value {value!r}")
-    return names[value]
-
-
-def read_deployment_settings(conf: dict[str, Any], top: str) -> DeploymentSettings:
-    """The settings that decisions read; top: what the complaints call the object that holds them."""
-    caps = need(conf, "caps", dict, top)
-    rules = need(conf, "rules", dict, top)
-    telemetry = need(conf, "telemetry", dict, top)
-    domain = maybe(conf, "domain", dict, top, {})
-    need(conf, "areas", list, top)
-    message_objective_us = maybe(domain, "message_aim_us", list, f"{top}.domain", [])
-    traffic_classes = []
-    for place, entry in enumerate(need(conf, "tariffs", list, top)):
-        where = f"{top}.tariffs[{place}]"
-        if not isinstance(entry, dict):
-            raise InvalidInputError(where, "not an object")
-        wanted = message_objective_us[place] if place < len(message_objective_us) else 0
-        if not isinstance(wanted, NUMBER):
-            raise InvalidInputError(
-                f"{top}.domain", f"message_aim_us[{place}] has the wrong type ({type(wanted).__name__})"
-            )
-        traffic_classes.append(
-            TrafficClass(
-                latency_objective_us=whole(entry, "expected_time_us", where),
-                message_objective_us=int(wanted),
-                idempotency=known(need(entry, "effect", str, where), REPEATS, f"{where}.effect"),
-                dedup_scope=known(
-                    maybe(entry, "group", str, where, "") or "all",
-                    {g.value: g for g in DedupScope},
-                    f"{where}.group",
-                ),
-                dedup_window_us=whole(entry, "repeat_window_us", where, 0),
-            )
-        )
+    """
+    caps = required(raw, "caps", dict, where)
+    rules = required(raw, "rules", dict, where)
+    telemetry = required(raw, "telemetry", dict, where)
+    domain = optional(raw, "domain", dict, where, {})
+    required(raw, "areas", list, where)
+    traffic_classes = _read_traffic_classes(raw, domain, where)
     probes = bool(caps.get("probes"))
-    fields = maybe(telemetry, "fields", list, f"{top}.telemetry", [])
-    max_retry_after_us = whole(caps, "max_retry_after_us", f"{top}.caps", 0)
+    reports_load = _reports_load(telemetry, f"{where}.telemetry")
+    max_retry_after_us = non_negative_int(caps, "max_retry_after_us", f"{where}.caps", 0)
     return DeploymentSettings(
-        me=need(conf, "me", int, top),
-        nodes=max(1, need(conf, "peers_total", int, top)),
-        traffic_classes=tuple(traffic_classes),
+        me=required(raw, "me", int, where),
+        nodes=max(1, required(raw, "peers_total", int, where)),
+        traffic_classes=traffic_classes,
         uses_groups=bool(domain.get("groups")),
-        weighted=conf.get("weights") in ("nominal", "rough"),
-        polls_discovery=need(conf, "discovery", str, top) == "on_request",
+        weighted=raw.get("weights") in ("nominal", "rough"),
+        polls_discovery=required(raw, "discovery", str, where) == "on_request",
         probes=probes,
         can_cancel=bool(caps.get("cancel")),
-        probes_report_load=probes and telemetry.get("via") != "none" and "x0" in fields,
+        probes_report_load=probes and reports_load,
         reports_delay=bool(domain.get("tells_delay")),
-        max_attempts=need(caps, "most_setup_tries", int, f"{top}.caps"),
+        max_attempts=required(caps, "most_setup_tries", int, f"{where}.caps"),
         max_retry_after_us=max_retry_after_us if caps.get("retry_after") else 0,
-        poll_within_us=whole(rules, "ask_within_us", f"{top}.rules"),
-        slow_start_min_share=float(need(rules, "cold_from", NUMBER, f"{top}.rules")),
-        slow_start_us=max(1, whole(rules, "cold_us", f"{top}.rules")),
-        overload_multiple=float(need(rules, "tip_multiple", NUMBER, f"{top}.rules")),
-        overload_window_us=max(1, whole(rules, "tip_after_us", f"{top}.rules")),
+        poll_within_us=non_negative_int(rules, "ask_within_us", f"{where}.rules"),
+        slow_start_min_share=float(required(rules, "cold_from", NUMBER, f"{where}.rules")),
+        slow_start_us=max(1, non_negative_int(rules, "cold_us", f"{where}.rules")),
+        overload_multiple=float(required(rules, "tip_multiple", NUMBER, f"{where}.rules")),
+        overload_window_us=max(1, non_negative_int(rules, "tip_after_us", f"{where}.rules")),
     )
+
+
+def _read_traffic_classes(
+    raw: dict[str, Any], domain: dict[str, Any], where: str
+) -> tuple[TrafficClass, ...]:
+    """Return the traffic classes in the order of the key `tariffs`."""
+    objectives = optional(domain, "message_aim_us", list, f"{where}.domain", [])
+    traffic_classes = []
+    for index, entry in enumerate(required(raw, "tariffs", list, where)):
+        if not isinstance(entry, dict):
+            raise ConfigurationError(f"{where}.tariffs[{index}]", "not an object")
+        objective = objectives[index] if index < len(objectives) else 0
+        if not isinstance(objective, NUMBER):
+            raise ConfigurationError(
+                f"{where}.domain", f"message_aim_us[{index}] has the wrong type ({type(objective).__name__})"
+            )
+        traffic_classes.append(_read_traffic_class(entry, int(objective), f"{where}.tariffs[{index}]"))
+    return tuple(traffic_classes)
+
+
+def _read_traffic_class(entry: dict[str, Any], message_objective_us: int, where: str) -> TrafficClass:
+    """Return one traffic class; its objective for messages stands apart from its entry."""
+    latency_objective_us = non_negative_int(entry, "expected_time_us", where)
+    effect = required(entry, "effect", str, where)
+    idempotency = one_of(effect, IDEMPOTENCY_BY_EFFECT, f"{where}.effect")
+    group = optional(entry, "group", str, where, "") or DEFAULT_GROUP
+    return TrafficClass(
+        latency_objective_us=latency_objective_us,
+        message_objective_us=message_objective_us,
+        idempotency=idempotency,
+        dedup_scope=one_of(group, DEDUP_SCOPE_BY_GROUP, f"{where}.group"),
+        dedup_window_us=non_negative_int(entry, "repeat_window_us", where, 0),
+    )
+
+
+def _reports_load(telemetry: dict[str, Any], where: str) -> bool:
+    """Return whether the answers to probes carry the load of their upstream."""
+    fields = optional(telemetry, "fields", list, where, [])
+    return telemetry.get("via") != "none" and "x0" in fields
--- a/larchlatch/config/endpoints.py
+++ b/larchlatch/config/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list in its JSON form, of discovery and of the configuration's `known` list. No I/O."""
+"""The JSON form of the endpoint list, as discovery sends it and as the configuration holds it. No I/O."""
 
 from __future__ import annotations
 
@@ -6,20 +6,39 @@
 
 import orjson
 
-from larchlatch.config.deployment import NUMBER, known, need, whole
-from larchlatch.errors import InvalidInputError, ProtocolError
+from larchlatch.config.reading import NUMBER, non_negative_int, one_of, required
+from larchlatch.errors import ConfigurationError, InvalidInputError, ProtocolError
 from larchlatch.policy.types import EndpointState
 
-STATES = {
+STATE_BY_PHASE = {
     "in_service": EndpointState.READY,
     "terminating": EndpointState.DRAINING,
     "terminated": EndpointState.GONE,
 }
-LARGEST = 1e6  # sizes of a host are compared and added up: one beyond all reason would outweigh the fleet
+PHASE_BY_STATE = {state: phase for phase, state in STATE_BY_PHASE.items()}
+
+# Sizes are compared and summed: an entry beyond all reason would outweigh all other upstreams together.
+MAX_SIZE = 1e6
+DEFAULT_SIZE = 1.0
+NO_CELL = -1
+
+MAX_PORT = 65535
+MAX_QUOTED_CHARACTERS = 60  # of a wrong address in a message
 
 
 class EndpointEntry(NamedTuple):
-    """One host as the list tells it; its start is Unix time in microseconds, 0 for long ago."""
+    """One upstream as the endpoint list describes it.
+
+    Attributes:
+        name: The id of the upstream.
+        address: Host and port.
+        zone: The zone's name, empty where the list names none.
+        cell: The cell's number, `NO_CELL` where the list names none.
+        state: Whether it takes sessions.
+        size: Its capacity relative to other upstreams.
+        started_at: When it started, in microseconds of Unix time; 0 for long ago.
+
+    """
 
     name: str
     address: tuple[str, int]
@@ -31,96 +50,156 @@
 
 
 class EndpointList(NamedTuple):
-    """A list, or the changes to one."""
+    """An endpoint list, or the changes to one.
+
+    Attributes:
+        revision: The version of the list that this leads to.
+        complete: Whether it is the complete list: an upstream that it lacks is gone.
+        endpoints: The entries.
+        unreadable: Names of upstreams whose entries are wrong. What was known of them stays valid.
+
+    """
 
     revision: int
-    whole: bool
-    members: list[EndpointEntry]
-    unreadable: tuple[str, ...] = ()  # hosts whose entries are faulty: what is known of them stays
+    complete: bool
+    endpoints: list[EndpointEntry]
+    unreadable: tuple[str, ...] = ()
+
+
+class DecodedEndpointList(NamedTuple):
+    """What could be read of an endpoint list.
+
+    Attributes:
+        endpoint_list: The list without its wrong entries.
+        faults: A message for each wrong entry.
+
+    """
+
+    endpoint_list: EndpointList
+    faults: list[str]
+
+
+def parse_address(
+    text: str, where: str, *, error: type[InvalidInputError] = ConfigurationError
+) -> tuple[str, int]:
+    """Return host and port of `HOST:PORT`; an IPv6 address may stand in brackets.
 
+    Raises:
+        InvalidInputError: The text is no such address. `error` names the type.
 
-def address_of(text: str, where: str) -> tuple[str, int]:
+    """
     host, _, port = text.rpartition(":")
-    if not host or not (port.isascii() and port.isdigit()) or int(port) > 65535:
-        raise ProtocolError(where, f"not an address with a port ({text[:60]!r})")
+    # isdigit() alone accepts digits of other scripts.
+    if not host or not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
+        raise error(where, f"not an address with a port ({text[:MAX_QUOTED_CHARACTERS]!r})")
     return host.strip("[]"), int(port)
 
 
-def endpoint_entry_of(raw: Any, where: str) -> EndpointEntry:
+def parse_endpoint(raw: Any, where: str) -> EndpointEntry:
+    """Return one entry of the list.
+
+    Raises:
+        ProtocolError: The entry is wrong.
+
+    """
     if not isinstance(raw, dict):
         raise ProtocolError(where, "not an object")
     cell, size = raw.get("cell"), raw.get("size")
-    if isinstance(size, NUMBER) and size >= LARGEST:
+    if isinstance(size, NUMBER) and size >= MAX_SIZE:
         raise ProtocolError(f"{where}.size", f"too large ({size:g})")
+    name = required(raw, "id", str, where, error=ProtocolError)
+    host_port = required(raw, "host_port", str, where, error=ProtocolError)
+    address = parse_address(host_port, f"{where}.host_port", error=ProtocolError)
+    phase = required(raw, "phase", str, where, error=ProtocolError)
     return EndpointEntry(
-        name=need(raw, "id", str, where),
-        address=address_of(need(raw, "host_port", str, where), f"{where}.host_port"),
+        name=name,
+        address=address,
         zone=str(raw.get("locality") or ""),
-        cell=cell if isinstance(cell, int) else -1,
-        state=known(need(raw, "phase", str, where), STATES, f"{where}.phase"),
-        size=float(size) if isinstance(size, NUMBER) and size > 0 else 1.0,
-        started_at=whole(raw, "up_since_ms", where) * 1000,
+        cell=cell if isinstance(cell, int) else NO_CELL,
+        state=one_of(phase, STATE_BY_PHASE, f"{where}.phase", error=ProtocolError),
+        size=float(size) if isinstance(size, NUMBER) and size > 0 else DEFAULT_SIZE,
+        started_at=non_negative_int(raw, "up_since_ms", where, error=ProtocolError) * 1000,
     )
 
 
-def endpoint_list_of(raw: Any, where: str) -> EndpointList:
+def parse_endpoint_list(raw: Any, where: str) -> EndpointList:
+    """Return a list all of whose entries must be right.
+
+    Raises:
+        ProtocolError: The list or an entry is wrong.
+
+    """
     if not isinstance(raw, dict):
         raise ProtocolError(where, "not an object")
-    rows = need(raw, "members", list, where)
+    entries = required(raw, "members", list, where, error=ProtocolError)
     return EndpointList(
-        revision=need(raw, "revision", int, where),
-        whole=need(raw, "complete", bool, where),
-        members=[endpoint_entry_of(row, f"{where}.members[{place}]") for place, row in enumerate(rows)],
+        revision=required(raw, "revision", int, where, error=ProtocolError),
+        complete=required(raw, "complete", bool, where, error=ProtocolError),
+        endpoints=[parse_endpoint(entry, f"{where}.members[{index}]") for index, entry in enumerate(entries)],
     )
 
 
-def readable_of(raw: Any, where: str) -> tuple[EndpointList, list[str]]:
-    """A list as far as it can be read, and what is wrong with the rest of it.
+def parse_readable_endpoints(raw: Any, where: str) -> DecodedEndpointList:
+    """Return a list as far as its entries can be read.
+
+    A wrong entry must not hide the news of other upstreams, such as a drain that stands beside it.
+
+    Raises:
+        ProtocolError: The list itself is wrong.
 
-    One faulty entry costs no other host its news: a drain that stands beside it was told.
     """
     if not isinstance(raw, dict):
         raise ProtocolError(where, "not an object")
-    members: list[EndpointEntry] = []
+    endpoints: list[EndpointEntry] = []
     faults: list[str] = []
     unreadable: list[str] = []
-    complete = need(raw, "complete", bool, where)
-    for place, row in enumerate(need(raw, "members", list, where)):
+    complete = required(raw, "complete", bool, where, error=ProtocolError)
+    for index, entry in enumerate(required(raw, "members", list, where, error=ProtocolError)):
         try:
-            members.append(endpoint_entry_of(row, f"{where}.members[{place}]"))
+            endpoints.append(parse_endpoint(entry, f"{where}.members[{index}]"))
         except InvalidInputError as error:
             faults.append(str(error))
-            name = row.get("id") if isinstance(row, dict) else None
+            name = entry.get("id") if isinstance(entry, dict) else None
             if isinstance(name, str):
                 unreadable.append(name)
             else:
-                complete = False  # whoever it speaks of would be taken for gone
-    return EndpointList(need(raw, "revision", int, where), complete, members, tuple(unreadable)), faults
+                # The entry may be about any upstream: a complete list without it would declare that one gone.
+                complete = False
+    revision = required(raw, "revision", int, where, error=ProtocolError)
+    return DecodedEndpointList(EndpointList(revision, complete, endpoints, tuple(unreadable)), faults)
+
+
+def endpoint_list_to_json(endpoint_list: EndpointList) -> dict[str, Any]:
+    """Return a list in the form that `parse_endpoint_list` reads."""
+    return {
+        "revision": endpoint_list.revision,
+        "complete": endpoint_list.complete,
+        "members": [_endpoint_to_json(endpoint) for endpoint in endpoint_list.endpoints],
+    }
 
 
-def wire_form(told: EndpointList) -> dict[str, Any]:
-    """A list in the form in which it is read."""
-    phases = {state: phase for phase, state in STATES.items()}
+def _endpoint_to_json(endpoint: EndpointEntry) -> dict[str, Any]:
+    host, port = endpoint.address
     return {
-        "revision": told.revision,
-        "complete": told.whole,
-        "members": [
-            {
-                "id": member.name,
-                "host_port": f"{member.address[0]}:{member.address[1]}",
-                "locality": member.zone,
-                "cell": member.cell,
-                "phase": phases[member.state],
-                "size": member.size,
-                "up_since_ms": member.started_at // 1000,
-            }
-            for member in told.members
-        ],
+        "id": endpoint.name,
+        "host_port": f"{host}:{port}",
+        "locality": endpoint.zone,
+        "cell": endpoint.cell,
+        "phase": PHASE_BY_STATE[endpoint.state],
+        "size": endpoint.size,
+        "up_since_ms": endpoint.started_at // 1000,
     }
 
 
-def decoded(text: bytes) -> tuple[EndpointList, list[str]]:
+def decode_endpoint_list(text: bytes) -> DecodedEndpointList:
+    """Return what can be read of a list that discovery has sent.
+
+    Raises:
+        ProtocolError: The text is no JSON, or the list itself is wrong.
+
+    """
     try:
-        return readable_of(orjson.loads(text), "list")
+        raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
         raise ProtocolError("list", f"no JSON ({error})") from None
+    return parse_readable_endpoints(raw, "list")
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -1,4 +1,4 @@
-"""The node's configuration: read, checked and given its defaults here, and nowhere else."""
+"""The node's configuration: its JSON file, read, checked and completed with defaults."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 import orjson
 
-from larchlatch.config.deployment import maybe, need, read_deployment_settings, whole
-from larchlatch.config.endpoints import EndpointList, address_of, endpoint_list_of
+from larchlatch.config.deployment import read_deployment_settings
+from larchlatch.config.endpoints import EndpointList, parse_address, parse_endpoint_list
+from larchlatch.config.reading import non_negative_int, optional, required
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.errors import ConfigurationError
 
@@ -18,111 +19,186 @@
 
     from larchlatch.policy.types import DeploymentSettings
 
-DIAL_US = 250_000  # where the settings name no time for connecting
-CONTROL = "EDGE_CONTROL"  # in the environment: the door's address where the configuration names none
-SOCKETS = 1024  # where no limit is named: what most systems grant a process
+WHERE = "configuration"  # what messages call the file
+ADMIN_ADDRESS_VARIABLE = "EDGE_CONTROL"
+
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+DEFAULT_DESCRIPTOR_LIMIT = 1024  # what most systems grant a process
+
+MAX_QUOTED_CHARACTERS = 40  # of a wrong seed in a message
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What this node is to do, and with what."""
+class NodeConfiguration:
+    """What a node is to do, and with what.
+
+    Attributes:
+        name: The node's name, unique in its cluster.
+        listen_address: Where clients are accepted.
+        discovery_address: Where the endpoint list is had.
+        admin_address: Where the admin API listens; None for no admin API.
+        seed: Of the node's random draws.
+        descriptor_limit: How many file descriptors the node may hold.
+        known_endpoints: The endpoint list to begin with.
+        settings: The deployment settings.
+        traffic_class_names: In the order of the settings' traffic classes.
+        tenants: Names of the clients' owners.
+        zones: Names of the zones; their places are the numbers that decisions know.
+        upstream_settings: How upstreams are connected to and watched.
+        discovery_pushes_changes: Whether changes of the list are followed from the start; else on request.
+        passes_through: Whether packets of established sessions bypass this process, so that they outlive it.
+        max_deadline_us: The longest deadline of any traffic class, from a client's line on.
+
+    """
 
     name: str
-    listen: tuple[str, int]
-    discovery: tuple[str, int]
-    control: tuple[str, int] | None  # where operators call; None: no door
+    listen_address: tuple[str, int]
+    discovery_address: tuple[str, int]
+    admin_address: tuple[str, int] | None
     seed: int
-    sockets: int
-    known: EndpointList
+    descriptor_limit: int
+    known_endpoints: EndpointList
     settings: DeploymentSettings
-    traffic_classes: list[str]
+    traffic_class_names: list[str]
     tenants: list[str]
     zones: list[str]
-    reach: UpstreamSettings
-    pushed: bool  # changes of the list are followed from the start
-    passes_through: bool  # a standing link outlives this node
-    longest_wait_us: int  # the longest cut-off of any tariff
+    upstream_settings: UpstreamSettings
+    discovery_pushes_changes: bool
+    passes_through: bool
+    max_deadline_us: int
+
+
+def read_node_configuration(path: Path) -> NodeConfiguration:
+    """Return the configuration of a file; the environment may name the address of the admin API.
 
+    Raises:
+        InvalidInputError: The file can't be read, or something in it is missing or wrong.
 
-def plan_of(path: Path) -> Plan:
+    """
     try:
         raw = orjson.loads(path.read_bytes())
     except OSError as error:
-        raise ConfigurationError("configuration", f"can't be read ({error.strerror}: {path})") from None
+        raise ConfigurationError(WHERE, f"can't be read ({error.strerror}: {path})") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError("configuration", f"no JSON ({error})") from None
+        raise ConfigurationError(WHERE, f"no JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise ConfigurationError("configuration", "not an object")
-    return plan_from(raw, os.environ.get(CONTROL))
-
-
-def plan_from(raw: dict[str, Any], control: str | None = None) -> Plan:
-    """The plan; control: where the operators' door is where the configuration does not say."""
-    top = "configuration"
-    listen = address_of(need(raw, "listen", str, top), f"{top}: listen")
-    raw_settings = need(raw, "settings", dict, top)
-    # On sockets nobody tells the delay that a host's load makes: it answers lines at once as long as it runs.
-    settings = replace(read_deployment_settings(raw_settings, "settings"), reports_delay=False)
-    domain = maybe(raw_settings, "domain", dict, "settings", {})
-    seed = need(raw, "seed", (str, int), top)
-    try:
-        number = int(seed, 16) if isinstance(seed, str) else seed
-    except ValueError:
-        raise ConfigurationError(top, f"seed is no hexadecimal number ({seed[:40]!r})") from None
-    limits = maybe(raw, "limits", dict, top, {})
-    known = raw.get("known")
-    return Plan(
-        name=need(raw, "name", str, top),
-        listen=listen,
-        discovery=address_of(need(raw, "discovery", str, top), f"{top}: discovery"),
-        control=control_of(raw, control, listen),
-        seed=number,
-        sockets=need(limits, "sockets", int, f"{top}: limits") if "sockets" in limits else SOCKETS,
-        known=endpoint_list_of(known, "known") if known is not None else EndpointList(0, True, []),
-        settings=settings,
-        traffic_classes=names_of(raw_settings["tariffs"], "tariffs"),
-        tenants=names_of(maybe(raw_settings, "tenants", list, "settings", []), "tenants"),
+        raise ConfigurationError(WHERE, "not an object")
+    return parse_node_configuration(raw, os.environ.get(ADMIN_ADDRESS_VARIABLE))
+
+
+def parse_node_configuration(
+    raw: dict[str, Any], default_admin_address: str | None = None
+) -> NodeConfiguration:
+    """Return the configuration in a JSON object.
+
+    Args:
+        raw: The content of the file.
+        default_admin_address: Where the admin API listens if the object does not say.
+
+    Raises:
+        InvalidInputError: Something is missing or wrong.
+
+    """
+    listen_address = parse_address(required(raw, "listen", str, WHERE), f"{WHERE}: listen")
+    raw_settings = required(raw, "settings", dict, WHERE)
+    agreed = read_deployment_settings(raw_settings, "settings")
+    domain = optional(raw_settings, "domain", dict, "settings", {})
+    seed = _read_seed(raw)
+    limits = optional(raw, "limits", dict, WHERE, {})
+    return NodeConfiguration(
+        name=required(raw, "name", str, WHERE),
+        listen_address=listen_address,
+        discovery_address=parse_address(required(raw, "discovery", str, WHERE), f"{WHERE}: discovery"),
+        admin_address=_read_admin_address(raw, default_admin_address, listen_address),
+        seed=seed,
+        descriptor_limit=_read_descriptor_limit(limits),
+        known_endpoints=_read_known_endpoints(raw),
+        # On sockets the delay of messages shows no load: an upstream answers lines at once while it runs.
+        settings=replace(agreed, reports_delay=False),
+        traffic_class_names=_read_names(raw_settings["tariffs"], "tariffs"),
+        tenants=_read_names(optional(raw_settings, "tenants", list, "settings", []), "tenants"),
         zones=[str(zone) for zone in raw_settings["areas"]],
-        reach=UpstreamSettings(
-            dial_us=whole(raw_settings["caps"], "dial_timeout_us", "settings.caps", DIAL_US) or DIAL_US,
-            probes_report_load=settings.probes_report_load,
-            tells_delay=bool(domain.get("tells_delay")),
-            strictest_us=min(
-                (t.message_objective_us for t in settings.traffic_classes if t.message_objective_us),
-                default=0,
-            ),
-        ),
-        pushed=not settings.polls_discovery,
+        upstream_settings=_read_upstream_settings(raw_settings, agreed),
+        discovery_pushes_changes=not agreed.polls_discovery,
         passes_through=domain.get("mode") == "pass",
-        longest_wait_us=max(
-            (
-                whole(entry, "cut_off_us", f"settings.tariffs[{place}]")
-                for place, entry in enumerate(raw_settings["tariffs"])
-            ),
-            default=0,
-        ),
+        max_deadline_us=_read_max_deadline(raw_settings["tariffs"]),
     )
 
 
-def control_of(raw: dict[str, Any], named: str | None, listen: tuple[str, int]) -> tuple[str, int] | None:
-    top = "configuration: control"
+def _read_seed(raw: dict[str, Any]) -> int:
+    """Return the seed, a number or one in hexadecimal digits."""
+    seed = required(raw, "seed", (str, int), WHERE)
+    if isinstance(seed, int):
+        return seed
+    digits = str(seed)
+    try:
+        return int(digits, 16)
+    except ValueError:
+        quoted = repr(digits[:MAX_QUOTED_CHARACTERS])
+        raise ConfigurationError(WHERE, f"seed is no hexadecimal number ({quoted})") from None
+
+
+def _read_admin_address(
+    raw: dict[str, Any], default: str | None, listen_address: tuple[str, int]
+) -> tuple[str, int] | None:
+    """Return the address of the admin API; None where neither the file nor the environment names one."""
     if raw.get("control") is not None:
-        text = need(raw, "control", str, "configuration")
-    elif named:
-        text, top = named, CONTROL
+        text, where = required(raw, "control", str, WHERE), f"{WHERE}: control"
+    elif default:
+        text, where = default, ADMIN_ADDRESS_VARIABLE
     else:
         return None
-    address = address_of(text, top)
-    if address == listen and address[1]:
-        raise ConfigurationError(top, f"the address where clients are taken ({text})")
+    address = parse_address(text, where)
+    # Port 0 lets the system choose: twice the same address then gives two ports.
+    if address == listen_address and address[1]:
+        raise ConfigurationError(where, f"the address where clients are taken ({text})")
     return address
 
 
-def names_of(rows: Any, item: str) -> list[str]:
+def _read_descriptor_limit(limits: dict[str, Any]) -> int:
+    if "sockets" not in limits:
+        return DEFAULT_DESCRIPTOR_LIMIT
+    return required(limits, "sockets", int, f"{WHERE}: limits")
+
+
+def _read_known_endpoints(raw: dict[str, Any]) -> EndpointList:
+    """Return the list to begin with; an empty one of revision 0 where the file has none."""
+    known = raw.get("known")
+    if known is None:
+        return EndpointList(revision=0, complete=True, endpoints=[])
+    return parse_endpoint_list(known, "known")
+
+
+def _read_names(entries: list[Any], key: str) -> list[str]:
+    """Return the name of each entry of a list in the settings."""
     names = []
-    for place, row in enumerate(rows):
-        where = f"settings.{item}[{place}]"
-        if not isinstance(row, dict):
+    for index, entry in enumerate(entries):
+        where = f"settings.{key}[{index}]"
+        if not isinstance(entry, dict):
             raise ConfigurationError(where, "not an object")
-        names.append(need(row, "name", str, where))
+        names.append(required(entry, "name", str, where))
     return names
+
+
+def _read_upstream_settings(raw_settings: dict[str, Any], settings: DeploymentSettings) -> UpstreamSettings:
+    """Return what upstream actors work by; a timeout of 0 stands for the default."""
+    caps = raw_settings["caps"]
+    timeout_us = non_negative_int(caps, "dial_timeout_us", "settings.caps", DEFAULT_CONNECT_TIMEOUT_US)
+    objectives = [each.message_objective_us for each in settings.traffic_classes]
+    return UpstreamSettings(
+        connect_timeout_us=timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
+        probes_report_load=settings.probes_report_load,
+        reports_delay=settings.reports_delay,
+        strictest_message_objective_us=min((each for each in objectives if each), default=0),
+    )
+
+
+def _read_max_deadline(traffic_classes: list[dict[str, Any]]) -> int:
+    """Return the longest deadline of any traffic class, in microseconds; 0 without traffic classes."""
+    return max(
+        (
+            non_negative_int(entry, "cut_off_us", f"settings.tariffs[{index}]")
+            for index, entry in enumerate(traffic_classes)
+        ),
+        default=0,
+    )
--- /dev/null
+++ b/larchlatch/config/reading.py
@@ -0,0 +1,118 @@
+"""Checked reading of JSON objects.
+
+Each function takes the object, the key, and the place of the object as error messages name it. A missing or
+wrong value raises one error that names the place, the key and the fault. Callers that read messages of other
+processes instead of files pass `error=ProtocolError`.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any, TypeVar
+
+from larchlatch.errors import ConfigurationError, InvalidInputError
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+Value = TypeVar("Value")
+Default = TypeVar("Default")
+Choice = TypeVar("Choice")
+
+NUMBER = (int, float)
+
+# JSON numbers are exact below this (RFC 8259, section 6). As microseconds it is 285 years.
+EXACT_INTEGER_LIMIT = 2**53
+
+
+def required(
+    holder: dict[str, Any],
+    key: str,
+    kind: type[Value] | tuple[type[Value], ...],
+    where: str,
+    *,
+    error: type[InvalidInputError] = ConfigurationError,
+) -> Value:
+    """Return the value of a key that must be present.
+
+    Args:
+        holder: The JSON object.
+        key: The key to read.
+        kind: The type or types that the value may have. A boolean is no `int` here.
+        where: The place of the object, for the message.
+        error: The exception to raise.
+
+    Raises:
+        InvalidInputError: The key is missing, or its value is of another type.
+
+    """
+    if key not in holder:
+        raise error(where, f"{key} is missing")
+    value = holder[key]
+    # bool is a subclass of int, but `true` in place of a number is a mistake.
+    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+        raise error(where, f"{key} has the wrong type ({type(value).__name__})")
+    return value
+
+
+def optional(
+    holder: dict[str, Any],
+    key: str,
+    kind: type[Value] | tuple[type[Value], ...],
+    where: str,
+    default: Default,
+    *,
+    error: type[InvalidInputError] = ConfigurationError,
+) -> Value | Default:
+    """Return the value of a key, or the default where the key is missing or null.
+
+    Raises:
+        InvalidInputError: The value is of another type.
+
+    """
+    if holder.get(key) is None:
+        return default
+    return required(holder, key, kind, where, error=error)
+
+
+def non_negative_int(
+    holder: dict[str, Any],
+    key: str,
+    where: str,
+    default: int | None = None,
+    *,
+    error: type[InvalidInputError] = ConfigurationError,
+) -> int:
+    """Return a count or a length of time; a fraction is cut off.
+
+    Without a default the key must be present; with one, a missing key and null give the default.
+
+    Raises:
+        InvalidInputError: The value is missing, no number, negative, or too large to be exact in JSON.
+
+    """
+    value: float
+    if default is None:
+        value = required(holder, key, NUMBER, where, error=error)
+    else:
+        value = optional(holder, key, NUMBER, where, default, error=error)
+    if not 0 <= value < EXACT_INTEGER_LIMIT:
+        raise error(where, f"{key} is out of range ({value})")
+    return int(value)
+
+
+def one_of(
+    value: str,
+    choices: Mapping[str, Choice],
+    where: str,
+    *,
+    error: type[InvalidInputError] = ConfigurationError,
+) -> Choice:
+    """Return the choice that a word of the file or the wire stands for.
+
+    Raises:
+        InvalidInputError: The word is none of the choices.
+
+    """
+    if value not in choices:
+        raise error(where, f"unknown value {value!r}")
+    return choices[value]
--- a/larchlatch/config/toml_file.py
+++ b/larchlatch/config/toml_file.py
@@ -1,4 +1,7 @@
-"""TOML files of operators: read, checked against their types, and refused by one line that names the key."""
+"""Strict reading of the operators' TOML files.
+
+A file is checked against its types. The error for a wrong one is a line that names the file and the key.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,7 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-T = TypeVar("T")
-
+Table = TypeVar("Table")
 
 # Attributes whose keys in operators' files have other names: the keys are part of the users' files and stay.
 FILE_KEYS = {
@@ -26,22 +28,39 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename=FILE_KEYS):
-    """Base of the tables of operators' files: a key that nothing reads is an error."""
+    """Base of the tables of operators' files: an unknown key is an error."""
+
+
+def read_toml(path: Path, file_kind: str) -> dict[str, Any]:
+    """Return the content of a TOML file.
 
+    Args:
+        path: The file.
+        file_kind: What messages call the file, such as `cluster`.
 
-def read_toml(path: Path, top: str) -> dict[str, Any]:
+    Raises:
+        ConfigurationError: The file can't be read, or is no TOML.
+
+    """
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise ConfigurationError(top, f"can't be read ({error.strerror}: {path})") from None
+        raise ConfigurationError(file_kind, f"can't be read ({error.strerror}: {path})") from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise ConfigurationError(top, f"no TOML ({error})") from None
+        raise ConfigurationError(file_kind, f"no TOML ({error})") from None
+
+
+def convert_table(raw: Any, kind: type[Table], file_kind: str) -> Table:
+    """Return the content of a file as the given type.
 
+    Raises:
+        ConfigurationError: A key is missing, unknown, or has a value that its type excludes.
 
-def converted(raw: Any, kind: type[T], top: str) -> T:
+    """
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        # msgspec says what is wrong, and where behind a dollar sign.
-        what, _, where = str(error).partition(" - at `$")
-        raise ConfigurationError(top, f"{where.strip('`.') or 'the whole'}: {what}") from None
+        # msgspec appends the place to its message, as a path behind a dollar sign.
+        problem, _, place = str(error).partition(" - at `$")
+        key = place.strip("`.") or "the whole"
+        raise ConfigurationError(file_kind, f"{key}: {problem}") from None
--- a/larchlatch/days/day.py
+++ b/larchlatch/days/day.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta, field
 
-from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.config.toml_file import Strict, convert_table, read_toml
 from larchlatch.days.amounts import SECOND, Amount, Count, Few, Positive, Share, us
 from larchlatch.days.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
 from larchlatch.errors import ConfigurationError
@@ -112,7 +112,7 @@
 
 
 def checked(raw: Any, top: str) -> Day:
-    day = converted(raw, Day, top)
+    day = convert_table(raw, Day, top)
     for place, effect in enumerate(day.sessions.effects):
         if effect not in {idempotency.value for idempotency in Idempotency}:
             raise ConfigurationError(top, f"links.effects[{place}]: no such effect ({effect!r})")
--- a/larchlatch/errors.py
+++ b/larchlatch/errors.py
@@ -1,6 +1,7 @@
 """Exceptions of larchlatch.
 
-Expected outcomes are values. Exceptions are for what stops a reader, a connection or the start of a process.
+Outcomes that a caller has to expect, such as a rejected session, are return values. Exceptions are for faults
+that stop a reader, a connection or the start of a process. They are caught by type, never by their message.
 """
 
 from __future__ import annotations
@@ -11,28 +12,28 @@
 
 
 class InvalidInputError(LarchlatchError):
-    """Input is not in the form that its page requires.
+    """Input is not in the form that its documentation requires.
 
     Attributes:
-        where: the file, message or key, as the reader of the message would look for it.
-        problem: what is wrong there, and what was expected.
+        where: The file, message or key, as its author would look for it.
+        problem: What is wrong there, and what was expected.
 
     """
 
     def __init__(self, where: str, problem: str) -> None:
-        """Compose the message `where: problem`."""
+        """Compose the message `where: problem`, which is printed and logged as a single line."""
         super().__init__(f"{where}: {problem}")
         self.where = where
         self.problem = problem
 
 
 class ConfigurationError(InvalidInputError):
-    """A configuration file, an operator's file or a command's value is wrong."""
+    """A file of the operators, an environment variable or the value of a command's option is wrong."""
 
 
 class ProtocolError(InvalidInputError):
-    """A message of a peer, of discovery or of the simulator is wrong."""
+    """A message from another process is wrong: a node, an upstream, discovery or the simulator."""
 
 
 class StateError(LarchlatchError):
-    """An operation was asked for that the present state does not allow."""
+    """An operation was called that the present state does not allow."""
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -298,7 +298,7 @@
     def listed(self, now: int, told: EndpointList, asked: bool) -> None:
         # An entry that can't be read says nothing: a whole list without it would have its host gone.
         spared = [self.known[name] for name in told.unreadable if name in self.known]
-        members = [*told.members, *spared]
+        members = [*told.endpoints, *spared]
         for member in members:
             self.known[member.name] = member
             number = self.number(member.name)
@@ -322,7 +322,7 @@
                 size=member.size,
                 up=member.started_at,
             )
-        if told.whole:
+        if told.complete:
             named = {member.name for member in members}
             for member in self.known.values():
                 if member.name not in named:
@@ -340,7 +340,7 @@
             )
             for member in members
         ]
-        self.balancer.update_endpoints(now, lines, whole=told.whole, asked=asked)
+        self.balancer.update_endpoints(now, lines, whole=told.complete, asked=asked)
         if self.fellows is not None:
             ready = [m for m in self.known.values() if m.state is EndpointState.READY]
             settings = self.balancer.settings
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -120,7 +120,7 @@
 
     async def tell(self, source: Source, told: EndpointList, faults: list[str]) -> None:
         source.revision, self.again_s = told.revision, SHARED_AGAIN_S
-        self.counters.add("list whole" if told.whole else "list change")
+        self.counters.add("list whole" if told.complete else "list change")
         if faults:
             self.counters.add("list entry unreadable", len(faults))
             log.warning("list entries unreadable", count=len(faults), first=faults[0])
@@ -169,7 +169,7 @@
             # A line holds all that changed since the one before, whatever versions lie between. A whole
             # list fetched for each jump is one more call on a service that all nodes ask, and while it
             # waits its turn the watch is not read: a drain that has come counts as told.
-            if told.revision < source.revision and not told.whole:
+            if told.revision < source.revision and not told.complete:
                 # It runs back: what the new count lacks would never be heard of. Asked for anew.
                 source.whole = True
                 self.counters.add("list ran back")
--- a/larchlatch/node/hot_restart/handover.py
+++ b/larchlatch/node/hot_restart/handover.py
@@ -25,7 +25,7 @@
     from collections.abc import Callable
 
     from larchlatch.config.endpoints import EndpointList
-    from larchlatch.config.node import Plan
+    from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.balancer_actor import BalancerActor
     from larchlatch.node.client import Door
     from larchlatch.node.lifecycle_state import Phase
@@ -44,16 +44,16 @@
 class Meeting:
     """Where the processes of one node find each other."""
 
-    def __init__(self, folder: Path, plan: Plan) -> None:
-        host, port = plan.listen
+    def __init__(self, folder: Path, plan: NodeConfiguration) -> None:
+        host, port = plan.listen_address
         self.name = f"larchlatch-{xxh3_64_hexdigest(f'{plan.name} {host}:{port}'.encode())}.sock"
         self.folder = folder
 
     @classmethod
-    def of(cls, plan: Plan) -> Meeting | None:
+    def of(cls, plan: NodeConfiguration) -> Meeting | None:
         """None where an upgrade is not provided for: there is no door to say that the new one serves."""
         folder = os.environ.get("TMPDIR")
-        return cls(Path(folder), plan) if folder and plan.control is not None else None
+        return cls(Path(folder), plan) if folder and plan.admin_address is not None else None
 
     def used(self, use: Callable[[str], None]) -> None:
         """Do something with the path, however long the folder's own is."""
@@ -126,7 +126,13 @@
     """The side of the process that serves now: it waits for one that follows it."""
 
     def __init__(
-        self, plan: Plan, meeting: Meeting, phase: Phase, door: Door, listener: Listener, counters: Counters
+        self,
+        plan: NodeConfiguration,
+        meeting: Meeting,
+        phase: Phase,
+        door: Door,
+        listener: Listener,
+        counters: Counters,
     ) -> None:
         self.plan = plan
         self.meeting = meeting
@@ -235,8 +241,8 @@
                 os.close(fd)
 
 
-def hello(plan: Plan) -> tuple[str, str]:
-    return plan.name, f"{plan.listen[0]}:{plan.listen[1]}"
+def hello(plan: NodeConfiguration) -> tuple[str, str]:
+    return plan.name, f"{plan.listen_address[0]}:{plan.listen_address[1]}"
 
 
 class Taking:
@@ -252,7 +258,7 @@
         self.holds = 0
 
     @classmethod
-    async def reached(cls, plan: Plan, meeting: Meeting, counters: Counters) -> Taking | None:
+    async def reached(cls, plan: NodeConfiguration, meeting: Meeting, counters: Counters) -> Taking | None:
         """The process that serves now, if there is one that can be understood."""
         sock = meeting.connect()
         if sock is None:
@@ -260,7 +266,7 @@
         channel = Channel(await UNIXSocketStream.from_socket(sock))
         await channel.send(Hello(*hello(plan)))
         match await message(channel, FIRST_WORD_S):
-            case Welcome(members), [shared] if shared.getsockname()[:2] == plan.listen:
+            case Welcome(members), [shared] if shared.getsockname()[:2] == plan.listen_address:
                 return cls(channel, members, Listener(shared), counters)
             case _:
                 counters.add("upgrade on its own")
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -9,8 +9,8 @@
 import anyio
 import orjson
 
-from larchlatch.config.deployment import NUMBER, need
-from larchlatch.config.endpoints import EndpointList, endpoint_list_of, wire_form
+from larchlatch.config.endpoints import EndpointList, endpoint_list_to_json, parse_endpoint_list
+from larchlatch.config.reading import NUMBER, required
 from larchlatch.errors import ProtocolError
 from larchlatch.node.wire.stream import GONE
 
@@ -92,7 +92,7 @@
         if isinstance(value, bytes):
             body[name] = value.decode("latin-1")
         else:
-            body[name] = wire_form(value) if isinstance(value, EndpointList) else value
+            body[name] = endpoint_list_to_json(value) if isinstance(value, EndpointList) else value
     text = orjson.dumps(body)
     return HEAD.pack(MAGIC, VERSION, fds, len(text)) + text
 
@@ -105,29 +105,36 @@
     top = "packet"
     if not isinstance(raw, dict):
         raise ProtocolError(top, "not an object")
-    match need(raw, "kind", str, top):
+    match required(raw, "kind", str, top, error=ProtocolError):
         case "Hello":
-            return Hello(need(raw, "name", str, top), need(raw, "listen", str, top))
+            return Hello(
+                required(raw, "name", str, top, error=ProtocolError),
+                required(raw, "listen", str, top, error=ProtocolError),
+            )
         case "Welcome":
-            return Welcome(endpoint_list_of(need(raw, "members", dict, top), f"{top}.members"))
+            return Welcome(
+                parse_endpoint_list(
+                    required(raw, "members", dict, top, error=ProtocolError), f"{top}.members"
+                )
+            )
         case "Serving":
             return Serving()
         case "Ceded":
             drained = raw.get("drained_s")
             return Ceded(
-                need(raw, "learned", dict, top),
-                [str(ident) for ident in need(raw, "idents", list, top)],
-                need(raw, "holds", int, top),
+                required(raw, "learned", dict, top, error=ProtocolError),
+                [str(ident) for ident in required(raw, "idents", list, top, error=ProtocolError)],
+                required(raw, "holds", int, top, error=ProtocolError),
                 float(drained) if isinstance(drained, NUMBER) else None,
-                need(raw, "clock_us", int, top),
+                required(raw, "clock_us", int, top, error=ProtocolError),
             )
         case "Standing":
             return Standing(
                 bytes_of(raw, "line"),
-                need(raw, "host", str, top),
-                float(need(raw, "load", NUMBER, top)),
-                need(raw, "asked_at", int, top),
-                need(raw, "last", int, top),
+                required(raw, "host", str, top, error=ProtocolError),
+                float(required(raw, "load", NUMBER, top, error=ProtocolError)),
+                required(raw, "asked_at", int, top, error=ProtocolError),
+                required(raw, "last", int, top, error=ProtocolError),
                 bytes_of(raw, "client_early"),
                 bytes_of(raw, "host_early"),
             )
@@ -137,7 +144,7 @@
 
 def bytes_of(raw: dict[str, Any], item: str) -> bytes:
     try:
-        return bytes(need(raw, item, str, "packet").encode("latin-1"))
+        return bytes(required(raw, item, str, "packet", error=ProtocolError).encode("latin-1"))
     except UnicodeEncodeError:
         raise ProtocolError("packet", f"{item} holds no bytes") from None
 
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -1,4 +1,7 @@
-"""A new configuration while the node runs: what it can follow it follows, and says what wants a restart."""
+"""Reload of the configuration on SIGHUP.
+
+The discovery address is followed at once. Other changes take effect at the next start; the log names them.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 import structlog
 
-from larchlatch.config.node import Plan, plan_of
+from larchlatch.config.node import NodeConfiguration, read_node_configuration
 from larchlatch.errors import InvalidInputError
 
 if TYPE_CHECKING:
@@ -16,27 +19,55 @@
     from larchlatch.node.discovery import DiscoveryClient
     from larchlatch.node.metrics import Counters
 
-FOLLOWED = ("discovery",)
-AT_START = ("seed", "known")  # read at the start alone: new ones change nothing later
+# Attributes of NodeConfiguration that a running node follows.
+RELOADABLE = frozenset({"discovery_address"})
+# Attributes that are used at the start alone: a change to them makes no difference while the node runs.
+STARTUP_ONLY = frozenset({"seed", "known_endpoints"})
+
+# Counters.
+CONFIGURATION_RELOADED = "configuration_reloaded"
+CONFIGURATION_REJECTED = "configuration_rejected"
 
 log = structlog.get_logger()
 
 
-def reread(plan: Plan, path: Path, discovery: DiscoveryClient, counters: Counters) -> Plan:
-    """What the node goes on with."""
+def reload_configuration(
+    current: NodeConfiguration, path: Path, discovery: DiscoveryClient, counters: Counters
+) -> NodeConfiguration:
+    """Read the configuration again, and follow the changes that can be followed.
+
+    Args:
+        current: The configuration that the node runs with.
+        path: The file to read.
+        discovery: Told of a new discovery address.
+        counters: Count reloads and rejected files.
+
+    Returns:
+        The configuration that the node runs with from now on: the current one where the file is wrong.
+
+    """
     try:
-        new = plan_of(path)
+        new = read_node_configuration(path)
     except InvalidInputError as error:
-        # A faulty file must not end a node that holds links: it goes on with what it has.
-        counters.add("configuration refused")
-        log.error("configuration refused", why=str(error))
-        return plan
-    counters.add("configuration read")
-    names = [field.name for field in fields(Plan) if field.name not in FOLLOWED + AT_START]
-    later = [name for name in names if getattr(new, name) != getattr(plan, name)]
-    if later:
-        log.warning("changes that want a restart", keys=later)
-    if new.discovery != plan.discovery:
-        discovery.follow(new.discovery)
-    log.info("configuration read", discovery=new.discovery)
-    return replace(plan, discovery=new.discovery)
+        # A wrong file must not end a node that holds sessions.
+        counters.add(CONFIGURATION_REJECTED)
+        log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - the message says all, no traceback
+        return current
+    counters.add(CONFIGURATION_RELOADED)
+    waiting = _changes_that_need_restart(current, new)
+    if waiting:
+        log.warning("configuration_needs_restart", keys=waiting)
+    if new.discovery_address != current.discovery_address:
+        discovery.follow(new.discovery_address)
+    log.info("configuration_reloaded", discovery=new.discovery_address)
+    return replace(current, discovery_address=new.discovery_address)
+
+
+def _changes_that_need_restart(current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
+    """Return the names of the attributes that differ and are not followed."""
+    names = [field.name for field in fields(NodeConfiguration)]
+    return [
+        name
+        for name in names
+        if name not in RELOADABLE | STARTUP_ONLY and getattr(new, name) != getattr(current, name)
+    ]
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -22,7 +22,7 @@
 from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.messages import ListTold
 from larchlatch.node.metrics import Counters
-from larchlatch.node.reload import reread
+from larchlatch.node.reload import reload_configuration
 from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
 from larchlatch.node.wire.listen import Listener, NoAccept
 
@@ -31,7 +31,7 @@
 
     from anyio.abc import TaskGroup, TaskStatus
 
-    from larchlatch.config.node import Plan
+    from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.ports import Join
 
 BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
@@ -111,27 +111,42 @@
 
 
 async def node(
-    plan: Plan, path: Path, join: Join | None = None, *, task_status: TaskStatus[int] = TASK_STATUS_IGNORED
+    plan: NodeConfiguration,
+    path: Path,
+    join: Join | None = None,
+    *,
+    task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
     """Serve by this plan, read from that file, until told to stop; says on which port once it can."""
     counters = Counters()
-    descriptors = DescriptorBudget(plan.sockets)
+    descriptors = DescriptorBudget(plan.descriptor_limit)
     chance = random.Random(plan.seed)
     balancer_actor = BalancerActor(
-        plan.settings, plan.zones, plan.traffic_classes, chance, plan.reach, descriptors, counters
+        plan.settings,
+        plan.zones,
+        plan.traffic_class_names,
+        chance,
+        plan.upstream_settings,
+        descriptors,
+        counters,
     )
     discovery = DiscoveryClient(
-        plan.discovery, plan.known.revision, plan.pushed, counters, balancer_actor.post, chance.uniform
+        plan.discovery_address,
+        plan.known_endpoints.revision,
+        plan.discovery_pushes_changes,
+        counters,
+        balancer_actor.post,
+        chance.uniform,
     )
     balancer_actor.discovery = discovery
     lag = Lag()
     ready = anyio.Event()
-    phase = Phase(plan.longest_wait_us / 1e6 + GRANTED_S - SPARE_S, plan.passes_through)
+    phase = Phase(plan.max_deadline_us / 1e6 + GRANTED_S - SPARE_S, plan.passes_through)
     door = Door(
         balancer_actor,
-        plan.traffic_classes,
+        plan.traffic_class_names,
         plan.tenants,
-        plan.longest_wait_us,
+        plan.max_deadline_us,
         descriptors,
         counters,
         ready,
@@ -140,9 +155,9 @@
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with anyio.create_task_group() as tasks:
             leaving = Leaving(phase, door, counters, tasks)
-            if plan.control is not None:
+            if plan.admin_address is not None:
                 # Before all else: operators are answered from the start, if only that it can't serve yet.
-                operators = Listener.bound(plan.control, DOOR_BACKLOG)
+                operators = Listener.bound(plan.admin_address, DOOR_BACKLOG)
                 log.info("operators' door", listen=operators.address)
                 tasks.start_soon(AdminApi(phase, leaving.drain, counters).run, operators)
             tasks.start_soon(lag.run)
@@ -154,7 +169,7 @@
             meeting = Meeting.of(plan)
             taking = None if meeting is None else await Taking.reached(plan, meeting, counters)
             # The list held from before comes first: old as it may be, links can be placed by it at once.
-            held = plan.known
+            held = plan.known_endpoints
             if taking is not None and taking.members.revision >= held.revision:
                 held = taking.members
             discovery.revision = held.revision
@@ -164,7 +179,7 @@
             if taking is not None:
                 listener = taking.listener
             else:
-                listener = Listener.bound(plan.listen, BACKLOG, shared=plan.control is not None)
+                listener = Listener.bound(plan.listen_address, BACKLOG, shared=plan.admin_address is not None)
             entrance = Entrance(listener, door, descriptors, tasks)
             leaving.shut = entrance.shut
             tasks.start_soon(entrance.run)
@@ -195,7 +210,7 @@
             task_status.started(listener.address[1])
             async for told in signals:
                 if told == signal.SIGHUP:
-                    plan = reread(plan, path, discovery, counters)
+                    plan = reload_configuration(plan, path, discovery, counters)
                     if company is not None:
                         company.reread()
                     continue
--- a/larchlatch/node/upstream_actor.py
+++ b/larchlatch/node/upstream_actor.py
@@ -129,12 +129,12 @@
 
     async def tried(self, record: SessionRecord, until: int) -> Outcome:
         # Without a descriptor nothing has left this node: the module may try again, whatever the tariff.
-        if not await self.room_had(min(self.reach.dial_us / 1e6, seconds_until(until))):
+        if not await self.room_had(min(self.reach.connect_timeout_us / 1e6, seconds_until(until))):
             return Outcome.NOT_SENT
         upstream: Lines | None = None
         kept = False
         try:
-            sock = await dial(self.address, min(self.reach.dial_us / 1e6, seconds_until(until)))
+            sock = await dial(self.address, min(self.reach.connect_timeout_us / 1e6, seconds_until(until)))
             if isinstance(sock, Unconnected):
                 return Outcome.NOT_SENT if sock is Unconnected.NO_ROOM else Outcome.CONNECT_FAILED
             with anyio.move_on_after(seconds_until(until)):
@@ -265,7 +265,11 @@
                     self.counters.add("host quiet")
                     log.debug("quiet", upstream=self.name, us=now - oldest, sessions=len(self.standing))
                     await self.post(Quiet(self.number))
-            if self.reach.tells_delay and self.reach.strictest_us and now >= self.noted_at + NOTE_US:
+            if (
+                self.reach.reports_delay
+                and self.reach.strictest_message_objective_us
+                and now >= self.noted_at + NOTE_US
+            ):
                 self.noted_at = now
                 await self.note(now)
 
@@ -274,7 +278,7 @@
         if not self.standing:
             return
         took = [delay for at, delay in self.delays if at > now - NOTE_US]
-        edge = self.reach.strictest_us // NOTED_SHARE
+        edge = self.reach.strictest_message_objective_us // NOTED_SHARE
         waits = [now - self.waits_since(h) for h in self.standing.values() if h.asked_at and not h.stalled_at]
         took += [wait for wait in waits if wait > edge]
         if not took:
@@ -323,7 +327,7 @@
         # The connection kept from the last probe may have died unseen: that says nothing of the host now.
         for fresh in (self.look is None, True):
             if self.look is None:
-                made = await connect(self.address, self.reach.dial_us / 1e6)
+                made = await connect(self.address, self.reach.connect_timeout_us / 1e6)
                 if isinstance(made, Unconnected):
                     return None
                 self.look = made
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -10,7 +10,7 @@
 import anyio
 import h11
 
-from larchlatch.config.endpoints import EndpointList, decoded
+from larchlatch.config.endpoints import EndpointList, decode_endpoint_list
 from larchlatch.errors import ProtocolError
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.stream import Unconnected, dial
@@ -142,7 +142,7 @@
                 text += chunk
                 if len(text) > MOST:
                     raise ProtocolError("list", "too long")
-    return decoded(text)
+    return decode_endpoint_list(text)
 
 
 class Watch:
@@ -167,7 +167,7 @@
                     raise anyio.EndOfStream
                 self.pieces.extend(self.framing.feed(chunk))
         piece = self.pieces.popleft()
-        return decoded(piece) if piece else None
+        return decode_endpoint_list(piece) if piece else None
 
 
 def watch_target(path: str, revision: int) -> str:
--- a/larchlatch/wirehost/codec.py
+++ b/larchlatch/wirehost/codec.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from larchlatch.config.deployment import NUMBER
+from larchlatch.config.reading import NUMBER
 from larchlatch.errors import ProtocolError
 from larchlatch.policy.types import EndpointState, Outcome
 
--- a/larchlatch/wirehost/loop.py
+++ b/larchlatch/wirehost/loop.py
@@ -10,7 +10,8 @@
 
 import orjson
 
-from larchlatch.config.deployment import known, need, read_deployment_settings
+from larchlatch.config.deployment import read_deployment_settings
+from larchlatch.config.reading import one_of, required
 from larchlatch.errors import InvalidInputError, ProtocolError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.driver import Driver
@@ -28,7 +29,7 @@
         self.balancer = Balancer(self.settings, random.Random(seed))
         super().__init__(self.balancer)
         self.traffic_classes = {
-            need(traffic_class, "name", str, "POWER_ON: conf.tariffs"): place
+            required(traffic_class, "name", str, "POWER_ON: conf.tariffs"): place
             for place, traffic_class in enumerate(conf["tariffs"])
         }
         self.zones = {name: place for place, name in enumerate(conf["areas"])}
@@ -110,7 +111,7 @@
                 balancer.outcome(now, found, Outcome.ESTABLISHED)
         elif name == "ATTEMPT_END":
             handle, _, _, code, _, done, report = values
-            outcome = known(code, codec.OUTCOMES, "ATTEMPT_END: state_code")
+            outcome = one_of(code, codec.OUTCOMES, "ATTEMPT_END: state_code", error=ProtocolError)
             found = self.in_hand.get(handle)
             if found is not None:
                 answer = balancer.outcome(now, found, outcome, done)
@@ -127,7 +128,9 @@
                 balancer.record_delay(now, found, int(level * 1000))
         elif name == "ECHO":
             code, _, upstream, report = values
-            answered = known(code, codec.OUTCOMES, "ECHO: state_code") == Outcome.COMPLETED
+            answered = (
+                one_of(code, codec.OUTCOMES, "ECHO: state_code", error=ProtocolError) == Outcome.COMPLETED
+            )
             figures = ((report or {}).get(name) for name in ("x0", "inflight"))
             utilization, held = (None if figure is None else float(figure) for figure in figures)
             balancer.report(now, self.upstream(upstream), answered, utilization, held)
@@ -161,7 +164,7 @@
                     upstream,
                     self.zones.get(hall, -1),
                     -1 if pack is None else pack,
-                    known(state, codec.STATES, "INVENTORY: lifecycle"),
+                    one_of(state, codec.STATES, "INVENTORY: lifecycle", error=ProtocolError),
                     float(size) if size and size > 0 else 1.0,
                     started_at or 0,
                 )
@@ -187,10 +190,10 @@
     def part(self, now: int, part: Any) -> dict[str, Any] | None:
         if not isinstance(part, dict):
             raise ProtocolError("batch", "a part is not an object")
-        who = need(part, "i", str, "batch: part")
+        who = required(part, "i", str, "batch: part", error=ProtocolError)
         touched = None
         try:
-            for raw in need(part, "msgs", list, "batch: part"):
+            for raw in required(part, "msgs", list, "batch: part", error=ProtocolError):
                 name, values = codec.message(raw)
                 if name == "INVENTORY":
                     rows = [codec.checked(row, codec.LISTED, "INVENTORY: members") for row in values[1]]
@@ -223,8 +226,10 @@
             raise ProtocolError("batch", f"no JSON ({error})") from None
         if not isinstance(batch, dict):
             raise ProtocolError("batch", "not an object")
-        now = need(batch, "sim_time_us", int, "batch")
-        parts = [self.part(now, part) for part in need(batch, "parts", list, "batch")]
+        now = required(batch, "sim_time_us", int, "batch", error=ProtocolError)
+        parts = [
+            self.part(now, part) for part in required(batch, "parts", list, "batch", error=ProtocolError)
+        ]
         return orjson.dumps({"parts": [part for part in parts if part is not None]})
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,7 +20,7 @@
 import pytest
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.config.endpoints import EndpointList, endpoint_entry_of
+from larchlatch.config.endpoints import EndpointList, parse_endpoint
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node import client as node_client
 from larchlatch.node import runtime as node_run
@@ -187,7 +187,7 @@
 
 
 def say_members(rows: list[dict[str, Any]]) -> Any:
-    return EndpointList(9, False, [endpoint_entry_of(row, "row") for row in rows])
+    return EndpointList(9, False, [parse_endpoint(row, "row") for row in rows])
 
 
 @pytest.mark.parametrize("behind", [b"", b"unread\r\n" * 100])
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -13,7 +13,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.config.endpoints import decoded
+from larchlatch.config.endpoints import decode_endpoint_list
 from larchlatch.errors import InvalidInputError
 from larchlatch.node import discovery as node_listing
 from larchlatch.node.discovery import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, DiscoveryClient
@@ -200,7 +200,7 @@
             running.start_soon(followed(service.port, heard, lambda low, high: high).run)
             await heard.told.wait()
             (told,) = [word for word in heard.words if isinstance(word, ListTold)]
-            assert told.members.members[0].state is EndpointState.DRAINING
+            assert told.members.endpoints[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
@@ -309,7 +309,7 @@
     pieces = []
     for low, high in zip([0, *cuts], [*cuts, len(text)], strict=True):
         pieces += framing.feed(text[low:high])
-    assert [decoded(piece)[0].revision for piece in pieces if piece] == [
+    assert [decode_endpoint_list(piece)[0].revision for piece in pieces if piece] == [
         told["revision"] for told, _ in lists
     ]
     assert pieces[1::2] == [b""] * len(lists)
@@ -323,6 +323,6 @@
         for piece in noise:
             for whole in framing.feed(piece + b"\n"):
                 if whole:
-                    decoded(whole)
+                    decode_endpoint_list(whole)
     except InvalidInputError as error:
         assert str(error).startswith("list")
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
-from larchlatch.config.node import plan_from
+from larchlatch.config.node import parse_node_configuration
 from larchlatch.days.day import checked
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
@@ -171,10 +171,10 @@
         "seed": "1",
         "settings": play.settings_for(day, 1),
     }
-    plan = plan_from(raw)
+    plan = parse_node_configuration(raw)
     world = World(day)
     assert plan.settings == world.nodes[1].policy.settings  # type: ignore[attr-defined]
-    assert plan.longest_wait_us == 3_000_000
+    assert plan.max_deadline_us == 3_000_000
 
 
 def test_a_short_day_on_sockets_keeps_the_rules_and_serves_as_the_emulator_says() -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.config.node import plan_from
+from larchlatch.config.node import parse_node_configuration
 from larchlatch.node import client as node_client
 from larchlatch.node import upstream_actor as upstream_actor
 from larchlatch.node.descriptor_budget import RESERVE
@@ -55,7 +55,7 @@
 
 
 async def serving(tasks: TaskGroup, raw: dict[str, Any]) -> int:
-    port: int = await tasks.start(node, plan_from(raw), NO_FILE)
+    port: int = await tasks.start(node, parse_node_configuration(raw), NO_FILE)
     return port
 
 
@@ -533,7 +533,7 @@
             assert await standing.line() == b"UP echo\r\n"
             path.write_bytes(orjson.dumps({**good, "discovery": "nowhere"}))
             running.signal(signal.SIGHUP)
-            assert "discovery" in (await running.told("configuration refused"))["why"]
+            assert "discovery" in (await running.told("configuration_rejected"))["reason"]
             path.write_bytes(orjson.dumps({**good, "discovery": f"127.0.0.1:{second.port}"}))
             running.signal(signal.SIGHUP)
             await until(lambda: len(second.asked) >= 2)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -121,7 +121,7 @@
                 watching.cancel_scope.cancel()
             (told,) = got
             assert isinstance(told, ListTold) and told.members.revision == 5
-            assert [entry.name for entry in told.members.members] == ["s-0"]
+            assert [entry.name for entry in told.members.endpoints] == ["s-0"]
 
     on_loopback(body)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -13,11 +13,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.config.node import plan_from, plan_of
+from larchlatch.config.node import parse_node_configuration, read_node_configuration
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.metrics import Counters
-from larchlatch.node.reload import reread
+from larchlatch.node.reload import reload_configuration
 from tests.ground import configuration
 
 GOOD = configuration(["127.0.0.1:1"], 1)
@@ -54,7 +54,7 @@
 ) -> None:
     names = [str(item) for item in path if isinstance(item, str)]
     try:
-        plan_from(spoilt(path, wrong, missing))
+        parse_node_configuration(spoilt(path, wrong, missing))
     except InvalidInputError as error:
         assert "\n" not in str(error)
         assert any(name in str(error) for name in names), f"names none of {names}: {error}"
@@ -64,15 +64,15 @@
 def test_a_new_configuration_without_a_key_is_refused_and_the_old_one_kept(key: str, tmp_path: Path) -> None:
     async def post(word: object) -> None: ...
 
-    plan = plan_from(GOOD)
-    listing = DiscoveryClient(plan.discovery, 1, True, Counters(), post, lambda low, high: high)
+    current = parse_node_configuration(GOOD)
+    discovery = DiscoveryClient(current.discovery_address, 1, True, Counters(), post, lambda low, high: high)
     counters = Counters()
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
-    assert reread(plan, path, listing, counters) is plan
+    assert reload_configuration(current, path, discovery, counters) is current
     path.write_bytes(orjson.dumps(spoilt(("settings", "domain"), ["no object"], False)))
-    assert reread(plan, path, listing, counters) is plan
+    assert reload_configuration(current, path, discovery, counters) is current
     path.write_bytes(orjson.dumps({**GOOD, "discovery": "127.0.0.1:2", "unread": 1}))
-    new = reread(plan, path, listing, counters)
-    assert new == replace(plan_of(path)) and listing.source.address == ("127.0.0.1", 2)
-    assert counters.told() == {"configuration read": 1, "configuration refused": 2}
+    new = reload_configuration(current, path, discovery, counters)
+    assert new == replace(read_node_configuration(path)) and discovery.source.address == ("127.0.0.1", 2)
+    assert counters.told() == {"configuration_reloaded": 1, "configuration_rejected": 2}
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,7 +21,7 @@
 
 from larchlatch.cluster.cluster_file import new_secret
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
-from larchlatch.config.node import plan_from
+from larchlatch.config.node import parse_node_configuration
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.spending import Spending
 from larchlatch.errors import InvalidInputError
@@ -262,7 +262,7 @@
 async def reached(site: Site) -> Channel:
     """The Unix socket of the process that serves, as a new one would find it."""
     os.environ["TMPDIR"] = str(site.path)
-    meeting = Meeting.of(plan_from(site.raw, door_address()))
+    meeting = Meeting.of(parse_node_configuration(site.raw, door_address()))
     assert meeting is not None
     while (sock := meeting.connect()) is None:
         await anyio.sleep(0.01)
@@ -284,7 +284,7 @@
             # Else one may wait in the queue still when the new process says that it serves, and stay there.
             await until(lambda: site.seen["UP"] == 5)
             channel = await reached(site)
-            greeting = Hello(*hello(plan_from(site.raw)))
+            greeting = Hello(*hello(parse_node_configuration(site.raw)))
             if how == "nonsense":
                 await channel.stream.send(b"GET / HTTP/1.1\r\n\r\n")
                 assert await channel.receive() is None
@@ -347,7 +347,7 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP echo").start(tasks)
         site = await Site(tasks, tmp_path).start(upstreams)
-        meeting = Meeting(tmp_path, plan_from(site.raw, door_address()))
+        meeting = Meeting(tmp_path, parse_node_configuration(site.raw, door_address()))
         (tmp_path / meeting.name).write_bytes(b"no socket at all")
         async with site.process() as first:
             await site.talk_once()
@@ -635,6 +635,6 @@
     def refused(family: int, kind: int) -> socket.socket:
         raise OSError(97, "Address family not supported by protocol")
 
-    meeting = Meeting(tmp_path, plan_from(configuration([], 1)))
+    meeting = Meeting(tmp_path, parse_node_configuration(configuration([], 1)))
     monkeypatch.setattr(socket, "socket", refused)
     assert meeting.connect() is None and meeting.listen() is None
