--- /dev/null
+++ b/larchlatch/cli/__init__.py
@@ -0,0 +1,1 @@
+"""The command line: one module for each group of commands."""
--- /dev/null
+++ b/larchlatch/cli/inspect.py
@@ -0,0 +1,90 @@
+"""Commands that check or make an operator's files, and `version`. None of them needs a running node."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+import click
+
+from larchlatch import VERSION
+from larchlatch.config.node import read_node_configuration
+
+
+@click.command()
+@click.option("--out", type=click.Path(path_type=Path), required=True, help="The secret key; must not exist.")
+def cluster_key(out: Path) -> None:
+    """Make a node's key: the secret one into a file, the public one, for the cluster file, printed."""
+    # A node without a cluster must not load this package.
+    from larchlatch.cluster.cluster_file import new_secret
+
+    click.echo(new_secret(out))
+
+
+@click.command()
+@click.option("--config", envvar="EDGE_CONFIG", type=click.Path(path_type=Path), help="A configuration.")
+@click.option("--contracts", type=click.Path(path_type=Path), help="Contracts of teams, a TOML file.")
+@click.option("--cluster", type=click.Path(path_type=Path), help="A cluster file, in TOML.")
+def check(config: Path | None, contracts: Path | None, cluster: Path | None) -> None:
+    """Read a configuration, contracts or a cluster file, and say what is wrong with it."""
+    if cluster is not None:
+        click.echo(describe_cluster_file(cluster))
+    elif contracts is not None:
+        click.echo(describe_contracts(contracts))
+    elif config is not None:
+        click.echo(describe_configuration(config))
+    else:
+        raise click.UsageError("Missing option '--config', '--contracts' or '--cluster'.")
+
+
+def describe_cluster_file(path: Path) -> str:
+    """Return a line on a cluster file that is in order.
+
+    Raises:
+        InvalidInputError: It is not.
+
+    """
+    # A node without a cluster must not load this package.
+    from larchlatch.cluster.cluster_file import fleet_of
+
+    cluster_file = fleet_of(path)
+    nodes = len(cluster_file.peers)
+    sites = len({peer.site for peer in cluster_file.peers.values()})
+    electors = len(cluster_file.roster.electors)
+    budgets = len(cluster_file.dealing.limits)
+    return f"cluster: in order; {nodes} nodes, {sites} sites, {electors} electors, {budgets} budgets"
+
+
+def describe_contracts(path: Path) -> str:
+    """Return a line on contracts that are in order.
+
+    Raises:
+        InvalidInputError: They are not.
+
+    """
+    # Contracts are read with msgspec, which a node need not have.
+    from larchlatch.broker.contracts import contracts_of
+
+    contracts = contracts_of(path)
+    return f"contracts: in order; {len(contracts.teams)} teams, {len(contracts.pools)} pools"
+
+
+def describe_configuration(path: Path) -> str:
+    """Return a line on a node's configuration that is in order.
+
+    Raises:
+        InvalidInputError: It is not.
+
+    """
+    configuration = read_node_configuration(path)
+    upstreams = len(configuration.known_endpoints.endpoints)
+    traffic_classes = len(configuration.traffic_class_names)
+    zones = len(configuration.zones)
+    return (
+        f"{configuration.name}: in order; {upstreams} hosts known, {traffic_classes} tariffs, {zones} zones"
+    )
+
+
+@click.command()
+def version() -> None:
+    """Print the version."""
+    click.echo(VERSION)
--- /dev/null
+++ b/larchlatch/cli/serve.py
@@ -0,0 +1,80 @@
+"""The command `serve`, which runs a node."""
+
+from __future__ import annotations
+
+import logging
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+import anyio
+import click
+import structlog
+
+from larchlatch.config.node import NodeConfiguration, read_node_configuration
+from larchlatch.node.runtime import node
+
+if TYPE_CHECKING:
+    from larchlatch.node.ports import Join
+
+
+@click.command()
+@click.option(
+    "--config",
+    envvar="EDGE_CONFIG",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="The configuration, a JSON file.  [env: EDGE_CONFIG]",
+)
+@click.option("--verbose", is_flag=True, help="Log also what happens to single connections.")
+@click.option("--cluster", type=click.Path(path_type=Path), help="The cluster file, in TOML.")
+@click.option(
+    "--cluster-key",
+    envvar="LARCHLATCH_CLUSTER_KEY",
+    type=click.Path(path_type=Path),
+    help="This node's secret key, as `cluster-key` writes it.  [env: LARCHLATCH_CLUSTER_KEY]",
+)
+def serve(*, config: Path, verbose: bool, cluster: Path | None, cluster_key: Path | None) -> None:
+    """Run one node until SIGTERM; SIGHUP rereads its configuration, SIGUSR1 prints its counters."""
+    configuration = read_node_configuration(config)
+    join = None if cluster is None else prepare_join(configuration, cluster, cluster_key)
+    configure_log(verbose=verbose)
+    anyio.run(node, configuration, config, join, backend_options={"use_uvloop": True})
+
+
+def configure_log(*, verbose: bool) -> None:
+    """Log to standard output, a line of JSON an event."""
+    structlog.configure(
+        processors=[
+            structlog.processors.add_log_level,
+            structlog.processors.TimeStamper(fmt="iso"),
+            structlog.processors.format_exc_info,
+            structlog.processors.JSONRenderer(),
+        ],
+        wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if verbose else logging.INFO),
+        logger_factory=structlog.PrintLoggerFactory(),
+    )
+
+
+def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> Join:
+    """Return what joins the node to its cluster once it runs.
+
+    The cluster file and the key are read now, so that a fault in them stops the start.
+
+    Raises:
+        click.UsageError: No key was named.
+        InvalidInputError: The file or the key is wrong, or they don't fit each other or the configuration.
+
+    """
+    # A node without a cluster must not load this package.
+    from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
+    from larchlatch.cluster.service import Cluster
+
+    if key_path is None:
+        raise click.UsageError("--cluster wants '--cluster-key' as well")
+    name, traffic_classes = configuration.name, configuration.traffic_class_names
+    cluster_file = fleet_of(path)
+    seal = own_seal(cluster_file, name, secret_of(key_path))
+    fits_traffic_classes(cluster_file, traffic_classes)
+    return lambda counters, random_source, balancer_actor: Cluster(
+        name, traffic_classes, path, cluster_file, seal, counters, random_source, balancer_actor
+    )
