--- /dev/null
+++ b/larchlatch/cli/emulator.py
@@ -0,0 +1,156 @@
+"""The commands of the emulator: `emulate`, `sweep`, `plot` and `search`."""
+
+from __future__ import annotations
+
+import os
+import sys
+import time
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import click
+
+from larchlatch.cli.scenario_options import (
+    CHANGES,
+    DRAW,
+    EXIT_RULE_BROKEN,
+    SCENARIO,
+    SEED,
+    is_overspent,
+    read_scenario,
+    result_line,
+)
+from larchlatch.emulator import sweep as sweeps
+from larchlatch.emulator.plain import POLICIES
+from larchlatch.emulator.world import World
+
+if TYPE_CHECKING:
+    from larchlatch.days.day import Day
+
+MAX_SEEDS = 10_000
+MAX_JOBS = 1024
+DEFAULT_SEARCH_STATES = 3_000_000
+
+POLICY = click.Choice(list(POLICIES))
+
+
+@click.command()
+@SCENARIO
+@click.option("--policy", type=POLICY, default="larchlatch", show_default=True)
+@CHANGES
+@SEED
+@DRAW
+@click.option("--trace", type=click.Path(path_type=Path), help="Write all that happens, a line each.")
+def emulate(
+    *, day: Path, policy: str, changes: tuple[str, ...], seed: int | None, draw: int, trace: Path | None
+) -> None:
+    """Play a day in the emulator; exit code 3 if a rule was broken."""
+    scenario = read_scenario(day, changes, seed, draw)
+    began = time.perf_counter()
+    world, result = play_scenario(scenario, policy, trace)
+    elapsed_s = time.perf_counter() - began
+    click.echo(result_line({"day": scenario.name, "policy": policy, "seed": scenario.seed, **result}))
+    for violation in world.checker.words:
+        click.echo(violation, err=True)
+    click.echo(f"{result['events'] / elapsed_s:.0f} events a second", err=True)
+    if not world.checker.kept or is_overspent(result):
+        sys.exit(EXIT_RULE_BROKEN)
+
+
+def play_scenario(scenario: Day, policy: str, trace: Path | None) -> tuple[World, dict[str, Any]]:
+    """Play a scenario to its end, and return the world and its figures; the trace goes into a file."""
+    if trace is None:
+        world = World(scenario, policy)
+        return world, world.play()
+    with trace.open("wb") as out:
+
+        def write(line: bytes) -> None:
+            out.write(line)
+
+        world = World(scenario, policy, write)
+        return world, world.play()
+
+
+@click.command()
+@SCENARIO
+@click.option(
+    "--vary", multiple=True, metavar="KEY=A,B,C", help="What is varied; all combinations are played."
+)
+@click.option("--seeds", type=click.IntRange(1, MAX_SEEDS), default=5, show_default=True)
+@click.option("--policy", "policies", multiple=True, type=POLICY, default=("larchlatch",))
+@click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=lambda: os.cpu_count() or 1)
+@DRAW
+@click.option("--figure", default="served", show_default=True, help="What is summed up at the end.")
+def sweep(
+    *,
+    day: Path,
+    vary: tuple[str, ...],
+    seeds: int,
+    policies: tuple[str, ...],
+    jobs: int,
+    draw: int,
+    figure: str,
+) -> None:
+    """Play a day many times: a row a run on standard output, medians and intervals on standard error."""
+    variations = [sweeps.varied(text) for text in vary]
+    results = []
+    for result in sweeps.rows_of(sweeps.runs_of(day, variations, seeds, list(policies), draw), jobs):
+        click.echo(result_line(result))
+        results.append(result)
+    keys = ["policy", *(key for key, _ in variations)]
+    for values, interval in sweeps.summed(results, keys, figure).items():
+        group = " ".join(f"{key}={value}" for key, value in zip(keys, values, strict=True))
+        summary = f"{interval.median:.5g} ({interval.low:.5g} to {interval.high:.5g})"
+        click.echo(f"{group}: {figure} {summary}", err=True)
+    if any(any(result["broken"].values()) for result in results):
+        click.echo("a rule was broken: see `broken` in the rows", err=True)
+        sys.exit(EXIT_RULE_BROKEN)
+
+
+@click.command()
+@click.argument("results", type=click.Path(path_type=Path))
+@click.option("--over", required=True, help="The key that was varied.")
+@click.option("--by", default="policy", show_default=True, help="The key that there is a line for each of.")
+@click.option("--figure", default="served", show_default=True)
+@click.option("--log", is_flag=True, help="What was varied goes by powers.")
+@click.option("--out", type=click.Path(path_type=Path), required=True, help="A PNG.")
+def plot(*, results: Path, over: str, by: str, figure: str, log: bool, out: Path) -> None:
+    """Draw what a sweep has printed."""
+    # matplotlib takes a second to load.
+    from larchlatch.emulator.plot import plot as draw_plot
+
+    draw_plot(sweeps.read_rows(results), over, by, figure, log, out)
+
+
+@click.command()
+@click.option("--deep", is_flag=True, help="Also what takes minutes.")
+@click.option(
+    "--most",
+    type=click.IntRange(1),
+    default=DEFAULT_SEARCH_STATES,
+    show_default=True,
+    help="States a search.",
+)
+def search(*, deep: bool, most: int) -> None:
+    """Look for two holders of a duty in every order of events; exit code 3 if there are.
+
+    The same where a planted fault is not found.
+    """
+    # The other commands need none of it.
+    from larchlatch.emulator.search import DEEP, PLANTED, PLANTED_DEEP, SOUND, Search
+
+    sound = (*SOUND, *(DEEP if deep else ()))
+    planted = (*PLANTED, *(PLANTED_DEEP if deep else ()))
+    wrong = False
+    for case in (*sound, *planted):
+        began = time.perf_counter()
+        found = Search(case.rules, case.budget, case.held).run(most)
+        elapsed_s = time.perf_counter() - began
+        extent = "whole" if found.whole else "a part"
+        click.echo(f"{case.name}: {found.states} states, depth {found.depth}, {extent}, {elapsed_s:.1f} s")
+        for number, step in enumerate(found.trace or (), 1):
+            click.echo(f"  {number}. {step}")
+        # A trace is a violation: sound rules must have none, and a planted fault must be found.
+        wrong |= (found.trace is None) is (case in planted)
+    if wrong:
+        sys.exit(EXIT_RULE_BROKEN)
--- /dev/null
+++ b/larchlatch/cli/scenario_options.py
@@ -0,0 +1,59 @@
+"""What the commands that play a scenario have in common."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import click
+
+from larchlatch.days.day import Day, day_of
+from larchlatch.days.drawing import with_drawn
+from larchlatch.emulator.sweep import varied
+
+EXIT_RULE_BROKEN = 3
+EXIT_VOID = 4  # the tool itself was late: its figures can't be trusted
+
+MAX_DRAWN_FAULTS = 1000
+
+SCENARIO = click.argument("day", type=click.Path(path_type=Path))
+CHANGES = click.option(
+    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="Another value of the day's file."
+)
+SEED = click.option("--seed", type=int, help="Another seed than the day's.")
+DRAW = click.option(
+    "--draw",
+    type=click.IntRange(0, MAX_DRAWN_FAULTS),
+    default=0,
+    help="So many faults more, drawn from the seed.",
+)
+
+
+def read_scenario(path: Path, changes: tuple[str, ...], seed: int | None, draw: int) -> Day:
+    """Return the scenario of a file.
+
+    Args:
+        path: The file.
+        changes: `KEY=VALUE`, each another value of the file.
+        seed: Another seed than the file's.
+        draw: How many faults to draw in addition.
+
+    Raises:
+        InvalidInputError: The file or a change is wrong.
+
+    """
+    values = {key: alternatives[0] for key, alternatives in map(varied, changes)}
+    if seed is not None:
+        values["seed"] = seed
+    return with_drawn(day_of(path, values), draw)
+
+
+def result_line(result: dict[str, Any]) -> str:
+    """Return a result as a line of JSON."""
+    return json.dumps(result, separators=(",", ":"))
+
+
+def is_overspent(result: dict[str, Any]) -> bool:
+    """Return whether nodes together spent more than a shared quota, or reported what was not so."""
+    return bool(result.get("over_budget") or result.get("outside"))
--- a/larchlatch/cli/tools.py
+++ b/larchlatch/cli/tools.py
@@ -2,15 +2,18 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from importlib import import_module
 
 import click
 
-if TYPE_CHECKING:
-    from collections.abc import Sequence
-
-# Named here, so that `--help` lists them without importing them.
-TOOL_COMMANDS: Sequence[str] = ("emulate", "sweep", "plot", "load", "search")
+# Module by name of the command, so that the commands are known without being imported.
+TOOL_COMMANDS = {
+    "emulate": "larchlatch.cli.emulator",
+    "sweep": "larchlatch.cli.emulator",
+    "plot": "larchlatch.cli.emulator",
+    "load": "larchlatch.cli.load",
+    "search": "larchlatch.cli.emulator",
+}
 
 
 def load_tool_command(name: str) -> click.Command:
@@ -21,7 +24,7 @@
 
     """
     try:
-        from larchlatch.emulator.commands import COMMANDS
+        module = import_module(TOOL_COMMANDS[name])
     except ModuleNotFoundError as error:
         # A module of larchlatch that is missing is a fault of the program, not of the installation.
         if (error.name or "").startswith("larchlatch"):
@@ -29,4 +32,5 @@
         raise click.ClickException(
             f"{name} wants {error.name}: pip install -r requirements-tools.txt"
         ) from None
-    return COMMANDS[name]
+    command: click.Command = getattr(module, name)
+    return command
