--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, field
 
 from larchlatch.broker.quota_tree import Dimension
-from larchlatch.config.toml_file import Strict, converted, read_toml
+from larchlatch.config.toml_file import Strict, convert_table, read_toml
 from larchlatch.errors import ConfigurationError
 
 if TYPE_CHECKING:
@@ -91,7 +91,7 @@
 
 def parse_contracts(raw: Any) -> Contracts:
     """Check contracts in their raw form; raises ConfigurationError with the key that is wrong."""
-    contracts = converted(raw, Contracts, FILE)
+    contracts = convert_table(raw, Contracts, FILE)
     _check_unique([pool.name for pool in contracts.pools], "pools")
     _check_unique([team.name for team in contracts.teams], "teams")
     _check_unique([team.service for team in contracts.teams], "teams: service")
