--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -6,6 +6,7 @@
 
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Duties, Roster
 from larchlatch.cluster.health.observations import Advice, Evidence
+from larchlatch.cluster.membership.membership import RecordNovelty
 from larchlatch.cluster.protocol.datagrams import (
     Ask,
     Bid,
@@ -31,7 +32,8 @@
     from collections.abc import Callable, Iterable, Mapping
     from random import Random
 
-    from larchlatch.cluster.membership.membership import Change, Members
+    from larchlatch.cluster.membership.member import MemberChange
+    from larchlatch.cluster.membership.membership import Membership
     from larchlatch.policy.types import TokenCandidate
 
 
@@ -46,7 +48,7 @@
 class Beat(NamedTuple):
     """What falls due: who has fallen silent, what goes to whom, and what others' words on hosts come to."""
 
-    changes: list[Change]
+    changes: list[MemberChange]
     datagrams: list[tuple[str, bytes]]
     advice: Advice
     leaves: list[Told]
@@ -65,7 +67,7 @@
     what the pacer gives leave for.
     """
 
-    changes: list[Change]
+    changes: list[MemberChange]
     datagrams: list[tuple[str, bytes]]
     orders: list[Carried]
     leaves: list[Told]
@@ -105,7 +107,7 @@
 class Exchange:
     def __init__(
         self,
-        members: Members,
+        members: Membership,
         shared: Shared,
         sites: Mapping[str, str],
         keys: Mapping[str, bytes],
@@ -134,8 +136,8 @@
     ) -> None:
         """The operator's file has changed: members that are gone are forgotten, those that stay are kept."""
         self.sites, self.keys = sites, keys
-        self.members.beat_us = self.budgets.beat_us = self.duties.beat_us = beat_us
-        self.members.follow(sites)
+        self.members.heartbeat_us = self.budgets.beat_us = self.duties.beat_us = beat_us
+        self.members.set_members(sites)
         if dealing.mark != self.budgets.dealing.mark:
             self.budgets.follow(dealing, now)
             self.counts.follow(dealing)
@@ -168,13 +170,13 @@
         if record is None:
             self.dropped(Unread.FORM)
             return False
-        news = self.members.news(record, wall)
+        news = self.members.classify(record, wall)
         if isinstance(news, Unread):
             self.dropped(news)
-        elif not news:
+        elif news is RecordNovelty.KNOWN:
             self.count("cluster: record known")
             if direct:
-                self.members.again(record.name, signed)
+                self.members.receive_again(record.name, signed)
         elif not self.checks.holds(self.keys[record.name], signed.body, signed.signature):
             # Whoever sends this is no member, or broken: the rest of it is worth no further check.
             self.dropped(Unread.SIGNATURE)
@@ -182,7 +184,7 @@
         else:
             self.count("cluster: record heard")
             self.counts.heard(record)
-            change = self.members.heard(record, signed, direct)
+            change = self.members.receive(record, signed, direct=direct)
             if change is not None:
                 taken.changes.append(change)
         return True
@@ -195,10 +197,10 @@
             return False
         known = note.sender in self.members.members
         made_us = note.made_us if isinstance(note, Ask | Bid | Seek) else wall  # answers are awaited, or not
-        news = self.members.timely(made_us, wall) if known else None
+        news = self.members.check_time(made_us, wall) if known else None
         if not known:
             self.dropped(Unread.STRANGER)
-        elif note.to != self.members.me:
+        elif note.to != self.members.own_name:
             self.dropped(Unread.ASTRAY)
         elif news is not None:
             self.dropped(news)
@@ -270,7 +272,7 @@
         return taken
 
     def ask_pacer(self, now: int, seek: Seek, taken: Taken) -> None:
-        if seek.to != self.members.me:
+        if seek.to != self.members.own_name:
             taken.datagrams.append((seek.to, self.letter(seek)))
             return
         leave = self.pacing.answer(now, seek, self.duties.order(now, PACER))
@@ -284,10 +286,10 @@
 
     def beat(self, now: int, wall: int) -> Beat:
         members, budgets = self.members, self.budgets
-        changes = members.look(now)
-        budgets.agreed(now, [mark for mark, count in members.marks.items() if count])
+        changes = members.advance(now)
+        budgets.agreed(now, members.configuration_digests())
         mark = budgets.dealing.mark
-        there = members.there
+        there = members.present_records
         telling = {name: record for name, record in there.items() if record.findings or record.promises}
         ages = {name: max(0, wall - record.made_us) for name, record in telling.items()}
         bids = self.duties.look(now, wall, members.incarnation, there, ages)
@@ -296,24 +298,32 @@
         budgets.allot(now, holder.name if holder is not None else "", lease)
         paced = self.paced(now, wall)
         promises = self.duties.promises(now)
-        own = members.own(wall, mark, budgets.told(now), self.evidence.told(now), promises)
+        own = members.next_record(
+            wall,
+            digest=mark,
+            shares=budgets.told(now),
+            observations=self.evidence.told(now),
+            promises=promises,
+        )
         self.counts.heard(own)
         signed = self.signed(own)
-        targets = members.targets()
-        letters = members.passed_on(signed, len(targets))
+        targets = members.gossip_targets()
+        letters = members.pack_records(signed, len(targets))
         datagrams = [(name, datagram_of(part)) for name, part in zip(targets, letters, strict=True)]
-        datagrams += [(name, datagram_of([signed])) for name in members.watched() if name not in targets]
-        if not members.leaving and budgets.wanting(now):
+        datagrams += [
+            (name, datagram_of([signed])) for name in members.watcher_targets() if name not in targets
+        ]
+        if not members.is_departing and budgets.wanting(now):
             spare = {
                 name: [share.spare for share in record.shares]
                 for name, record in there.items()
                 if record.mark == mark
             }
             asks = budgets.asks(now, wall, members.incarnation, spare)
-            datagrams += [(ask.to, self.letter(ask)) for ask in asks if ask.to != members.me]
-            self.ask_itself(now, [ask for ask in asks if ask.to == members.me])
+            datagrams += [(ask.to, self.letter(ask)) for ask in asks if ask.to != members.own_name]
+            self.ask_itself(now, [ask for ask in asks if ask.to == members.own_name])
         datagrams += [(bid.to, self.letter(bid)) for bid in bids]
-        own_site = self.sites.get(members.me, "")
+        own_site = self.sites.get(members.own_name, "")
         advice = self.evidence.weigh(
             now,
             {name: record.findings for name, record in telling.items()},
--- a/larchlatch/cluster/membership/__init__.py
+++ b/larchlatch/cluster/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Cluster membership by gossiped heartbeats. No I/O."""
+"""Which nodes are present, by gossiped heartbeats. No I/O."""
--- /dev/null
+++ b/larchlatch/cluster/membership/table.py
@@ -0,0 +1,71 @@
+"""The members that a node knows, in the orders in which they are looked at. No I/O."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from larchlatch.cluster.membership.member import Member, MemberState
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
+
+    from larchlatch.cluster.protocol.datagrams import Record, Signed
+
+
+class MemberTable:
+    """All other members, and an index of those that are present.
+
+    A look at all members in each heartbeat would be what a large fleet costs most by: the present ones are
+    kept in the order of their last news, so that a heartbeat looks only at those that have run out.
+
+    Attributes:
+        members: all other members, in the order of their names.
+        present: those in state PRESENT, the one longest without news first.
+
+    """
+
+    def __init__(self) -> None:
+        """Start without members."""
+        self.members: dict[str, Member] = {}
+        self.present: dict[str, Member] = {}
+        self._digest_counts: Counter[int | None] = Counter()
+
+    def replace(self, names: Iterable[str], *, listened_us: int) -> None:
+        """Keep what is known of these members, begin anew with the others and forget the rest."""
+        known = self.members
+        self.members = {
+            name: known[name] if name in known else Member(name, last_news_us=listened_us)
+            for name in sorted(names)
+        }
+        self.present = {name: member for name, member in self.present.items() if name in self.members}
+        self._digest_counts = Counter(member.configuration_digest for member in self.members.values())
+
+    def store(self, member: Member, record: Record, signed: Signed) -> None:
+        """Replace a member's record by a newer one."""
+        self._digest_counts[member.configuration_digest] -= 1
+        member.record, member.signed = record, signed
+        self._digest_counts[member.configuration_digest] += 1
+
+    def renew(self, member: Member, *, listened_us: int) -> None:
+        """Note news of a member: it comes last among those present, or is no longer among them."""
+        member.last_news_us = listened_us
+        self.present.pop(member.name, None)
+        if member.state is MemberState.PRESENT:
+            self.present[member.name] = member
+
+    def silence(self, member: Member) -> None:
+        """Mark a present member as silent."""
+        member.is_silent = True
+        del self.present[member.name]
+
+    def without_news_since(self, listened_us: int) -> Iterator[str]:
+        """Yield the present members whose last news is older than this time."""
+        for name, member in self.present.items():
+            if member.last_news_us >= listened_us:
+                break
+            yield name
+
+    def configuration_digests(self) -> list[int | None]:
+        """Return the digests of the cluster files that members go by; None stands for unheard ones."""
+        return [digest for digest, count in self._digest_counts.items() if count]
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -13,7 +13,8 @@
 from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_of, follows, own_entry
 from larchlatch.cluster.election.election import PACER
 from larchlatch.cluster.exchange import Carried, Exchange, Shared
-from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.membership.member import MemberChange, MemberState
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.datagrams import MOST_BYTES
 from larchlatch.cluster.protocol.signing import Checks, Seal
 from larchlatch.errors import InvalidInputError
@@ -61,7 +62,9 @@
         self.counters = counters
         self.hearing = hearing
         wall = time.time_ns() // 1000
-        self.members = Members(name, fleet.sites, fleet.beat_us, wall, self.now(), chance)
+        self.members = Membership(
+            name, fleet.sites, heartbeat_us=fleet.beat_us, wall_us=wall, now_us=self.now(), rng=chance
+        )
         shared = Shared.of(
             name, fleet.dealing, fleet.roster, fleet.apart_us, fleet.beat_us, self.now(), chance
         )
@@ -108,7 +111,7 @@
                 if not told:
                     log.warning("the cluster's address can't be had yet", why=str(error))
                 told = True
-                await anyio.sleep(self.members.beat_us / 1e6)
+                await anyio.sleep(self.members.heartbeat_us / 1e6)
             else:
                 self.shared.open(self.now())
                 self.opened()
@@ -138,7 +141,7 @@
                 log.warning("datagrams of another version come", version=self.exchange.foreign)
             await anyio.lowlevel.checkpoint()
 
-    def changed(self, changes: list[Change]) -> None:
+    def changed(self, changes: list[MemberChange]) -> None:
         for change in changes:
             self.counters.add(f"cluster: member {change.state.value}")
             log.info("member", name=change.name, state=change.state.value)
@@ -155,10 +158,10 @@
         alone = False
         while True:
             self.say()
-            if self.members.alone is not alone:
-                alone = self.members.alone
+            if self.members.is_alone is not alone:
+                alone = self.members.is_alone
                 log.warning("no other node is heard" if alone else "other nodes are heard again")
-            await anyio.sleep(self.members.beat_us / 1e6)
+            await anyio.sleep(self.members.heartbeat_us / 1e6)
 
     def say(self) -> None:
         """One beat."""
@@ -195,7 +198,7 @@
 
     def leave(self) -> None:
         """Said when this node ends by itself: others need not wait for its silence."""
-        self.members.leaving = True
+        self.members.is_departing = True
         for _ in range(LEAVING_BEATS):
             self.say()
 
@@ -272,7 +275,7 @@
 
     def tasks(self) -> list[dict[str, Any]]:
         """Duty by duty; see docs/operating-cluster.md."""
-        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.there)]
+        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.present_records)]
 
     def shares(self) -> list[dict[str, Any]]:
         """Budget by budget; see docs/operating-cluster.md."""
@@ -294,12 +297,12 @@
                 "member": told.name,
                 "site": self.fleet.peers[told.name].site,
                 "state": told.state.value,
-                "age_ms": told.age_us // 1000 if told.state is not State.UNHEARD else None,
+                "age_ms": told.age_us // 1000 if told.state is not MemberState.UNHEARD else None,
                 "direct": told.direct,
                 "hears_us": told.hears_us,
                 "incarnation": told.incarnation,
             }
-            for told in self.members.told()
+            for told in self.members.snapshot()
         ]
 
 
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -35,7 +35,7 @@
     upstreams: Sequence[int] = ()  # hashes of all hosts' names
 
     def signed(self, told: Record | Note) -> Signed:
-        if isinstance(told, Record) and told.name == self.members.me:
+        if isinstance(told, Record) and told.name == self.members.own_name:
             if self.about == "hosts":
                 told = msgspec.structs.replace(
                     told, findings=[Finding(upstream, 9, 0) for upstream in self.upstreams]
@@ -55,7 +55,7 @@
 
     def false_records(self, now: int, wall: int) -> Iterable[tuple[str, bytes]]:
         """Others' records, newer than their own, with nothing spent and all to lend."""
-        for record in self.members.there.values():
+        for record in self.members.present_records.values():
             shares = [Standing(0, FAR) for _ in record.shares]
             false = msgspec.structs.replace(
                 record, number=record.number + 1000, made_us=wall, shares=shares, findings=[]
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -8,7 +8,8 @@
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure
 from larchlatch.cluster.exchange import Carried, Shared
-from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.membership.member import MemberChange, MemberState
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
@@ -60,7 +61,9 @@
         self.company = company
         self.drift = company.drifts[number]
         own = self.now
-        self.members = Members(names[number], company.sites, beat_us, now, own, chance)
+        self.members = Membership(
+            names[number], company.sites, heartbeat_us=beat_us, wall_us=now, now_us=own, rng=chance
+        )
         shared = Shared.of(names[number], company.dealing, company.roster, APART_US, beat_us, own, chance)
         self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
         shared.open(own)
@@ -164,12 +167,12 @@
         for name, data in datagrams:
             self.company.send(self.number, self.company.places[name], data)
 
-    def told(self, changes: list[Change]) -> None:
+    def told(self, changes: list[MemberChange]) -> None:
         company, now = self.company, self.company.stage.clock.now
         for change in changes:
             other = company.places[change.name]
             company.stage.note("member", self.number, other, change.state.value)
-            company.agreement.said(now, self.number, other, change.state is State.PRESENT)
+            company.agreement.said(now, self.number, other, change.state is MemberState.PRESENT)
 
 
 class Company:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -7,6 +7,7 @@
 import subprocess
 import sys
 from collections import Counter
+from itertools import count
 from pathlib import Path
 from typing import Any
 
@@ -19,14 +20,10 @@
 from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
 from larchlatch.cluster.election.election import Roster
 from larchlatch.cluster.exchange import Exchange, Shared
-from larchlatch.cluster.membership.membership import (
-    APART_US,
-    FAN_OUT,
-    WATCHERS,
-    Members,
-    State,
-    watchers_of,
-)
+from larchlatch.cluster.membership.clock import FAN_OUT
+from larchlatch.cluster.membership.member import MemberState
+from larchlatch.cluster.membership.membership import MAX_CLOCK_DIFFERENCE_US, Membership
+from larchlatch.cluster.membership.watchers import WATCHERS, assign_watchers
 from larchlatch.cluster.protocol.datagrams import (
     MOST_BYTES,
     VERSION,
@@ -63,7 +60,9 @@
 
     def __init__(self, name: str, names: str = "abcd", wall: int = WALL, seed: int = 1) -> None:
         self.counts: dict[str, int] = {}
-        self.members = Members(name, dict.fromkeys(names, ""), BEAT, wall, 0, random.Random(seed))
+        self.members = Membership(
+            name, dict.fromkeys(names, ""), heartbeat_us=BEAT, wall_us=wall, now_us=0, rng=random.Random(seed)
+        )
         shared = Shared.of(
             name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, BEAT, 0, random.Random(seed)
         )
@@ -73,8 +72,8 @@
     def count(self, kind: str) -> None:
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    def state(self, name: str) -> State:
-        return self.members.state(self.members.members[name])
+    def state(self, name: str) -> MemberState:
+        return self.members.members[name].state
 
     def dropped(self, why: Unread) -> int:
         return self.counts.get(f"cluster: dropped, {why.value}", 0)
@@ -86,29 +85,31 @@
 
 def beats(sides: list[Side], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
     """All beat in turn; nothing goes between those in `cut` and the others. The time after that."""
-    by_name = {side.members.me: side for side in sides}
+    by_name = {side.members.own_name: side for side in sides}
     for beat in range(first, first + count):
         now = beat * BEAT
         for side in sides:
             for name, data in side.exchange.beat(now, WALL + now).datagrams:
-                if name in by_name and (name in cut) is (side.members.me in cut):
+                if name in by_name and (name in cut) is (side.members.own_name in cut):
                     by_name[name].exchange.take(data, now, WALL + now)
     return first + count
 
 
-# Members.
+# Membership.
 
 
 def test_all_hear_of_all_and_a_node_that_stops_is_silent_and_comes_back() -> None:
     sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    assert all(side.members.alone for side in sides), "nobody is heard at the start"
+    assert all(side.members.is_alone for side in sides), "nobody is heard at the start"
     at = beats(sides, 0, 6)
-    assert {side.state(n) for side in sides for n in "abcd" if n != side.members.me} == {State.PRESENT}
+    assert {side.state(n) for side in sides for n in "abcd" if n != side.members.own_name} == {
+        MemberState.PRESENT
+    }
     at = beats(sides[:3], at, 12)
-    assert sides[0].state("d") is State.SILENT and sides[0].state("b") is State.PRESENT
+    assert sides[0].state("d") is MemberState.SILENT and sides[0].state("b") is MemberState.PRESENT
     beats(sides, at, 6)
-    assert sides[0].state("d") is State.PRESENT
-    assert sides[0].members.members["d"].false_verdicts == 1
+    assert sides[0].state("d") is MemberState.PRESENT
+    assert sides[0].members.members["d"].false_positives == 1
 
 
 def test_a_cut_is_told_on_both_sides_and_heals() -> None:
@@ -116,11 +117,14 @@
     at = beats(sides, 0, 8)
     at = beats(sides, at, 14, cut=frozenset("abc"))
     for side in sides:
-        here = side.members.me in "abc"
+        here = side.members.own_name in "abc"
         for name in side.members.members:
-            assert (side.state(name) is State.PRESENT) is ((name in "abc") is here), (side.members.me, name)
+            assert (side.state(name) is MemberState.PRESENT) is ((name in "abc") is here), (
+                side.members.own_name,
+                name,
+            )
     beats(sides, at, 8)
-    assert all(side.state(n) is State.PRESENT for side in sides for n in side.members.members)
+    assert all(side.state(n) is MemberState.PRESENT for side in sides for n in side.members.members)
 
 
 def test_a_node_that_was_stopped_takes_nobody_for_silent_on_waking() -> None:
@@ -128,11 +132,11 @@
     sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
     beats(sides, 0, 6)
     woken = sides[0]
-    assert woken.members.look(60_000_000) == [], "it has heard nothing because it could not"
-    assert woken.members.look(60_000_000 + BEAT) == []
+    assert woken.members.advance(60_000_000) == [], "it has heard nothing because it could not"
+    assert woken.members.advance(60_000_000 + BEAT) == []
     for beat in range(2, 12):
-        woken.members.look(60_000_000 + beat * BEAT)
-    assert woken.members.alone, "now it could have heard them, and did not"
+        woken.members.advance(60_000_000 + beat * BEAT)
+    assert woken.members.is_alone, "now it could have heard them, and did not"
 
 
 def test_a_node_whose_clock_was_set_back_outbids_its_earlier_life() -> None:
@@ -144,35 +148,35 @@
     assert later.members.incarnation > WALL
     known = sides[1].members.members["a"].record
     assert known is not None and known.incarnation == later.members.incarnation
-    assert sides[1].state("a") is State.PRESENT
+    assert sides[1].state("a") is MemberState.PRESENT
 
 
 def test_a_node_that_leaves_says_so() -> None:
     sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
     at = beats(sides, 0, 6)
-    sides[3].members.leaving = True
+    sides[3].members.is_departing = True
     beats(sides, at, 3)
-    assert sides[0].state("d") is State.LEFT
+    assert sides[0].state("d") is MemberState.LEFT
     beats(sides[:3], at + 3, 20)
-    assert sides[0].state("d") is State.LEFT, "it needs no verdict"
+    assert sides[0].state("d") is MemberState.LEFT, "it needs no verdict"
 
 
 def test_a_member_that_the_file_no_longer_has_is_forgotten_and_not_heard() -> None:
     sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
     at = beats(sides, 0, 6)
-    sides[0].members.follow(dict.fromkeys("abc", ""))
+    sides[0].members.set_members(dict.fromkeys("abc", ""))
     beats(sides, at, 6)
     assert "d" not in sides[0].members.members and sides[0].dropped(Unread.STRANGER) > 0
-    assert sides[0].state("c") is State.PRESENT, "the others are kept"
+    assert sides[0].state("c") is MemberState.PRESENT, "the others are kept"
 
 
 def test_whom_each_hears_itself_is_told() -> None:
     sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
     beats(sides, 0, 12)
-    for told in sides[0].members.told():
-        assert told.direct and told.hears_us and told.state is State.PRESENT
+    for told in sides[0].members.snapshot():
+        assert told.direct and told.hears_us and told.state is MemberState.PRESENT
     fresh = Side("a")
-    assert not any(told.direct or told.hears_us for told in fresh.members.told())
+    assert not any(told.direct or told.hears_us for told in fresh.members.snapshot())
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -185,10 +189,10 @@
         for name, data in sides[one].exchange.beat(number * BEAT, WALL).datagrams:
             kept += [(name, data)] * {"l": 0, "d": 2}.get(what, 1)
         own = sides[one].members
-        newest[own.me] = (own.incarnation, own.number)
+        newest[own.own_name] = (own.incarnation, own.record_number)
         while kept and what != "r":
             name, data = kept.pop(other % len(kept))
-            side = next(s for s in sides if s.members.me == name)
+            side = next(s for s in sides if s.members.own_name == name)
             before = {n: m.record.age for n, m in side.members.members.items() if m.record is not None}
             side.exchange.take(data, 0, WALL)
             for n, member in side.members.members.items():
@@ -199,25 +203,36 @@
 def test_watchers_tell_of_a_death_in_a_large_fleet_and_one_alone_is_not_believed() -> None:
     # Danger: old records of a dead member go round for many seconds, each as if it lived.
     names = [f"n{number:02}" for number in range(40)]
-    members = Members("n00", {name: f"s{name[-1]}" for name in names}, BEAT, WALL, 0, random.Random(1))
+    members = Membership(
+        "n00",
+        {name: f"s{name[-1]}" for name in names},
+        heartbeat_us=BEAT,
+        wall_us=WALL,
+        now_us=0,
+        rng=random.Random(1),
+    )
     dead = members.members["n20"]
-    place, watchers = members.places["n20"], sorted(dead.watchers - {"n00"})
+    place, watchers = members.member_indexes["n20"], sorted(dead.watchers - {"n00"})
     assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, "of many sites"
 
-    def hear(name: str, number: int, *missed: Missed) -> State:
+    times = count(1)
+
+    def hear(name: str, number: int, *missed: Missed) -> MemberState:
         record = Record(name, WALL, number, WALL, False, b"", missed=list(missed))
-        members.heard(record, Signed(body_of(record), bytes(64)), direct=False)
-        members.look(members.looked_at + 1)
-        return members.state(dead)
+        members.receive(record, Signed(body_of(record), bytes(64)), direct=False)
+        members.advance(next(times))
+        return dead.state
 
     hear("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert hear(watchers[0], 1, Missed(place, WALL, 9)) is State.PRESENT, "it may be cut off from it alone"
-    assert hear(stranger, 1, Missed(place, WALL, 9)) is State.PRESENT, "it does not watch it"
-    assert hear(watchers[1], 1, Missed(place, WALL, 9)) is State.SILENT
-    assert hear("n20", 9) is State.SILENT, "an old record that went round"
-    assert hear("n20", 10) is State.PRESENT, "a new one"
-    assert hear(watchers[2], 1, Missed(place, WALL, 9)) is State.PRESENT, "an old word"
+    assert hear(watchers[0], 1, Missed(place, WALL, 9)) is MemberState.PRESENT, (
+        "it may be cut off from it alone"
+    )
+    assert hear(stranger, 1, Missed(place, WALL, 9)) is MemberState.PRESENT, "it does not watch it"
+    assert hear(watchers[1], 1, Missed(place, WALL, 9)) is MemberState.SILENT
+    assert hear("n20", 9) is MemberState.SILENT, "an old record that went round"
+    assert hear("n20", 10) is MemberState.PRESENT, "a new one"
+    assert hear(watchers[2], 1, Missed(place, WALL, 9)) is MemberState.PRESENT, "an old word"
 
 
 def test_a_death_among_many_is_told_within_seconds_whatever_is_lost() -> None:
@@ -247,7 +262,7 @@
     where = {f"n{n}-{site}": f"s{site}" for site, count in enumerate(sites) for n in range(count)}
     names = sorted(where)
     watched: Counter[str] = Counter()
-    for name, watchers in watchers_of(names, where).items():
+    for name, watchers in assign_watchers(names, where).items():
         assert len(set(watchers)) == WATCHERS and name not in watchers
         assert {where[other] for other in watchers} == set(where.values())
         watched.update(watchers)
@@ -258,16 +273,18 @@
 
 def test_a_beat_costs_the_same_whatever_the_fleets_size() -> None:
     names = [f"node-{number:04}" for number in range(1000)]
-    members = Members(names[0], dict.fromkeys(names, ""), BEAT, WALL, 0, random.Random(1))
+    members = Membership(
+        names[0], dict.fromkeys(names, ""), heartbeat_us=BEAT, wall_us=WALL, now_us=0, rng=random.Random(1)
+    )
     blank = bytes(64)
     for number, name in enumerate(names[1:]):
         record = Record(name, WALL, number, WALL + number, False, bytes(125))
-        members.heard(record, Signed(body_of(record), blank), direct=False)
-    own = Signed(body_of(members.own(WALL, 0, [], [], [])), blank)
-    sent = [members.targets() for _ in range(333)]
+        members.receive(record, Signed(body_of(record), blank), direct=False)
+    own = Signed(body_of(members.next_record(WALL, digest=0, shares=[], observations=[], promises=[])), blank)
+    sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
     assert {name for targets in sent for name in targets} == set(names[1:]), "each is reached within a round"
-    records = members.passed_on(own, 1)[0]
+    records = members.pack_records(own, 1)[0]
     assert len(datagram_of(records)) <= MOST_BYTES and len(records) >= 5
     newest = record_of(records[1].body)
     assert newest is not None and newest.name == names[-1], "what was made last goes first"
@@ -292,14 +309,14 @@
         (datagram_of([Signed(stranger, bytes(64))]), Unread.STRANGER),
         (forged, Unread.SIGNATURE),
         (Side("b", wall=WALL - 86_400_000_000).said(wall=WALL - 86_400_000_000), Unread.STALE),
-        (Side("b").said(wall=WALL + 2 * APART_US), Unread.EARLY),
+        (Side("b").said(wall=WALL + 2 * MAX_CLOCK_DIFFERENCE_US), Unread.EARLY),
     ]
     side = Side("a")
     for data, why in cases:
         before = side.dropped(why)
         assert side.exchange.take(data, 0, WALL).changes == []
         assert side.dropped(why) == before + 1, why
-    assert side.members.alone, "none of it changed anything"
+    assert side.members.is_alone, "none of it changed anything"
     assert side.exchange.foreign == VERSION + 1, "for the log, which says it once"
     assert side.exchange.take(good, 0, WALL).changes != []
 
@@ -322,8 +339,8 @@
     own = body_of(Record("b", WALL, 1, WALL, False, b""))
     data = datagram_of([Signed(own, liar.sign(own)), Signed(body, liar.sign(body))])
     side.exchange.take(data, 0, WALL)
-    assert side.members.members["c"].record == before and side.state("c") is State.PRESENT
-    assert side.dropped(Unread.SIGNATURE) == 1 and side.state("b") is State.PRESENT
+    assert side.members.members["c"].record == before and side.state("c") is MemberState.PRESENT
+    assert side.dropped(Unread.SIGNATURE) == 1 and side.state("b") is MemberState.PRESENT
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -21,8 +21,8 @@
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure, What
 from larchlatch.cluster.exchange import Exchange, Shared
-from larchlatch.cluster.membership.membership import Members
-from larchlatch.cluster.membership.membership import State as MemberState
+from larchlatch.cluster.membership.member import MemberState
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol import datagrams
 from larchlatch.cluster.protocol.signing import Checks, Seal
 from larchlatch.cluster.quota.account import Spans
@@ -123,7 +123,9 @@
 def exchange(name: str, started: int, allot: bool) -> Exchange:
     """One node's part, with its own key, as it starts; it knows of no other node."""
     sites = dict.fromkeys(NODES, "")
-    members = Members(name, sites, 200_000, WALL, started, random.Random(2))
+    members = Membership(
+        name, sites, heartbeat_us=200_000, wall_us=WALL, now_us=started, rng=random.Random(2)
+    )
     shared = Shared.of(name, dealing(allot), roster(), 200_000, 200_000, started, random.Random(2))
     shared.open(started)
     keys = {other: key.public for other, key in KEYS.items()}
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -17,7 +17,7 @@
 from larchlatch.cluster.exchange import Exchange, Shared
 from larchlatch.cluster.health import observations as evidence
 from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
-from larchlatch.cluster.membership.membership import Members
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
 from larchlatch.cluster.quota import counts
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
@@ -51,7 +51,9 @@
 
     def __init__(self, name: str, now: int, drift: Drift, chance: random.Random) -> None:
         self.drift = drift
-        self.members = Members(name, dict.fromkeys(NAMES, ""), BEAT, now, drift.at(now), chance)
+        self.members = Membership(
+            name, dict.fromkeys(NAMES, ""), heartbeat_us=BEAT, wall_us=now, now_us=drift.at(now), rng=chance
+        )
         shared = Shared.of(name, dealing(), Roster(), 0, BEAT, drift.at(now), chance)
         self.budgets, self.counts, self.evidence, *_ = shared
         shared.open(drift.at(now))
