--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Duties, Roster
-from larchlatch.cluster.health.observations import Advice, Evidence
+from larchlatch.cluster.health.observations import EjectionAdvice, HealthObservations
 from larchlatch.cluster.membership.membership import RecordNovelty
 from larchlatch.cluster.protocol.datagrams import (
     Ask,
@@ -50,7 +50,7 @@
 
     changes: list[MemberChange]
     datagrams: list[tuple[str, bytes]]
-    advice: Advice
+    advice: EjectionAdvice
     leaves: list[Told]
 
 
@@ -78,7 +78,7 @@
 
     budgets: Budgets
     counts: Counts
-    evidence: Evidence
+    evidence: HealthObservations
     duties: Duties
     pacing: Pacing
 
@@ -96,7 +96,7 @@
         """A node's part at its start; apart_us: by how much wall clocks may differ."""
         budgets = Budgets(me, dealing, beat_us, now, chance)
         duties = Duties(me, roster, beat_us, now, chance)
-        return cls(budgets, Counts(dealing, apart_us), Evidence(), duties, Pacing(me, roster, now))
+        return cls(budgets, Counts(dealing, apart_us), HealthObservations(), duties, Pacing(me, roster, now))
 
     def open(self, now: int) -> None:
         """No other process of this node spends, or promises anything."""
@@ -302,7 +302,7 @@
             wall,
             digest=mark,
             shares=budgets.told(now),
-            observations=self.evidence.told(now),
+            observations=self.evidence.own_report(now),
             promises=promises,
         )
         self.counts.heard(own)
@@ -324,12 +324,12 @@
             self.ask_itself(now, [ask for ask in asks if ask.to == members.own_name])
         datagrams += [(bid.to, self.letter(bid)) for bid in bids]
         own_site = self.sites.get(members.own_name, "")
-        advice = self.evidence.weigh(
+        advice = self.evidence.advise(
             now,
             {name: record.findings for name, record in telling.items()},
             ages,
             self.sites,
-            any(self.sites[name] != own_site for name in there),
+            several_sites=any(self.sites[name] != own_site for name in there),
         )
         return Beat(changes, datagrams + paced.datagrams, advice, paced.leaves)
 
--- a/larchlatch/cluster/health/__init__.py
+++ b/larchlatch/cluster/health/__init__.py
@@ -1,1 +1,1 @@
-"""Observations of upstream failures that nodes share. No I/O."""
+"""Observations of unreachable upstreams that nodes share, and what follows from them. No I/O."""
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -171,12 +171,12 @@
         # Before it is promised to others what the decisions hand over.
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        looks = [self.upstreams[upstream] for upstream in beat.advice.looks]
-        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failed]
+        looks = [self.upstreams[upstream] for upstream in beat.advice.probes]
+        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failures]
         for upstream, witnesses in failed:
             self.counters.add("cluster: host avoided on others' word")
             log.info("host avoided", upstream=upstream, witnesses=witnesses)
-        for gone in beat.advice.gone:
+        for gone in beat.advice.newly_unreachable:
             log.info("host not reached", upstream=self.upstreams[gone])
         if looks or failed:
             self.counters.add("cluster: look at a host for others' word", len(looks))
@@ -217,11 +217,11 @@
     def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
         self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
         self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
-        self.evidence.follow(self.upstreams)
+        self.evidence.set_upstreams(self.upstreams)
 
     def saw(self, upstream: str, good: bool | None) -> None:
         if hashed(upstream) in self.upstreams:
-            self.evidence.saw(self.now(), hashed(upstream), good)
+            self.evidence.observe(self.now(), hashed(upstream), reached=good)
 
     def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
         by_hash = [(hashed(name), want) for name, want in wants]
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -93,7 +93,7 @@
         return back_us
 
     def listed(self, upstreams: Sequence[int], started_at: int) -> None:
-        self.evidence.follow(upstreams)
+        self.evidence.set_upstreams(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
         self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
@@ -116,7 +116,7 @@
 
     def saw(self, upstream: int, good: bool | None) -> None:
         if upstream in self.evidence.upstreams:
-            self.evidence.saw(self.now, upstream, good)
+            self.evidence.observe(self.now, upstream, reached=good)
 
     # Its part among the others.
 
@@ -134,10 +134,10 @@
         self.ordered([])
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        for upstream in beat.advice.gone:
+        for upstream in beat.advice.newly_unreachable:
             company.avoidance.found(now, self.number, upstream)
-        if beat.advice.looks or beat.advice.failed:
-            company.advised(self.number, beat.advice.looks, beat.advice.failed)
+        if beat.advice.probes or beat.advice.failures:
+            company.advised(self.number, beat.advice.probes, beat.advice.failures)
         self.beat_at = now + company.beat_us
         company.stage.clock.at(self.beat_at, TIMER, self.woken, self.beat_at)
 
@@ -236,7 +236,7 @@
                 self.spending.told(now, known.least, known.most, voice.counts.span_us)
         self.stage.clock.at(now + TELL_US, CHECK, self.look)
 
-    def advised(self, number: int, looks: list[int], failed: list[tuple[int, int]]) -> None:
+    def advised(self, number: int, looks: list[int], failed: Sequence[tuple[int, int]]) -> None:
         node = self.stage.nodes[number]
         for upstream, _ in failed:
             reached = self.stage.reach(node, self.stage.upstreams[upstream])
--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -186,7 +186,7 @@
         if self.fellows is not None:
             self.fellows.saw(upstream, good)
 
-    def advised(self, looks: list[int], failed: list[tuple[int, int]]) -> None:
+    def advised(self, looks: list[int], failed: Sequence[tuple[int, int]]) -> None:
         """What others say of hosts; as the module's actor takes it."""
         for upstream in looks:
             self.probe(self.around.clock.now, upstream)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -15,8 +15,9 @@
 from larchlatch.cluster.cluster_file import fleet_from
 from larchlatch.cluster.election.election import Roster
 from larchlatch.cluster.exchange import Exchange, Shared
-from larchlatch.cluster.health import observations as evidence
-from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
+from larchlatch.cluster.health import observations
+from larchlatch.cluster.health.observations import REPROBE_US, HealthObservations, UpstreamObservation
+from larchlatch.cluster.health.reports import ACTIONABLE_US, OBSERVATION_TTL_US
 from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
 from larchlatch.cluster.quota import counts
@@ -317,16 +318,18 @@
 # C3.
 
 
-def weighed(found: Evidence, now: int, sites: str, *witnesses: str, age: int = 0) -> Any:
+def weighed(found: HealthObservations, now: int, sites: str, *witnesses: str, age: int = 0) -> Any:
     claims = {name: [Finding(7, 2, 0)] for name in witnesses}
     where = {name: sites[place] for place, name in enumerate("abcd")}
-    return found.weigh(now, claims, dict.fromkeys(witnesses, age), where, len(set(where.values())) > 1)
+    return found.advise(
+        now, claims, dict.fromkeys(witnesses, age), where, several_sites=len(set(where.values())) > 1
+    )
 
 
 def test_hearsay_makes_a_node_look_and_two_witnesses_of_two_sites_count() -> None:
-    def fresh() -> Evidence:
-        found = Evidence()
-        found.follow([7, 8])
+    def fresh() -> HealthObservations:
+        found = HealthObservations()
+        found.set_upstreams([7, 8])
         return found
 
     def twice(sites: str, *witnesses: str, **age: int) -> tuple[Any, Any]:
@@ -340,37 +343,37 @@
         "one site may be cut off from a sound host"
     )
     assert twice("eeww", "b", "c") == (([7], [], []), ([], [(7, 2)], [7]))
-    assert twice("eeww", "b", "c", age=FRESH_US) == (([], [], []), ([], [], []))
-    assert twice("eeww", "b", "c", age=HEED_US) == (([7], [], []), ([], [], [])), "it may be back since"
+    assert twice("eeww", "b", "c", age=OBSERVATION_TTL_US) == (([], [], []), ([], [], []))
+    assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), "it may be back since"
     found = fresh()
     weighed(found, START, "eeww", "b", "c")
-    found.saw(START + 1, 7, True)
-    assert weighed(found, START + BEAT, "eeww", "b", "c").failed == [], "two sites may be cut off from it"
+    found.observe(START + 1, 7, reached=True)
+    assert weighed(found, START + BEAT, "eeww", "b", "c").failures == [], "two sites may be cut off from it"
     found = fresh()
-    found.saw(START, 7, True)
-    assert weighed(found, START + SECOND, "eeww", "b", "c").failed == [], "its own look goes before"
-    assert found.told(START + SECOND) == []
-    found.saw(START + SECOND, 7, None)
-    assert weighed(found, START + SECOND, "eeww").looks == [7], "links that broke off make it look at once"
-    found.saw(START + SECOND, 7, False)
-    assert found.told(START + SECOND) == [], "one may be a lost packet"
-    assert weighed(found, START + SECOND, "eeww").looks == [7], "and a look that failed makes it look again"
-    found.saw(START + SECOND, 7, False)
-    assert found.told(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
-    assert found.told(START + SECOND + FRESH_US) == [], "it has an age, and an end"
-    late = START + SECOND + FRESH_US
-    assert weighed(found, late, "eeww", "b", "c").looks == [7]
+    found.observe(START, 7, reached=True)
+    assert weighed(found, START + SECOND, "eeww", "b", "c").failures == [], "its own look goes before"
+    assert found.own_report(START + SECOND) == []
+    found.observe(START + SECOND, 7, reached=None)
+    assert weighed(found, START + SECOND, "eeww").probes == [7], "links that broke off make it look at once"
+    found.observe(START + SECOND, 7, reached=False)
+    assert found.own_report(START + SECOND) == [], "one may be a lost packet"
+    assert weighed(found, START + SECOND, "eeww").probes == [7], "and a look that failed makes it look again"
+    found.observe(START + SECOND, 7, reached=False)
+    assert found.own_report(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
+    assert found.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "it has an age, and an end"
+    late = START + SECOND + OBSERVATION_TTL_US
+    assert weighed(found, late, "eeww", "b", "c").probes == [7]
     assert weighed(found, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
         "it may have come back, and died again"
     )
 
 
 def test_one_who_says_it_again_and_again_orders_few_looks_and_nothing_else() -> None:
-    found = Evidence()
-    found.follow([7])
+    found = HealthObservations()
+    found.set_upstreams([7])
     advice = [weighed(found, START + beat * BEAT, "eeww", "b") for beat in range(50)]
-    assert sum(len(told.looks) for told in advice) <= 50 * BEAT // LOOK_US + 1
-    assert not any(told.failed for told in advice)
+    assert sum(len(told.probes) for told in advice) <= 50 * BEAT // REPROBE_US + 1
+    assert not any(told.failures for told in advice)
 
 
 def emulated(**changes: Any) -> dict[str, Any]:
@@ -388,9 +391,9 @@
 def test_a_single_liar_takes_no_sound_host_from_service(monkeypatch: pytest.MonkeyPatch) -> None:
     row = emulated()
     assert row["hearsay"] == 0 and row["hearsay_wrong"] == 0 and not any(row["broken"].values())
-    monkeypatch.setattr(evidence, "WITNESSES", 1)
+    monkeypatch.setattr(observations, "CONFIRMATIONS", 1)
     assert emulated(zones=1)["hearsay_wrong"] == 0, "a look of one's own goes before"
-    monkeypatch.setattr(Evidence, "looked", lambda *_: True)
+    monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
     assert emulated(zones=1)["hearsay_wrong"] > 0, "a single witness that is believed is caught"
 
 
@@ -409,7 +412,7 @@
 
     rows = [cut(seed) for seed in (1, 5)]
     assert not any(row["hearsay_wrong"] or any(row["broken"].values()) for row in rows)
-    monkeypatch.setattr(Evidence, "looked", lambda *_: True)
+    monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
     assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "word that goes before one's own look"
 
 
