--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -25,7 +25,7 @@
     record_of,
 )
 from larchlatch.cluster.quota.budgets import Budgets, Dealing
-from larchlatch.cluster.quota.counts import Counts
+from larchlatch.cluster.quota.counts import FleetCounts
 from larchlatch.cluster.slow_start.tokens import Pacing, Told
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
     """What the members share."""
 
     budgets: Budgets
-    counts: Counts
+    counts: FleetCounts
     evidence: HealthObservations
     duties: Duties
     pacing: Pacing
@@ -96,7 +96,8 @@
         """A node's part at its start; apart_us: by how much wall clocks may differ."""
         budgets = Budgets(me, dealing, beat_us, now, chance)
         duties = Duties(me, roster, beat_us, now, chance)
-        return cls(budgets, Counts(dealing, apart_us), HealthObservations(), duties, Pacing(me, roster, now))
+        counts = FleetCounts(dealing, clock_difference_us=apart_us)
+        return cls(budgets, counts, HealthObservations(), duties, Pacing(me, roster, now))
 
     def open(self, now: int) -> None:
         """No other process of this node spends, or promises anything."""
@@ -140,7 +141,7 @@
         self.members.set_members(sites)
         if dealing.mark != self.budgets.dealing.mark:
             self.budgets.follow(dealing, now)
-            self.counts.follow(dealing)
+            self.counts.set_quotas(dealing)
         if roster.mark != self.pacing.mark:
             self.pacing.follow(roster)
         self.duties.follow(roster, now)
@@ -183,7 +184,7 @@
             return False
         else:
             self.count("cluster: record heard")
-            self.counts.heard(record)
+            self.counts.receive(record)
             change = self.members.receive(record, signed, direct=direct)
             if change is not None:
                 taken.changes.append(change)
@@ -305,7 +306,7 @@
             observations=self.evidence.own_report(now),
             promises=promises,
         )
-        self.counts.heard(own)
+        self.counts.receive(own)
         signed = self.signed(own)
         targets = members.gossip_targets()
         letters = members.pack_records(signed, len(targets))
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -270,7 +270,7 @@
             log.warning("changes that want a restart", keys=[f"nodes: {self.name}"])
             fleet.peers[self.name] = self.fleet.peers[self.name]
         self.fleet = fleet
-        self.counts.apart_us = fleet.apart_us
+        self.counts.clock_difference_us = fleet.apart_us
         self.exchange.follow(fleet.sites, self.keys(), fleet.dealing, fleet.roster, fleet.beat_us, self.now())
 
     def tasks(self) -> list[dict[str, Any]]:
@@ -279,7 +279,7 @@
 
     def shares(self) -> list[dict[str, Any]]:
         """Budget by budget; see docs/operating-cluster.md."""
-        ranges = self.counts.told(self.wall())
+        ranges = self.counts.ranges(self.wall())
         return [
             {
                 **account._asdict(),
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -232,7 +232,7 @@
         assert self.spending is not None
         for voice in self.voices:
             if voice.alive and not voice.stopped:
-                [known] = voice.counts.told(now)
+                [known] = voice.counts.ranges(now)
                 self.spending.told(now, known.least, known.most, voice.counts.span_us)
         self.stage.clock.at(now + TELL_US, CHECK, self.look)
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -113,7 +113,7 @@
         if now % SECOND == 0:
             for side in sides:
                 if now >= side.awake_at:
-                    [known] = side.counts.told(now)
+                    [known] = side.counts.ranges(now)
                     judge.told(now, known.least, known.most, side.counts.span_us)
     return judge
 
@@ -179,7 +179,7 @@
     (Rights, "lend", careless),
     (Rights, "borrow", late_borrower),
     (Spans, "back_us", property(lambda spans: spans.term_us)),
-    (counts, "meets", lambda *args: False),
+    (counts, "overlaps_gap", lambda *args: False),
 ]
 
 
