--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -1,13 +1,13 @@
-"""Nodes that know of each other: decisions, datagrams, the file. Real processes are in test_between."""
+"""The cluster without I/O: membership, datagrams, the cluster file. Real processes are in test_between."""
 
 from __future__ import annotations
 
+import itertools
 import os
 import random
 import subprocess
 import sys
 from collections import Counter
-from itertools import count
 from pathlib import Path
 from typing import Any
 
@@ -48,23 +48,28 @@
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
 
-BEAT = 200_000
+HEARTBEAT_US = 200_000
 SPANS = Spans(1_000_000, 3_000_000, 0.01)
-WALL = 1_800_000_000_000_000
+WALL_US = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
 KEYS = {name: Seal(secret).public for name, secret in SECRETS.items()}
 
 
-class Side:
-    """One node by hand: its decisions, keys and what it counted."""
+class ManualNode:
+    """One node driven by hand, with its decisions, its keys and its counters."""
 
-    def __init__(self, name: str, names: str = "abcd", wall: int = WALL, seed: int = 1) -> None:
+    def __init__(self, name: str, names: str = "abcd", wall: int = WALL_US, seed: int = 1) -> None:
         self.counts: dict[str, int] = {}
         self.members = Membership(
-            name, dict.fromkeys(names, ""), heartbeat_us=BEAT, wall_us=wall, now_us=0, rng=random.Random(seed)
+            name,
+            dict.fromkeys(names, ""),
+            heartbeat_us=HEARTBEAT_US,
+            wall_us=wall,
+            now_us=0,
+            rng=random.Random(seed),
         )
         shared = Shared.of(
-            name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, BEAT, 0, random.Random(seed)
+            name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, HEARTBEAT_US, 0, random.Random(seed)
         )
         sites = dict.fromkeys(names, "")
         self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
@@ -75,23 +80,28 @@
     def state(self, name: str) -> MemberState:
         return self.members.members[name].state
 
-    def dropped(self, why: Unread) -> int:
+    def drop_count(self, why: Unread) -> int:
         return self.counts.get(f"cluster: dropped, {why.value}", 0)
 
-    def said(self, now: int = 0, wall: int = WALL) -> bytes:
-        """One of its beats."""
+    def next_datagram(self, now: int = 0, wall: int = WALL_US) -> bytes:
+        """Return the first datagram of its next heartbeat."""
         return self.exchange.beat(now, wall).datagrams[0][1]
 
 
-def beats(sides: list[Side], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
-    """All beat in turn; nothing goes between those in `cut` and the others. The time after that."""
-    by_name = {side.members.own_name: side for side in sides}
-    for beat in range(first, first + count):
-        now = beat * BEAT
-        for side in sides:
-            for name, data in side.exchange.beat(now, WALL + now).datagrams:
-                if name in by_name and (name in cut) is (side.members.own_name in cut):
-                    by_name[name].exchange.take(data, now, WALL + now)
+def run_heartbeats(nodes: list[ManualNode], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
+    """Run heartbeats of all nodes in turn; nothing passes between the nodes in `cut` and the others.
+
+    Returns:
+        The number of the heartbeat after them.
+
+    """
+    by_name = {node.members.own_name: node for node in nodes}
+    for number in range(first, first + count):
+        now = number * HEARTBEAT_US
+        for node in nodes:
+            for name, data in node.exchange.beat(now, WALL_US + now).datagrams:
+                if name in by_name and (name in cut) is (node.members.own_name in cut):
+                    by_name[name].exchange.take(data, now, WALL_US + now)
     return first + count
 
 
@@ -99,140 +109,142 @@
 
 
 def test_all_hear_of_all_and_a_node_that_stops_is_silent_and_comes_back() -> None:
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    assert all(side.members.is_alone for side in sides), "nobody is heard at the start"
-    at = beats(sides, 0, 6)
-    assert {side.state(n) for side in sides for n in "abcd" if n != side.members.own_name} == {
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    assert all(node.members.is_alone for node in nodes), "no other node is present at the start"
+    at = run_heartbeats(nodes, 0, 6)
+    assert {node.state(n) for node in nodes for n in "abcd" if n != node.members.own_name} == {
         MemberState.PRESENT
     }
-    at = beats(sides[:3], at, 12)
-    assert sides[0].state("d") is MemberState.SILENT and sides[0].state("b") is MemberState.PRESENT
-    beats(sides, at, 6)
-    assert sides[0].state("d") is MemberState.PRESENT
-    assert sides[0].members.members["d"].false_positives == 1
+    at = run_heartbeats(nodes[:3], at, 12)
+    assert nodes[0].state("d") is MemberState.SILENT and nodes[0].state("b") is MemberState.PRESENT
+    run_heartbeats(nodes, at, 6)
+    assert nodes[0].state("d") is MemberState.PRESENT
+    assert nodes[0].members.members["d"].false_positives == 1
 
 
 def test_a_cut_is_told_on_both_sides_and_heals() -> None:
-    sides = [Side(name, "abcdefgh", seed=place) for place, name in enumerate("abcdefgh")]
-    at = beats(sides, 0, 8)
-    at = beats(sides, at, 14, cut=frozenset("abc"))
-    for side in sides:
-        here = side.members.own_name in "abc"
-        for name in side.members.members:
-            assert (side.state(name) is MemberState.PRESENT) is ((name in "abc") is here), (
-                side.members.own_name,
+    nodes = [ManualNode(name, "abcdefgh", seed=place) for place, name in enumerate("abcdefgh")]
+    at = run_heartbeats(nodes, 0, 8)
+    at = run_heartbeats(nodes, at, 14, cut=frozenset("abc"))
+    for node in nodes:
+        here = node.members.own_name in "abc"
+        for name in node.members.members:
+            assert (node.state(name) is MemberState.PRESENT) is ((name in "abc") is here), (
+                node.members.own_name,
                 name,
             )
-    beats(sides, at, 8)
-    assert all(side.state(n) is MemberState.PRESENT for side in sides for n in side.members.members)
+    run_heartbeats(nodes, at, 8)
+    assert all(node.state(n) is MemberState.PRESENT for node in nodes for n in node.members.members)
 
 
 def test_a_node_that_was_stopped_takes_nobody_for_silent_on_waking() -> None:
-    # Danger: a second's stop of one node, and it would avoid all the others for what it has missed itself.
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    beats(sides, 0, 6)
-    woken = sides[0]
-    assert woken.members.advance(60_000_000) == [], "it has heard nothing because it could not"
-    assert woken.members.advance(60_000_000 + BEAT) == []
+    # Otherwise a node that was stopped would take all the others for silent, for what it missed itself.
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    run_heartbeats(nodes, 0, 6)
+    woken = nodes[0]
+    assert woken.members.advance(60_000_000) == [], "it could not hear while it was stopped"
+    assert woken.members.advance(60_000_000 + HEARTBEAT_US) == []
     for beat in range(2, 12):
-        woken.members.advance(60_000_000 + beat * BEAT)
-    assert woken.members.is_alone, "now it could have heard them, and did not"
+        woken.members.advance(60_000_000 + beat * HEARTBEAT_US)
+    assert woken.members.is_alone, "by now it could have heard them"
 
 
 def test_a_node_whose_clock_was_set_back_outbids_its_earlier_life() -> None:
-    # Danger: its records carry a lower incarnation than the others know of it, and none would be heard again.
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    at = beats(sides, 0, 6)
-    later = Side("a", wall=WALL - 5_000_000)
-    at = beats([later, *sides[1:]], at, 14)
-    assert later.members.incarnation > WALL
-    known = sides[1].members.members["a"].record
+    # Its records have a lower incarnation than the others know of it: all of them would pass for known.
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    at = run_heartbeats(nodes, 0, 6)
+    later = ManualNode("a", wall=WALL_US - 5_000_000)
+    at = run_heartbeats([later, *nodes[1:]], at, 14)
+    assert later.members.incarnation > WALL_US
+    known = nodes[1].members.members["a"].record
     assert known is not None and known.incarnation == later.members.incarnation
-    assert sides[1].state("a") is MemberState.PRESENT
+    assert nodes[1].state("a") is MemberState.PRESENT
 
 
 def test_a_node_that_leaves_says_so() -> None:
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    at = beats(sides, 0, 6)
-    sides[3].members.is_departing = True
-    beats(sides, at, 3)
-    assert sides[0].state("d") is MemberState.LEFT
-    beats(sides[:3], at + 3, 20)
-    assert sides[0].state("d") is MemberState.LEFT, "it needs no verdict"
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    at = run_heartbeats(nodes, 0, 6)
+    nodes[3].members.is_departing = True
+    run_heartbeats(nodes, at, 3)
+    assert nodes[0].state("d") is MemberState.LEFT
+    run_heartbeats(nodes[:3], at + 3, 20)
+    assert nodes[0].state("d") is MemberState.LEFT, "silence does not change it"
 
 
 def test_a_member_that_the_file_no_longer_has_is_forgotten_and_not_heard() -> None:
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    at = beats(sides, 0, 6)
-    sides[0].members.set_members(dict.fromkeys("abc", ""))
-    beats(sides, at, 6)
-    assert "d" not in sides[0].members.members and sides[0].dropped(Unread.STRANGER) > 0
-    assert sides[0].state("c") is MemberState.PRESENT, "the others are kept"
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    at = run_heartbeats(nodes, 0, 6)
+    nodes[0].members.set_members(dict.fromkeys("abc", ""))
+    run_heartbeats(nodes, at, 6)
+    assert "d" not in nodes[0].members.members and nodes[0].drop_count(Unread.STRANGER) > 0
+    assert nodes[0].state("c") is MemberState.PRESENT, "the others are kept"
 
 
 def test_whom_each_hears_itself_is_told() -> None:
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
-    beats(sides, 0, 12)
-    for told in sides[0].members.snapshot():
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    run_heartbeats(nodes, 0, 12)
+    for told in nodes[0].members.snapshot():
         assert told.direct and told.hears_us and told.state is MemberState.PRESENT
-    fresh = Side("a")
+    fresh = ManualNode("a")
     assert not any(told.direct or told.hears_us for told in fresh.members.snapshot())
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 3), st.sampled_from("ldr.")), max_size=120))
 def test_any_order_loss_and_doubling_leaves_the_newest_record(steps: list[tuple[int, int, str]]) -> None:
-    sides = [Side(name, seed=place) for place, name in enumerate("abcd")]
+    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     kept: list[tuple[str, bytes]] = []
     newest: dict[str, tuple[int, int]] = {}
     for number, (one, other, what) in enumerate(steps):
-        for name, data in sides[one].exchange.beat(number * BEAT, WALL).datagrams:
+        for name, data in nodes[one].exchange.beat(number * HEARTBEAT_US, WALL_US).datagrams:
             kept += [(name, data)] * {"l": 0, "d": 2}.get(what, 1)
-        own = sides[one].members
+        own = nodes[one].members
         newest[own.own_name] = (own.incarnation, own.record_number)
         while kept and what != "r":
             name, data = kept.pop(other % len(kept))
-            side = next(s for s in sides if s.members.own_name == name)
-            before = {n: m.record.age for n, m in side.members.members.items() if m.record is not None}
-            side.exchange.take(data, 0, WALL)
-            for n, member in side.members.members.items():
+            node = next(s for s in nodes if s.members.own_name == name)
+            before = {n: m.record.age for n, m in node.members.members.items() if m.record is not None}
+            node.exchange.take(data, 0, WALL_US)
+            for n, member in node.members.members.items():
                 assert member.record is None or before.get(n, (0, 0)) <= member.record.age <= newest[n]
-    assert all(side.dropped(Unread.SIGNATURE) == 0 for side in sides)
+    assert all(node.drop_count(Unread.SIGNATURE) == 0 for node in nodes)
 
 
 def test_watchers_tell_of_a_death_in_a_large_fleet_and_one_alone_is_not_believed() -> None:
-    # Danger: old records of a dead member go round for many seconds, each as if it lived.
+    # Old records of a dead member travel for many seconds, each as if it lived.
     names = [f"n{number:02}" for number in range(40)]
     members = Membership(
         "n00",
         {name: f"s{name[-1]}" for name in names},
-        heartbeat_us=BEAT,
-        wall_us=WALL,
+        heartbeat_us=HEARTBEAT_US,
+        wall_us=WALL_US,
         now_us=0,
         rng=random.Random(1),
     )
     dead = members.members["n20"]
     place, watchers = members.member_indexes["n20"], sorted(dead.watchers - {"n00"})
-    assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, "of many sites"
+    assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, "from different sites"
 
-    times = count(1)
+    times = itertools.count(1)
 
     def hear(name: str, number: int, *missed: Missed) -> MemberState:
-        record = Record(name, WALL, number, WALL, False, b"", missed=list(missed))
+        record = Record(name, WALL_US, number, WALL_US, False, b"", missed=list(missed))
         members.receive(record, Signed(body_of(record), bytes(64)), direct=False)
         members.advance(next(times))
         return dead.state
 
     hear("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert hear(watchers[0], 1, Missed(place, WALL, 9)) is MemberState.PRESENT, (
-        "it may be cut off from it alone"
+    assert hear(watchers[0], 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, (
+        "one watcher alone may be cut off"
+    )
+    assert hear(stranger, 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
+    assert hear(watchers[1], 1, Missed(place, WALL_US, 9)) is MemberState.SILENT
+    assert hear("n20", 9) is MemberState.SILENT, "a record that its watchers had already"
+    assert hear("n20", 10) is MemberState.PRESENT, "a newer record refutes the suspicion"
+    assert hear(watchers[2], 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, (
+        "a suspicion by an older record"
     )
-    assert hear(stranger, 1, Missed(place, WALL, 9)) is MemberState.PRESENT, "it does not watch it"
-    assert hear(watchers[1], 1, Missed(place, WALL, 9)) is MemberState.SILENT
-    assert hear("n20", 9) is MemberState.SILENT, "an old record that went round"
-    assert hear("n20", 10) is MemberState.PRESENT, "a new one"
-    assert hear(watchers[2], 1, Missed(place, WALL, 9)) is MemberState.PRESENT, "an old word"
 
 
 def test_a_death_among_many_is_told_within_seconds_whatever_is_lost() -> None:
@@ -247,7 +259,7 @@
 
 
 def test_a_cut_among_many_takes_nobody_for_silent_who_is_on_the_same_side() -> None:
-    """Words of the other side are older than the cut; the last record before it came to few."""
+    """Reports of the other side are older than the cut, and the last record before it reached few nodes."""
     faults = [
         {"kind": "lossy", "at_s": 0.1, "loss": 0.2, "for_s": 60.0},
         {"kind": "part", "at_s": 8.0, "zone": 0, "for_s": 11.0},
@@ -274,30 +286,37 @@
 def test_a_beat_costs_the_same_whatever_the_fleets_size() -> None:
     names = [f"node-{number:04}" for number in range(1000)]
     members = Membership(
-        names[0], dict.fromkeys(names, ""), heartbeat_us=BEAT, wall_us=WALL, now_us=0, rng=random.Random(1)
+        names[0],
+        dict.fromkeys(names, ""),
+        heartbeat_us=HEARTBEAT_US,
+        wall_us=WALL_US,
+        now_us=0,
+        rng=random.Random(1),
     )
     blank = bytes(64)
     for number, name in enumerate(names[1:]):
-        record = Record(name, WALL, number, WALL + number, False, bytes(125))
+        record = Record(name, WALL_US, number, WALL_US + number, False, bytes(125))
         members.receive(record, Signed(body_of(record), blank), direct=False)
-    own = Signed(body_of(members.next_record(WALL, digest=0, shares=[], observations=[], promises=[])), blank)
+    own = Signed(
+        body_of(members.next_record(WALL_US, digest=0, shares=[], observations=[], promises=[])), blank
+    )
     sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
     assert {name for targets in sent for name in targets} == set(names[1:]), "each is reached within a round"
     records = members.pack_records(own, 1)[0]
     assert len(datagram_of(records)) <= MOST_BYTES and len(records) >= 5
     newest = record_of(records[1].body)
-    assert newest is not None and newest.name == names[-1], "what was made last goes first"
+    assert newest is not None and newest.name == names[-1], "the newest is forwarded first"
 
 
 # Datagrams.
 
 
 def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
-    good = Side("b").said()
-    body = body_of(Record("b", WALL, 1, WALL, False, b""))
+    good = ManualNode("b").next_datagram()
+    body = body_of(Record("b", WALL_US, 1, WALL_US, False, b""))
     forged = datagram_of([Signed(body, Seal(SECRETS["c"]).sign(body))])
-    stranger = body_of(Record("x", WALL, 1, WALL, False, b""))
+    stranger = body_of(Record("x", WALL_US, 1, WALL_US, False, b""))
     cases = [
         (b"", Unread.EMPTY),
         (bytes(MOST_BYTES + 1), Unread.LONG),
@@ -308,49 +327,52 @@
         (datagram_of([]), Unread.FORM),
         (datagram_of([Signed(stranger, bytes(64))]), Unread.STRANGER),
         (forged, Unread.SIGNATURE),
-        (Side("b", wall=WALL - 86_400_000_000).said(wall=WALL - 86_400_000_000), Unread.STALE),
-        (Side("b").said(wall=WALL + 2 * MAX_CLOCK_DIFFERENCE_US), Unread.EARLY),
+        (
+            ManualNode("b", wall=WALL_US - 86_400_000_000).next_datagram(wall=WALL_US - 86_400_000_000),
+            Unread.STALE,
+        ),
+        (ManualNode("b").next_datagram(wall=WALL_US + 2 * MAX_CLOCK_DIFFERENCE_US), Unread.EARLY),
     ]
-    side = Side("a")
+    node = ManualNode("a")
     for data, why in cases:
-        before = side.dropped(why)
-        assert side.exchange.take(data, 0, WALL).changes == []
-        assert side.dropped(why) == before + 1, why
-    assert side.members.is_alone, "none of it changed anything"
-    assert side.exchange.foreign == VERSION + 1, "for the log, which says it once"
-    assert side.exchange.take(good, 0, WALL).changes != []
+        before = node.drop_count(why)
+        assert node.exchange.take(data, 0, WALL_US).changes == []
+        assert node.drop_count(why) == before + 1, why
+    assert node.members.is_alone, "nothing of it was taken in"
+    assert node.exchange.foreign == VERSION + 1, "for the log, which says it once"
+    assert node.exchange.take(good, 0, WALL_US).changes != []
 
 
 def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
-    side, other = Side("a"), Side("b")
-    first, second = other.said(), other.said()
-    side.exchange.take(second, 0, WALL)
+    node, other = ManualNode("a"), ManualNode("b")
+    first, second = other.next_datagram(), other.next_datagram()
+    node.exchange.take(second, 0, WALL_US)
     for data in (first, second):
-        assert side.exchange.take(data, 0, WALL).changes == []
-    assert side.counts["cluster: record heard"] == 1 and side.counts["cluster: record known"] == 2
+        assert node.exchange.take(data, 0, WALL_US).changes == []
+    assert node.counts["cluster: record heard"] == 1 and node.counts["cluster: record known"] == 2
 
 
 def test_nobody_speaks_for_another() -> None:
-    # Danger: a member with a key of its own says what it likes of itself, and must not of anybody else.
-    liar, side = Seal(SECRETS["b"]), Side("a")
-    beats([side, Side("c", seed=2)], 0, 4)
-    before = side.members.members["c"].record
-    body = body_of(Record("c", WALL + 9, 99, WALL, True, b""))
-    own = body_of(Record("b", WALL, 1, WALL, False, b""))
+    # A member with a key of its own may claim anything of itself, and must not of another member.
+    liar, node = Seal(SECRETS["b"]), ManualNode("a")
+    run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
+    before = node.members.members["c"].record
+    body = body_of(Record("c", WALL_US + 9, 99, WALL_US, True, b""))
+    own = body_of(Record("b", WALL_US, 1, WALL_US, False, b""))
     data = datagram_of([Signed(own, liar.sign(own)), Signed(body, liar.sign(body))])
-    side.exchange.take(data, 0, WALL)
-    assert side.members.members["c"].record == before and side.state("c") is MemberState.PRESENT
-    assert side.dropped(Unread.SIGNATURE) == 1 and side.state("b") is MemberState.PRESENT
+    node.exchange.take(data, 0, WALL_US)
+    assert node.members.members["c"].record == before and node.state("c") is MemberState.PRESENT
+    assert node.drop_count(Unread.SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
 @given(st.binary(max_size=MOST_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
 def test_no_bytes_at_all_end_a_reader(noise: bytes, place: int, change: int) -> None:
-    good = bytearray(Side("b").said())
+    good = bytearray(ManualNode("b").next_datagram())
     good[place % len(good)] = change
     for data in (noise, bytes([VERSION]) + noise, bytes(good), bytes(good[: place % len(good)])):
-        side = Side("a")
-        side.exchange.take(data, 0, WALL)
+        node = ManualNode("a")
+        node.exchange.take(data, 0, WALL_US)
         found = read(data)
         if isinstance(found, Datagram):
             for signed in found.records + found.notes:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -315,65 +315,71 @@
     assert new.fellows.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
 
 
-# C3.
+# Health observations.
 
 
-def weighed(found: HealthObservations, now: int, sites: str, *witnesses: str, age: int = 0) -> Any:
-    claims = {name: [Finding(7, 2, 0)] for name in witnesses}
+def advice_for(known: HealthObservations, now: int, sites: str, *reporters: str, age: int = 0) -> Any:
+    reports = {name: [Finding(7, 2, 0)] for name in reporters}
     where = {name: sites[place] for place, name in enumerate("abcd")}
-    return found.advise(
-        now, claims, dict.fromkeys(witnesses, age), where, several_sites=len(set(where.values())) > 1
+    return known.advise(
+        now, reports, dict.fromkeys(reporters, age), where, several_sites=len(set(where.values())) > 1
     )
 
 
 def test_hearsay_makes_a_node_look_and_two_witnesses_of_two_sites_count() -> None:
     def fresh() -> HealthObservations:
-        found = HealthObservations()
-        found.set_upstreams([7, 8])
-        return found
+        known = HealthObservations()
+        known.set_upstreams([7, 8])
+        return known
 
-    def twice(sites: str, *witnesses: str, **age: int) -> tuple[Any, Any]:
-        """What comes of it in the beat in which it comes, and in the next, when its own look is out."""
-        found = fresh()
-        return tuple(weighed(found, START + beat * BEAT, sites, *witnesses, **age) for beat in range(2))
+    def twice(sites: str, *reporters: str, **age: int) -> tuple[Any, Any]:
+        """Return the advice of the heartbeat in which reports come, and of the next, after an own probe."""
+        known = fresh()
+        return tuple(advice_for(known, START + beat * BEAT, sites, *reporters, **age) for beat in range(2))
 
     assert twice("eeww", "b") == (([7], [], []), ([], [], []))
-    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own look goes first"
+    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own probe goes first"
     assert twice("eeww", "a", "b") == (([7], [], []), ([], [], [])), (
-        "one site may be cut off from a sound host"
+        "one site may be cut off from a healthy upstream"
     )
     assert twice("eeww", "b", "c") == (([7], [], []), ([], [(7, 2)], [7]))
     assert twice("eeww", "b", "c", age=OBSERVATION_TTL_US) == (([], [], []), ([], [], []))
     assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), "it may be back since"
-    found = fresh()
-    weighed(found, START, "eeww", "b", "c")
-    found.observe(START + 1, 7, reached=True)
-    assert weighed(found, START + BEAT, "eeww", "b", "c").failures == [], "two sites may be cut off from it"
-    found = fresh()
-    found.observe(START, 7, reached=True)
-    assert weighed(found, START + SECOND, "eeww", "b", "c").failures == [], "its own look goes before"
-    assert found.own_report(START + SECOND) == []
-    found.observe(START + SECOND, 7, reached=None)
-    assert weighed(found, START + SECOND, "eeww").probes == [7], "links that broke off make it look at once"
-    found.observe(START + SECOND, 7, reached=False)
-    assert found.own_report(START + SECOND) == [], "one may be a lost packet"
-    assert weighed(found, START + SECOND, "eeww").probes == [7], "and a look that failed makes it look again"
-    found.observe(START + SECOND, 7, reached=False)
-    assert found.own_report(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
-    assert found.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "it has an age, and an end"
+    known = fresh()
+    advice_for(known, START, "eeww", "b", "c")
+    known.observe(START + 1, 7, reached=True)
+    assert advice_for(known, START + BEAT, "eeww", "b", "c").failures == [], (
+        "two sites may be cut off from it"
+    )
+    known = fresh()
+    known.observe(START, 7, reached=True)
+    assert advice_for(known, START + SECOND, "eeww", "b", "c").failures == [], (
+        "its own observation goes before reports"
+    )
+    assert known.own_report(START + SECOND) == []
+    known.observe(START + SECOND, 7, reached=None)
+    assert advice_for(known, START + SECOND, "eeww").probes == [7], (
+        "a connection that broke off makes it probe at once"
+    )
+    known.observe(START + SECOND, 7, reached=False)
+    assert known.own_report(START + SECOND) == [], "one may be a lost packet"
+    assert advice_for(known, START + SECOND, "eeww").probes == [7], "and a failed probe makes it probe again"
+    known.observe(START + SECOND, 7, reached=False)
+    assert known.own_report(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
+    assert known.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "an observation expires"
     late = START + SECOND + OBSERVATION_TTL_US
-    assert weighed(found, late, "eeww", "b", "c").probes == [7]
-    assert weighed(found, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
-        "it may have come back, and died again"
+    assert advice_for(known, late, "eeww", "b", "c").probes == [7]
+    assert advice_for(known, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
+        "it may have come back, and failed again"
     )
 
 
 def test_one_who_says_it_again_and_again_orders_few_looks_and_nothing_else() -> None:
-    found = HealthObservations()
-    found.set_upstreams([7])
-    advice = [weighed(found, START + beat * BEAT, "eeww", "b") for beat in range(50)]
-    assert sum(len(told.probes) for told in advice) <= 50 * BEAT // REPROBE_US + 1
-    assert not any(told.failures for told in advice)
+    known = HealthObservations()
+    known.set_upstreams([7])
+    advice = [advice_for(known, START + beat * BEAT, "eeww", "b") for beat in range(50)]
+    assert sum(len(made.probes) for made in advice) <= 50 * BEAT // REPROBE_US + 1
+    assert not any(made.failures for made in advice)
 
 
 def emulated(**changes: Any) -> dict[str, Any]:
@@ -392,9 +398,9 @@
     row = emulated()
     assert row["hearsay"] == 0 and row["hearsay_wrong"] == 0 and not any(row["broken"].values())
     monkeypatch.setattr(observations, "CONFIRMATIONS", 1)
-    assert emulated(zones=1)["hearsay_wrong"] == 0, "a look of one's own goes before"
+    assert emulated(zones=1)["hearsay_wrong"] == 0, "an own observation goes before reports"
     monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
-    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single witness that is believed is caught"
+    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single reporter that is believed is caught"
 
 
 def test_a_host_that_two_sites_can_not_reach_stays_in_service_at_the_third(
@@ -413,7 +419,7 @@
     rows = [cut(seed) for seed in (1, 5)]
     assert not any(row["hearsay_wrong"] or any(row["broken"].values()) for row in rows)
     monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
-    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "word that goes before one's own look"
+    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "reports that go before an own probe"
 
 
 # The operator's file.
