--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -13,7 +13,8 @@
 from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_of, follows, own_entry
 from larchlatch.cluster.election.election import PACER
 from larchlatch.cluster.exchange import Carried, Exchange, Shared
-from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.membership.member import MemberChange, MemberState
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.datagrams import MOST_BYTES
 from larchlatch.cluster.protocol.signing import Checks, Seal
 from larchlatch.errors import InvalidInputError
@@ -61,7 +62,9 @@
         self.counters = counters
         self.hearing = hearing
         wall = time.time_ns() // 1000
-        self.members = Members(name, fleet.sites, fleet.beat_us, wall, self.now(), chance)
+        self.members = Membership(
+            name, fleet.sites, heartbeat_us=fleet.beat_us, wall_us=wall, now_us=self.now(), rng=chance
+        )
         shared = Shared.of(
             name, fleet.dealing, fleet.roster, fleet.apart_us, fleet.beat_us, self.now(), chance
         )
@@ -108,7 +111,7 @@
                 if not told:
                     log.warning("the cluster's address can't be had yet", why=str(error))
                 told = True
-                await anyio.sleep(self.members.beat_us / 1e6)
+                await anyio.sleep(self.members.heartbeat_us / 1e6)
             else:
                 self.shared.open(self.now())
                 self.opened()
@@ -138,7 +141,7 @@
                 log.warning("datagrams of another version come", version=self.exchange.foreign)
             await anyio.lowlevel.checkpoint()
 
-    def changed(self, changes: list[Change]) -> None:
+    def changed(self, changes: list[MemberChange]) -> None:
         for change in changes:
             self.counters.add(f"cluster: member {change.state.value}")
             log.info("member", name=change.name, state=change.state.value)
@@ -155,10 +158,10 @@
         alone = False
         while True:
             self.say()
-            if self.members.alone is not alone:
-                alone = self.members.alone
+            if self.members.is_alone is not alone:
+                alone = self.members.is_alone
                 log.warning("no other node is heard" if alone else "other nodes are heard again")
-            await anyio.sleep(self.members.beat_us / 1e6)
+            await anyio.sleep(self.members.heartbeat_us / 1e6)
 
     def say(self) -> None:
         """One beat."""
@@ -168,12 +171,12 @@
         # Before it is promised to others what the decisions hand over.
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        looks = [self.upstreams[upstream] for upstream in beat.advice.looks]
-        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failed]
+        looks = [self.upstreams[upstream] for upstream in beat.advice.probes]
+        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failures]
         for upstream, witnesses in failed:
             self.counters.add("cluster: host avoided on others' word")
             log.info("host avoided", upstream=upstream, witnesses=witnesses)
-        for gone in beat.advice.gone:
+        for gone in beat.advice.newly_unreachable:
             log.info("host not reached", upstream=self.upstreams[gone])
         if looks or failed:
             self.counters.add("cluster: look at a host for others' word", len(looks))
@@ -195,7 +198,7 @@
 
     def leave(self) -> None:
         """Said when this node ends by itself: others need not wait for its silence."""
-        self.members.leaving = True
+        self.members.is_departing = True
         for _ in range(LEAVING_BEATS):
             self.say()
 
@@ -214,11 +217,11 @@
     def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
         self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
         self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
-        self.evidence.follow(self.upstreams)
+        self.evidence.set_upstreams(self.upstreams)
 
     def saw(self, upstream: str, good: bool | None) -> None:
         if hashed(upstream) in self.upstreams:
-            self.evidence.saw(self.now(), hashed(upstream), good)
+            self.evidence.observe(self.now(), hashed(upstream), reached=good)
 
     def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
         by_hash = [(hashed(name), want) for name, want in wants]
@@ -267,16 +270,16 @@
             log.warning("changes that want a restart", keys=[f"nodes: {self.name}"])
             fleet.peers[self.name] = self.fleet.peers[self.name]
         self.fleet = fleet
-        self.counts.apart_us = fleet.apart_us
+        self.counts.clock_difference_us = fleet.apart_us
         self.exchange.follow(fleet.sites, self.keys(), fleet.dealing, fleet.roster, fleet.beat_us, self.now())
 
     def tasks(self) -> list[dict[str, Any]]:
         """Duty by duty; see docs/operating-cluster.md."""
-        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.there)]
+        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.present_records)]
 
     def shares(self) -> list[dict[str, Any]]:
         """Budget by budget; see docs/operating-cluster.md."""
-        ranges = self.counts.told(self.wall())
+        ranges = self.counts.ranges(self.wall())
         return [
             {
                 **account._asdict(),
@@ -294,12 +297,12 @@
                 "member": told.name,
                 "site": self.fleet.peers[told.name].site,
                 "state": told.state.value,
-                "age_ms": told.age_us // 1000 if told.state is not State.UNHEARD else None,
+                "age_ms": told.age_us // 1000 if told.state is not MemberState.UNHEARD else None,
                 "direct": told.direct,
                 "hears_us": told.hears_us,
                 "incarnation": told.incarnation,
             }
-            for told in self.members.told()
+            for told in self.members.snapshot()
         ]
 
 
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -8,7 +8,8 @@
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure
 from larchlatch.cluster.exchange import Carried, Shared
-from larchlatch.cluster.membership.membership import Change, Members, State
+from larchlatch.cluster.membership.member import MemberChange, MemberState
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
@@ -60,7 +61,9 @@
         self.company = company
         self.drift = company.drifts[number]
         own = self.now
-        self.members = Members(names[number], company.sites, beat_us, now, own, chance)
+        self.members = Membership(
+            names[number], company.sites, heartbeat_us=beat_us, wall_us=now, now_us=own, rng=chance
+        )
         shared = Shared.of(names[number], company.dealing, company.roster, APART_US, beat_us, own, chance)
         self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
         shared.open(own)
@@ -90,7 +93,7 @@
         return back_us
 
     def listed(self, upstreams: Sequence[int], started_at: int) -> None:
-        self.evidence.follow(upstreams)
+        self.evidence.set_upstreams(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
         self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
@@ -113,7 +116,7 @@
 
     def saw(self, upstream: int, good: bool | None) -> None:
         if upstream in self.evidence.upstreams:
-            self.evidence.saw(self.now, upstream, good)
+            self.evidence.observe(self.now, upstream, reached=good)
 
     # Its part among the others.
 
@@ -131,10 +134,10 @@
         self.ordered([])
         self.pace(beat.leaves)
         self.send(beat.datagrams)
-        for upstream in beat.advice.gone:
+        for upstream in beat.advice.newly_unreachable:
             company.avoidance.found(now, self.number, upstream)
-        if beat.advice.looks or beat.advice.failed:
-            company.advised(self.number, beat.advice.looks, beat.advice.failed)
+        if beat.advice.probes or beat.advice.failures:
+            company.advised(self.number, beat.advice.probes, beat.advice.failures)
         self.beat_at = now + company.beat_us
         company.stage.clock.at(self.beat_at, TIMER, self.woken, self.beat_at)
 
@@ -164,12 +167,12 @@
         for name, data in datagrams:
             self.company.send(self.number, self.company.places[name], data)
 
-    def told(self, changes: list[Change]) -> None:
+    def told(self, changes: list[MemberChange]) -> None:
         company, now = self.company, self.company.stage.clock.now
         for change in changes:
             other = company.places[change.name]
             company.stage.note("member", self.number, other, change.state.value)
-            company.agreement.said(now, self.number, other, change.state is State.PRESENT)
+            company.agreement.said(now, self.number, other, change.state is MemberState.PRESENT)
 
 
 class Company:
@@ -229,11 +232,11 @@
         assert self.spending is not None
         for voice in self.voices:
             if voice.alive and not voice.stopped:
-                [known] = voice.counts.told(now)
+                [known] = voice.counts.ranges(now)
                 self.spending.told(now, known.least, known.most, voice.counts.span_us)
         self.stage.clock.at(now + TELL_US, CHECK, self.look)
 
-    def advised(self, number: int, looks: list[int], failed: list[tuple[int, int]]) -> None:
+    def advised(self, number: int, looks: list[int], failed: Sequence[tuple[int, int]]) -> None:
         node = self.stage.nodes[number]
         for upstream, _ in failed:
             reached = self.stage.reach(node, self.stage.upstreams[upstream])
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -15,9 +15,10 @@
 from larchlatch.cluster.cluster_file import fleet_from
 from larchlatch.cluster.election.election import Roster
 from larchlatch.cluster.exchange import Exchange, Shared
-from larchlatch.cluster.health import observations as evidence
-from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
-from larchlatch.cluster.membership.membership import Members
+from larchlatch.cluster.health import observations
+from larchlatch.cluster.health.observations import REPROBE_US, HealthObservations, UpstreamObservation
+from larchlatch.cluster.health.reports import ACTIONABLE_US, OBSERVATION_TTL_US
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
 from larchlatch.cluster.quota import counts
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
@@ -51,7 +52,9 @@
 
     def __init__(self, name: str, now: int, drift: Drift, chance: random.Random) -> None:
         self.drift = drift
-        self.members = Members(name, dict.fromkeys(NAMES, ""), BEAT, now, drift.at(now), chance)
+        self.members = Membership(
+            name, dict.fromkeys(NAMES, ""), heartbeat_us=BEAT, wall_us=now, now_us=drift.at(now), rng=chance
+        )
         shared = Shared.of(name, dealing(), Roster(), 0, BEAT, drift.at(now), chance)
         self.budgets, self.counts, self.evidence, *_ = shared
         shared.open(drift.at(now))
@@ -110,7 +113,7 @@
         if now % SECOND == 0:
             for side in sides:
                 if now >= side.awake_at:
-                    [known] = side.counts.told(now)
+                    [known] = side.counts.ranges(now)
                     judge.told(now, known.least, known.most, side.counts.span_us)
     return judge
 
@@ -176,7 +179,7 @@
     (Rights, "lend", careless),
     (Rights, "borrow", late_borrower),
     (Spans, "back_us", property(lambda spans: spans.term_us)),
-    (counts, "meets", lambda *args: False),
+    (counts, "overlaps_gap", lambda *args: False),
 ]
 
 
@@ -312,63 +315,71 @@
     assert new.fellows.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
 
 
-# C3.
+# Health observations.
 
 
-def weighed(found: Evidence, now: int, sites: str, *witnesses: str, age: int = 0) -> Any:
-    claims = {name: [Finding(7, 2, 0)] for name in witnesses}
+def advice_for(known: HealthObservations, now: int, sites: str, *reporters: str, age: int = 0) -> Any:
+    reports = {name: [Finding(7, 2, 0)] for name in reporters}
     where = {name: sites[place] for place, name in enumerate("abcd")}
-    return found.weigh(now, claims, dict.fromkeys(witnesses, age), where, len(set(where.values())) > 1)
+    return known.advise(
+        now, reports, dict.fromkeys(reporters, age), where, several_sites=len(set(where.values())) > 1
+    )
 
 
 def test_hearsay_makes_a_node_look_and_two_witnesses_of_two_sites_count() -> None:
-    def fresh() -> Evidence:
-        found = Evidence()
-        found.follow([7, 8])
-        return found
+    def fresh() -> HealthObservations:
+        known = HealthObservations()
+        known.set_upstreams([7, 8])
+        return known
 
-    def twice(sites: str, *witnesses: str, **age: int) -> tuple[Any, Any]:
-        """What comes of it in the beat in which it comes, and in the next, when its own look is out."""
-        found = fresh()
-        return tuple(weighed(found, START + beat * BEAT, sites, *witnesses, **age) for beat in range(2))
+    def twice(sites: str, *reporters: str, **age: int) -> tuple[Any, Any]:
+        """Return the advice of the heartbeat in which reports come, and of the next, after an own probe."""
+        known = fresh()
+        return tuple(advice_for(known, START + beat * BEAT, sites, *reporters, **age) for beat in range(2))
 
     assert twice("eeww", "b") == (([7], [], []), ([], [], []))
-    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own look goes first"
+    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own probe goes first"
     assert twice("eeww", "a", "b") == (([7], [], []), ([], [], [])), (
-        "one site may be cut off from a sound host"
+        "one site may be cut off from a healthy upstream"
     )
     assert twice("eeww", "b", "c") == (([7], [], []), ([], [(7, 2)], [7]))
-    assert twice("eeww", "b", "c", age=FRESH_US) == (([], [], []), ([], [], []))
-    assert twice("eeww", "b", "c", age=HEED_US) == (([7], [], []), ([], [], [])), "it may be back since"
-    found = fresh()
-    weighed(found, START, "eeww", "b", "c")
-    found.saw(START + 1, 7, True)
-    assert weighed(found, START + BEAT, "eeww", "b", "c").failed == [], "two sites may be cut off from it"
-    found = fresh()
-    found.saw(START, 7, True)
-    assert weighed(found, START + SECOND, "eeww", "b", "c").failed == [], "its own look goes before"
-    assert found.told(START + SECOND) == []
-    found.saw(START + SECOND, 7, None)
-    assert weighed(found, START + SECOND, "eeww").looks == [7], "links that broke off make it look at once"
-    found.saw(START + SECOND, 7, False)
-    assert found.told(START + SECOND) == [], "one may be a lost packet"
-    assert weighed(found, START + SECOND, "eeww").looks == [7], "and a look that failed makes it look again"
-    found.saw(START + SECOND, 7, False)
-    assert found.told(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
-    assert found.told(START + SECOND + FRESH_US) == [], "it has an age, and an end"
-    late = START + SECOND + FRESH_US
-    assert weighed(found, late, "eeww", "b", "c").looks == [7]
-    assert weighed(found, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
-        "it may have come back, and died again"
+    assert twice("eeww", "b", "c", age=OBSERVATION_TTL_US) == (([], [], []), ([], [], []))
+    assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), "it may be back since"
+    known = fresh()
+    advice_for(known, START, "eeww", "b", "c")
+    known.observe(START + 1, 7, reached=True)
+    assert advice_for(known, START + BEAT, "eeww", "b", "c").failures == [], (
+        "two sites may be cut off from it"
+    )
+    known = fresh()
+    known.observe(START, 7, reached=True)
+    assert advice_for(known, START + SECOND, "eeww", "b", "c").failures == [], (
+        "its own observation goes before reports"
+    )
+    assert known.own_report(START + SECOND) == []
+    known.observe(START + SECOND, 7, reached=None)
+    assert advice_for(known, START + SECOND, "eeww").probes == [7], (
+        "a connection that broke off makes it probe at once"
+    )
+    known.observe(START + SECOND, 7, reached=False)
+    assert known.own_report(START + SECOND) == [], "one may be a lost packet"
+    assert advice_for(known, START + SECOND, "eeww").probes == [7], "and a failed probe makes it probe again"
+    known.observe(START + SECOND, 7, reached=False)
+    assert known.own_report(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
+    assert known.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "an observation expires"
+    late = START + SECOND + OBSERVATION_TTL_US
+    assert advice_for(known, late, "eeww", "b", "c").probes == [7]
+    assert advice_for(known, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
+        "it may have come back, and failed again"
     )
 
 
 def test_one_who_says_it_again_and_again_orders_few_looks_and_nothing_else() -> None:
-    found = Evidence()
-    found.follow([7])
-    advice = [weighed(found, START + beat * BEAT, "eeww", "b") for beat in range(50)]
-    assert sum(len(told.looks) for told in advice) <= 50 * BEAT // LOOK_US + 1
-    assert not any(told.failed for told in advice)
+    known = HealthObservations()
+    known.set_upstreams([7])
+    advice = [advice_for(known, START + beat * BEAT, "eeww", "b") for beat in range(50)]
+    assert sum(len(made.probes) for made in advice) <= 50 * BEAT // REPROBE_US + 1
+    assert not any(made.failures for made in advice)
 
 
 def emulated(**changes: Any) -> dict[str, Any]:
@@ -386,10 +397,10 @@
 def test_a_single_liar_takes_no_sound_host_from_service(monkeypatch: pytest.MonkeyPatch) -> None:
     row = emulated()
     assert row["hearsay"] == 0 and row["hearsay_wrong"] == 0 and not any(row["broken"].values())
-    monkeypatch.setattr(evidence, "WITNESSES", 1)
-    assert emulated(zones=1)["hearsay_wrong"] == 0, "a look of one's own goes before"
-    monkeypatch.setattr(Evidence, "looked", lambda *_: True)
-    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single witness that is believed is caught"
+    monkeypatch.setattr(observations, "CONFIRMATIONS", 1)
+    assert emulated(zones=1)["hearsay_wrong"] == 0, "an own observation goes before reports"
+    monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
+    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single reporter that is believed is caught"
 
 
 def test_a_host_that_two_sites_can_not_reach_stays_in_service_at_the_third(
@@ -407,8 +418,8 @@
 
     rows = [cut(seed) for seed in (1, 5)]
     assert not any(row["hearsay_wrong"] or any(row["broken"].values()) for row in rows)
-    monkeypatch.setattr(Evidence, "looked", lambda *_: True)
-    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "word that goes before one's own look"
+    monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
+    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "reports that go before an own probe"
 
 
 # The operator's file.
