--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -98,16 +98,17 @@
 
 def joining(plan: Plan, path: Path, key: Path | None) -> Join:
     """How the node joins its cluster; what is wrong with file or key is said now, not when it runs."""
-    from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
-    from larchlatch.cluster.service import Cluster  # nodes without a cluster load none of it
+    from larchlatch.cluster.cluster_file import check_traffic_classes, read_cluster_file
+    from larchlatch.cluster.keys import own_signer, read_secret
+    from larchlatch.cluster.service import ClusterService  # nodes without a cluster load none of it
 
     if key is None:
         raise click.UsageError("--cluster wants '--cluster-key' as well")
-    fleet = fleet_of(path)
-    seal = own_seal(fleet, plan.name, secret_of(key))
-    fits_traffic_classes(fleet, plan.traffic_classes)
-    return lambda counters, chance, hearing: Cluster(
-        plan.name, plan.traffic_classes, path, fleet, seal, counters, chance, hearing
+    configuration = read_cluster_file(path)
+    signer = own_signer(configuration, plan.name, read_secret(key))
+    check_traffic_classes(configuration, plan.traffic_classes)
+    return lambda counters, chance, hearing: ClusterService(
+        plan.name, plan.traffic_classes, path, configuration, signer, counters, chance, hearing
     )
 
 
@@ -115,9 +116,9 @@
 @click.option("--out", type=click.Path(path_type=Path), required=True, help="The secret key; must not exist.")
 def cluster_key(out: Path) -> None:
     """Make a node's key: the secret one into a file, the public one, for the cluster file, printed."""
-    from larchlatch.cluster.cluster_file import new_secret
+    from larchlatch.cluster.keys import create_secret
 
-    click.echo(new_secret(out))
+    click.echo(create_secret(out))
 
 
 @cli.command()
@@ -127,13 +128,14 @@
 def check(config: Path | None, contracts: Path | None, cluster: Path | None) -> None:
     """Read a configuration, contracts or a cluster file, and say what is wrong with it."""
     if cluster is not None:
-        from larchlatch.cluster.cluster_file import fleet_of
-
-        fleet = fleet_of(cluster)
-        sites = {peer.site for peer in fleet.peers.values()}
-        budgets = len(fleet.dealing.limits)
-        who = f"{len(fleet.peers)} nodes, {len(sites)} sites, {len(fleet.roster.electors)} electors"
-        click.echo(f"cluster: in order; {who}, {budgets} budgets")
+        from larchlatch.cluster.cluster_file import read_cluster_file
+
+        configuration = read_cluster_file(cluster)
+        sites = set(configuration.sites.values())
+        quotas = len(configuration.quota_settings.limits)
+        electors = len(configuration.electorate.electors)
+        who = f"{len(configuration.nodes)} nodes, {len(sites)} sites, {electors} electors"
+        click.echo(f"cluster: in order; {who}, {quotas} budgets")
         return
     if contracts is not None:
         from larchlatch.broker.contracts import contracts_of  # msgspec is not for nodes
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -1,9 +1,11 @@
-"""The operator's file that says who is in the fleet, and with which keys."""
+"""The operators' cluster file (TOML): which nodes there are, with which keys, and what they share.
+
+Tables are read into the `*Table` types first, whose attributes are named for what they mean; the keys in the
+file are part of the operators' files and stay as they are. What was checked becomes a `ClusterConfiguration`.
+"""
 
 from __future__ import annotations
 
-import os
-import secrets
 from typing import TYPE_CHECKING, Annotated, Any
 
 from msgspec import Meta, field
@@ -11,7 +13,7 @@
 
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure
-from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
+from larchlatch.cluster.protocol.signing import KEY_BYTES, PublicKey, parse_key
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
 from larchlatch.config.endpoints import address_of
@@ -22,18 +24,23 @@
     from collections.abc import Iterable
     from pathlib import Path
 
-NAME_BYTES = 32  # a record names its origin: long names leave room for fewer records in a datagram
-MOST_NODES = 1000
-MOST_BUDGETS = 8  # each takes room in every record: with more, fewer records would fit into a datagram
-MOST_ELECTORS = 7  # each candidate asks all of them, and all records of theirs tell what they promised
-BEATS_A_TERM = 8  # a loan is renewed at half its term: an ask, its answer and one more try have to fit in
+MAX_NAME_BYTES = 32  # a record holds its origin's name: long names leave less space for others' records
+MAX_ADDRESS_CHARACTERS = 64
+MAX_NODES = 1000
+MAX_QUOTAS = 8  # each takes space in every record: with more, fewer records would fit into a datagram
+MIN_ELECTORS = 3
+MAX_ELECTORS = 7  # a candidate asks all of them, and the records of all tell what they have promised
+# A loan is renewed at half its term: a request, its answer and one more attempt have to fit in.
+MIN_HEARTBEATS_PER_TERM = 8
+DIGEST_MASK = 0x7FFFFFFF  # 31 bits: four bytes less in each record than the whole hash
 
-Name = Annotated[str, Meta(min_length=1, max_length=NAME_BYTES)]
-Address = Annotated[str, Meta(min_length=1, max_length=64)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
+Address = Annotated[str, Meta(min_length=1, max_length=MAX_ADDRESS_CHARACTERS)]
+TermMs = Annotated[int, Meta(ge=500, le=600_000)]
 
 
-class Entry(Strict, frozen=True):
-    """One node: where it is reached by the others, and what its records are checked by."""
+class NodeTable(Strict, frozen=True):
+    """`[[nodes]]`: where the other nodes reach a node, and what they verify its records with."""
 
     name: Name
     address: Address
@@ -41,170 +48,241 @@
     site: str = ""
 
 
-class Budget(Strict, frozen=True):
-    """New links of these tariffs, of the whole installation."""
+class QuotaTable(Strict, frozen=True):
+    """`[[budgets]]`: new sessions of these traffic classes, of the whole installation."""
 
     name: Name
     sessions_per_s: Annotated[float, Meta(gt=0, le=1e6)]
     traffic_classes: Annotated[list[str], Meta(min_length=1)]
 
 
-class Work(Strict, frozen=True):
-    """Duties that one node holds at a time."""
+class RolesTable(Strict, frozen=True):
+    """`[duties]`: roles that one node holds at a time, and who elects the holders."""
+
+    electors: Annotated[list[Name], Meta(min_length=MIN_ELECTORS, max_length=MAX_ELECTORS)]
+    term_ms: TermMs = 3000
+    allocates_quotas: bool = field(name="allot", default=False)
+    issues_tokens: bool = field(name="pace", default=False)
 
-    electors: Annotated[list[Name], Meta(min_length=3, max_length=MOST_ELECTORS)]
-    term_ms: Annotated[int, Meta(ge=500, le=600_000)] = 3000
-    allot: bool = False
-    pace: bool = False
 
+class ClusterTable(Strict, frozen=True):
+    """The whole file, as it is written."""
 
-class Raw(Strict, frozen=True):
-    nodes: Annotated[list[Entry], Meta(min_length=1, max_length=MOST_NODES)]
-    beat_ms: Annotated[int, Meta(ge=20, le=10_000)] = 200
-    budgets: Annotated[list[Budget], Meta(max_length=MOST_BUDGETS)] = field(default_factory=list)
+    nodes: Annotated[list[NodeTable], Meta(min_length=1, max_length=MAX_NODES)]
+    heartbeat_ms: Annotated[int, Meta(ge=20, le=10_000)] = field(name="beat_ms", default=200)
+    quotas: Annotated[list[QuotaTable], Meta(max_length=MAX_QUOTAS)] = field(
+        name="budgets", default_factory=list
+    )
     floor: Annotated[float, Meta(ge=0, le=1)] = 0.5
     window_ms: Annotated[int, Meta(ge=100, le=60_000)] = 1000
-    term_ms: Annotated[int, Meta(ge=500, le=600_000)] = 3000
+    term_ms: TermMs = 3000
     skew: Annotated[float, Meta(ge=0, le=0.1)] = 0.01
-    clocks_ms: Annotated[int, Meta(ge=1, le=10_000)] = 200
-    duties: Work | None = None
+    max_clock_difference_ms: Annotated[int, Meta(ge=1, le=10_000)] = field(name="clocks_ms", default=200)
+    roles: RolesTable | None = field(name="duties", default=None)
+
+
+class ClusterNode(Strict, frozen=True):
+    """One node of the cluster, checked.
+
+    Attributes:
+        name: the node's name.
+        address: host and UDP port.
+        site: the node's site.
+        key: its public key.
 
+    """
 
-class Peer(Strict, frozen=True):
     name: str
     address: tuple[str, int]
     site: str
-    key: Key
+    key: PublicKey
+
+
+class ClusterConfiguration(Strict, frozen=True):
+    """A cluster file, read and checked.
 
+    Attributes:
+        nodes: all nodes by their names, in the order of the file.
+        heartbeat_us: time between two heartbeats.
+        quota_settings: how the quotas are divided.
+        electorate: who elects, for which roles.
+        max_clock_difference_us: how far the wall clocks of two nodes may differ.
 
-class Fleet(Strict, frozen=True):
-    """A cluster file, read and checked."""
+    """
 
-    peers: dict[str, Peer]
-    beat_us: int
-    dealing: Dealing
-    roster: Roster
-    apart_us: int  # by how much wall clocks may differ
+    nodes: dict[str, ClusterNode]
+    heartbeat_us: int
+    quota_settings: Dealing
+    electorate: Roster
+    max_clock_difference_us: int
 
     @property
     def sites(self) -> dict[str, str]:
-        return {name: peer.site for name, peer in self.peers.items()}
-
-
-def fleet_from(raw: Any, top: str) -> Fleet:
-    read = converted(raw, Raw, top)
-    peers: dict[str, Peer] = {}
-    taken: dict[tuple[str, int], str] = {}
-    for place, entry in enumerate(read.nodes):
-        where = f"{top}: nodes[{place}]"
-        if entry.name in peers:
-            raise ConfigurationError(f"{where}.name", f"there are two of this name ({entry.name})")
-        if len(entry.name.encode()) > NAME_BYTES:
-            raise ConfigurationError(f"{where}.name", f"longer than {NAME_BYTES} bytes")
-        address = address_of(entry.address, f"{where}.address")
-        if not address[1]:
+        """Return the site of each node."""
+        return {name: node.site for name, node in self.nodes.items()}
+
+    @property
+    def keys(self) -> dict[str, PublicKey]:
+        """Return the public key of each node."""
+        return {name: node.key for name, node in self.nodes.items()}
+
+
+def read_cluster_file(path: Path) -> ClusterConfiguration:
+    """Read and check a cluster file.
+
+    Raises:
+        ConfigurationError: the file can't be read or is wrong; the message names the key.
+
+    """
+    return parse_cluster(read_toml(path, "cluster"), "cluster")
+
+
+def parse_cluster(raw: Any, top: str) -> ClusterConfiguration:
+    """Check the content of a cluster file.
+
+    Args:
+        raw: tables and values as TOML has them.
+        top: how error messages name the file.
+
+    Raises:
+        ConfigurationError: the content is wrong; the message names the key.
+
+    """
+    table = converted(raw, ClusterTable, top)
+    nodes = _parse_nodes(table.nodes, top)
+    quota_settings = _parse_quotas(table, top)
+    return ClusterConfiguration(
+        nodes=nodes,
+        heartbeat_us=table.heartbeat_ms * 1000,
+        quota_settings=quota_settings,
+        electorate=_parse_roles(table, quota_settings, top),
+        max_clock_difference_us=table.max_clock_difference_ms * 1000,
+    )
+
+
+def _parse_nodes(tables: list[NodeTable], top: str) -> dict[str, ClusterNode]:
+    """Return the nodes by name; no two may share a name, an address or a key."""
+    nodes: dict[str, ClusterNode] = {}
+    for index, table in enumerate(tables):
+        node = _parse_node(table, nodes, f"{top}: nodes[{index}]")
+        nodes[node.name] = node
+    return nodes
+
+
+def _parse_node(table: NodeTable, before: dict[str, ClusterNode], where: str) -> ClusterNode:
+    if table.name in before:
+        raise ConfigurationError(f"{where}.name", f"there are two of this name ({table.name})")
+    if len(table.name.encode()) > MAX_NAME_BYTES:
+        raise ConfigurationError(f"{where}.name", f"longer than {MAX_NAME_BYTES} bytes")
+    address = address_of(table.address, f"{where}.address")
+    if not address[1]:
+        raise ConfigurationError(f"{where}.address", f"the others have to know its port ({table.address})")
+    for other in before.values():
+        if other.address == address:
+            raise ConfigurationError(f"{where}.address", f"{other.name} has it as well ({table.address})")
+    key = parse_key(table.key)
+    if key is None:
+        raise ConfigurationError(f"{where}.key", f"not {KEY_BYTES} bytes as hexadecimal digits")
+    if any(key == other.key for other in before.values()):
+        raise ConfigurationError(f"{where}.key", "another node has it as well")
+    return ClusterNode(name=table.name, address=address, site=table.site, key=key)
+
+
+def _parse_quotas(table: ClusterTable, top: str) -> Dealing:
+    """Return how the quotas are divided among the nodes."""
+    periods = Spans(table.window_ms * 1000, table.term_ms * 1000, table.skew)
+    limits: list[Limit] = []
+    for index, quota in enumerate(table.quotas):
+        limits.append(_parse_quota(quota, limits, table.window_ms, f"{top}: budgets[{index}]"))
+    if limits and table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > table.term_ms:
+        raise ConfigurationError(
+            top, f"term_ms: fewer than {MIN_HEARTBEATS_PER_TERM} beats ({table.term_ms})"
+        )
+    names = tuple(sorted(node.name for node in table.nodes))
+    allocated = table.roles is not None and table.roles.allocates_quotas
+    text = _quota_digest_text(limits, names, table.floor, periods, allocated=allocated)
+    return Dealing(tuple(limits), names, table.floor, periods, digest(text), allocated)
+
+
+def _parse_quota(table: QuotaTable, before: list[Limit], window_ms: int, where: str) -> Limit:
+    if any(table.name == limit.name for limit in before):
+        raise ConfigurationError(f"{where}.name", f"there are two of this name ({table.name})")
+    taken = {traffic_class: limit.name for limit in before for traffic_class in limit.traffic_classes}
+    for traffic_class in table.traffic_classes:
+        if traffic_class in taken:
             raise ConfigurationError(
-                f"{where}.address", f"the others have to know its port ({entry.address})"
+                f"{where}.tariffs", f"{traffic_class} is in {taken[traffic_class]} as well"
             )
-        if address in taken:
-            raise ConfigurationError(f"{where}.address", f"{taken[address]} has it as well ({entry.address})")
-        key = key_of(entry.key)
-        if key is None:
-            raise ConfigurationError(f"{where}.key", f"not {PUBLIC_BYTES} bytes as hexadecimal digits")
-        if any(key == peer.key for peer in peers.values()):
-            raise ConfigurationError(f"{where}.key", "another node has it as well")
-        peers[entry.name] = Peer(name=entry.name, address=address, site=entry.site, key=key)
-        taken[address] = entry.name
-    dealing = dealing_of(read, top)
-    return Fleet(
-        peers=peers,
-        beat_us=read.beat_ms * 1000,
-        dealing=dealing,
-        roster=roster_of(read, dealing, top),
-        apart_us=read.clocks_ms * 1000,
-    )
+        taken[traffic_class] = table.name
+    sessions = int(table.sessions_per_s * window_ms / 1000)
+    if sessions < 1:
+        raise ConfigurationError(
+            f"{where}.links_per_s", f"less than one link in a window ({table.sessions_per_s})"
+        )
+    return Limit(table.name, sessions, tuple(table.traffic_classes))
 
 
-def roster_of(read: Raw, dealing: Dealing, top: str) -> Roster:
-    """Who elects, for which duties."""
-    work = read.duties
-    if work is None:
+def _parse_roles(table: ClusterTable, quota_settings: Dealing, top: str) -> Roster:
+    """Return who elects, for which roles."""
+    roles = table.roles
+    if roles is None:
         return Roster()
     where = f"{top}: duties"
-    if len(work.electors) % 2 == 0:
+    _check_electors(roles.electors, quota_settings.names, f"{where}.electors")
+    if table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > roles.term_ms:
         raise ConfigurationError(
-            f"{where}.electors", "an odd number of them, or half could promise one thing, half another"
+            f"{where}.term_ms", f"less than {MIN_HEARTBEATS_PER_TERM} beats ({roles.term_ms})"
         )
-    for place, name in enumerate(work.electors):
-        if name not in dealing.names:
-            raise ConfigurationError(f"{where}.electors[{place}]", f"not among the nodes ({name})")
-        if name in work.electors[:place]:
-            raise ConfigurationError(f"{where}.electors[{place}]", f"named twice ({name})")
-    if read.beat_ms * BEATS_A_TERM > work.term_ms:
-        raise ConfigurationError(f"{where}.term_ms", f"less than {BEATS_A_TERM} beats ({work.term_ms})")
-    if work.allot and not dealing.limits:
+    if roles.allocates_quotas and not quota_settings.limits:
         raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
-    tenure = Tenure(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
-    duties = (ALLOTTER,) * work.allot + (PACER,) * work.pace
-    mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
-    return Roster(tuple(sorted(work.electors)), dealing.names, duties, tenure, mark)
+    lease_terms = Tenure(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
+    names = (ALLOTTER,) * roles.allocates_quotas + (PACER,) * roles.issues_tokens
+    # Nodes of different versions compare the digest: the text stays the same for the same file.
+    text = repr((quota_settings.mark, roles.electors, roles.term_ms, names))
+    return Roster(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
 
 
-def dealing_of(read: Raw, top: str) -> Dealing:
-    """How the budgets are dealt out."""
-    spans = Spans(read.window_ms * 1000, read.term_ms * 1000, read.skew)
-    limits: list[Limit] = []
-    taken: dict[str, str] = {}
-    for place, budget in enumerate(read.budgets):
-        where = f"{top}: budgets[{place}]"
-        if any(budget.name == limit.name for limit in limits):
-            raise ConfigurationError(f"{where}.name", f"there are two of this name ({budget.name})")
-        for traffic_class in budget.traffic_classes:
-            if traffic_class in taken:
-                raise ConfigurationError(
-                    f"{where}.tariffs", f"{traffic_class} is in {taken[traffic_class]} as well"
-                )
-            taken[traffic_class] = budget.name
-        sessions = int(budget.sessions_per_s * read.window_ms / 1000)
-        if sessions < 1:
-            raise ConfigurationError(
-                f"{where}.links_per_s", f"less than one link in a window ({budget.sessions_per_s})"
-            )
-        limits.append(Limit(budget.name, sessions, tuple(budget.traffic_classes)))
-    if limits and read.beat_ms * BEATS_A_TERM > read.term_ms:
-        raise ConfigurationError(top, f"term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
-    names = tuple(sorted(entry.name for entry in read.nodes))
-    allot = read.duties is not None and read.duties.allot
-    mark = digest(dealing_text(limits, names, read.floor, spans, allot))
-    return Dealing(tuple(limits), names, read.floor, spans, mark, allot)
+def _check_electors(electors: list[str], names: tuple[str, ...], where: str) -> None:
+    if len(electors) % 2 == 0:
+        raise ConfigurationError(
+            where, "an odd number of them, or half could promise one thing, half another"
+        )
+    for index, name in enumerate(electors):
+        if name not in names:
+            raise ConfigurationError(f"{where}[{index}]", f"not among the nodes ({name})")
+        if name in electors[:index]:
+            raise ConfigurationError(f"{where}[{index}]", f"named twice ({name})")
 
 
-def dealing_text(limits: list[Limit], names: tuple[str, ...], floor: float, spans: Spans, allot: bool) -> str:
-    """Return the text whose digest tells one cluster file from another.
+def _quota_digest_text(
+    limits: list[Limit], names: tuple[str, ...], floor: float, periods: Spans, *, allocated: bool
+) -> str:
+    """Return the text whose digest tells one cluster file's quotas from another's.
 
-    Nodes of different versions compare the digest: the text must stay the same for the same file.
+    Nodes of different versions compare the digest: the text stays the same for the same file, with the words
+    of the version that introduced it.
     """
     rows = [
-        f"Limit(name={each.name!r}, links={each.sessions!r}, tariffs={each.traffic_classes!r})"
-        for each in limits
+        f"Limit(name={limit.name!r}, links={limit.sessions!r}, tariffs={limit.traffic_classes!r})"
+        for limit in limits
     ]
-    return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(spans)!r}, {allot!r})"
+    return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(periods)!r}, {allocated!r})"
 
 
 def digest(text: str) -> int:
-    """Return a digest of 31 bits that is never 0: 0 says that there is no file."""
-    return xxh3_64_intdigest(text.encode()) & 0x7FFFFFFF or 1
+    """Return a digest of 31 bits that is never 0, which stands for no file."""
+    return xxh3_64_intdigest(text.encode()) & DIGEST_MASK or 1
 
 
-def fleet_of(path: Path) -> Fleet:
-    """Who is in the fleet, by this file; BadInput with one line that names the key."""
-    return fleet_from(read_toml(path, "cluster"), "cluster")
+def check_traffic_classes(configuration: ClusterConfiguration, traffic_classes: Iterable[str]) -> None:
+    """Check that a node has all traffic classes that the quotas name.
 
+    Raises:
+        ConfigurationError: a quota names another.
 
-def fits_traffic_classes(fleet: Fleet, traffic_classes: Iterable[str]) -> None:
-    """BadInput where a budget names a tariff that this node does not have."""
+    """
     known = frozenset(traffic_classes)
-    for limit in fleet.dealing.limits:
+    for limit in configuration.quota_settings.limits:
         for traffic_class in limit.traffic_classes:
             if traffic_class not in known:
                 raise ConfigurationError(
@@ -212,10 +290,17 @@
                 )
 
 
-def follows(fleet: Fleet, before: Fleet) -> None:
-    """BadInput where a file can't be followed by who goes by the one before."""
-    # Danger: majorities of two sets that differ by more share no elector, and each could promise a duty.
-    old, new = set(before.roster.electors), set(fleet.roster.electors)
+def check_transition(after: ClusterConfiguration, *, before: ClusterConfiguration) -> None:
+    """Check that a node can go from one cluster file to another while it runs.
+
+    Majorities of two electorates that differ by more than one node need share no elector, and each could
+    promise the same role to a different node.
+
+    Raises:
+        ConfigurationError: more than one elector is exchanged.
+
+    """
+    old, new = set(before.electorate.electors), set(after.electorate.electors)
     if old and new and (len(new - old) > 1 or len(old - new) > 1):
         names = ", ".join(sorted(old ^ new))
         raise ConfigurationError(
@@ -223,40 +308,13 @@
         )
 
 
-def own_entry(fleet: Fleet, name: str) -> Peer:
-    """What the file has for this node; BadInput where it has nothing."""
-    if name not in fleet.peers:
+def own_node(configuration: ClusterConfiguration, name: str) -> ClusterNode:
+    """Return what the file has for this node.
+
+    Raises:
+        ConfigurationError: it has nothing.
+
+    """
+    if name not in configuration.nodes:
         raise ConfigurationError("cluster", f"nodes: this node is not among them ({name})")
-    return fleet.peers[name]
-
-
-def own_seal(fleet: Fleet, name: str, secret: str) -> Seal:
-    """What this node signs with; BadInput where the file knows it by another key, or not at all."""
-    own = own_entry(fleet, name)
-    seal = seal_of(secret)
-    if seal is None:
-        raise ConfigurationError("cluster key", "not 32 bytes as hexadecimal digits")
-    if seal.public != own.key:
-        raise ConfigurationError("cluster key", f"not the one that the file has for {name}")
-    return seal
-
-
-def secret_of(path: Path) -> str:
-    try:
-        return path.read_text(encoding="ascii").strip()
-    except (OSError, UnicodeDecodeError) as error:
-        why = error.strerror if isinstance(error, OSError) else "not hexadecimal digits"
-        raise ConfigurationError("cluster key", f"can't be read ({why}: {path})") from None
-
-
-def new_secret(path: Path) -> str:
-    """A new secret key in a file of its own that only its owner reads; what the cluster file has for it."""
-    secret = secrets.token_hex(32)
-    seal = seal_of(secret)
-    assert seal is not None
-    try:
-        with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as out:
-            out.write(secret + "\n")
-    except OSError as error:
-        raise ConfigurationError("cluster key", f"can't be written ({error.strerror}: {path})") from None
-    return seal.public.hex()
+    return configuration.nodes[name]
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -17,7 +17,12 @@
     Tenure,
     What,
 )
-from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
+from larchlatch.cluster.protocol.messages import (
+    BallotRequest,
+    NodeRecord,
+    Promise,
+    Vote,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -112,12 +117,12 @@
     # What falls due.
 
     def look(
-        self, now: int, wall: int, incarnation: int, there: Mapping[str, Record], ages: Mapping[str, int]
-    ) -> list[Bid]:
+        self, now: int, wall: int, incarnation: int, there: Mapping[str, NodeRecord], ages: Mapping[str, int]
+    ) -> list[BallotRequest]:
         """One beat; there: the newest record of each member that is present; ages: of those with promises."""
         self.slowness(now)
         self.incarnation = incarnation
-        bids: list[Bid] = []
+        bids: list[BallotRequest] = []
         for place, duty in enumerate(self.roster.duties):
             one = self.candidates[duty]
             holder = self.told_holder(now, place, there, ages)
@@ -166,18 +171,18 @@
         events, self.events = self.events, []
         return events
 
-    def give_up(self, now: int, place: int, there: Mapping[str, Record]) -> None:
+    def give_up(self, now: int, place: int, there: Mapping[str, NodeRecord]) -> None:
         duty = self.roster.duties[place]
         ranked = [name for name in self.ranked(duty, there) if name != self.me]
         self.candidates[duty].give_up(now, ranked[0] if ranked else "")
 
-    def ranked(self, duty: str, there: Mapping[str, Record]) -> list[str]:
+    def ranked(self, duty: str, there: Mapping[str, NodeRecord]) -> list[str]:
         """Who had better hold a duty: by chance, the same on all nodes; those that hold another last."""
         names = [name for name in (*there, self.me) if name in self.names]
         busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != duty}
         return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{duty} {name}".encode())))
 
-    def stands(self, now: int, duty: str, there: Mapping[str, Record]) -> bool:
+    def stands(self, now: int, duty: str, there: Mapping[str, NodeRecord]) -> bool:
         """Whether this node would have a duty that nobody holds."""
         holder = self.holders[duty]
         if holder is not None and holder.name in there:
@@ -188,7 +193,7 @@
         return rank < STANDING and now >= self.changed_at[duty] + waits_us
 
     def told_holder(
-        self, now: int, place: int, there: Mapping[str, Record], ages: Mapping[str, int]
+        self, now: int, place: int, there: Mapping[str, NodeRecord], ages: Mapping[str, int]
     ) -> Holder | None:
         """Who holds a duty, by what a majority of the electors tells: one liar can't make it up."""
         told: Counter[Holder] = Counter()
@@ -200,14 +205,18 @@
             else:
                 continue
             for promise in promises:
-                if promise.duty == place and promise.left_us > age and promise.place < len(self.roster.names):
-                    told[Holder(self.roster.names[promise.place], promise.lease)] += 1
+                if (
+                    promise.role_index == place
+                    and promise.remaining_us > age
+                    and promise.holder_index < len(self.roster.names)
+                ):
+                    told[Holder(self.roster.names[promise.holder_index], promise.lease)] += 1
         for holder, count in told.items():
             if count > len(self.roster.electors) // 2:
                 return holder
         return None
 
-    def promises(self, now: int) -> list[Promised]:
+    def promises(self, now: int) -> list[Promise]:
         """What this node, as an elector, tells in its record."""
         rows = []
         for place, duty in enumerate(self.roster.duties):
@@ -215,16 +224,16 @@
             promise = elector.promise if elector is not None else None
             if promise is not None and now < promise.until and promise.holder[0] in self.roster.names:
                 holder = self.roster.names.index(promise.holder[0])
-                rows.append(Promised(place, promise.lease, holder, promise.until - now))
+                rows.append(Promise(place, promise.lease, holder, promise.until - now))
         return rows
 
     # Ballots and votes.
 
-    def sent(self, now: int, wall: int, place: int, ballots: Sequence[Ballot]) -> list[Bid]:
+    def sent(self, now: int, wall: int, place: int, ballots: Sequence[Ballot]) -> list[BallotRequest]:
         """Ballots to all electors; this node's own part among them is asked at once."""
         duty = self.roster.duties[place]
         one, own = self.candidates[duty], self.electors.get(duty)
-        bids: list[Bid] = []
+        bids: list[BallotRequest] = []
         waiting = list(ballots)
         while waiting:
             ballot = waiting.pop(0)
@@ -237,11 +246,11 @@
         self.noted(now, duty)
         return bids
 
-    def bids(self, wall: int, place: int, ballot: Ballot, but: set[str]) -> list[Bid]:
+    def bids(self, wall: int, place: int, ballot: Ballot, but: set[str]) -> list[BallotRequest]:
         """A ballot to all electors but these, and to whom it hands on the duty."""
         to = {*self.roster.electors, ballot.heir} - {self.me, "", *but}
         return [
-            Bid(
+            BallotRequest(
                 self.me,
                 self.incarnation,
                 ballot.round,
@@ -256,7 +265,7 @@
             for name in sorted(to)
         ]
 
-    def repeated(self, now: int, wall: int, place: int) -> list[Bid]:
+    def repeated(self, now: int, wall: int, place: int) -> list[BallotRequest]:
         """What may have been lost, once more."""
         duty = self.roster.duties[place]
         one = self.candidates[duty]
@@ -266,16 +275,16 @@
         ballot = one.again(now)
         return bids + (self.bids(wall, place, ballot, one.granted) if ballot is not None else [])
 
-    def bid(self, now: int, bid: Bid) -> Vote | None:
+    def bid(self, now: int, bid: BallotRequest) -> Vote | None:
         """What this node says to a candidate."""
         if (
-            bid.mark != self.roster.mark
-            or bid.duty >= len(self.roster.duties)
-            or bid.what > What.RELEASE.value
+            bid.config_digest != self.roster.mark
+            or bid.role_index >= len(self.roster.duties)
+            or bid.kind > What.RELEASE.value
         ):
             return None
-        duty = self.roster.duties[bid.duty]
-        ballot = Ballot(bid.lease, What(bid.what), bid.number, bid.heir)
+        duty = self.roster.duties[bid.role_index]
+        ballot = Ballot(bid.lease, What(bid.kind), bid.round, bid.successor)
         if ballot.what is What.RELEASE and ballot.heir == self.me:
             self.candidates[duty].called(now)
             self.called.add(duty)
@@ -289,8 +298,8 @@
             self.me,
             bid.sender,
             bid.incarnation,
-            bid.number,
-            bid.duty,
+            bid.round,
+            bid.role_index,
             answer.granted,
             answer.known,
             answer.left_us,
@@ -298,23 +307,23 @@
 
     def awaited(self, vote: Vote) -> bool:
         """Whether a vote that can't be trusted yet is worth a check of its signature."""
-        if vote.duty >= len(self.roster.duties) or vote.sender not in self.roster.electors:
+        if vote.role_index >= len(self.roster.duties) or vote.sender not in self.roster.electors:
             return False
         # Danger: rounds are counted anew in each life. A vote for an earlier one, under way while this node
         # started, would be counted here for a promise that nobody has made to this life.
         if vote.incarnation != self.incarnation:
             return False
-        one = self.candidates[self.roster.duties[vote.duty]]
-        return vote.number == one.round and one.state is not State.IDLE and vote.sender not in one.granted
+        one = self.candidates[self.roster.duties[vote.role_index]]
+        return vote.round == one.round and one.state is not State.IDLE and vote.sender not in one.granted
 
-    def voted(self, now: int, wall: int, vote: Vote) -> list[Bid]:
+    def voted(self, now: int, wall: int, vote: Vote) -> list[BallotRequest]:
         """An elector's answer to this node; what goes out by it."""
-        one = self.candidates[self.roster.duties[vote.duty]]
-        known = vote.known if vote.known <= wall + FAR_US else 0
-        left_us = min(vote.left_us, self.roster.tenure.held_us)
+        one = self.candidates[self.roster.duties[vote.role_index]]
+        known = vote.highest_lease if vote.highest_lease <= wall + FAR_US else 0
+        left_us = min(vote.remaining_us, self.roster.tenure.held_us)
         answer = Answer(vote.granted, known, left_us)
-        ballots = one.answered(now, vote.sender, vote.number, answer)
-        return self.sent(now, wall, vote.duty, ballots)
+        ballots = one.answered(now, vote.sender, vote.round, answer)
+        return self.sent(now, wall, vote.role_index, ballots)
 
     # What others ask of it, and what it is asked.
 
@@ -328,7 +337,7 @@
         """Whether an order by this lease may be carried out here."""
         return duty in self.fences and self.fences[duty].takes(lease)
 
-    def told(self, now: int, there: Mapping[str, Record]) -> list[Standing]:
+    def told(self, now: int, there: Mapping[str, NodeRecord]) -> list[Standing]:
         rows = []
         heard = sum(name in there or name == self.me for name in self.roster.electors)
         for duty in self.roster.duties:
--- /dev/null
+++ b/larchlatch/cluster/exchange/state.py
@@ -0,0 +1,70 @@
+"""What one node keeps of all that the members of a cluster share."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.cluster.election.election import Duties, Roster
+from larchlatch.cluster.health.observations import Evidence
+from larchlatch.cluster.quota.budgets import Budgets, Dealing
+from larchlatch.cluster.quota.counts import Counts
+from larchlatch.cluster.slow_start.tokens import Pacing
+
+if TYPE_CHECKING:
+    from random import Random
+
+
+class SharedState(NamedTuple):
+    """The parts of one node that members keep in step by their datagrams.
+
+    Attributes:
+        quotas: the node's quota accounts and loans.
+        quota_usage: what all nodes have spent of the quotas lately.
+        health: observations of upstreams.
+        election: roles, as elector, candidate and follower.
+        tokens: slow-start tokens, as requester and issuer.
+
+    """
+
+    quotas: Budgets
+    quota_usage: Counts
+    health: Evidence
+    election: Duties
+    tokens: Pacing
+
+    @classmethod
+    def create(
+        cls,
+        name: str,
+        quota_settings: Dealing,
+        electorate: Roster,
+        *,
+        max_clock_difference_us: int,
+        heartbeat_us: int,
+        now: int,
+        random: Random,
+    ) -> SharedState:
+        """Return a node's state as it starts.
+
+        Args:
+            name: the node's name.
+            quota_settings: how the quotas are divided.
+            electorate: who elects, for which roles.
+            max_clock_difference_us: how far the wall clocks of two nodes may differ.
+            heartbeat_us: time between two heartbeats.
+            now: monotonic time in microseconds.
+            random: source of all random choices; quotas and election draw from it in their calls' order.
+
+        """
+        return cls(
+            Budgets(name, quota_settings, heartbeat_us, now, random),
+            Counts(quota_settings, max_clock_difference_us),
+            Evidence(),
+            Duties(name, electorate, heartbeat_us, now, random),
+            Pacing(name, electorate, now),
+        )
+
+    def open(self, now: int) -> None:
+        """Begin to spend quotas and to promise leases: no other process of this node does so any more."""
+        self.quotas.open(now)
+        self.election.open(now)
--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.protocol.datagrams import Finding
+from larchlatch.cluster.protocol.messages import HealthObservation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -64,7 +64,7 @@
             seen.failed += 1
             seen.failed_at = now
 
-    def told(self, now: int) -> list[Finding]:
+    def told(self, now: int) -> list[HealthObservation]:
         """For this node's record."""
         # What others said never goes in: passed on as one's own, one liar's word would come back as many.
         found = [
@@ -72,14 +72,14 @@
             for upstream, seen in self.upstreams.items()
             if seen.failed >= TELLING and now < seen.failed_at + FRESH_US
         ]
-        return [Finding(upstream, looks, age) for age, upstream, looks in sorted(found)[:MOST_TOLD]]
+        return [HealthObservation(upstream, looks, age) for age, upstream, looks in sorted(found)[:MOST_TOLD]]
 
     # What others say.
 
     def weigh(
         self,
         now: int,
-        claims: Mapping[str, Iterable[Finding]],
+        claims: Mapping[str, Iterable[HealthObservation]],
         ages: Mapping[str, int],
         sites: Mapping[str, str],
         several: bool,
@@ -92,7 +92,7 @@
         for name, findings in claims.items():
             for finding in findings:
                 age = max(0, finding.age_us) + ages[name]
-                if finding.looks >= TELLING and age < FRESH_US:
+                if finding.failures >= TELLING and age < FRESH_US:
                     said.setdefault(finding.upstream, set()).add(name)
                     if age < HEED_US:
                         lately.setdefault(finding.upstream, set()).add(name)
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -12,17 +12,15 @@
 from itertools import islice, zip_longest
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.protocol.datagrams import (
-    MOST_BYTES,
-    OVERHEAD,
-    Finding,
-    Missed,
-    Promised,
-    Record,
-    Signed,
-    Standing,
-    Unread,
-    size_of,
+from larchlatch.cluster.protocol.codec import DATAGRAM_OVERHEAD_BYTES, MAX_DATAGRAM_BYTES, encoded_size
+from larchlatch.cluster.protocol.messages import (
+    DropReason,
+    HealthObservation,
+    NodeRecord,
+    Promise,
+    QuotaReport,
+    SignedMessage,
+    Suspicion,
 )
 
 if TYPE_CHECKING:
@@ -61,8 +59,8 @@
     """What is known of another node."""
 
     name: str
-    record: Record | None = None
-    signed: Signed | None = None
+    record: NodeRecord | None = None
+    signed: SignedMessage | None = None
     # By the time that this node has listened (Members.lived_us):
     heard_at: int = 0  # when there was last news of it
     renewed_at: int = 0  # the same, by its records alone, not by what its watchers say
@@ -76,7 +74,7 @@
 
     def stale(self) -> tuple[int, int]:
         """The less, the sooner its record is passed on."""
-        return self.passed, -self.record.made_us if self.record is not None else 0
+        return self.passed, -self.record.created_us if self.record is not None else 0
 
 
 class Told(NamedTuple):
@@ -158,25 +156,25 @@
 
     # What comes.
 
-    def news(self, record: Record, wall: int) -> Unread | bool:
+    def news(self, record: NodeRecord, wall: int) -> DropReason | bool:
         """Whether a record that can't be trusted yet is worth a check of its signature."""
         if record.name == self.me:
             return record.incarnation > self.incarnation
         member = self.members.get(record.name)
         if member is None:
-            return Unread.STRANGER
-        if member.record is not None and record.age <= member.record.age:
+            return DropReason.UNKNOWN_MEMBER
+        if member.record is not None and record.version <= member.record.version:
             return False
-        return self.timely(record.made_us, wall) or True
+        return self.timely(record.created_us, wall) or True
 
     @staticmethod
-    def timely(made_us: int, wall: int) -> Unread | None:
+    def timely(made_us: int, wall: int) -> DropReason | None:
         """Why what was made then is no longer, or not yet, to be believed."""
         if made_us < wall - APART_US:
-            return Unread.STALE
-        return Unread.EARLY if made_us > wall + APART_US else None
+            return DropReason.TOO_OLD
+        return DropReason.IN_THE_FUTURE if made_us > wall + APART_US else None
 
-    def heard(self, record: Record, signed: Signed, direct: bool) -> Change | None:
+    def heard(self, record: NodeRecord, signed: SignedMessage, direct: bool) -> Change | None:
         """A record that is news, and whose signature holds; direct: its origin has sent it itself."""
         if record.name == self.me:
             # An earlier life of this node had a clock that was ahead: nobody would listen to this one.
@@ -184,13 +182,13 @@
             return None
         member = self.members[record.name]
         before = self.state(member)
-        known = {m.place for m in member.record.missed} if member.record is not None else set()
+        known = {m.member_index for m in member.record.suspicions} if member.record is not None else set()
         # Whoever holds a duty is known by its electors' newest records.
-        news = bool(record.promises) or any(missed.place not in known for missed in record.missed)
+        news = bool(record.promises) or any(missed.member_index not in known for missed in record.suspicions)
         was = member.record if member.silent else None
         self.marks[self.mark(member)] -= 1
         member.record, member.signed = record, signed
-        self.marks[record.mark] += 1
+        self.marks[record.config_digest] += 1
         member.renewed_at = self.lived_us
         member.passed = -NEWS if news else 0
         if direct:
@@ -198,7 +196,7 @@
         # Danger: old records of a dead member go round for long; only one that its watchers had not yet when
         # they missed it says that it lives.
         if member.missed_by:
-            member.missed_by = {name: age for name, age in member.missed_by.items() if age >= record.age}
+            member.missed_by = {name: age for name, age in member.missed_by.items() if age >= record.version}
             self.doubt(member)
         member.silent = self.missed(member)
         if was is not None and not member.silent:
@@ -209,7 +207,7 @@
         after = self.state(member)
         return Change(member.name, after) if after is not before else None
 
-    def again(self, name: str, signed: Signed) -> None:
+    def again(self, name: str, signed: SignedMessage) -> None:
         """A record that is known came from its origin itself: another had passed it on sooner."""
         member = self.members.get(name)
         # Only what is the same to the last byte: its signature has not been checked a second time.
@@ -238,11 +236,15 @@
     @staticmethod
     def mark(member: Member) -> int | None:
         """By which file it goes, as far as it has told."""
-        return member.record.mark if member.record is not None else None
+        return member.record.config_digest if member.record is not None else None
 
-    def heed(self, record: Record) -> None:
+    def heed(self, record: NodeRecord) -> None:
         """Whom a watcher misses, and whom no longer."""
-        missed = {m.place: (m.incarnation, m.number) for m in record.missed if m.place < len(self.names)}
+        missed = {
+            m.member_index: (m.incarnation, m.sequence)
+            for m in record.suspicions
+            if m.member_index < len(self.names)
+        }
         # Danger: after a cut, whoever was on the other side has missed all of this side, by its word of
         # before. Here records of its own side may be older than that, and be taken for those of the dead.
         believed = self.lived_us - self.members[record.name].returned_at >= RETURN_US
@@ -250,7 +252,7 @@
             member = self.members.get(self.names[place])
             if member is None or record.name not in member.watchers:
                 continue
-            if member.record is None or self.older(member.record, age, record.made_us):
+            if member.record is None or self.older(member.record, age, record.created_us):
                 member.missed_by[record.name] = age  # else it has been heard of since
                 self.doubt(member)
         for bit, ward in enumerate(self.wards[record.name]):
@@ -259,16 +261,16 @@
                 if member.missed_by.pop(record.name, None) is not None:
                     self.doubt(member)
                 # Its own records go round seldom in large fleets: that a watcher hears it says that it lives.
-                if not member.silent and has(record.heard, bit):
+                if not member.silent and has(record.direct_contacts, bit):
                     self.renewed(member)
 
-    def older(self, last: Record, age: tuple[int, int], said_us: int) -> bool:
+    def older(self, last: NodeRecord, age: tuple[int, int], said_us: int) -> bool:
         """Whether a watcher's word, made then, goes for all that is known here of a member."""
         # Danger: the last record before a cut may have come here and to no watcher. Their word, by the one
         # before it, would not go for it, and the member would be there for ever: so it does once they have
         # missed it for as long as it would have taken to send more than that.
-        alike = last.incarnation == age[0] and last.number <= age[1] + MISSED_US // USUAL_BEAT_US
-        return last.age <= age or (alike and said_us - last.made_us >= self.missed_us)
+        alike = last.incarnation == age[0] and last.sequence <= age[1] + MISSED_US // USUAL_BEAT_US
+        return last.version <= age or (alike and said_us - last.created_us >= self.missed_us)
 
     @property
     def missed_us(self) -> int:
@@ -278,7 +280,7 @@
         """Whether enough of those who watch a member miss it."""
         return len(member.missed_by) + (member.name in self.own_missed) >= WITNESSES
 
-    def missing(self) -> list[Missed]:
+    def missing(self) -> list[Suspicion]:
         """Whom this node watches, and has not heard itself for a while, though it did before."""
         missed_us = self.missed_us
         gone = [
@@ -290,11 +292,11 @@
             # record, it would be dead to all that have an older one.
             and self.lived_us - member.renewed_at > missed_us
             and member.record is not None
-            and not member.record.leaving
+            and not member.record.shutting_down
         ]
         gone.sort(key=lambda member: -member.direct_at)
         return [
-            Missed(self.places[m.name], m.record.incarnation, m.record.number)
+            Suspicion(self.places[m.name], m.record.incarnation, m.record.sequence)
             for m in gone[:MOST_MISSED]
             if m.record is not None
         ]
@@ -306,7 +308,7 @@
         # A node that was stopped could not hear: what it has missed is not the others' silence.
         self.lived_us += min(max(0, now - self.looked_at), MOST_BEATS * self.beat_us)
         self.looked_at = max(self.looked_at, now)
-        self.own_missed = {self.names[missed.place] for missed in self.missing()}
+        self.own_missed = {self.names[missed.member_index] for missed in self.missing()}
         last = self.lived_us - self.silence_us
         gone = {name for name in self.doubted | self.own_missed if self.missed(self.members[name])}
         for name, member in self.present.items():
@@ -326,10 +328,10 @@
         self,
         wall: int,
         mark: int,
-        shares: list[Standing],
-        findings: list[Finding],
-        promises: list[Promised],
-    ) -> Record:
+        shares: list[QuotaReport],
+        findings: list[HealthObservation],
+        promises: list[Promise],
+    ) -> NodeRecord:
         """This node's next record, with what it tells of budgets, hosts and duties."""
         self.number += 1
         # In a large fleet a bit for each would take the room of others' records: there it tells of its wards.
@@ -341,7 +343,7 @@
             if member is not None and member.direct_at >= least and not member.silent:
                 bits[place // 8] |= 1 << place % 8
         heard = bytes(bits)
-        return Record(
+        return NodeRecord(
             self.me,
             self.incarnation,
             self.number,
@@ -372,7 +374,7 @@
         return chosen
 
     @property
-    def there(self) -> dict[str, Record]:
+    def there(self) -> dict[str, NodeRecord]:
         """The newest record of each member that is present."""
         return {name: m.record for name, m in self.present.items() if m.record is not None}
 
@@ -390,7 +392,7 @@
             self.watchers[(first + n) % len(self.watchers)] for n in range(min(WATCHED, len(self.watchers)))
         ]
 
-    def passed_on(self, own: Signed, number: int) -> list[list[Signed]]:
+    def passed_on(self, own: SignedMessage, number: int) -> list[list[SignedMessage]]:
         """What so many datagrams hold: the own record, then as many as fit of those passed on least often."""
         # What is silent is no news, and stays here. What has not been passed on yet goes first, the newest
         # before the rest: in the order of names, or in turn, old news takes the room of new.
@@ -398,13 +400,13 @@
         waiting = nsmallest(number * MOST_PASSED, waiting, key=Member.stale)
         letters = []
         for _ in range(number):
-            room = MOST_BYTES - OVERHEAD - size_of(own)
+            room = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - encoded_size(own)
             records, went = [own], 0
             for member in waiting:
                 assert member.signed is not None
-                if size_of(member.signed) > room:
+                if encoded_size(member.signed) > room:
                     break
-                room -= size_of(member.signed)
+                room -= encoded_size(member.signed)
                 records.append(member.signed)
                 member.passed += 1
                 went += 1
@@ -424,7 +426,7 @@
     def state(self, member: Member) -> State:
         if member.record is None:
             return State.UNHEARD
-        if member.record.leaving:
+        if member.record.shutting_down:
             return State.LEFT
         return State.SILENT if member.silent else State.PRESENT
 
@@ -436,7 +438,7 @@
         of = self.heard_of(member.name)
         if self.me not in of:
             return None
-        return member.record is not None and has(member.record.heard, of.index(self.me))
+        return member.record is not None and has(member.record.direct_contacts, of.index(self.me))
 
     def told(self) -> list[Told]:
         least = self.direct_least
--- a/larchlatch/cluster/protocol/__init__.py
+++ b/larchlatch/cluster/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Datagrams between nodes, and their signatures."""
+"""Messages between nodes, how they are encoded, and their signatures."""
--- /dev/null
+++ b/larchlatch/cluster/protocol/codec.py
@@ -0,0 +1,84 @@
+"""Encode and decode datagrams: a version byte, then msgpack (array form).
+
+Decoding has two stages. A datagram is split into signed messages first; a message's body is decoded by
+itself, so that a record which is passed on keeps the bytes that its origin has signed.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from larchlatch.cluster.protocol.messages import (
+    Datagram,
+    DirectMessage,
+    DropReason,
+    NodeRecord,
+    SignedMessage,
+)
+from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
+
+VERSION = 5  # of the protocol; nodes of another version are not understood
+MAX_DATAGRAM_BYTES = 1200  # fits in one packet on any usual path, so that none is fragmented
+DATAGRAM_OVERHEAD_BYTES = 8  # the version byte, and the heads of the arrays
+MESSAGE_OVERHEAD_BYTES = 8  # of one signed message in a datagram, at most: heads of array, body and signature
+MAX_VALUE = 2**62  # exclusive bound of integers on the wire: sums of two stay within 64 bits
+
+_DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+
+_encoder = msgspec.msgpack.Encoder()
+_datagram_decoder = msgspec.msgpack.Decoder(Datagram)
+_record_decoder = msgspec.msgpack.Decoder(NodeRecord)
+_message_decoder = msgspec.msgpack.Decoder(DirectMessage)
+
+
+def encode_body(message: NodeRecord | DirectMessage) -> bytes:
+    """Return the bytes of a message that are signed."""
+    return _encoder.encode(message)
+
+
+def decode_record(body: bytes) -> NodeRecord | None:
+    """Return the record in a signed message's body; None where it is malformed."""
+    try:
+        record = _record_decoder.decode(body)
+    except _DECODE_ERRORS:
+        return None
+    in_bounds = 0 <= record.incarnation < MAX_VALUE and 0 <= record.sequence < MAX_VALUE
+    return record if in_bounds else None
+
+
+def decode_message(body: bytes) -> DirectMessage | None:
+    """Return the direct message in a signed message's body; None where it is malformed."""
+    try:
+        message: DirectMessage = _message_decoder.decode(body)
+    except _DECODE_ERRORS:
+        return None
+    in_bounds = all(0 <= value < MAX_VALUE for value in message.bounded_values)
+    return message if in_bounds else None
+
+
+def encoded_size(signed: SignedMessage) -> int:
+    """Return the bytes that a signed message takes in a datagram, at most."""
+    return len(signed.body) + SIGNATURE_BYTES + MESSAGE_OVERHEAD_BYTES
+
+
+def encode_datagram(records: list[SignedMessage], messages: list[SignedMessage] | None = None) -> bytes:
+    """Return the bytes of one datagram."""
+    return bytes([VERSION]) + _encoder.encode(Datagram(records, messages or []))
+
+
+def decode_datagram(data: bytes) -> Datagram | DropReason:
+    """Return the datagram, with signatures not yet verified; or why it can't be decoded."""
+    if not data:
+        return DropReason.EMPTY
+    if len(data) > MAX_DATAGRAM_BYTES:
+        return DropReason.TOO_LONG
+    if data[0] != VERSION:
+        return DropReason.UNKNOWN_VERSION
+    try:
+        datagram = _datagram_decoder.decode(memoryview(data)[1:])
+    except _DECODE_ERRORS:
+        return DropReason.MALFORMED
+    parts = datagram.records + datagram.messages
+    if not parts or any(len(signed.signature) != SIGNATURE_BYTES for signed in parts):
+        return DropReason.MALFORMED
+    return datagram
--- a/larchlatch/cluster/protocol/signing.py
+++ b/larchlatch/cluster/protocol/signing.py
@@ -1,54 +1,64 @@
-"""Keys: each record is signed by the node that it tells of (Ed25519, RFC 8032); no other can speak for it."""
+"""Signatures of messages: Ed25519 (RFC 8032).
+
+Each record is signed by the node that it tells of, so that no other node can speak for it.
+"""
 
 from __future__ import annotations
 
 from nacl.exceptions import BadSignatureError
 from nacl.signing import SigningKey, VerifyKey
 
-PUBLIC_BYTES = 32
+KEY_BYTES = 32  # of a public key, and of the seed that is a secret key (RFC 8032, 5.1.5)
 SIGNATURE_BYTES = 64
 
-Key = bytes  # public
+PublicKey = bytes
+
+
+class Signer:
+    """Sign messages with a node's own secret key.
 
+    Attributes:
+        public_key: what the others verify the signatures with.
 
-class Seal:
-    """A node's own key."""
+    """
 
     def __init__(self, secret: bytes) -> None:
-        self.signing = SigningKey(secret)
-        self.public: Key = bytes(self.signing.verify_key)
+        self._signing_key = SigningKey(secret)
+        self.public_key: PublicKey = bytes(self._signing_key.verify_key)
 
     def sign(self, body: bytes) -> bytes:
-        return self.signing.sign(body).signature
+        """Return the signature of a message's body."""
+        return self._signing_key.sign(body).signature
 
 
-class Checks:
-    """Checks signatures; keys that were used are kept ready."""
+class Verifier:
+    """Verify signatures of other nodes; keys that were used are kept prepared."""
 
     def __init__(self) -> None:
-        self.ready: dict[Key, VerifyKey] = {}
+        self._prepared: dict[PublicKey, VerifyKey] = {}
 
-    def holds(self, key: Key, body: bytes, signature: bytes) -> bool:
-        known = self.ready.get(key)
-        if known is None:
-            known = self.ready[key] = VerifyKey(key)
+    def verify(self, key: PublicKey, body: bytes, signature: bytes) -> bool:
+        """Return whether the signature was made by the owner of this key for this body."""
+        verify_key = self._prepared.get(key)
+        if verify_key is None:
+            verify_key = self._prepared[key] = VerifyKey(key)
         try:
-            known.verify(body, signature)
+            verify_key.verify(body, signature)
         except (BadSignatureError, ValueError):
             return False
         return True
 
 
-def key_of(text: str) -> Key | None:
-    """A public key written as hexadecimal digits."""
+def parse_key(text: str) -> bytes | None:
+    """Return the key that is written as hexadecimal digits; None where the text is not one."""
     try:
         key = bytes.fromhex(text)
     except ValueError:
         return None
-    return key if len(key) == PUBLIC_BYTES else None
+    return key if len(key) == KEY_BYTES else None
 
 
-def seal_of(text: str) -> Seal | None:
-    """A secret key written as hexadecimal digits."""
-    secret = key_of(text.strip())
-    return None if secret is None else Seal(secret)
+def parse_signer(text: str) -> Signer | None:
+    """Return the signer for a secret key that is written as hexadecimal digits; None where it is not one."""
+    secret = parse_key(text.strip())
+    return None if secret is None else Signer(secret)
--- a/larchlatch/cluster/quota/budgets.py
+++ b/larchlatch/cluster/quota/budgets.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.election.leases import Fence
-from larchlatch.cluster.protocol.datagrams import Ask, Grant, Standing
+from larchlatch.cluster.protocol.messages import LoanGrant, LoanRequest, QuotaReport
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 
 if TYPE_CHECKING:
@@ -134,7 +134,7 @@
             has[name] += loan.amount
         return pool.share.own // len(self.askers), has
 
-    def allotted(self, now: int, pool: Rights, ask: Ask) -> int:
+    def allotted(self, now: int, pool: Rights, ask: LoanRequest) -> int:
         """What an ask gets of a pool: max-min by what is asked, a part at a time."""
         equal, has = self.wanted(now, pool, ask.sender)
         spare = pool.spare(now)
@@ -148,7 +148,7 @@
             self.short.pop(ask.sender, None)
         return amount
 
-    def due_back(self, now: int, pool: Rights, ask: Ask) -> bool:
+    def due_back(self, now: int, pool: Rights, ask: LoanRequest) -> bool:
         """Whether a loan is not renewed: others have less than their equal share, and ask for it in vain."""
         equal, has = self.wanted(now, pool, ask.sender)
         lately = now - self.dealing.spans.term_us
@@ -157,17 +157,19 @@
 
     # What it says.
 
-    def told(self, now: int) -> list[Standing]:
+    def told(self, now: int) -> list[QuotaReport]:
         """Of each budget, in the file's order: for the node's record."""
-        return [Standing(rights.spent, rights.spare(now)) for rights in self.rights.values()]
+        return [QuotaReport(rights.spent, rights.spare(now)) for rights in self.rights.values()]
 
     def wanting(self, now: int) -> bool:
         """Whether there may be anything to ask for."""
         return any(rights.borrowed or rights.wants(now) for rights in self.rights.values())
 
-    def asks(self, now: int, wall: int, incarnation: int, spare: Mapping[str, Sequence[int]]) -> list[Ask]:
+    def asks(
+        self, now: int, wall: int, incarnation: int, spare: Mapping[str, Sequence[int]]
+    ) -> list[LoanRequest]:
         """What this beat asks for, and of whom; spare: what others say they can lend, in that order."""
-        notes: list[Ask] = []
+        notes: list[LoanRequest] = []
         late = now - LATE_BEATS * self.beat_us
         over = now - self.dealing.spans.term_us
         self.pending = {number: ask for number, ask in self.pending.items() if ask.asked_at > over}
@@ -203,32 +205,34 @@
 
     def ask(
         self, now: int, wall: int, incarnation: int, lender: str, budget: str, amount: int, renews: int
-    ) -> Ask:
+    ) -> LoanRequest:
         self.number += 1
         self.pending[self.number] = Pending(lender, budget, amount, now, renews)
-        return Ask(self.me, incarnation, self.number, wall, lender, self.dealing.mark, budget, amount, renews)
+        return LoanRequest(
+            self.me, incarnation, self.number, wall, lender, self.dealing.mark, budget, amount, renews
+        )
 
     # What it hears.
 
-    def news(self, note: Ask | Grant) -> bool:
+    def news(self, note: LoanRequest | LoanGrant) -> bool:
         """Whether a note that can't be trusted yet is worth a check of its signature."""
-        if isinstance(note, Grant):
-            pending = self.pending.get(note.number)
-            return pending is not None and pending.lender == note.sender and pending.budget == note.budget
+        if isinstance(note, LoanGrant):
+            pending = self.pending.get(note.request_id)
+            return pending is not None and pending.lender == note.sender and pending.budget == note.quota
         # An ask that comes twice, or late, is not answered: who lent by it would have lent by it already.
-        return (note.incarnation, note.number) > self.heard.get(note.sender, (-1, -1))
+        return (note.incarnation, note.request_id) > self.heard.get(note.sender, (-1, -1))
 
-    def answer(self, now: int, ask: Ask, order: tuple[int, int] = (0, 0)) -> Grant | None:
+    def answer(self, now: int, ask: LoanRequest, order: tuple[int, int] = (0, 0)) -> LoanGrant | None:
         """What is lent to whoever asks: taken off here before it is told; order: the lease by which this node
         may deal out the pools now, and how long that holds.
         """
-        self.heard[ask.sender] = ask.incarnation, ask.number
+        self.heard[ask.sender] = ask.incarnation, ask.request_id
         lease, left_us = order
         if self.dealing.allot and lease != self.lease:
             return None
-        rights = (self.pools if self.dealing.allot else self.rights).get(ask.budget)
+        rights = (self.pools if self.dealing.allot else self.rights).get(ask.quota)
         # Danger: who goes by another file counts by another term, and would have the loan after it is back.
-        if rights is None or ask.amount <= 0 or ask.mark != self.dealing.mark:
+        if rights is None or ask.amount <= 0 or ask.config_digest != self.dealing.mark:
             return None
         if ask.renews and self.dealing.allot and self.due_back(now, rights, ask):
             amount = 0
@@ -236,15 +240,17 @@
             amount = rights.renew(now, (ask.sender, ask.incarnation, ask.renews), ask.amount)
         else:
             amount = self.allotted(now, rights, ask) if self.dealing.allot else ask.amount
-            amount = rights.lend(now, (ask.sender, ask.incarnation, ask.number), amount)
+            amount = rights.lend(now, (ask.sender, ask.incarnation, ask.request_id), amount)
         if not amount:
             return None
-        return Grant(self.me, ask.sender, ask.incarnation, ask.number, ask.budget, amount, lease, left_us)
+        return LoanGrant(
+            self.me, ask.sender, ask.incarnation, ask.request_id, ask.quota, amount, lease, left_us
+        )
 
-    def granted(self, now: int, grant: Grant) -> bool:
+    def granted(self, now: int, grant: LoanGrant) -> bool:
         """What was asked for has been lent; whether it can be used still."""
-        pending, rights = self.pending.pop(grant.number), self.rights.get(grant.budget)
-        late = self.dealing.allot and now >= Fence.ends_at(pending.asked_at, grant.left_us)
+        pending, rights = self.pending.pop(grant.request_id), self.rights.get(grant.quota)
+        late = self.dealing.allot and now >= Fence.ends_at(pending.asked_at, grant.remaining_us)
         if rights is None or late:
             return False
         amount = min(grant.amount, pending.amount)
@@ -252,7 +258,7 @@
             known = rights.borrowed.get(pending.renews)
             if known is None or known.amount != amount:
                 return False
-        return rights.borrow(now, pending.renews or grant.number, grant.sender, amount, pending.asked_at)
+        return rights.borrow(now, pending.renews or grant.request_id, grant.sender, amount, pending.asked_at)
 
     # A new file, and another process of this node.
 
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from larchlatch.cluster.protocol.datagrams import Record
+    from larchlatch.cluster.protocol.messages import NodeRecord
     from larchlatch.cluster.quota.budgets import Dealing
 
 WINDOWS = 10  # the stretch that is told of: a cut of a few windows shows in it, and has left it soon after
@@ -50,18 +50,20 @@
     def span_us(self) -> int:
         return WINDOWS * self.dealing.spans.window_us
 
-    def heard(self, record: Record) -> None:
+    def heard(self, record: NodeRecord) -> None:
         """What an origin has told, this node itself included."""
         kept = self.samples.get(record.name)
-        if kept is None or record.mark != self.dealing.mark:
+        if kept is None or record.config_digest != self.dealing.mark:
             return
-        sample = Sample(record.made_us, record.incarnation, tuple(share.spent for share in record.shares))
+        sample = Sample(
+            record.created_us, record.incarnation, tuple(share.spent for share in record.quota_reports)
+        )
         # The newest always counts; the one before makes way where it is close to the one before it.
         alike = len(kept) > 1 and kept[-1].life == kept[-2].life == sample.life
         if alike and kept[-1].made_us < kept[-2].made_us + THIN_US:
             kept.pop()
         kept.append(sample)
-        while len(kept) > 2 and kept[1].made_us < record.made_us - self.span_us - 2 * self.apart_us:
+        while len(kept) > 2 and kept[1].made_us < record.created_us - self.span_us - 2 * self.apart_us:
             kept.popleft()
 
     def told(self, wall: int) -> list[Range]:
--- /dev/null
+++ b/larchlatch/cluster/reports.py
@@ -0,0 +1,55 @@
+"""Rows about the cluster for operators; docs/operating-cluster.md explains their keys."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from larchlatch.cluster.membership.membership import State
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from larchlatch.cluster.exchange.state import SharedState
+    from larchlatch.cluster.membership.membership import Members
+
+
+def member_rows(membership: Members, sites: Mapping[str, str]) -> list[dict[str, Any]]:
+    """Return one row for each other member."""
+    return [
+        {
+            "member": member.name,
+            "site": sites[member.name],
+            "state": member.state.value,
+            "age_ms": member.age_us // 1000 if member.state is not State.UNHEARD else None,
+            "direct": member.direct,
+            "hears_us": member.hears_us,
+            "incarnation": member.incarnation,
+        }
+        for member in membership.told()
+    ]
+
+
+def quota_rows(state: SharedState, *, now: int, wall: int) -> list[dict[str, Any]]:
+    """Return one row for each quota.
+
+    Args:
+        state: what the members share.
+        now: monotonic time in microseconds.
+        wall: Unix time in microseconds.
+
+    """
+    usage = state.quota_usage.told(wall)
+    return [
+        {
+            **account._asdict(),
+            "fleet_least": used.least,
+            "fleet_most": used.most,
+            "fleet_age_ms": used.age_us // 1000,
+        }
+        for account, used in zip(state.quotas.accounts(now), usage, strict=True)
+    ]
+
+
+def role_rows(state: SharedState, membership: Members, now: int) -> list[dict[str, Any]]:
+    """Return one row for each role."""
+    return [status._asdict() for status in state.election.told(now, membership.there)]
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -1,8 +1,10 @@
-"""The cluster's actor: its socket, its beat, its keys. Decides nothing; members/ and shared/ do."""
+"""The cluster service of a node: its socket, timers, log and counters.
+
+It decides nothing: `Exchange` says what to send, and the parts of `SharedState` hold what was agreed.
+"""
 
 from __future__ import annotations
 
-import socket
 import time
 from typing import TYPE_CHECKING, Any
 
@@ -10,12 +12,20 @@
 import structlog
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_of, follows, own_entry
+from larchlatch.cluster import counters, reports
+from larchlatch.cluster.cluster_file import (
+    ClusterConfiguration,
+    check_traffic_classes,
+    check_transition,
+    own_node,
+    read_cluster_file,
+)
+from larchlatch.cluster.datagram_socket import DatagramSocket
 from larchlatch.cluster.election.election import PACER
-from larchlatch.cluster.exchange import Carried, Exchange, Shared
-from larchlatch.cluster.membership.membership import Change, Members, State
-from larchlatch.cluster.protocol.datagrams import MOST_BYTES
-from larchlatch.cluster.protocol.signing import Checks, Seal
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.state import SharedState
+from larchlatch.cluster.membership.membership import Members
+from larchlatch.cluster.protocol.signing import Signer, Verifier
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import now_us
 
@@ -24,285 +34,350 @@
     from pathlib import Path
     from random import Random
 
+    from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
+    from larchlatch.cluster.health.observations import Advice
+    from larchlatch.cluster.membership.membership import Change
     from larchlatch.cluster.slow_start.tokens import Told
     from larchlatch.node.metrics import Counters
     from larchlatch.node.ports import Hearing
     from larchlatch.policy.types import TokenCandidate
 
-ROOM = 1 << 20  # bytes that may lie unread: a node that is stopped for a while must not lose what is newest
-AT_ONCE = 200  # datagrams read before others have their turn: a flood must not keep the node from its links
-LEAVING_BEATS = 3  # so often it is said that this node leaves
+SHUTDOWN_HEARTBEATS = 3  # so often a node that ends says so: one or two of these datagrams may be lost
+ROLE_EVENTS = {"held": "role_acquired", "ended": "role_ended"}  # what became of a role, and its log event
 
 log = structlog.get_logger()
 
 
 def steady_us() -> int:
-    """Microseconds of a clock that never runs back, and runs on while the machine sleeps: terms end by it."""
+    """Return microseconds of a clock that never runs back, and runs on while the machine sleeps.
+
+    Leases and loans end by it.
+    """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
-class Cluster:
+class ClusterService:
+    """Run one node's part in the cluster, and answer what the node asks of it.
+
+    Attributes:
+        configuration: the cluster file by which this node goes.
+        membership: the members, as this node knows them.
+        state: what the members share.
+        exchange: receives datagrams and composes those to send.
+        upstreams: name of each upstream in the endpoint list, by the hash that stands for it in datagrams.
+
+    """
+
     def __init__(
         self,
         name: str,
         traffic_classes: Iterable[str],
         path: Path,
-        fleet: Fleet,
-        seal: Seal,
-        counters: Counters,
-        chance: Random,
-        hearing: Hearing,
+        configuration: ClusterConfiguration,
+        signer: Signer,
+        node_counters: Counters,
+        random: Random,
+        balancer: Hearing,
     ) -> None:
-        """Of this fleet, read from that file; tariffs: that the node has; seal: its own."""
-        self.name = name
-        self.traffic_classes = tuple(traffic_classes)
-        self.path = path
-        self.fleet = fleet
-        self.counters = counters
-        self.hearing = hearing
-        wall = time.time_ns() // 1000
-        self.members = Members(name, fleet.sites, fleet.beat_us, wall, self.now(), chance)
-        shared = Shared.of(
-            name, fleet.dealing, fleet.roster, fleet.apart_us, fleet.beat_us, self.now(), chance
+        """Prepare the service; `run` starts it.
+
+        Args:
+            name: this node's name.
+            traffic_classes: names of the traffic classes that this node has.
+            path: the cluster file.
+            configuration: what was read from it.
+            signer: signs with this node's key.
+            node_counters: the node's counters.
+            random: source of all random choices.
+            balancer: is told of ejection advice and of slow-start tokens.
+
+        """
+        self.configuration = configuration
+        self.upstreams: dict[int, str] = {}
+        self._name = name
+        self._traffic_classes = tuple(traffic_classes)
+        self._path = path
+        self._counters = node_counters
+        self._balancer = balancer
+        self._files_differ = False
+        self._unknown_version_logged = False
+        heartbeat_us, sites = configuration.heartbeat_us, configuration.sites
+        # The order of these calls is the order of their random draws.
+        self.membership = Members(name, sites, heartbeat_us, self.wall(), self.now(), random)
+        self.state = SharedState.create(
+            name,
+            configuration.quota_settings,
+            configuration.electorate,
+            max_clock_difference_us=configuration.max_clock_difference_us,
+            heartbeat_us=heartbeat_us,
+            now=self.now(),
+            random=random,
+        )
+        self.exchange = Exchange(
+            self.membership, self.state, sites, configuration.keys, signer, Verifier(), node_counters.add
         )
-        self.shared = shared
-        self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
-        self.exchange = Exchange(self.members, shared, fleet.sites, self.keys(), seal, Checks(), counters.add)
-        self.upstreams: dict[int, str] = {}  # by the hashes of their names
-        self.other_file_told = False
-        self.foreign_told = False
-        self.sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        self.sock.setblocking(False)
-        self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, ROOM)
-        self.opened()
-
-    def keys(self) -> dict[str, bytes]:
-        return {name: peer.key for name, peer in self.fleet.peers.items()}
+        self._socket = DatagramSocket(node_counters)
+        self._open_tokens()
 
     def now(self) -> int:
+        """Return monotonic time in microseconds."""
         return steady_us()
 
     @staticmethod
     def wall() -> int:
+        """Return Unix time in microseconds."""
         return time.time_ns() // 1000
 
+    # Running.
+
     async def run(self) -> None:
-        """Until cancelled."""
-        with self.sock:
-            await self.bound()
+        """Take part in the cluster until cancelled."""
+        with self._socket:
+            await self._bind()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.listen)
+                tasks.start_soon(self._receive_loop)
                 try:
-                    await self.beat()
+                    await self._heartbeat_loop()
                 finally:
-                    self.leave()
+                    self._announce_shutdown()
+
+    async def _bind(self) -> None:
+        """Bind the socket; wait for as long as another process has the address.
 
-    async def bound(self) -> None:
-        address, told = self.fleet.peers[self.name].address, False
+        In a hot restart the predecessor has it still. Two of one name must not both send: each would take
+        the other for an earlier incarnation of its own, and outbid it for ever.
+        """
+        address = self.configuration.nodes[self._name].address
+        logged = False
         while True:
             try:
-                self.sock.bind(address)
+                self._socket.bind(address)
             except OSError as error:
-                # In an upgrade the process before this one has it still. Two of one name must not both speak:
-                # each would take the other for an earlier life of its own, and outbid it for ever.
-                if not told:
-                    log.warning("the cluster's address can't be had yet", why=str(error))
-                told = True
-                await anyio.sleep(self.members.beat_us / 1e6)
+                if not logged:
+                    log.warning("cluster_address_unavailable", reason=str(error))
+                logged = True
+                await anyio.sleep(self.membership.beat_us / 1e6)
             else:
-                self.shared.open(self.now())
-                self.opened()
-                log.info("cluster", listen=f"{address[0]}:{address[1]}", members=len(self.fleet.peers))
-                return
+                break
+        self.state.open(self.now())
+        self._open_tokens()
+        members = len(self.configuration.nodes)
+        log.info("cluster_joined", listen=f"{address[0]}:{address[1]}", members=members)
 
-    async def listen(self) -> None:
+    async def _receive_loop(self) -> None:
         while True:
-            await anyio.wait_readable(self.sock)
-            for _ in range(AT_ONCE):
-                try:
-                    data, _ = self.sock.recvfrom(MOST_BYTES + 1)
-                except (BlockingIOError, InterruptedError):
-                    break
-                except OSError:
-                    self.counters.add("cluster: receive failed")
-                    break
-                self.counters.add("cluster: bytes in", len(data))
-                self.counters.add("cluster: datagram in")
-                taken = self.exchange.take(data, self.now(), self.wall())
-                self.changed(taken.changes)
-                self.ordered(taken.orders)
-                self.send(taken.datagrams)
-                self.pace(taken.leaves)
-            if self.exchange.foreign is not None and not self.foreign_told:
-                self.foreign_told = True
-                log.warning("datagrams of another version come", version=self.exchange.foreign)
+            await self._socket.wait_readable()
+            for data in self._socket.read_available():
+                self._apply(self.exchange.receive(data, now=self.now(), wall=self.wall()))
+            version = self.exchange.unknown_version
+            if version is not None and not self._unknown_version_logged:
+                self._unknown_version_logged = True
+                log.warning("cluster_protocol_version_unknown", version=version)
             await anyio.lowlevel.checkpoint()
 
-    def changed(self, changes: list[Change]) -> None:
+    async def _heartbeat_loop(self) -> None:
+        isolated = False
+        while True:
+            self._heartbeat()
+            if self.membership.alone is not isolated:
+                isolated = self.membership.alone
+                log.warning("cluster_isolated" if isolated else "cluster_isolation_ended")
+            await anyio.sleep(self.membership.beat_us / 1e6)
+
+    def _heartbeat(self) -> None:
+        result = self.exchange.heartbeat(now=self.now(), wall=self.wall())
+        self._log_changes(result.changes)
+        self.log_orders([])
+        # The balancer gives up its slow-start windows before that is promised to others.
+        self._update_tokens(result.token_updates)
+        self._send(result.datagrams)
+        self._pass_on_advice(result.advice)
+        self._log_file_difference()
+
+    def _announce_shutdown(self) -> None:
+        """Tell the others that this node ends: they need not wait until it counts as silent."""
+        self.membership.leaving = True
+        for _ in range(SHUTDOWN_HEARTBEATS):
+            self._heartbeat()
+
+    # What comes of the exchange.
+
+    def _apply(self, result: ExchangeResult) -> None:
+        self._log_changes(result.changes)
+        self.log_orders(result.orders)
+        self._send(result.datagrams)
+        self._update_tokens(result.token_updates)
+
+    def _send(self, datagrams: list[OutgoingDatagram]) -> None:
+        for datagram in datagrams:
+            self._socket.send(datagram.data, self.configuration.nodes[datagram.recipient].address)
+
+    def _log_changes(self, changes: list[Change]) -> None:
         for change in changes:
-            self.counters.add(f"cluster: member {change.state.value}")
-            log.info("member", name=change.name, state=change.state.value)
+            self._counters.add(counters.MEMBER_STATE + change.state.value)
+            log.info("member_state_changed", name=change.name, state=change.state.value)
 
-    def ordered(self, orders: list[Carried]) -> None:
+    def log_orders(self, orders: list[ExecutedOrder]) -> None:
+        """Log orders that were carried out here, and what became of this node's own roles since."""
         for order in orders:
-            self.counters.add("cluster: order carried out")
-            # The pacer's are one a link.
-            (log.debug if order.duty == PACER else log.info)("order carried out", **order._asdict())
-        for event in self.duties.drained():
-            log.info(f"duty {event.what}", duty=event.duty, lease=event.lease, why=event.why)
-
-    async def beat(self) -> None:
-        alone = False
-        while True:
-            self.say()
-            if self.members.alone is not alone:
-                alone = self.members.alone
-                log.warning("no other node is heard" if alone else "other nodes are heard again")
-            await anyio.sleep(self.members.beat_us / 1e6)
-
-    def say(self) -> None:
-        """One beat."""
-        beat = self.exchange.beat(self.now(), self.wall())
-        self.changed(beat.changes)
-        self.ordered([])
-        # Before it is promised to others what the decisions hand over.
-        self.pace(beat.leaves)
-        self.send(beat.datagrams)
-        looks = [self.upstreams[upstream] for upstream in beat.advice.looks]
-        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failed]
-        for upstream, witnesses in failed:
-            self.counters.add("cluster: host avoided on others' word")
-            log.info("host avoided", upstream=upstream, witnesses=witnesses)
-        for gone in beat.advice.gone:
-            log.info("host not reached", upstream=self.upstreams[gone])
-        if looks or failed:
-            self.counters.add("cluster: look at a host for others' word", len(looks))
-            self.hearing.advise(looks, failed)
-        other = self.budgets.other
-        if other is not self.other_file_told:
-            self.other_file_told = other
-            log.warning("other nodes go by another cluster file" if other else "all go by this cluster file")
-
-    def send(self, datagrams: list[tuple[str, bytes]]) -> None:
-        for name, data in datagrams:
-            try:
-                self.sock.sendto(data, self.fleet.peers[name].address)
-            except OSError:
-                self.counters.add("cluster: send failed")
-                continue
-            self.counters.add("cluster: bytes out", len(data))
-            self.counters.add("cluster: datagram out")
-
-    def leave(self) -> None:
-        """Said when this node ends by itself: others need not wait for its silence."""
-        self.members.leaving = True
-        for _ in range(LEAVING_BEATS):
-            self.say()
-
-    def retire(self) -> None:
-        """This node is about to end: its duties go to others."""
-        self.duties.leaving = True
+            self._counters.add(counters.ORDERS_EXECUTED)
+            # There is one of the token issuer for each session.
+            write = log.debug if order.role == PACER else log.info
+            write("order_executed", **order._asdict())
+        for event in self.state.election.drained():
+            log.info(ROLE_EVENTS[event.what], role=event.duty, lease=event.lease, reason=event.why)
+
+    def _update_tokens(self, updates: list[Told]) -> None:
+        # The balancer goes by another clock than leases do.
+        ahead_us = now_us() - self.now()
+        for update in updates:
+            upstream = self.upstreams.get(update.upstream, "")
+            heard = self._balancer.pace(
+                update.until + ahead_us, upstream, update.session, update.at + ahead_us
+            )
+            if not heard:
+                self.state.tokens.unheard()
+
+    def _pass_on_advice(self, advice: Advice) -> None:
+        probes = [self.upstreams[upstream] for upstream in advice.looks]
+        ejections = [(self.upstreams[upstream], witnesses) for upstream, witnesses in advice.failed]
+        for upstream, witnesses in ejections:
+            self._counters.add(counters.EJECTIONS_ADVISED)
+            log.info("upstream_ejection_advised", upstream=upstream, witnesses=witnesses)
+        for unreachable in advice.gone:
+            log.info("upstream_unreachable", upstream=self.upstreams[unreachable])
+        if probes or ejections:
+            self._counters.add(counters.PROBES_ADVISED, len(probes))
+            self._balancer.advise(probes, ejections)
+
+    def _log_file_difference(self) -> None:
+        differ = self.state.quotas.other
+        if differ is not self._files_differ:
+            self._files_differ = differ
+            log.warning("cluster_files_differ" if differ else "cluster_files_agree")
 
     # What the node asks, and tells.
 
+    def retire(self) -> None:
+        """Hand this node's roles over: it is about to end."""
+        self.state.election.leaving = True
+
     def admit(self, traffic_class: str) -> int:
-        back_us = self.budgets.admit(self.now(), traffic_class)
-        if back_us:
-            self.counters.add("cluster: refused by a budget")
-        return back_us
+        """Spend one session of the traffic class's quota.
+
+        Returns:
+            0 where it is admitted; else the microseconds after which the client may try again.
+
+        """
+        retry_after_us = self.state.quotas.admit(self.now(), traffic_class)
+        if retry_after_us:
+            self._counters.add(counters.SESSIONS_OVER_QUOTA)
+        return retry_after_us
 
     def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
-        self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
-        self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
-        self.evidence.follow(self.upstreams)
+        """Take in a new endpoint list.
+
+        Args:
+            upstreams: names of the upstreams that are ready.
+            slow_start_us: for how long one of them may still be warming up.
+            window_us: length of the overload window.
+
+        """
+        self.upstreams = {upstream_hash(upstream): upstream for upstream in upstreams}
+        self.state.tokens.listed(self.now(), self.upstreams, slow_start_us, window_us)
+        self.state.health.follow(self.upstreams)
 
-    def saw(self, upstream: str, good: bool | None) -> None:
-        if hashed(upstream) in self.upstreams:
-            self.evidence.saw(self.now(), hashed(upstream), good)
+    def saw(self, upstream: str, good: bool | None) -> None:  # noqa: FBT001  the port's signature
+        """Record whether this node could connect to an upstream; None: a session there broke off."""
+        if upstream_hash(upstream) in self.upstreams:
+            self.state.health.saw(self.now(), upstream_hash(upstream), good)
 
     def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
-        by_hash = [(hashed(name), want) for name, want in wants]
-        taken = self.exchange.sought(self.now(), self.wall(), session, by_hash)
-        self.send(taken.datagrams)
-        self.ordered(taken.orders)
-        self.pace(taken.leaves)
-
-    def pace(self, leaves: list[Told]) -> None:
-        # The module goes by another clock than terms do.
-        ahead = now_us() - self.now()
-        for told in leaves:
-            upstream = self.upstreams.get(told.upstream, "")
-            if not self.hearing.pace(told.until + ahead, upstream, told.session, told.at + ahead):
-                self.pacing.unheard()
+        """Request a slow-start token: the session would go to one of these warming upstreams."""
+        candidates = [(upstream_hash(name), candidate) for name, candidate in wants]
+        result = self.exchange.request_token(session, candidates, now=self.now(), wall=self.wall())
+        self._send(result.datagrams)
+        self.log_orders(result.orders)
+        self._update_tokens(result.token_updates)
+
+    # Hot restart.
 
     def cede(self) -> dict[str, int]:
-        self.pacing.close()
-        return self.budgets.close(self.now())
+        """Stop admitting sessions: the successor does so from now on.
 
-    def resume(self) -> None:
-        self.budgets.open(self.now())
-        self.opened()
+        Returns:
+            What this process has spent of each quota in the last window.
 
-    def opened(self) -> None:
-        leaves = self.pacing.open(self.now())
-        self.pace([leaves] if leaves is not None else [])
+        """
+        self.state.tokens.close()
+        return self.state.quotas.close(self.now())
+
+    def resume(self) -> None:
+        """Admit sessions again: the successor does not take over."""
+        self.state.quotas.open(self.now())
+        self._open_tokens()
 
     def take_over(self, used: Mapping[str, int]) -> None:
-        self.budgets.take_over(self.now(), used)
-        self.opened()
+        """Admit sessions from now on: the predecessor does so no more.
+
+        Args:
+            used: what it has spent of each quota in the last window.
+
+        """
+        self.state.quotas.take_over(self.now(), used)
+        self._open_tokens()
+
+    def _open_tokens(self) -> None:
+        """Let this process place sessions on warming upstreams."""
+        update = self.state.tokens.open(self.now())
+        self._update_tokens([update] if update is not None else [])
+
+    # Configuration.
 
     def reread(self) -> None:
-        """A new file: members that are gone are forgotten at once, those that stay are kept."""
+        """Read the cluster file anew; one that is wrong is rejected and changes nothing."""
         try:
-            fleet = fleet_of(self.path)
-            own = own_entry(fleet, self.name)
-            fits_traffic_classes(fleet, self.traffic_classes)
-            follows(fleet, self.fleet)
+            configuration = read_cluster_file(self._path)
+            own = own_node(configuration, self._name)
+            check_traffic_classes(configuration, self._traffic_classes)
+            check_transition(configuration, before=self.configuration)
         except InvalidInputError as error:
-            self.counters.add("cluster: file refused")
-            log.error("cluster file refused", why=str(error))
+            self._counters.add(counters.FILE_REJECTED)
+            log.error("cluster_file_rejected", reason=str(error))  # noqa: TRY400  a faulty file wants no trace
             return
-        self.counters.add("cluster: file read")
-        if own != self.fleet.peers[self.name]:
-            log.warning("changes that want a restart", keys=[f"nodes: {self.name}"])
-            fleet.peers[self.name] = self.fleet.peers[self.name]
-        self.fleet = fleet
-        self.counts.apart_us = fleet.apart_us
-        self.exchange.follow(fleet.sites, self.keys(), fleet.dealing, fleet.roster, fleet.beat_us, self.now())
+        self._counters.add(counters.FILE_READ)
+        if own != self.configuration.nodes[self._name]:
+            log.warning("restart_required", keys=[f"nodes: {self._name}"])
+            configuration.nodes[self._name] = self.configuration.nodes[self._name]
+        self._apply_configuration(configuration)
+
+    def _apply_configuration(self, configuration: ClusterConfiguration) -> None:
+        self.configuration = configuration
+        self.state.quota_usage.apart_us = configuration.max_clock_difference_us
+        self.exchange.apply_configuration(
+            configuration.sites,
+            configuration.keys,
+            configuration.quota_settings,
+            configuration.electorate,
+            heartbeat_us=configuration.heartbeat_us,
+            now=self.now(),
+        )
+
+    # Rows for operators; see docs/operating-cluster.md.
 
     def tasks(self) -> list[dict[str, Any]]:
-        """Duty by duty; see docs/operating-cluster.md."""
-        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.there)]
+        """Return one row for each role."""
+        return reports.role_rows(self.state, self.membership, self.now())
 
     def shares(self) -> list[dict[str, Any]]:
-        """Budget by budget; see docs/operating-cluster.md."""
-        ranges = self.counts.told(self.wall())
-        return [
-            {
-                **account._asdict(),
-                "fleet_least": known.least,
-                "fleet_most": known.most,
-                "fleet_age_ms": known.age_us // 1000,
-            }
-            for account, known in zip(self.budgets.accounts(self.now()), ranges, strict=True)
-        ]
+        """Return one row for each quota."""
+        return reports.quota_rows(self.state, now=self.now(), wall=self.wall())
 
     def told(self) -> list[dict[str, Any]]:
-        """Member by member; see docs/operating-cluster.md."""
-        return [
-            {
-                "member": told.name,
-                "site": self.fleet.peers[told.name].site,
-                "state": told.state.value,
-                "age_ms": told.age_us // 1000 if told.state is not State.UNHEARD else None,
-                "direct": told.direct,
-                "hears_us": told.hears_us,
-                "incarnation": told.incarnation,
-            }
-            for told in self.members.told()
-        ]
-
-
-def hashed(upstream: str) -> int:
-    """By what a host is told of: names are as long as operators like."""
-    return xxh3_64_intdigest(upstream.encode())
+        """Return one row for each other member."""
+        return reports.member_rows(self.membership, self.configuration.sites)
+
+
+def upstream_hash(name: str) -> int:
+    """Return what stands for an upstream in datagrams: names are as long as operators like."""
+    return xxh3_64_intdigest(name.encode())
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -16,7 +16,7 @@
 
 from larchlatch.cluster.election.election import PACER, Roster
 from larchlatch.cluster.election.leases import Fence
-from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
+from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -118,7 +118,9 @@
         begun = self.begun_at is not None and now >= self.begun_at + TOLD_US
         return begun and self.fresh(now) and now + self.term_us <= known
 
-    def look(self, now: int, wall: int, incarnation: int, pacer: str) -> tuple[Seek | None, Told | None]:
+    def look(
+        self, now: int, wall: int, incarnation: int, pacer: str
+    ) -> tuple[TokenRequest | None, Told | None]:
         """One beat; pacer: who holds that duty, as far as is known. What it asks, and what is handed over."""
         passed_s = max(0, now - self.looked_at) / 1e6 if self.looked_at else 0.0
         self.spare = min(SEEKS, self.spare + passed_s * ALL_SEEKS / max(1, len(self.names)))
@@ -141,40 +143,42 @@
         return self.seek(now, wall, incarnation), Told(self.handed_until)
 
     def seek(
-        self, now: int, wall: int, incarnation: int, session: int = -1, wants: Sequence[Want] = ()
-    ) -> Seek:
+        self, now: int, wall: int, incarnation: int, session: int = -1, wants: Sequence[TokenDemand] = ()
+    ) -> TokenRequest:
         self.number += 1
         self.pending[self.number] = Pending(self.pacer, now, session)
         # Danger: the decisions hear a moment later that turns are handed over. Promised at once, a turn that
         # is being used now would be given to another as well: only what they were told before is promised.
         stamp, lease = (self.stamp, self.lease) if self.promises(now) else (0, 0)
-        return Seek(self.me, incarnation, self.number, wall, self.pacer, self.mark, lease, stamp, list(wants))
+        return TokenRequest(
+            self.me, incarnation, self.number, wall, self.pacer, self.mark, lease, stamp, list(wants)
+        )
 
     def sought(
         self, now: int, wall: int, incarnation: int, session: int, wants: Sequence[tuple[int, TokenCandidate]]
-    ) -> Seek | None:
+    ) -> TokenRequest | None:
         """A link would go to one of these cold hosts, by the hashes of their names."""
         if not self.on or self.closed or not self.pacer or not self.fresh(now) or self.spare < 1:
             return None
         self.spare -= 1
         rows = [
-            Want(upstream, int(sought.budget * MILLI), max(1, ceil(sought.weight * MILLI)))
+            TokenDemand(upstream, int(sought.budget * MILLI), max(1, ceil(sought.weight * MILLI)))
             for upstream, sought in wants[:MOST_WANTS]
         ]
         return self.seek(now, wall, incarnation, session, rows)
 
-    def awaited(self, leave: Leave) -> bool:
+    def awaited(self, leave: TokenGrant) -> bool:
         """Whether a word of the pacer that can't be trusted yet is worth a check of its signature."""
-        pending = self.pending.get(leave.number)
+        pending = self.pending.get(leave.request_id)
         return pending is not None and pending.pacer == leave.sender
 
-    def told(self, now: int, leave: Leave) -> Told | None:
+    def told(self, now: int, leave: TokenGrant) -> Told | None:
         """The pacer's word; what the decisions are to hear of it."""
-        pending = self.pending.pop(leave.number)
-        ends_at = Fence.ends_at(pending.asked_at, leave.left_us)
+        pending = self.pending.pop(leave.request_id)
+        ends_at = Fence.ends_at(pending.asked_at, leave.remaining_us)
         if now >= ends_at:
             return None
-        self.stamp, self.lease, self.heard_at = leave.stamp, leave.lease, pending.asked_at
+        self.stamp, self.lease, self.heard_at = leave.issued_us, leave.lease, pending.asked_at
         until = min(ends_at, pending.asked_at + self.hold_us)
         if not leave.upstream or self.begun_at is None or now >= until:
             return None
@@ -198,9 +202,9 @@
 
     # As the pacer.
 
-    def news(self, seek: Seek) -> bool:
+    def news(self, seek: TokenRequest) -> bool:
         """Whether a note that can't be trusted yet is worth a check of its signature."""
-        return self.on and (seek.incarnation, seek.number) > self.heard.get(seek.sender, (-1, -1))
+        return self.on and (seek.incarnation, seek.request_id) > self.heard.get(seek.sender, (-1, -1))
 
     def pace(self, now: int, lease: int) -> None:
         """lease: by which this node holds the duty; 0: it does not."""
@@ -217,22 +221,29 @@
         """Any stretch as long as a host's window holds but what was given within so long."""
         return ceil((self.window_us + self.hold_us) * (1 + self.skew))
 
-    def answer(self, now: int, seek: Seek, order: tuple[int, int]) -> Leave | None:
+    def answer(self, now: int, seek: TokenRequest, order: tuple[int, int]) -> TokenGrant | None:
         """What the pacer says to a node; order: its lease, and for how long it holds now."""
-        self.heard[seek.sender] = seek.incarnation, seek.number
+        self.heard[seek.sender] = seek.incarnation, seek.request_id
         lease, left_us = order
-        if not lease or lease != self.held or seek.mark != self.mark or seek.sender not in self.names:
+        if (
+            not lease
+            or lease != self.held
+            or seek.config_digest != self.mark
+            or seek.sender not in self.names
+        ):
             return None
-        if seek.lease == lease and 0 < seek.stamp <= now:
+        if seek.lease == lease and 0 < seek.issued_us <= now:
             # It had heard that word when it promised: its time began after that, and its clock may be fast.
-            until = seek.stamp + int(self.term_us * (1 - self.skew) / (1 + self.skew))
+            until = seek.issued_us + int(self.term_us * (1 - self.skew) / (1 + self.skew))
             self.promised[seek.sender] = max(until, self.promised.get(seek.sender, 0))
-        upstream = self.granted(now, seek.wants) if now >= self.opens_at else 0
-        if seek.wants and not upstream:
+        upstream = self.granted(now, seek.demands) if now >= self.opens_at else 0
+        if seek.demands and not upstream:
             return None  # there is no room: who asks waits no longer than for an answer
-        return Leave(self.me, seek.sender, seek.incarnation, seek.number, lease, left_us, now, upstream)
+        return TokenGrant(
+            self.me, seek.sender, seek.incarnation, seek.request_id, lease, left_us, now, upstream
+        )
 
-    def granted(self, now: int, wants: Sequence[Want]) -> int:
+    def granted(self, now: int, wants: Sequence[TokenDemand]) -> int:
         """The first of these hosts that has room for one more link; 0: none."""
         paced = sum(now < until for until in self.promised.values())
         share = paced / len(self.names)
@@ -240,13 +251,13 @@
             if want.upstream not in self.upstreams:
                 continue
             # Those who go by turns still, as they hear nobody, use their part of the budget and no more.
-            limit, span_us = share * want.budget / MILLI, self.span_us
+            limit, span_us = share * want.budget_milli / MILLI, self.span_us
             if limit < 1:
                 if not share:
                     continue
                 limit, span_us = 1.0, int(span_us / share)
             given = self.given.setdefault(want.upstream, Given())
-            weight = max(1, want.weight) / MILLI
+            weight = max(1, want.weight_milli) / MILLI
             used = given.used(now - span_us)
             if not used or used + weight <= limit:
                 given.grants.append((now, weight))
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -6,8 +6,16 @@
 
 import msgspec
 
-from larchlatch.cluster.exchange import Beat, Exchange
-from larchlatch.cluster.protocol.datagrams import Finding, Note, Record, Signed, Standing, datagram_of
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.results import HeartbeatResult, OutgoingDatagram
+from larchlatch.cluster.protocol.codec import encode_datagram
+from larchlatch.cluster.protocol.messages import (
+    DirectMessage,
+    HealthObservation,
+    NodeRecord,
+    QuotaReport,
+    SignedMessage,
+)
 
 ORDERS = "LARCHLATCH_PUPPET"  # the variable that names a puppet's orders, a file
 FAR = 1_000_000  # links a window that a liar claims to have, or wants
@@ -34,38 +42,40 @@
     about = ""
     upstreams: Sequence[int] = ()  # hashes of all hosts' names
 
-    def signed(self, told: Record | Note) -> Signed:
-        if isinstance(told, Record) and told.name == self.members.me:
+    def sign(self, message: NodeRecord | DirectMessage) -> SignedMessage:
+        if isinstance(message, NodeRecord) and message.name == self.membership.me:
             if self.about == "hosts":
-                told = msgspec.structs.replace(
-                    told, findings=[Finding(upstream, 9, 0) for upstream in self.upstreams]
-                )
+                observations = [HealthObservation(upstream, 9, 0) for upstream in self.upstreams]
+                message = msgspec.structs.replace(message, health_observations=observations)
             if self.about == "budget":
-                shares = [Standing(share.spent, FAR) for share in told.shares]
-                told = msgspec.structs.replace(told, shares=shares)
-        return super().signed(told)
+                reports = [QuotaReport(report.spent, FAR) for report in message.quota_reports]
+                message = msgspec.structs.replace(message, quota_reports=reports)
+        return super().sign(message)
 
-    def beat(self, now: int, wall: int) -> Beat:
-        beat = super().beat(now, wall)
+    def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
+        beat = super().heartbeat(now=now, wall=wall)
         if self.about == "counts":
             beat.datagrams.extend(self.false_records(now, wall))
         if self.about == "budget":
             beat.datagrams.extend(self.greedy_asks(now, wall))
         return beat
 
-    def false_records(self, now: int, wall: int) -> Iterable[tuple[str, bytes]]:
+    def false_records(self, now: int, wall: int) -> Iterable[OutgoingDatagram]:
         """Others' records, newer than their own, with nothing spent and all to lend."""
-        for record in self.members.there.values():
-            shares = [Standing(0, FAR) for _ in record.shares]
+        for record in self.membership.there.values():
             false = msgspec.structs.replace(
-                record, number=record.number + 1000, made_us=wall, shares=shares, findings=[]
+                record,
+                sequence=record.sequence + 1000,
+                created_us=wall,
+                quota_reports=[QuotaReport(0, FAR) for _ in record.quota_reports],
+                health_observations=[],
             )
-            for other in self.members.members:
-                yield other, datagram_of([self.signed(false)])
+            for other in self.membership.members:
+                yield OutgoingDatagram(other, encode_datagram([self.sign(false)]))
 
-    def greedy_asks(self, now: int, wall: int) -> Iterable[tuple[str, bytes]]:
+    def greedy_asks(self, now: int, wall: int) -> Iterable[OutgoingDatagram]:
         """All that there is, of all budgets, from everybody."""
-        for limit in self.budgets.dealing.limits:
-            for other in self.members.members:
-                ask = self.budgets.ask(now, wall, self.members.incarnation, other, limit.name, FAR, 0)
-                yield other, self.letter(ask)
+        for limit in self.state.quotas.dealing.limits:
+            for other in self.membership.members:
+                ask = self.state.quotas.ask(now, wall, self.membership.incarnation, other, limit.name, FAR, 0)
+                yield OutgoingDatagram(other, self.encode_message(ask))
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -7,7 +7,8 @@
 
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure
-from larchlatch.cluster.exchange import Carried, Shared
+from larchlatch.cluster.exchange.results import ExecutedOrder, OutgoingDatagram
+from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.membership.membership import Change, Members, State
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 from larchlatch.cluster.quota.account import Spans
@@ -44,7 +45,7 @@
     def sign(self, body: bytes) -> bytes:
         return self.key
 
-    def holds(self, key: bytes, body: bytes, signature: bytes) -> bool:
+    def verify(self, key: bytes, body: bytes, signature: bytes) -> bool:
         return key == signature
 
 
@@ -61,7 +62,15 @@
         self.drift = company.drifts[number]
         own = self.now
         self.members = Members(names[number], company.sites, beat_us, now, own, chance)
-        shared = Shared.of(names[number], company.dealing, company.roster, APART_US, beat_us, own, chance)
+        shared = SharedState.create(
+            names[number],
+            company.dealing,
+            company.roster,
+            max_clock_difference_us=APART_US,
+            heartbeat_us=beat_us,
+            now=own,
+            random=chance,
+        )
         self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
         shared.open(own)
         trust = Plain(names[number])
@@ -97,10 +106,11 @@
 
     def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
-        taken = self.exchange.sought(self.now, wall, session, [(want.upstream, want) for want in wants])
+        candidates = [(want.upstream, want) for want in wants]
+        taken = self.exchange.request_token(session, candidates, now=self.now, wall=wall)
         self.send(taken.datagrams)
         self.ordered(taken.orders)
-        self.pace(taken.leaves)
+        self.pace(taken.token_updates)
 
     def pace(self, leaves: list[Told]) -> None:
         # The decisions go by the true clock here.
@@ -125,11 +135,11 @@
     def beat(self) -> None:
         company, now = self.company, self.company.stage.clock.now
         began = time.perf_counter()
-        beat = self.exchange.beat(self.now, now)
+        beat = self.exchange.heartbeat(now=self.now, wall=now)
         company.spent_s += time.perf_counter() - began
         self.told(beat.changes)
         self.ordered([])
-        self.pace(beat.leaves)
+        self.pace(beat.token_updates)
         self.send(beat.datagrams)
         for upstream in beat.advice.gone:
             company.avoidance.found(now, self.number, upstream)
@@ -143,24 +153,24 @@
             self.unread = [*self.unread[-ROOM + 1 :], data]
         elif self.alive:
             began = time.perf_counter()
-            taken = self.exchange.take(data, self.now, self.company.stage.clock.now)
+            taken = self.exchange.receive(data, now=self.now, wall=self.company.stage.clock.now)
             self.company.spent_s += time.perf_counter() - began
             self.told(taken.changes)
             self.ordered(taken.orders)
             self.send(taken.datagrams)
-            self.pace(taken.leaves)
+            self.pace(taken.token_updates)
 
-    def ordered(self, orders: list[Carried]) -> None:
+    def ordered(self, orders: list[ExecutedOrder]) -> None:
         company, now = self.company, self.company.stage.clock.now
         events = self.duties.drained()
         for order in orders:
             company.stage.note("order", self.number, order.lease)
-            company.tenures[order.duty].carried_out(order.lease)
+            company.tenures[order.role].carried_out(order.lease)
         for event in events:
             company.stage.note("duty", self.number, event.what, event.lease)
             company.tenures[event.duty].held(now, self.number, event.what == "held")
 
-    def send(self, datagrams: list[tuple[str, bytes]]) -> None:
+    def send(self, datagrams: list[OutgoingDatagram]) -> None:
         for name, data in datagrams:
             self.company.send(self.number, self.company.places[name], data)
 
@@ -209,7 +219,14 @@
         self.refile()
         voice = self.voices[number]
         if voice.alive:
-            voice.exchange.follow(self.sites, self.keys, self.dealing, self.roster, self.beat_us, voice.now)
+            voice.exchange.apply_configuration(
+                self.sites,
+                self.keys,
+                self.dealing,
+                self.roster,
+                heartbeat_us=self.beat_us,
+                now=voice.now,
+            )
 
     def count(self, kind: str) -> None:
         self.counts[kind] = self.counts.get(kind, 0) + 1
--- a/larchlatch/load/company.py
+++ b/larchlatch/load/company.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from larchlatch.cluster.cluster_file import new_secret
+from larchlatch.cluster.keys import create_secret
 from larchlatch.cluster.quota.counts import WINDOWS
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import SECOND, us
@@ -29,12 +29,13 @@
 
 # Of the nodes' logs these lines are read.
 FOLLOWED = (
-    b'"member"',
-    b'"host not reached"',
-    b'"host avoided"',
+    b'"member_state_changed"',
+    b'"upstream_unreachable"',
+    b'"upstream_ejection_advised"',
     b'"budget"',
-    b'"order carried out"',
-    b'"duty',
+    b'"order_executed"',
+    b'"role_acquired"',
+    b'"role_ended"',
 )
 READ_S = 0.02  # between two looks at the nodes' logs
 
@@ -74,7 +75,7 @@
         """Start the switchboard, and write each node's file: it reaches the others by its own relays."""
         first = {"address": self.address, "seed": self.day.seed, "nodes": self.nodes}
         self.relays = await self.board.open(first)
-        self.keys = [new_secret(self.folder / f"{name}.key") for name in self.names]
+        self.keys = [create_secret(self.folder / f"{name}.key") for name in self.names]
         for one in range(len(self.names)):
             self.write(one)
 
@@ -209,17 +210,17 @@
     def said(self, number: int, row: dict[str, Any]) -> None:
         """One line of a node's log."""
         match row:
-            case {"event": "member", "name": name, "state": state}:
+            case {"event": "member_state_changed", "name": name, "state": state}:
                 self.agreement.said(now_us(), number, self.places[name], state == "present")
-            case {"event": "host not reached", "host": upstream}:
+            case {"event": "upstream_unreachable", "upstream": upstream}:
                 self.avoidance.found(now_us(), number, number_of(upstream))
-            case {"event": "host avoided", "host": upstream}:
+            case {"event": "upstream_ejection_advised", "upstream": upstream}:
                 reached = self.reach(number % self.day.zones, number_of(upstream))
                 self.avoidance.left_out(now_us(), number_of(upstream), reached)
-            case {"event": "order carried out", "duty": duty, "lease": lease}:
-                self.tenures[duty].carried_out(lease)
-            case {"event": "duty held" | "duty ended" as event, "duty": duty}:
-                self.tenures[duty].held(now_us(), number, event == "duty held")
+            case {"event": "order_executed", "role": role, "lease": lease}:
+                self.tenures[role].carried_out(lease)
+            case {"event": "role_acquired" | "role_ended" as event, "role": role}:
+                self.tenures[role].held(now_us(), number, event == "role_acquired")
             case {"event": "budget", "fleet_least": least, "fleet_most": most, "timestamp": at}:
                 assert self.spending is not None
                 # By the line's own time: a range that is read later is not one of later links.
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/load/puppet.py
@@ -18,7 +18,7 @@
 from larchlatch.__main__ import cli
 from larchlatch.cluster import service as actor
 from larchlatch.cluster.election.election import PACER
-from larchlatch.cluster.exchange import Carried
+from larchlatch.cluster.exchange.results import ExecutedOrder
 from larchlatch.days.puppets import ORDERS, Drift, Lying
 
 true_us = actor.steady_us
@@ -32,18 +32,18 @@
         exchanges.add(self)
 
 
-class Node(actor.Cluster):
+class Node(actor.ClusterService):
     def listed(self, *listed: Any) -> None:
         super().listed(*listed)
         assert isinstance(self.exchange, Lying)
         self.exchange.upstreams = list(self.upstreams)
 
-    def ordered(self, orders: list[Carried]) -> None:
+    def log_orders(self, orders: list[ExecutedOrder]) -> None:
         """The judge wants to see each order, also those that are not told at the usual level."""
-        super().ordered(orders)
+        super().log_orders(orders)
         for order in orders:
-            if order.duty == PACER:
-                actor.log.info("order carried out", **order._asdict())
+            if order.role == PACER:
+                actor.log.info("order_executed", **order._asdict())
 
 
 def ordered(*_: object) -> None:
@@ -54,7 +54,7 @@
 
 
 def main() -> None:
-    vars(actor).update(steady_us=lambda: drift.at(true_us()), Exchange=Puppet, Cluster=Node)
+    vars(actor).update(steady_us=lambda: drift.at(true_us()), Exchange=Puppet, ClusterService=Node)
     signal.signal(signal.SIGUSR2, ordered)
     cli()
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -16,9 +16,11 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
+from larchlatch.cluster.cluster_file import parse_cluster
 from larchlatch.cluster.election.election import Roster
-from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.state import SharedState
+from larchlatch.cluster.keys import create_secret, own_signer, read_secret
 from larchlatch.cluster.membership.membership import (
     APART_US,
     FAN_OUT,
@@ -27,21 +29,23 @@
     State,
     watchers_of,
 )
-from larchlatch.cluster.protocol.datagrams import (
-    MOST_BYTES,
+from larchlatch.cluster.protocol.codec import (
+    MAX_DATAGRAM_BYTES,
     VERSION,
+    decode_datagram,
+    decode_message,
+    decode_record,
+    encode_body,
+    encode_datagram,
+)
+from larchlatch.cluster.protocol.messages import (
     Datagram,
-    Missed,
-    Record,
-    Signed,
-    Unread,
-    body_of,
-    datagram_of,
-    note_of,
-    read,
-    record_of,
+    DropReason,
+    NodeRecord,
+    SignedMessage,
+    Suspicion,
 )
-from larchlatch.cluster.protocol.signing import Checks, Seal, seal_of
+from larchlatch.cluster.protocol.signing import Signer, Verifier, parse_signer
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing
 from larchlatch.days.agreement import SETTLED_US, Agreement
@@ -55,7 +59,7 @@
 SPANS = Spans(1_000_000, 3_000_000, 0.01)
 WALL = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
-KEYS = {name: Seal(secret).public for name, secret in SECRETS.items()}
+KEYS = {name: Signer(secret).public_key for name, secret in SECRETS.items()}
 
 
 class Side:
@@ -64,11 +68,19 @@
     def __init__(self, name: str, names: str = "abcd", wall: int = WALL, seed: int = 1) -> None:
         self.counts: dict[str, int] = {}
         self.members = Members(name, dict.fromkeys(names, ""), BEAT, wall, 0, random.Random(seed))
-        shared = Shared.of(
-            name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, BEAT, 0, random.Random(seed)
+        shared = SharedState.create(
+            name,
+            Dealing((), tuple(names), 1.0, SPANS, 1),
+            Roster(),
+            max_clock_difference_us=0,
+            heartbeat_us=BEAT,
+            now=0,
+            random=random.Random(seed),
         )
         sites = dict.fromkeys(names, "")
-        self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
+        self.exchange = Exchange(
+            self.members, shared, sites, KEYS, Signer(SECRETS[name]), Verifier(), self.count
+        )
 
     def count(self, kind: str) -> None:
         self.counts[kind] = self.counts.get(kind, 0) + 1
@@ -76,12 +88,12 @@
     def state(self, name: str) -> State:
         return self.members.state(self.members.members[name])
 
-    def dropped(self, why: Unread) -> int:
-        return self.counts.get(f"cluster: dropped, {why.value}", 0)
+    def dropped(self, why: DropReason) -> int:
+        return self.counts.get(f"cluster_dropped_{why.value}", 0)
 
     def said(self, now: int = 0, wall: int = WALL) -> bytes:
         """One of its beats."""
-        return self.exchange.beat(now, wall).datagrams[0][1]
+        return self.exchange.heartbeat(now=now, wall=wall).datagrams[0][1]
 
 
 def beats(sides: list[Side], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
@@ -90,9 +102,9 @@
     for beat in range(first, first + count):
         now = beat * BEAT
         for side in sides:
-            for name, data in side.exchange.beat(now, WALL + now).datagrams:
+            for name, data in side.exchange.heartbeat(now=now, wall=WALL + now).datagrams:
                 if name in by_name and (name in cut) is (side.members.me in cut):
-                    by_name[name].exchange.take(data, now, WALL + now)
+                    by_name[name].exchange.receive(data, now=now, wall=WALL + now)
     return first + count
 
 
@@ -162,7 +174,7 @@
     at = beats(sides, 0, 6)
     sides[0].members.follow(dict.fromkeys("abc", ""))
     beats(sides, at, 6)
-    assert "d" not in sides[0].members.members and sides[0].dropped(Unread.STRANGER) > 0
+    assert "d" not in sides[0].members.members and sides[0].dropped(DropReason.UNKNOWN_MEMBER) > 0
     assert sides[0].state("c") is State.PRESENT, "the others are kept"
 
 
@@ -182,18 +194,18 @@
     kept: list[tuple[str, bytes]] = []
     newest: dict[str, tuple[int, int]] = {}
     for number, (one, other, what) in enumerate(steps):
-        for name, data in sides[one].exchange.beat(number * BEAT, WALL).datagrams:
+        for name, data in sides[one].exchange.heartbeat(now=number * BEAT, wall=WALL).datagrams:
             kept += [(name, data)] * {"l": 0, "d": 2}.get(what, 1)
         own = sides[one].members
         newest[own.me] = (own.incarnation, own.number)
         while kept and what != "r":
             name, data = kept.pop(other % len(kept))
             side = next(s for s in sides if s.members.me == name)
-            before = {n: m.record.age for n, m in side.members.members.items() if m.record is not None}
-            side.exchange.take(data, 0, WALL)
+            before = {n: m.record.version for n, m in side.members.members.items() if m.record is not None}
+            side.exchange.receive(data, now=0, wall=WALL)
             for n, member in side.members.members.items():
-                assert member.record is None or before.get(n, (0, 0)) <= member.record.age <= newest[n]
-    assert all(side.dropped(Unread.SIGNATURE) == 0 for side in sides)
+                assert member.record is None or before.get(n, (0, 0)) <= member.record.version <= newest[n]
+    assert all(side.dropped(DropReason.INVALID_SIGNATURE) == 0 for side in sides)
 
 
 def test_watchers_tell_of_a_death_in_a_large_fleet_and_one_alone_is_not_believed() -> None:
@@ -204,20 +216,20 @@
     place, watchers = members.places["n20"], sorted(dead.watchers - {"n00"})
     assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, "of many sites"
 
-    def hear(name: str, number: int, *missed: Missed) -> State:
-        record = Record(name, WALL, number, WALL, False, b"", missed=list(missed))
-        members.heard(record, Signed(body_of(record), bytes(64)), direct=False)
+    def hear(name: str, number: int, *missed: Suspicion) -> State:
+        record = NodeRecord(name, WALL, number, WALL, False, b"", suspicions=list(missed))
+        members.heard(record, SignedMessage(encode_body(record), bytes(64)), direct=False)
         members.look(members.looked_at + 1)
         return members.state(dead)
 
     hear("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert hear(watchers[0], 1, Missed(place, WALL, 9)) is State.PRESENT, "it may be cut off from it alone"
-    assert hear(stranger, 1, Missed(place, WALL, 9)) is State.PRESENT, "it does not watch it"
-    assert hear(watchers[1], 1, Missed(place, WALL, 9)) is State.SILENT
+    assert hear(watchers[0], 1, Suspicion(place, WALL, 9)) is State.PRESENT, "it may be cut off from it alone"
+    assert hear(stranger, 1, Suspicion(place, WALL, 9)) is State.PRESENT, "it does not watch it"
+    assert hear(watchers[1], 1, Suspicion(place, WALL, 9)) is State.SILENT
     assert hear("n20", 9) is State.SILENT, "an old record that went round"
     assert hear("n20", 10) is State.PRESENT, "a new one"
-    assert hear(watchers[2], 1, Missed(place, WALL, 9)) is State.PRESENT, "an old word"
+    assert hear(watchers[2], 1, Suspicion(place, WALL, 9)) is State.PRESENT, "an old word"
 
 
 def test_a_death_among_many_is_told_within_seconds_whatever_is_lost() -> None:
@@ -261,15 +273,15 @@
     members = Members(names[0], dict.fromkeys(names, ""), BEAT, WALL, 0, random.Random(1))
     blank = bytes(64)
     for number, name in enumerate(names[1:]):
-        record = Record(name, WALL, number, WALL + number, False, bytes(125))
-        members.heard(record, Signed(body_of(record), blank), direct=False)
-    own = Signed(body_of(members.own(WALL, 0, [], [], [])), blank)
+        record = NodeRecord(name, WALL, number, WALL + number, False, bytes(125))
+        members.heard(record, SignedMessage(encode_body(record), blank), direct=False)
+    own = SignedMessage(encode_body(members.own(WALL, 0, [], [], [])), blank)
     sent = [members.targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
     assert {name for targets in sent for name in targets} == set(names[1:]), "each is reached within a round"
     records = members.passed_on(own, 1)[0]
-    assert len(datagram_of(records)) <= MOST_BYTES and len(records) >= 5
-    newest = record_of(records[1].body)
+    assert len(encode_datagram(records)) <= MAX_DATAGRAM_BYTES and len(records) >= 5
+    newest = decode_record(records[1].body)
     assert newest is not None and newest.name == names[-1], "what was made last goes first"
 
 
@@ -278,67 +290,67 @@
 
 def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
     good = Side("b").said()
-    body = body_of(Record("b", WALL, 1, WALL, False, b""))
-    forged = datagram_of([Signed(body, Seal(SECRETS["c"]).sign(body))])
-    stranger = body_of(Record("x", WALL, 1, WALL, False, b""))
+    body = encode_body(NodeRecord("b", WALL, 1, WALL, False, b""))
+    forged = encode_datagram([SignedMessage(body, Signer(SECRETS["c"]).sign(body))])
+    stranger = encode_body(NodeRecord("x", WALL, 1, WALL, False, b""))
     cases = [
-        (b"", Unread.EMPTY),
-        (bytes(MOST_BYTES + 1), Unread.LONG),
-        (bytes([VERSION + 1]) + good[1:], Unread.VERSION),
-        (bytes([VERSION]) + b"\xc1", Unread.FORM),
-        (datagram_of([Signed(b"", bytes(64))]), Unread.FORM),
-        (datagram_of([Signed(body, b"short")]), Unread.FORM),
-        (datagram_of([]), Unread.FORM),
-        (datagram_of([Signed(stranger, bytes(64))]), Unread.STRANGER),
-        (forged, Unread.SIGNATURE),
-        (Side("b", wall=WALL - 86_400_000_000).said(wall=WALL - 86_400_000_000), Unread.STALE),
-        (Side("b").said(wall=WALL + 2 * APART_US), Unread.EARLY),
+        (b"", DropReason.EMPTY),
+        (bytes(MAX_DATAGRAM_BYTES + 1), DropReason.TOO_LONG),
+        (bytes([VERSION + 1]) + good[1:], DropReason.UNKNOWN_VERSION),
+        (bytes([VERSION]) + b"\xc1", DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(b"", bytes(64))]), DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(body, b"short")]), DropReason.MALFORMED),
+        (encode_datagram([]), DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(stranger, bytes(64))]), DropReason.UNKNOWN_MEMBER),
+        (forged, DropReason.INVALID_SIGNATURE),
+        (Side("b", wall=WALL - 86_400_000_000).said(wall=WALL - 86_400_000_000), DropReason.TOO_OLD),
+        (Side("b").said(wall=WALL + 2 * APART_US), DropReason.IN_THE_FUTURE),
     ]
     side = Side("a")
     for data, why in cases:
         before = side.dropped(why)
-        assert side.exchange.take(data, 0, WALL).changes == []
+        assert side.exchange.receive(data, now=0, wall=WALL).changes == []
         assert side.dropped(why) == before + 1, why
     assert side.members.alone, "none of it changed anything"
-    assert side.exchange.foreign == VERSION + 1, "for the log, which says it once"
-    assert side.exchange.take(good, 0, WALL).changes != []
+    assert side.exchange.unknown_version == VERSION + 1, "for the log, which says it once"
+    assert side.exchange.receive(good, now=0, wall=WALL).changes != []
 
 
 def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
     side, other = Side("a"), Side("b")
     first, second = other.said(), other.said()
-    side.exchange.take(second, 0, WALL)
+    side.exchange.receive(second, now=0, wall=WALL)
     for data in (first, second):
-        assert side.exchange.take(data, 0, WALL).changes == []
-    assert side.counts["cluster: record heard"] == 1 and side.counts["cluster: record known"] == 2
+        assert side.exchange.receive(data, now=0, wall=WALL).changes == []
+    assert side.counts["cluster_records_accepted"] == 1 and side.counts["cluster_records_known"] == 2
 
 
 def test_nobody_speaks_for_another() -> None:
     # Danger: a member with a key of its own says what it likes of itself, and must not of anybody else.
-    liar, side = Seal(SECRETS["b"]), Side("a")
+    liar, side = Signer(SECRETS["b"]), Side("a")
     beats([side, Side("c", seed=2)], 0, 4)
     before = side.members.members["c"].record
-    body = body_of(Record("c", WALL + 9, 99, WALL, True, b""))
-    own = body_of(Record("b", WALL, 1, WALL, False, b""))
-    data = datagram_of([Signed(own, liar.sign(own)), Signed(body, liar.sign(body))])
-    side.exchange.take(data, 0, WALL)
+    body = encode_body(NodeRecord("c", WALL + 9, 99, WALL, True, b""))
+    own = encode_body(NodeRecord("b", WALL, 1, WALL, False, b""))
+    data = encode_datagram([SignedMessage(own, liar.sign(own)), SignedMessage(body, liar.sign(body))])
+    side.exchange.receive(data, now=0, wall=WALL)
     assert side.members.members["c"].record == before and side.state("c") is State.PRESENT
-    assert side.dropped(Unread.SIGNATURE) == 1 and side.state("b") is State.PRESENT
+    assert side.dropped(DropReason.INVALID_SIGNATURE) == 1 and side.state("b") is State.PRESENT
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
-@given(st.binary(max_size=MOST_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
 def test_no_bytes_at_all_end_a_reader(noise: bytes, place: int, change: int) -> None:
     good = bytearray(Side("b").said())
     good[place % len(good)] = change
     for data in (noise, bytes([VERSION]) + noise, bytes(good), bytes(good[: place % len(good)])):
         side = Side("a")
-        side.exchange.take(data, 0, WALL)
-        found = read(data)
+        side.exchange.receive(data, now=0, wall=WALL)
+        found = decode_datagram(data)
         if isinstance(found, Datagram):
-            for signed in found.records + found.notes:
-                record_of(signed.body)
-                note_of(signed.body)
+            for signed in found.records + found.messages:
+                decode_record(signed.body)
+                decode_message(signed.body)
 
 
 # The operator's file.
@@ -371,27 +383,27 @@
 )
 def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
     with pytest.raises(InvalidInputError) as error:
-        fleet_from(raw(**change), "cluster")
+        parse_cluster(raw(**change), "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
 def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
-    public = new_secret(tmp_path / "a.key")
-    secret = secret_of(tmp_path / "a.key")
+    public = create_secret(tmp_path / "a.key")
+    secret = read_secret(tmp_path / "a.key")
     assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
-    made = seal_of(secret)
-    assert made is not None and made.public.hex() == public
+    made = parse_signer(secret)
+    assert made is not None and made.public_key.hex() == public
     with pytest.raises(InvalidInputError, match="can't be written"):
-        new_secret(tmp_path / "a.key")
-    fleet = fleet_from(raw(), "cluster")
-    assert own_seal(fleet, "a", SECRETS["a"].hex()).public == KEYS["a"]
+        create_secret(tmp_path / "a.key")
+    fleet = parse_cluster(raw(), "cluster")
+    assert own_signer(fleet, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
     for name, key, why in (
         ("x", SECRETS["a"].hex(), "not among"),
         ("a", secret, "not the one"),
         ("a", "q", "32"),
     ):
         with pytest.raises(InvalidInputError, match=why):
-            own_seal(fleet, name, key)
+            own_signer(fleet, name, key)
 
 
 def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -17,14 +17,15 @@
 from msgspec import inspect
 
 from larchlatch.broker.contracts import Contracts, contracts_of
-from larchlatch.cluster.cluster_file import Raw, fleet_from, fleet_of
+from larchlatch.cluster.cluster_file import ClusterTable, parse_cluster, read_cluster_file
 from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
 from larchlatch.cluster.election.leases import Tenure, What
-from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.membership.membership import Members
 from larchlatch.cluster.membership.membership import State as MemberState
-from larchlatch.cluster.protocol import datagrams
-from larchlatch.cluster.protocol.signing import Checks, Seal
+from larchlatch.cluster.protocol import codec, messages
+from larchlatch.cluster.protocol.signing import Signer, Verifier
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
 from larchlatch.config.endpoints import EndpointEntry
@@ -51,7 +52,7 @@
 WALL = 1_800_000_000 * SECOND
 NOW = 5_000 * SECOND
 NODES = ("a", "b", "c")
-KEYS = {name: Seal(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
+KEYS = {name: Signer(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
 SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6), ("hosts", 7))
 # Figures of a run that hang on the machine's speed.
 MEASURED = {"cluster_cpu"}
@@ -124,15 +125,23 @@
     """One node's part, with its own key, as it starts; it knows of no other node."""
     sites = dict.fromkeys(NODES, "")
     members = Members(name, sites, 200_000, WALL, started, random.Random(2))
-    shared = Shared.of(name, dealing(allot), roster(), 200_000, 200_000, started, random.Random(2))
+    shared = SharedState.create(
+        name,
+        dealing(allot),
+        roster(),
+        max_clock_difference_us=200_000,
+        heartbeat_us=200_000,
+        now=started,
+        random=random.Random(2),
+    )
     shared.open(started)
-    keys = {other: key.public for other, key in KEYS.items()}
-    return Exchange(members, shared, sites, keys, KEYS[name], Checks(), lambda kind: None)
+    keys = {other: key.public_key for other, key in KEYS.items()}
+    return Exchange(members, shared, sites, keys, KEYS[name], Verifier(), lambda kind: None)
 
 
-def records() -> list[datagrams.Record]:
+def records() -> list[messages.NodeRecord]:
     return [
-        datagrams.Record(
+        messages.NodeRecord(
             "a",
             WALL,
             7,
@@ -140,37 +149,37 @@
             False,
             b"\x05",
             77,
-            [datagrams.Standing(3, 4)],
-            [datagrams.Finding(2**63 + 1, 2, 500)],
-            [datagrams.Missed(2, WALL, 9)],
-            [datagrams.Promised(0, 11, 1, 900)],
+            [messages.QuotaReport(3, 4)],
+            [messages.HealthObservation(2**63 + 1, 2, 500)],
+            [messages.Suspicion(2, WALL, 9)],
+            [messages.Promise(0, 11, 1, 900)],
         ),
-        datagrams.Record("b", WALL, 1, WALL, True, b""),
+        messages.NodeRecord("b", WALL, 1, WALL, True, b""),
     ]
 
 
-def notes() -> list[datagrams.Note]:
+def notes() -> list[messages.DirectMessage]:
     return [
-        datagrams.Ask("a", WALL, 1, WALL, "b", 77, "all", 5, 0),
-        datagrams.Grant("b", "a", WALL, 1, "all", 5, 12, 400),
-        datagrams.Bid("a", WALL, 1, WALL, "b", 88, 0, WALL + 3, 0, "c"),
-        datagrams.Vote("b", "a", WALL, 1, 0, True, 0, 300),
-        datagrams.Seek("a", WALL, 1, WALL, "b", 88, 0, 0, [datagrams.Want(99, 5000, 1000)]),
-        datagrams.Leave("b", "a", WALL, 1, 13, 400, 50, 99),
+        messages.LoanRequest("a", WALL, 1, WALL, "b", 77, "all", 5, 0),
+        messages.LoanGrant("b", "a", WALL, 1, "all", 5, 12, 400),
+        messages.BallotRequest("a", WALL, 1, WALL, "b", 88, 0, WALL + 3, 0, "c"),
+        messages.Vote("b", "a", WALL, 1, 0, True, 0, 300),
+        messages.TokenRequest("a", WALL, 1, WALL, "b", 88, 0, 0, [messages.TokenDemand(99, 5000, 1000)]),
+        messages.TokenGrant("b", "a", WALL, 1, 13, 400, 50, 99),
     ]
 
 
 def datagram_bytes() -> list[str]:
-    bodies = [datagrams.body_of(told) for told in (*records(), *notes())]
-    signed = [datagrams.Signed(body, KEYS["a"].sign(body)) for body in bodies]
-    written = [datagrams.datagram_of(signed[:2])]
-    written += [datagrams.datagram_of([], [each]) for each in signed[2:]]
+    bodies = [codec.encode_body(told) for told in (*records(), *notes())]
+    signed = [messages.SignedMessage(body, KEYS["a"].sign(body)) for body in bodies]
+    written = [codec.encode_datagram(signed[:2])]
+    written += [codec.encode_datagram([], [each]) for each in signed[2:]]
     return [data.hex() for data in written]
 
 
 def answers_to(data: bytes, name: str) -> list[list[str]]:
     """What a node sends back after a datagram, an hour after its start: it may promise and lend by then."""
-    taken = exchange(name, NOW - 3600 * SECOND, allot=False).take(data, NOW, WALL)
+    taken = exchange(name, NOW - 3600 * SECOND, allot=False).receive(data, now=NOW, wall=WALL)
     return [[to, answer.hex()] for to, answer in taken.datagrams]
 
 
@@ -179,10 +188,11 @@
     node = exchange("a", NOW - 3600 * SECOND, allot=True)
     sent = []
     for beat in (0, 200_000, 8 * SECOND):
-        sent += node.beat(NOW + beat, WALL + beat).datagrams
-    node.pacing.pacer = "b"
-    node.pacing.heard_at = NOW + 8 * SECOND
-    sent += node.sought(NOW + 8 * SECOND, WALL, 4, [(99, TokenCandidate(1, 5.0, 1.0))]).datagrams
+        sent += node.heartbeat(now=NOW + beat, wall=WALL + beat).datagrams
+    node.state.tokens.pacer = "b"
+    node.state.tokens.heard_at = NOW + 8 * SECOND
+    candidates = [(99, TokenCandidate(1, 5.0, 1.0))]
+    sent += node.request_token(4, candidates, now=NOW + 8 * SECOND, wall=WALL).datagrams
     return [[to, data.hex()] for to, data in sent]
 
 
@@ -209,12 +219,12 @@
 
 
 def file_keys() -> dict[str, list[str]]:
-    return {"scenario": keys_of(Day), "cluster": keys_of(Raw), "contracts": keys_of(Contracts)}
+    return {"scenario": keys_of(Day), "cluster": keys_of(ClusterTable), "contracts": keys_of(Contracts)}
 
 
 CLUSTER = {
     "nodes": [
-        {"name": name, "address": f"127.0.0.1:{9000 + place}", "key": key.public.hex(), "site": "x"}
+        {"name": name, "address": f"127.0.0.1:{9000 + place}", "key": key.public_key.hex(), "site": "x"}
         for place, (name, key) in enumerate(KEYS.items())
     ],
     "budgets": [{"name": "all", "links_per_s": 12.5, "tariffs": ["t", "u"]}],
@@ -224,8 +234,8 @@
 
 def cluster_marks() -> list[int]:
     """The digests by which nodes tell whether they go by the same cluster file."""
-    fleets = [fleet_of(ROOT / "deploy" / "cluster.example.toml"), fleet_from(CLUSTER, "cluster")]
-    return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.mark)]
+    fleets = [read_cluster_file(ROOT / "deploy" / "cluster.example.toml"), parse_cluster(CLUSTER, "cluster")]
+    return [mark for fleet in fleets for mark in (fleet.quota_settings.mark, fleet.electorate.mark)]
 
 
 def stored_values() -> dict[str, list[Any]]:
@@ -292,12 +302,12 @@
     for data, answers in zip(recorded()["datagrams"], recorded()["answers"], strict=True):
         assert answers_to(bytes.fromhex(data), "b") == answers
     assert sum(map(len, recorded()["answers"])) == 2, "a grant and a vote"
-    read = [datagrams.read(bytes.fromhex(data)) for data in recorded()["datagrams"]]
-    assert all(isinstance(each, datagrams.Datagram) for each in read)
-    bodies = [signed.body for each in read if isinstance(each, datagrams.Datagram) for signed in each.records]
-    assert [datagrams.record_of(body) for body in bodies] == records()
-    bodies = [signed.body for each in read if isinstance(each, datagrams.Datagram) for signed in each.notes]
-    assert [datagrams.note_of(body) for body in bodies] == notes()
+    read = [codec.decode_datagram(bytes.fromhex(data)) for data in recorded()["datagrams"]]
+    assert all(isinstance(each, messages.Datagram) for each in read)
+    bodies = [signed.body for each in read if isinstance(each, messages.Datagram) for signed in each.records]
+    assert [codec.decode_record(body) for body in bodies] == records()
+    bodies = [signed.body for each in read if isinstance(each, messages.Datagram) for signed in each.messages]
+    assert [codec.decode_message(body) for body in bodies] == notes()
 
 
 def test_a_lone_node_sends_the_same_bytes_as_before() -> None:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,10 +11,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_from, follows
+from larchlatch.cluster.cluster_file import (
+    ClusterConfiguration,
+    check_traffic_classes,
+    check_transition,
+    parse_cluster,
+)
 from larchlatch.cluster.election.election import ALLOTTER, Duties, Holder, Roster
 from larchlatch.cluster.election.leases import Answer, Ballot, Candidate, Elector, Fence, State, Tenure, What
-from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
+from larchlatch.cluster.protocol.messages import (
+    BallotRequest,
+    NodeRecord,
+    Promise,
+    Vote,
+)
 from larchlatch.days.day import checked, day_of
 from larchlatch.days.drawing import with_drawn
 from larchlatch.days.tenures import Tenures
@@ -207,17 +217,17 @@
     one = Duties("x", roster, 200_000, START, random.Random(1))
     now = START + TENURE.quiet_us
     first = one.look(now, WALL, 1, {}, {})
-    assert [bid.to for bid in first] == list(NAMES)
-    vote = Vote("b", "x", 1, first[0].number, 0, True, 0, 0)
+    assert [bid.recipient for bid in first] == list(NAMES)
+    vote = Vote("b", "x", 1, first[0].round, 0, True, 0, 0)
     assert one.awaited(vote) and not one.voted(now, WALL, vote)
     again = one.look(now + 200_000, WALL, 1, {}, {})
-    assert [bid.to for bid in again] == ["a", "c"] and again[0].number == first[0].number
-    one.voted(now + 250_000, WALL, Vote("c", "x", 1, first[0].number, 0, True, 0, 0))
+    assert [bid.recipient for bid in again] == ["a", "c"] and again[0].round == first[0].round
+    one.voted(now + 250_000, WALL, Vote("c", "x", 1, first[0].round, 0, True, 0, 0))
     asks = one.look(now + 260_000, WALL, 1, {}, {})
-    assert {bid.what for bid in asks} == {What.GRANT.value}
+    assert {bid.kind for bid in asks} == {What.GRANT.value}
     over = now + 250_000 + TENURE.round_us
     released = one.look(over, WALL, 1, {}, {})
-    assert {bid.what for bid in released} == {What.RELEASE.value}
+    assert {bid.kind for bid in released} == {What.RELEASE.value}
     assert [bid.lease for bid in one.look(over + 1, WALL, 1, {}, {})] == [bid.lease for bid in released]
     assert not one.look(over + 2, WALL, 1, {}, {})
 
@@ -280,46 +290,46 @@
 def test_a_faulty_table_of_duties_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
     with pytest.raises(InvalidInputError) as error:
-        fleet_from({"nodes": nodes, "duties": change}, "cluster")
+        parse_cluster({"nodes": nodes, "duties": change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
-def fleet(*electors: str) -> Fleet:
+def fleet(*electors: str) -> ClusterConfiguration:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(6)]
     budgets = [{"name": "all", "links_per_s": 60, "tariffs": ["student"]}]
     duties = {"electors": list(electors), "allot": True}
-    return fleet_from({"nodes": nodes, "budgets": budgets, "duties": duties}, "cluster")
+    return parse_cluster({"nodes": nodes, "budgets": budgets, "duties": duties}, "cluster")
 
 
 def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
     before = fleet("n0", "n1", "n2")
-    follows(fleet("n0", "n1", "n3"), before)
+    check_transition(fleet("n0", "n1", "n3"), before=before)
     with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
-        follows(fleet("n0", "n3", "n4"), before)
-    fits_traffic_classes(before, ["student", "parent"])
+        check_transition(fleet("n0", "n3", "n4"), before=before)
+    check_traffic_classes(before, ["student", "parent"])
     with pytest.raises(InvalidInputError, match=r"all.*student"):
-        fits_traffic_classes(before, ["parent"])
+        check_traffic_classes(before, ["parent"])
 
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
-    roster = fleet("n0", "n1", "n2").roster
+    roster = fleet("n0", "n1", "n2").electorate
     duties = Duties("n0", roster, 200_000, START, random.Random(1))
     duties.open(START)
     now = START + roster.tenure.quiet_us
-    bid = Bid("n5", 1, 1, WALL, "n0", roster.mark, 0, 7, What.GRANT.value, "")
+    bid = BallotRequest("n5", 1, 1, WALL, "n0", roster.mark, 0, 7, What.GRANT.value, "")
     assert duties.bid(now - 1, bid) is None, "it has just started"
     vote = duties.bid(now, bid)
     assert vote is not None and vote.granted
-    other = fleet("n0", "n1", "n3").roster
+    other = fleet("n0", "n1", "n3").electorate
     duties.follow(other, now)
     assert duties.bid(now + SECOND, bid) is None, "by another file"
-    ask = msgspec.structs.replace(bid, mark=other.mark)
+    ask = msgspec.structs.replace(bid, config_digest=other.mark)
     assert duties.bid(now + SECOND, ask) is None
     assert duties.bid(now + roster.tenure.quiet_us, ask) is not None
 
 
 def test_a_holder_that_is_late_again_and_again_gives_its_duty_up() -> None:
-    roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
+    roster = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
     duties = Duties("n0", roster, 200_000, START, random.Random(1))
     duties.open(START)
     now = START + roster.tenure.quiet_us
@@ -342,22 +352,22 @@
 
 
 def test_a_duty_that_was_handed_on_says_so_on_both_sides() -> None:
-    roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
+    roster = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
     one, heir = (Duties(name, roster, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
-    there = {"n1": Record("n1", 1, 1, WALL, False, b"")}
+    there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
     now = START + roster.tenure.quiet_us
     while not one.order(now, ALLOTTER)[0]:
         now += 200_000
         one.look(now, WALL, 1, {}, {})
     one.leaving = True
-    released: list[Bid] = []
+    released: list[BallotRequest] = []
     while not released:
         now += 200_000
-        released = [bid for bid in one.look(now, WALL, 1, there, {}) if bid.to == "n1"]
+        released = [bid for bid in one.look(now, WALL, 1, there, {}) if bid.recipient == "n1"]
     heir.bid(now, released[0])
     asks = heir.look(now, WALL, 1, {}, {})
     while asks:
-        votes = [vote for bid in asks if bid.to == "n0" and (vote := one.bid(now, bid)) is not None]
+        votes = [vote for bid in asks if bid.recipient == "n0" and (vote := one.bid(now, bid)) is not None]
         asks = [bid for vote in votes for bid in heir.voted(now, WALL, vote)]
     assert heir.order(now, ALLOTTER)[0], "in the same instant"
     assert [(event.what, event.why) for event in heir.drained()] == [("held", "it was handed on")]
@@ -365,41 +375,43 @@
 
 
 def test_one_liar_makes_up_no_holder() -> None:
-    roster = fleet("n0", "n1", "n2").roster
+    roster = fleet("n0", "n1", "n2").electorate
     duties = Duties("n5", roster, 200_000, START, random.Random(1))
 
-    def record(name: str, *promises: Promised) -> Record:
-        return Record(name, 1, 1, WALL, False, b"", promises=list(promises))
+    def record(name: str, *promises: Promise) -> NodeRecord:
+        return NodeRecord(name, 1, 1, WALL, False, b"", promises=list(promises))
 
-    def holder(**records: Record) -> Holder | None:
+    def holder(**records: NodeRecord) -> Holder | None:
         return duties.told_holder(START, 0, records, dict.fromkeys(records, 100))
 
-    said = Promised(0, 9, 4, SECOND)
+    said = Promise(0, 9, 4, SECOND)
     assert holder(n0=record("n0", said), n4=record("n4", said), n3=record("n3", said)) is None
     assert holder(n0=record("n0", said), n1=record("n1", said)) == Holder("n4", 9)
-    old = Promised(0, 9, 4, 100)
+    old = Promise(0, 9, 4, 100)
     assert holder(n0=record("n0", said), n1=record("n1", old)) is None, "by now it has ended"
 
 
 def test_ballots_of_any_kind_end_no_node() -> None:
-    roster = fleet("n0", "n1", "n2").roster
+    roster = fleet("n0", "n1", "n2").electorate
     duties = Duties("n0", roster, 200_000, START, random.Random(1))
     for duty, what in ((0, 7), (9, 0), (9, 2)):
-        assert duties.bid(START, Bid("n5", 1, 1, WALL, "n0", roster.mark, duty, 7, what, "n0")) is None
+        assert (
+            duties.bid(START, BallotRequest("n5", 1, 1, WALL, "n0", roster.mark, duty, 7, what, "n0")) is None
+        )
     assert not duties.awaited(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
     assert not duties.awaited(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
 
 
 def test_a_vote_for_an_earlier_life_is_not_counted() -> None:
     # Danger: its round has the same number in this life, and no elector has promised this one anything.
-    roster = fleet("n0", "n1", "n2").roster
+    roster = fleet("n0", "n1", "n2").electorate
     duties = Duties("n5", roster, 200_000, START, random.Random(1))
     now = START
-    bids: list[Bid] = []
+    bids: list[BallotRequest] = []
     while not bids:
         now += 200_000
         bids = duties.look(now, WALL, 2, {}, {})
-    votes = [Vote(bid.to, "n5", bid.incarnation, bid.number, 0, True, 0, 0) for bid in bids]
+    votes = [Vote(bid.recipient, "n5", bid.incarnation, bid.round, 0, True, 0, 0) for bid in bids]
     early = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
     assert all(duties.awaited(vote) for vote in votes)
     assert not any(duties.awaited(vote) for vote in early)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -14,7 +14,7 @@
 
 from larchlatch.cluster.election.election import PACER, Roster
 from larchlatch.cluster.election.leases import Tenure
-from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
+from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.slow_start import tokens as pacing
 from larchlatch.cluster.slow_start.tokens import Pacing, Told
 from larchlatch.days.day import Day, day_of
@@ -61,8 +61,10 @@
             if told.upstream:
                 self.leaves[told.session] = told.at
 
-    def take(self, now: int, note: Seek | Leave, order: tuple[int, int], lag_us: int) -> Leave | None:
-        if isinstance(note, Seek):
+    def take(
+        self, now: int, note: TokenRequest | TokenGrant, order: tuple[int, int], lag_us: int
+    ) -> TokenGrant | None:
+        if isinstance(note, TokenRequest):
             return self.pacing.answer(now, note, order) if self.pacing.news(note) else None
         if self.pacing.awaited(note):
             self.hear(now, self.pacing.told(now, note), lag_us)
@@ -83,7 +85,7 @@
         for drift in self.drifts.values():
             drift.run(START, self.chance.choice((-0.01, 0.0, 0.01)))
         self.sides = {name: Side(name, START) for name in NAMES}
-        self.bag: list[tuple[int, int, str, Seek | Leave]] = []
+        self.bag: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
         self.cut: frozenset[str] = frozenset()
         self.by_leave: list[int] = []  # when links were sent
         self.by_turn = 0
@@ -103,8 +105,12 @@
         left = self.held_until - now if name == self.holder else 0
         return (self.lease, min(left, TERM // 8)) if left > 0 else (0, 0)
 
-    def send(self, now: int, one: str, note: Seek | Leave | None) -> None:
-        if note is None or self.chance.random() < self.loss or (one in self.cut) is not (note.to in self.cut):
+    def send(self, now: int, one: str, note: TokenRequest | TokenGrant | None) -> None:
+        if (
+            note is None
+            or self.chance.random() < self.loss
+            or (one in self.cut) is not (note.recipient in self.cut)
+        ):
             return
         for _ in range(2 if self.chance.random() < self.double else 1):
             way = 4 * SECOND if self.chance.random() < self.late else 40_000
@@ -136,11 +142,11 @@
             self.bag = [entry for entry in self.bag if entry[0] > now]
             for key in due:
                 _, _, _, note = going[key]
-                side = self.sides[note.to]
+                side = self.sides[note.recipient]
                 if now >= side.awake_at:
                     lag = self.lag()
-                    own = self.now_of(note.to, now)
-                    self.send(now, note.to, side.take(own, note, self.order(note.to, now), lag))
+                    own = self.now_of(note.recipient, now)
+                    self.send(now, note.recipient, side.take(own, note, self.order(note.recipient, now), lag))
             for name, side in self.sides.items():
                 if now >= side.awake_at:
                     self.act(now, name, side)
@@ -165,9 +171,9 @@
             self.sessions += 1
             self.session(now, own, name, side)
 
-    def ask(self, now: int, own: int, name: str, seek: Seek | None) -> None:
+    def ask(self, now: int, own: int, name: str, seek: TokenRequest | None) -> None:
         """Of the pacer, which may be that node itself."""
-        if seek is None or seek.to != name:
+        if seek is None or seek.recipient != name:
             self.send(now, name, seek)
             return
         leave = self.sides[name].pacing.answer(own, seek, self.order(name, now))
@@ -256,9 +262,9 @@
     return one
 
 
-def asked(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> Seek:
-    want = Want(UPSTREAM, int(budget * 1000), int(weight * 1000))
-    return msgspec.structs.replace(Seek("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
+def asked(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
+    want = TokenDemand(UPSTREAM, int(budget * 1000), int(weight * 1000))
+    return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
 
 
 def test_a_heavy_link_counts_for_what_it_asks_of_a_host_and_none_is_too_heavy_for_an_empty_window() -> None:
@@ -285,11 +291,11 @@
     # ran out long ago.
     one, order = paced(), (5, 300_000)
     one.promised = {}
-    one.answer(START + 2 * SECOND, asked(1, lease=5, stamp=START), order)
+    one.answer(START + 2 * SECOND, asked(1, lease=5, issued_us=START), order)
     assert START + TERM * 0.97 < one.promised["b"] < START + TERM * 0.99
-    one.answer(START + 2 * SECOND, asked(2, lease=4, stamp=START + SECOND), order)
+    one.answer(START + 2 * SECOND, asked(2, lease=4, issued_us=START + SECOND), order)
     assert one.promised["b"] < START + TERM, "by another lease's clock"
-    one.answer(START, asked(3, lease=5, stamp=START + 9 * SECOND), order)
+    one.answer(START, asked(3, lease=5, issued_us=START + 9 * SECOND), order)
     assert one.promised["b"] < START + TERM, "a word that was not said yet"
 
 
@@ -297,9 +303,9 @@
     one = paced()
     assert one.answer(START, asked(1), (0, 0)) is None
     assert one.answer(START, asked(2), (6, 300_000)) is None, "a lease that has only begun"
-    assert one.answer(START, asked(3, mark=8), (5, 300_000)) is None
+    assert one.answer(START, asked(3, config_digest=8), (5, 300_000)) is None
     assert one.answer(START, asked(4, sender="x"), (5, 300_000)) is None
-    stranger = msgspec.structs.replace(asked(6), wants=[Want(UPSTREAM + 1, 9000, 1)])
+    stranger = msgspec.structs.replace(asked(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
     assert one.answer(START, stranger, (5, 300_000)) is None, "a host that is not on the list"
     one.pace(START, 6)
     assert one.answer(START + SECOND, asked(5), (6, 300_000)) is None, "what the one before gave is out yet"
@@ -392,7 +398,7 @@
     for _ in range(10):
         seek, _ = one.look(now, WALL, 1, "a")
         if seek is not None:
-            one.told(now, Leave("a", "b", 1, seek.number, 5, 300_000, now, 0))
+            one.told(now, TokenGrant("a", "b", 1, seek.request_id, 5, 300_000, now, 0))
         now += BEAT
     want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
     soon = one.sought(now, WALL, 1, 7, want)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -12,13 +12,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.cluster_file import fleet_from
+from larchlatch.cluster.cluster_file import parse_cluster
 from larchlatch.cluster.election.election import Roster
-from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.health import observations as evidence
 from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
 from larchlatch.cluster.membership.membership import Members
-from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
+from larchlatch.cluster.protocol.messages import HealthObservation, LoanGrant, LoanRequest
 from larchlatch.cluster.quota import counts
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 from larchlatch.cluster.quota.budgets import Budgets, Dealing, Limit
@@ -52,7 +53,15 @@
     def __init__(self, name: str, now: int, drift: Drift, chance: random.Random) -> None:
         self.drift = drift
         self.members = Members(name, dict.fromkeys(NAMES, ""), BEAT, now, drift.at(now), chance)
-        shared = Shared.of(name, dealing(), Roster(), 0, BEAT, drift.at(now), chance)
+        shared = SharedState.create(
+            name,
+            dealing(),
+            Roster(),
+            max_clock_difference_us=0,
+            heartbeat_us=BEAT,
+            now=drift.at(now),
+            random=chance,
+        )
         self.budgets, self.counts, self.evidence, *_ = shared
         shared.open(drift.at(now))
         keys = {name: key_of(name) for name in NAMES}
@@ -88,14 +97,16 @@
         for _, _, to, data in due:
             side = sides[NAMES.index(to)]
             if now >= side.awake_at:
-                taken = side.exchange.take(data, side.drift.at(now), now)
+                taken = side.exchange.receive(data, now=side.drift.at(now), wall=now)
                 sent += [(to, *datagram) for datagram in taken.datagrams]
         for name, side in zip(NAMES, sides, strict=True):
             if now < side.awake_at:
                 continue
             if now >= side.beat_at:
                 side.beat_at = now + BEAT
-                sent += [(name, *d) for d in side.exchange.beat(side.drift.at(now), now).datagrams]
+                sent += [
+                    (name, *d) for d in side.exchange.heartbeat(now=side.drift.at(now), wall=now).datagrams
+                ]
             for _ in range(chance.choice((0, 0, 0, 0, 1, 1, 2)) * (name in wanting)):
                 sessions += 1
                 judge.asked(now, str(sessions))
@@ -239,7 +250,9 @@
     ):
         budgets.agreed(now + at * SECOND, marks)
         assert budgets.rights["all"].limit(now + at * SECOND) == limit, (marks, at)
-    assert budgets.answer(now, Ask("b", 1, 1, now, "a", 2, "all", 1, 0)) is None, "by another file's term"
+    assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0)) is None, (
+        "by another file's term"
+    )
 
 
 def test_a_node_that_starts_with_another_file_than_the_others_keeps_to_its_floor() -> None:
@@ -272,14 +285,16 @@
     budgets.open(START - 60 * SECOND)
     ask = budgets.ask(START, START, 1, "b", "all", 5, 0)
     for lender, number in (("c", 1), ("b", 2)):
-        assert not budgets.news(Grant(lender, "a", 1, number, "all", 5))
-    grant = Grant("b", "a", 1, ask.number, "all", 500)
+        assert not budgets.news(LoanGrant(lender, "a", 1, number, "all", 5))
+    grant = LoanGrant("b", "a", 1, ask.request_id, "all", 500)
     assert budgets.news(grant) and not budgets.granted(START + SPANS.term_us, grant)
     ask = budgets.ask(START, START, 1, "b", "all", 5, 0)
-    assert not budgets.granted(START + 1, Grant("b", "a", 1, ask.number, "all", 500)), "time never runs back"
+    assert not budgets.granted(START + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500)), (
+        "time never runs back"
+    )
     now = START + 9 * SECOND
     ask = budgets.ask(now, now, 1, "b", "all", 5, 0)
-    assert budgets.granted(now + 1, Grant("b", "a", 1, ask.number, "all", 500))
+    assert budgets.granted(now + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500))
     assert budgets.rights["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
 
 
@@ -316,7 +331,7 @@
 
 
 def weighed(found: Evidence, now: int, sites: str, *witnesses: str, age: int = 0) -> Any:
-    claims = {name: [Finding(7, 2, 0)] for name in witnesses}
+    claims = {name: [HealthObservation(7, 2, 0)] for name in witnesses}
     where = {name: sites[place] for place, name in enumerate("abcd")}
     return found.weigh(now, claims, dict.fromkeys(witnesses, age), where, len(set(where.values())) > 1)
 
@@ -354,7 +369,7 @@
     assert found.told(START + SECOND) == [], "one may be a lost packet"
     assert weighed(found, START + SECOND, "eeww").looks == [7], "and a look that failed makes it look again"
     found.saw(START + SECOND, 7, False)
-    assert found.told(START + 2 * SECOND) == [Finding(7, 2, SECOND)]
+    assert found.told(START + 2 * SECOND) == [HealthObservation(7, 2, SECOND)]
     assert found.told(START + SECOND + FRESH_US) == [], "it has an age, and an end"
     late = START + SECOND + FRESH_US
     assert weighed(found, late, "eeww", "b", "c").looks == [7]
@@ -427,7 +442,7 @@
 )
 def test_a_faulty_budget_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
     with pytest.raises(InvalidInputError) as error:
-        fleet_from({"nodes": [ENTRY, OTHER], **change}, "cluster")
+        parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 import pytest
 from anyio.abc import TaskGroup, UNIXSocketStream
 
-from larchlatch.cluster.cluster_file import new_secret
+from larchlatch.cluster.keys import create_secret
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.config.node import plan_from
 from larchlatch.config.upstream import UpstreamSettings
@@ -393,7 +393,7 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP echo").start(tasks, 3)
         site = await Site(tasks, tmp_path).start(upstreams)
-        key, address = new_secret(tmp_path / "n0.key"), door_address()
+        key, address = create_secret(tmp_path / "n0.key"), door_address()
         (tmp_path / "cluster.toml").write_text(
             f'[[budgets]]\nname = "all"\nlinks_per_s = 20\ntariffs = ["once"]\n'
             f'[[nodes]]\nname = "n0"\naddress = "{address}"\nkey = "{key}"\n'
