--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -3,23 +3,34 @@
 from __future__ import annotations
 
 import asyncio
+import random
 from pathlib import Path
 from typing import Any
 
 import orjson
 import pytest
 from click.testing import CliRunner
+from structlog.testing import capture_logs
 
 from larchlatch.__main__ import cli
+from larchlatch.cluster.cluster_file import read_cluster_file
+from larchlatch.cluster.election.election import ALLOTTER, Event
+from larchlatch.cluster.exchange.results import ExecutedOrder
+from larchlatch.cluster.health.observations import Advice
+from larchlatch.cluster.keys import create_secret, own_signer, read_secret
+from larchlatch.cluster.membership.membership import Change, State
+from larchlatch.cluster.service import ClusterService
 from larchlatch.config.node import plan_from
 from larchlatch.days.day import checked
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
 from larchlatch.load import play
 from larchlatch.load.bounds import playable
+from larchlatch.load.company import Company
 from larchlatch.load.play import LoadTest, Place
 from larchlatch.load.sites import Watch
 from larchlatch.load.ways import Ways
+from larchlatch.node.metrics import Counters
 from larchlatch.policy.types import Idempotency
 
 SHORT: dict[str, Any] = {
@@ -203,3 +214,52 @@
     result = CliRunner().invoke(cli, ["load", str(tmp_path / "day.toml")])
     assert result.exit_code == 4 and "void" in result.stderr
     assert orjson.loads(result.stdout)["void"] is True
+
+
+class Heard:
+    """A balancer that takes all that its cluster tells it."""
+
+    def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
+        pass
+
+    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
+        return True
+
+
+def test_what_the_cluster_service_logs_is_what_the_load_tool_reads(tmp_path: Path) -> None:
+    """The tool judges nodes by their logs: an event or a field that it does not know is judged sound."""
+    key = create_secret(tmp_path / "n0.key")
+    node = f'[[nodes]]\nname = "n0"\naddress = "127.0.0.1:7400"\nkey = "{key}"\n'
+    (tmp_path / "cluster.toml").write_text(node)
+    configuration = read_cluster_file(tmp_path / "cluster.toml")
+    signer = own_signer(configuration, "n0", read_secret(tmp_path / "n0.key"))
+    path, chance = tmp_path / "cluster.toml", random.Random(1)
+    service = ClusterService("n0", [], path, configuration, signer, Counters(), chance, Heard())
+    service.listed(["h-3"], 0, 0)
+    [upstream] = service.upstreams
+    with service._socket, capture_logs() as lines:
+        service._log_changes([Change("n1", State.PRESENT)])
+        service._pass_on_advice(Advice([], [(upstream, 2)], [upstream]))
+        service.state.election.events.append(Event(ALLOTTER, "held", 7, "nobody held it"))
+        service.log_orders([ExecutedOrder(ALLOTTER, 7, "n1")])
+        service.state.election.events.append(Event(ALLOTTER, "ended", 7, "not renewed in time"))
+        service.log_orders([])
+
+    cluster = {"on": True, "links_per_s": 9.0, "allot": True, "electors": 3}
+    day = checked({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
+    company = Company(day, "127.0.0.1", tmp_path, [("127.0.0.1", n) for n in range(3)], lambda *_: True)
+    company.avoidance.gone(0, 3)
+    company.avoidance.runs(0, 0, True)
+    for number in range(3):
+        company.runs(number, True)
+    log = tmp_path / "n0.log"
+    for line in lines:
+        if line["event"] == "role_ended":
+            assert company.tenures[ALLOTTER].claims == [0], "it was said to be held"
+        with log.open("ab") as out:
+            out.write(orjson.dumps(line) + b"\n")
+        company.read()
+    assert company.agreement.views[0][1]
+    assert (0, 3) in company.avoidance.said and company.avoidance.heeded == 1
+    assert company.tenures[ALLOTTER].orders == 1 and company.tenures[ALLOTTER].claims == []
+    assert len(lines) == 6, "each of them was read"
