--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -21,7 +21,7 @@
     read_cluster_file,
 )
 from larchlatch.cluster.datagram_socket import DatagramSocket
-from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.event_log import ClusterEventLog
 from larchlatch.cluster.exchange.exchange import Exchange
 from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.membership.membership import Members
@@ -36,14 +36,12 @@
 
     from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
     from larchlatch.cluster.health.observations import Advice
-    from larchlatch.cluster.membership.membership import Change
     from larchlatch.cluster.slow_start.tokens import Told
     from larchlatch.node.metrics import Counters
     from larchlatch.node.ports import Hearing
     from larchlatch.policy.types import TokenCandidate
 
 SHUTDOWN_HEARTBEATS = 3  # so often a node that ends says so: one or two of these datagrams may be lost
-ROLE_EVENTS = {"held": "role_acquired", "ended": "role_ended"}  # what became of a role, and its log event
 
 log = structlog.get_logger()
 
@@ -99,8 +97,7 @@
         self._path = path
         self._counters = node_counters
         self._balancer = balancer
-        self._files_differ = False
-        self._unknown_version_logged = False
+        self._events = ClusterEventLog(node_counters)
         heartbeat_us, sites = configuration.heartbeat_us, configuration.sites
         # The order of these calls is the order of their random draws.
         self.membership = Members(name, sites, heartbeat_us, self.wall(), self.now(), random)
@@ -169,30 +166,24 @@
             await self._socket.wait_readable()
             for data in self._socket.read_available():
                 self._apply(self.exchange.receive(data, now=self.now(), wall=self.wall()))
-            version = self.exchange.unknown_version
-            if version is not None and not self._unknown_version_logged:
-                self._unknown_version_logged = True
-                log.warning("cluster_protocol_version_unknown", version=version)
+            self._events.unknown_version(self.exchange.unknown_version)
             await anyio.lowlevel.checkpoint()
 
     async def _heartbeat_loop(self) -> None:
-        isolated = False
         while True:
             self._heartbeat()
-            if self.membership.alone is not isolated:
-                isolated = self.membership.alone
-                log.warning("cluster_isolated" if isolated else "cluster_isolation_ended")
+            self._events.isolated(now=self.membership.alone)
             await anyio.sleep(self.membership.beat_us / 1e6)
 
     def _heartbeat(self) -> None:
         result = self.exchange.heartbeat(now=self.now(), wall=self.wall())
-        self._log_changes(result.changes)
+        self._events.member_changes(result.changes)
         self.log_orders([])
         # The balancer gives up its slow-start windows before that is promised to others.
         self._update_tokens(result.token_updates)
         self._send(result.datagrams)
         self._pass_on_advice(result.advice)
-        self._log_file_difference()
+        self._events.files_differ(now=self.state.quotas.other)
 
     def _announce_shutdown(self) -> None:
         """Tell the others that this node ends: they need not wait until it counts as silent."""
@@ -203,7 +194,7 @@
     # What comes of the exchange.
 
     def _apply(self, result: ExchangeResult) -> None:
-        self._log_changes(result.changes)
+        self._events.member_changes(result.changes)
         self.log_orders(result.orders)
         self._send(result.datagrams)
         self._update_tokens(result.token_updates)
@@ -212,20 +203,10 @@
         for datagram in datagrams:
             self._socket.send(datagram.data, self.configuration.nodes[datagram.recipient].address)
 
-    def _log_changes(self, changes: list[Change]) -> None:
-        for change in changes:
-            self._counters.add(counters.MEMBER_STATE + change.state.value)
-            log.info("member_state_changed", name=change.name, state=change.state.value)
-
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
         """Log orders that were carried out here, and what became of this node's own roles since."""
-        for order in orders:
-            self._counters.add(counters.ORDERS_EXECUTED)
-            # There is one of the token issuer for each session.
-            write = log.debug if order.role == PACER else log.info
-            write("order_executed", **order._asdict())
-        for event in self.state.election.drained():
-            log.info(ROLE_EVENTS[event.what], role=event.duty, lease=event.lease, reason=event.why)
+        self._events.orders(orders)
+        self._events.role_events(self.state.election.drained())
 
     def _update_tokens(self, updates: list[Told]) -> None:
         # The balancer goes by another clock than leases do.
@@ -241,21 +222,12 @@
     def _pass_on_advice(self, advice: Advice) -> None:
         probes = [self.upstreams[upstream] for upstream in advice.looks]
         ejections = [(self.upstreams[upstream], witnesses) for upstream, witnesses in advice.failed]
-        for upstream, witnesses in ejections:
-            self._counters.add(counters.EJECTIONS_ADVISED)
-            log.info("upstream_ejection_advised", upstream=upstream, witnesses=witnesses)
-        for unreachable in advice.gone:
-            log.info("upstream_unreachable", upstream=self.upstreams[unreachable])
+        self._events.ejections_advised(ejections)
+        self._events.unreachable(self.upstreams[upstream] for upstream in advice.gone)
         if probes or ejections:
             self._counters.add(counters.PROBES_ADVISED, len(probes))
             self._balancer.advise(probes, ejections)
 
-    def _log_file_difference(self) -> None:
-        differ = self.state.quotas.other
-        if differ is not self._files_differ:
-            self._files_differ = differ
-            log.warning("cluster_files_differ" if differ else "cluster_files_agree")
-
     # What the node asks, and tells.
 
     def retire(self) -> None:
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -238,7 +238,7 @@
     service.listed(["h-3"], 0, 0)
     [upstream] = service.upstreams
     with service._socket, capture_logs() as lines:
-        service._log_changes([Change("n1", State.PRESENT)])
+        service._events.member_changes([Change("n1", State.PRESENT)])
         service._pass_on_advice(Advice([], [(upstream, 2)], [upstream]))
         service.state.election.events.append(Event(ALLOTTER, "held", 7, "nobody held it"))
         service.log_orders([ExecutedOrder(ALLOTTER, 7, "n1")])
