--- a/larchlatch/cli/inspect.py
+++ b/larchlatch/cli/inspect.py
@@ -15,9 +15,9 @@
 def cluster_key(out: Path) -> None:
     """Make a node's key: the secret one into a file, the public one, for the cluster file, printed."""
     # A node without a cluster must not load this package.
-    from larchlatch.cluster.cluster_file import new_secret
+    from larchlatch.cluster.keys import create_secret
 
-    click.echo(new_secret(out))
+    click.echo(create_secret(out))
 
 
 @click.command()
@@ -44,13 +44,13 @@
 
     """
     # A node without a cluster must not load this package.
-    from larchlatch.cluster.cluster_file import fleet_of
+    from larchlatch.cluster.cluster_file import read_cluster_file
 
-    cluster_file = fleet_of(path)
-    nodes = len(cluster_file.peers)
-    sites = len({peer.site for peer in cluster_file.peers.values()})
-    electors = len(cluster_file.roster.electors)
-    budgets = len(cluster_file.dealing.limits)
+    cluster = read_cluster_file(path)
+    nodes = len(cluster.nodes)
+    sites = len({node.site for node in cluster.nodes.values()})
+    electors = len(cluster.electorate.electors)
+    budgets = len(cluster.quota_settings.limits)
     return f"cluster: in order; {nodes} nodes, {sites} sites, {electors} electors, {budgets} budgets"
 
 
--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -66,15 +66,16 @@
 
     """
     # A node without a cluster must not load this package.
-    from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
-    from larchlatch.cluster.service import Cluster
+    from larchlatch.cluster.cluster_file import check_traffic_classes, read_cluster_file
+    from larchlatch.cluster.keys import own_signer, read_secret
+    from larchlatch.cluster.service import ClusterService
 
     if key_path is None:
         raise click.UsageError("--cluster wants '--cluster-key' as well")
     name, traffic_classes = configuration.name, configuration.traffic_class_names
-    cluster_file = fleet_of(path)
-    seal = own_seal(cluster_file, name, secret_of(key_path))
-    fits_traffic_classes(cluster_file, traffic_classes)
-    return lambda counters, random_source, balancer_actor: Cluster(
-        name, traffic_classes, path, cluster_file, seal, counters, random_source, balancer_actor
+    cluster = read_cluster_file(path)
+    signer = own_signer(cluster, name, read_secret(key_path))
+    check_traffic_classes(cluster, traffic_classes)
+    return lambda counters, random_source, balancer_actor: ClusterService(
+        name, traffic_classes, path, cluster, signer, counters, random_source, balancer_actor
     )
--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -17,7 +17,7 @@
     Reporters,
     reporters_by_upstream,
 )
-from larchlatch.cluster.protocol.datagrams import Finding
+from larchlatch.cluster.protocol.messages import HealthObservation
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -165,7 +165,7 @@
             known.failures += 1
             known.failed_at_us = now_us
 
-    def own_report(self, now_us: int) -> list[Finding]:
+    def own_report(self, now_us: int) -> list[HealthObservation]:
         """Return what this node's record reports: its own observations alone.
 
         Reports of others never go in: passed on as one's own, one liar's would come back as many.
@@ -176,12 +176,12 @@
             if known.failures >= REPORTABLE_FAILURES and now_us < known.failed_at_us + OBSERVATION_TTL_US
         ]
         newest = sorted(reportable)[:MAX_REPORTED]
-        return [Finding(upstream, failures, age_us) for age_us, upstream, failures in newest]
+        return [HealthObservation(upstream, failures, age_us) for age_us, upstream, failures in newest]
 
     def advise(
         self,
         now_us: int,
-        reports: Mapping[str, Iterable[Finding]],
+        reports: Mapping[str, Iterable[HealthObservation]],
         ages_us: Mapping[str, int],
         sites: Mapping[str, str],
         *,
--- a/larchlatch/cluster/health/reports.py
+++ b/larchlatch/cluster/health/reports.py
@@ -7,7 +7,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-    from larchlatch.cluster.protocol.datagrams import Finding
+    from larchlatch.cluster.protocol.messages import HealthObservation
 
 REPORTABLE_FAILURES = 2  # failures in a row that are reported to others: one may be a lost packet
 # An observation, good or bad, counts for so long: upstreams on probation are probed every 2 s.
@@ -33,7 +33,7 @@
 
 
 def reporters_by_upstream(
-    reports: Mapping[str, Iterable[Finding]], ages_us: Mapping[str, int]
+    reports: Mapping[str, Iterable[HealthObservation]], ages_us: Mapping[str, int]
 ) -> dict[int, Reporters]:
     """Group the observations of other nodes by upstream, without those that no longer count.
 
@@ -50,7 +50,7 @@
     for name, observations in reports.items():
         for observation in observations:
             age_us = max(0, observation.age_us) + ages_us[name]
-            if observation.looks < REPORTABLE_FAILURES or age_us >= OBSERVATION_TTL_US:
+            if observation.failures < REPORTABLE_FAILURES or age_us >= OBSERVATION_TTL_US:
                 continue
             counted.setdefault(observation.upstream, set()).add(name)
             if age_us < ACTIONABLE_US:
--- a/larchlatch/cluster/membership/dissemination.py
+++ b/larchlatch/cluster/membership/dissemination.py
@@ -7,13 +7,13 @@
 
 from larchlatch.cluster.membership.clock import FAN_OUT
 from larchlatch.cluster.membership.member import Member
-from larchlatch.cluster.protocol.datagrams import MOST_BYTES, OVERHEAD, size_of
+from larchlatch.cluster.protocol.codec import DATAGRAM_OVERHEAD_BYTES, MAX_DATAGRAM_BYTES, encoded_size
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping, Sequence
     from random import Random
 
-    from larchlatch.cluster.protocol.datagrams import Record, Signed
+    from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
 # Watchers that a heartbeat goes to besides, with its own record alone: each gets it every 0.4 s.
 WATCHERS_A_HEARTBEAT = 4
@@ -69,16 +69,18 @@
     return [watchers[(first + offset) % len(watchers)] for offset in range(count)]
 
 
-def has_urgent_news(record: Record, previous: Record | None) -> bool:
+def has_urgent_news(record: NodeRecord, previous: NodeRecord | None) -> bool:
     """Return whether a record has to reach all soon: it newly suspects a member, or holds promises.
 
     The holder of a role is known by its electors' newest records.
     """
-    known = {report.place for report in previous.missed} if previous is not None else set()
-    return bool(record.promises) or any(report.place not in known for report in record.missed)
+    known = {report.member_index for report in previous.suspicions} if previous is not None else set()
+    return bool(record.promises) or any(report.member_index not in known for report in record.suspicions)
 
 
-def pack_records(own: Signed, members: Iterable[Member], datagram_count: int) -> list[list[Signed]]:
+def pack_records(
+    own: SignedMessage, members: Iterable[Member], datagram_count: int
+) -> list[list[SignedMessage]]:
     """Choose the records of so many datagrams: the own one, then as many as fit of others.
 
     Records forwarded least often go first, and of these the newest: in the order of names, or in turn, old
@@ -104,15 +106,15 @@
     return datagrams
 
 
-def _fill_datagram(own: Signed, waiting: Sequence[Member]) -> list[Signed]:
+def _fill_datagram(own: SignedMessage, waiting: Sequence[Member]) -> list[SignedMessage]:
     """Take the first waiting records that fit beside the own one."""
-    free_bytes = MOST_BYTES - OVERHEAD - size_of(own)
-    forwarded: list[Signed] = []
+    free_bytes = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - encoded_size(own)
+    forwarded: list[SignedMessage] = []
     for member in waiting:
         assert member.signed is not None
-        if size_of(member.signed) > free_bytes:
+        if encoded_size(member.signed) > free_bytes:
             break
-        free_bytes -= size_of(member.signed)
+        free_bytes -= encoded_size(member.signed)
         forwarded.append(member.signed)
         member.times_forwarded += 1
     return forwarded
--- a/larchlatch/cluster/membership/member.py
+++ b/larchlatch/cluster/membership/member.py
@@ -9,7 +9,7 @@
 from larchlatch.cluster.membership.clock import SUSPICION_US
 
 if TYPE_CHECKING:
-    from larchlatch.cluster.protocol.datagrams import Record, Signed
+    from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
 # A watcher that was silent until lately was cut off itself: its reports are not believed for so long.
 RECOVERY_US = SUSPICION_US
@@ -53,8 +53,8 @@
     """
 
     name: str
-    record: Record | None = None
-    signed: Signed | None = None
+    record: NodeRecord | None = None
+    signed: SignedMessage | None = None
     last_news_us: int = 0
     last_record_us: int = 0
     recovered_us: int = -RECOVERY_US
@@ -70,18 +70,18 @@
         """Return the state that follows from the newest record and from silence."""
         if self.record is None:
             return MemberState.UNHEARD
-        if self.record.leaving:
+        if self.record.shutting_down:
             return MemberState.LEFT
         return MemberState.SILENT if self.is_silent else MemberState.PRESENT
 
     @property
     def configuration_digest(self) -> int | None:
         """Return the digest of the cluster file that it goes by; None until a record has come."""
-        return self.record.mark if self.record is not None else None
+        return self.record.config_digest if self.record is not None else None
 
     def forwarding_rank(self) -> tuple[int, int]:
         """Return the sort key of forwarding: least often forwarded first, then the newest."""
-        return self.times_forwarded, -self.record.made_us if self.record is not None else 0
+        return self.times_forwarded, -self.record.created_us if self.record is not None else 0
 
 
 class MemberChange(NamedTuple):
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -19,7 +19,14 @@
 from larchlatch.cluster.membership.member import Member, MemberChange, MemberSnapshot, MemberState
 from larchlatch.cluster.membership.suspicion import SuspicionTracker
 from larchlatch.cluster.membership.table import MemberTable
-from larchlatch.cluster.protocol.datagrams import Finding, Promised, Record, Signed, Standing, Unread
+from larchlatch.cluster.protocol.messages import (
+    DropReason,
+    HealthObservation,
+    NodeRecord,
+    Promise,
+    QuotaReport,
+    SignedMessage,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -100,7 +107,7 @@
 
     # What is received.
 
-    def classify(self, record: Record, wall_us: int) -> RecordNovelty | Unread:
+    def classify(self, record: NodeRecord, wall_us: int) -> RecordNovelty | DropReason:
         """Judge a record that can't be trusted yet.
 
         Returns:
@@ -112,19 +119,19 @@
             return RecordNovelty.NEWER if ahead else RecordNovelty.KNOWN
         member = self._table.members.get(record.name)
         if member is None:
-            return Unread.STRANGER
-        if member.record is not None and record.age <= member.record.age:
+            return DropReason.UNKNOWN_MEMBER
+        if member.record is not None and record.version <= member.record.version:
             return RecordNovelty.KNOWN
-        return self.check_time(record.made_us, wall_us) or RecordNovelty.NEWER
+        return self.check_time(record.created_us, wall_us) or RecordNovelty.NEWER
 
     @staticmethod
-    def check_time(made_us: int, wall_us: int) -> Unread | None:
+    def check_time(made_us: int, wall_us: int) -> DropReason | None:
         """Return why something made at this Unix time is no longer, or not yet, to be believed."""
         if made_us < wall_us - MAX_CLOCK_DIFFERENCE_US:
-            return Unread.STALE
-        return Unread.EARLY if made_us > wall_us + MAX_CLOCK_DIFFERENCE_US else None
+            return DropReason.TOO_OLD
+        return DropReason.IN_THE_FUTURE if made_us > wall_us + MAX_CLOCK_DIFFERENCE_US else None
 
-    def receive(self, record: Record, signed: Signed, *, direct: bool) -> MemberChange | None:
+    def receive(self, record: NodeRecord, signed: SignedMessage, *, direct: bool) -> MemberChange | None:
         """Take in a record that is newer and whose signature holds.
 
         Args:
@@ -159,14 +166,14 @@
         self._suspicions.process_report(record)
         return MemberChange(member.name, member.state) if member.state is not state_before else None
 
-    def receive_again(self, name: str, signed: Signed) -> None:
+    def receive_again(self, name: str, signed: SignedMessage) -> None:
         """Take in a known record from its origin itself: another had forwarded it sooner."""
         member = self._table.members.get(name)
         # Only what is the same to the last byte: its signature has not been checked a second time.
         if member is not None and member.signed == signed:
             self._note_direct_contact(member)
 
-    def _outbid(self, record: Record) -> None:
+    def _outbid(self, record: NodeRecord) -> None:
         """Begin an incarnation after that of an earlier life, whose clock was ahead.
 
         Otherwise nobody would take this one's records for newer.
@@ -198,10 +205,10 @@
         wall_us: int,
         *,
         digest: int,
-        shares: list[Standing],
-        observations: list[Finding],
-        promises: list[Promised],
-    ) -> Record:
+        shares: list[QuotaReport],
+        observations: list[HealthObservation],
+        promises: list[Promise],
+    ) -> NodeRecord:
         """Make this node's next record.
 
         Args:
@@ -216,7 +223,7 @@
 
         """
         self.record_number += 1
-        return Record(
+        return NodeRecord(
             self.own_name,
             self.incarnation,
             self.record_number,
@@ -238,7 +245,7 @@
         """Return the watchers that this node's record goes to besides."""
         return watcher_targets(self._suspicions.own_watchers, self.record_number)
 
-    def pack_records(self, own: Signed, datagram_count: int) -> list[list[Signed]]:
+    def pack_records(self, own: SignedMessage, datagram_count: int) -> list[list[SignedMessage]]:
         """Choose the records of so many datagrams; see `dissemination.pack_records`."""
         return pack_records(own, self._table.members.values(), datagram_count)
 
@@ -255,7 +262,7 @@
         return self._suspicions.index_by_name
 
     @property
-    def present_records(self) -> dict[str, Record]:
+    def present_records(self) -> dict[str, NodeRecord]:
         """Return the newest record of each member that is present."""
         present = self._table.present.items()
         return {name: member.record for name, member in present if member.record is not None}
--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -13,14 +13,14 @@
 from larchlatch.cluster.membership.clock import SUSPICION_HEARTBEATS
 from larchlatch.cluster.membership.member import NEVER_US, RECOVERY_US, Member, RecordAge
 from larchlatch.cluster.membership.watchers import assign_watchers, invert
-from larchlatch.cluster.protocol.datagrams import Missed
+from larchlatch.cluster.protocol.messages import Suspicion
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
     from larchlatch.cluster.membership.clock import ListeningClock
     from larchlatch.cluster.membership.table import MemberTable
-    from larchlatch.cluster.protocol.datagrams import Record
+    from larchlatch.cluster.protocol.messages import NodeRecord
 
 CONFIRMATIONS = 2  # watchers that have to suspect a member until it is silent: one alone may be cut off
 MAX_REPORTED = 12  # suspected members in one record, those missed last first
@@ -64,7 +64,7 @@
 
     # Reports of others.
 
-    def process_report(self, record: Record) -> None:
+    def process_report(self, record: NodeRecord) -> None:
         """Take in whom a member's record suspects, and whom it no longer does.
 
         After a cut, a member of the other side has suspected all of this side, by its reports of before.
@@ -72,26 +72,26 @@
         that was silent until lately is not believed.
         """
         suspected = {
-            report.place: RecordAge(report.incarnation, report.number)
-            for report in record.missed
-            if report.place < len(self.names)
+            report.member_index: RecordAge(report.incarnation, report.sequence)
+            for report in record.suspicions
+            if report.member_index < len(self.names)
         }
         watcher = self._table.members[record.name]
         if self._clock.listened_us - watcher.recovered_us >= RECOVERY_US:
             self._add_suspicions(record, suspected)
         self._withdraw_suspicions(record, suspected)
 
-    def _add_suspicions(self, record: Record, suspected: Mapping[int, RecordAge]) -> None:
+    def _add_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordAge]) -> None:
         for index, known_age in suspected.items():
             member = self._table.members.get(self.names[index])
             if member is None or record.name not in member.watchers:
                 continue
             # Otherwise there has been news of the member since.
-            if member.record is None or self._covers(known_age, member.record, record.made_us):
+            if member.record is None or self._covers(known_age, member.record, record.created_us):
                 member.suspected_by[record.name] = known_age
                 self._update_suspected(member)
 
-    def _withdraw_suspicions(self, record: Record, suspected: Mapping[int, RecordAge]) -> None:
+    def _withdraw_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordAge]) -> None:
         for bit, name in enumerate(self._watched_by[record.name]):
             member = self._table.members.get(name)
             if member is None or self.index_by_name[name] in suspected:
@@ -99,25 +99,25 @@
             if member.suspected_by.pop(record.name, None) is not None:
                 self._update_suspected(member)
             # Own records travel seldom in large fleets: that a watcher hears the member says that it lives.
-            if not member.is_silent and has_bit(record.heard, bit):
+            if not member.is_silent and has_bit(record.direct_contacts, bit):
                 self._table.renew(member, listened_us=self._clock.listened_us)
 
-    def _covers(self, known_age: RecordAge, newest: Record, reported_at_us: int) -> bool:
+    def _covers(self, known_age: RecordAge, newest: NodeRecord, reported_at_us: int) -> bool:
         """Return whether a report made by a record of this age holds against the newest that is known here.
 
         The last record before a cut may have come here and to no watcher. The watchers' reports, made by the
         record before it, would not hold against it, and the member would be present for ever. So they do
         once the watchers have suspected it for as long as it would have taken to send more than that.
         """
-        if newest.age <= known_age:
+        if newest.version <= known_age:
             return True
         few_ahead = (
             newest.incarnation == known_age.incarnation
-            and newest.number <= known_age.number + SUSPICION_HEARTBEATS
+            and newest.sequence <= known_age.number + SUSPICION_HEARTBEATS
         )
-        return few_ahead and reported_at_us - newest.made_us >= self._clock.suspicion_us
+        return few_ahead and reported_at_us - newest.created_us >= self._clock.suspicion_us
 
-    def withdraw_by_record(self, member: Member, record: Record) -> None:
+    def withdraw_by_record(self, member: Member, record: NodeRecord) -> None:
         """Drop the suspicions that a new record of the member refutes.
 
         Old records of a dead member travel for long; only one that its watchers did not have yet when they
@@ -125,7 +125,7 @@
         """
         if member.suspected_by:
             member.suspected_by = {
-                name: age for name, age in member.suspected_by.items() if age >= record.age
+                name: age for name, age in member.suspected_by.items() if age >= record.version
             }
             self._update_suspected(member)
 
@@ -143,15 +143,15 @@
 
     def update_own_suspicions(self) -> None:
         """Find anew whom this node suspects by now."""
-        self._own_suspicions = {self.names[report.place] for report in self.own_report()}
+        self._own_suspicions = {self.names[report.member_index] for report in self.own_report()}
 
-    def own_report(self) -> list[Missed]:
+    def own_report(self) -> list[Suspicion]:
         """Return whom this node watches and has not heard itself for a while, though it did before."""
         watched = (self._table.members[name] for name in self._watched_by[self._own_name])
         suspects = [member for member in watched if self._misses(member)]
         suspects.sort(key=lambda member: -member.last_direct_us)
         return [
-            Missed(self.index_by_name[member.name], member.record.incarnation, member.record.number)
+            Suspicion(self.index_by_name[member.name], member.record.incarnation, member.record.sequence)
             for member in suspects[:MAX_REPORTED]
             if member.record is not None
         ]
@@ -168,7 +168,7 @@
             and member.last_direct_us < since_us
             and member.last_record_us < since_us
             and member.record is not None
-            and not member.record.leaving
+            and not member.record.shutting_down
         )
 
     # What follows.
@@ -207,4 +207,6 @@
         contacts = self.contact_names(member.name)
         if self._own_name not in contacts:
             return None
-        return member.record is not None and has_bit(member.record.heard, contacts.index(self._own_name))
+        return member.record is not None and has_bit(
+            member.record.direct_contacts, contacts.index(self._own_name)
+        )
--- a/larchlatch/cluster/membership/table.py
+++ b/larchlatch/cluster/membership/table.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
 
-    from larchlatch.cluster.protocol.datagrams import Record, Signed
+    from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
 
 class MemberTable:
@@ -41,7 +41,7 @@
         self.present = {name: member for name, member in self.present.items() if name in self.members}
         self._digest_counts = Counter(member.configuration_digest for member in self.members.values())
 
-    def store(self, member: Member, record: Record, signed: Signed) -> None:
+    def store(self, member: Member, record: NodeRecord, signed: SignedMessage) -> None:
         """Replace a member's record by a newer one."""
         self._digest_counts[member.configuration_digest] -= 1
         member.record, member.signed = record, signed
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping, Sequence
 
-    from larchlatch.cluster.protocol.datagrams import Record
+    from larchlatch.cluster.protocol.messages import NodeRecord
     from larchlatch.cluster.quota.budgets import Dealing
 
 # The stretch that ranges cover: a cut of a few windows shows in it, and has left it soon after.
@@ -97,14 +97,14 @@
         """Return the length of the stretch that ranges cover."""
         return WINDOWS * self._dealing.spans.window_us
 
-    def receive(self, record: Record) -> None:
+    def receive(self, record: NodeRecord) -> None:
         """Keep what a node's record tells, this node's own included."""
         samples = self._samples.get(record.name)
-        if samples is None or record.mark != self._dealing.mark:
+        if samples is None or record.config_digest != self._dealing.mark:
             return
-        admitted = tuple(share.spent for share in record.shares)
-        _append_thinned(samples, Sample(record.made_us, record.incarnation, admitted))
-        oldest_us = record.made_us - self.span_us - 2 * self.clock_difference_us
+        admitted = tuple(share.spent for share in record.quota_reports)
+        _append_thinned(samples, Sample(record.created_us, record.incarnation, admitted))
+        oldest_us = record.created_us - self.span_us - 2 * self.clock_difference_us
         while len(samples) > 2 and samples[1].made_us < oldest_us:
             samples.popleft()
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -17,28 +17,26 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
+from larchlatch.cluster.cluster_file import parse_cluster
 from larchlatch.cluster.election.election import Roster
-from larchlatch.cluster.exchange import Exchange, Shared
+from larchlatch.cluster.exchange.exchange import Exchange
+from larchlatch.cluster.exchange.state import SharedState
+from larchlatch.cluster.keys import create_secret, own_signer, read_secret
 from larchlatch.cluster.membership.clock import FAN_OUT
 from larchlatch.cluster.membership.member import MemberState
 from larchlatch.cluster.membership.membership import MAX_CLOCK_DIFFERENCE_US, Membership
 from larchlatch.cluster.membership.watchers import WATCHERS, assign_watchers
-from larchlatch.cluster.protocol.datagrams import (
-    MOST_BYTES,
+from larchlatch.cluster.protocol.codec import (
+    MAX_DATAGRAM_BYTES,
     VERSION,
-    Datagram,
-    Missed,
-    Record,
-    Signed,
-    Unread,
-    body_of,
-    datagram_of,
-    note_of,
-    read,
-    record_of,
+    decode_datagram,
+    decode_message,
+    decode_record,
+    encode_body,
+    encode_datagram,
 )
-from larchlatch.cluster.protocol.signing import Checks, Seal, seal_of
+from larchlatch.cluster.protocol.messages import Datagram, DropReason, NodeRecord, SignedMessage, Suspicion
+from larchlatch.cluster.protocol.signing import Signer, Verifier, parse_signer
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing
 from larchlatch.days.agreement import SETTLED_US, Agreement
@@ -52,7 +50,7 @@
 SPANS = Spans(1_000_000, 3_000_000, 0.01)
 WALL_US = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
-KEYS = {name: Seal(secret).public for name, secret in SECRETS.items()}
+KEYS = {name: Signer(secret).public_key for name, secret in SECRETS.items()}
 
 
 class ManualNode:
@@ -68,11 +66,19 @@
             now_us=0,
             rng=random.Random(seed),
         )
-        shared = Shared.of(
-            name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, HEARTBEAT_US, 0, random.Random(seed)
+        shared = SharedState.create(
+            name,
+            Dealing((), tuple(names), 1.0, SPANS, 1),
+            Roster(),
+            max_clock_difference_us=0,
+            heartbeat_us=HEARTBEAT_US,
+            now=0,
+            random=random.Random(seed),
         )
         sites = dict.fromkeys(names, "")
-        self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
+        self.exchange = Exchange(
+            self.members, shared, sites, KEYS, Signer(SECRETS[name]), Verifier(), self.count
+        )
 
     def count(self, kind: str) -> None:
         self.counts[kind] = self.counts.get(kind, 0) + 1
@@ -80,12 +86,12 @@
     def state(self, name: str) -> MemberState:
         return self.members.members[name].state
 
-    def drop_count(self, why: Unread) -> int:
-        return self.counts.get(f"cluster: dropped, {why.value}", 0)
+    def drop_count(self, why: DropReason) -> int:
+        return self.counts.get(f"cluster_dropped_{why.value}", 0)
 
     def next_datagram(self, now: int = 0, wall: int = WALL_US) -> bytes:
         """Return the first datagram of its next heartbeat."""
-        return self.exchange.beat(now, wall).datagrams[0][1]
+        return self.exchange.heartbeat(now=now, wall=wall).datagrams[0][1]
 
 
 def run_heartbeats(nodes: list[ManualNode], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
@@ -99,9 +105,9 @@
     for number in range(first, first + count):
         now = number * HEARTBEAT_US
         for node in nodes:
-            for name, data in node.exchange.beat(now, WALL_US + now).datagrams:
+            for name, data in node.exchange.heartbeat(now=now, wall=WALL_US + now).datagrams:
                 if name in by_name and (name in cut) is (node.members.own_name in cut):
-                    by_name[name].exchange.take(data, now, WALL_US + now)
+                    by_name[name].exchange.receive(data, now=now, wall=WALL_US + now)
     return first + count
 
 
@@ -176,7 +182,7 @@
     at = run_heartbeats(nodes, 0, 6)
     nodes[0].members.set_members(dict.fromkeys("abc", ""))
     run_heartbeats(nodes, at, 6)
-    assert "d" not in nodes[0].members.members and nodes[0].drop_count(Unread.STRANGER) > 0
+    assert "d" not in nodes[0].members.members and nodes[0].drop_count(DropReason.UNKNOWN_MEMBER) > 0
     assert nodes[0].state("c") is MemberState.PRESENT, "the others are kept"
 
 
@@ -196,18 +202,18 @@
     kept: list[tuple[str, bytes]] = []
     newest: dict[str, tuple[int, int]] = {}
     for number, (one, other, what) in enumerate(steps):
-        for name, data in nodes[one].exchange.beat(number * HEARTBEAT_US, WALL_US).datagrams:
+        for name, data in nodes[one].exchange.heartbeat(now=number * HEARTBEAT_US, wall=WALL_US).datagrams:
             kept += [(name, data)] * {"l": 0, "d": 2}.get(what, 1)
         own = nodes[one].members
         newest[own.own_name] = (own.incarnation, own.record_number)
         while kept and what != "r":
             name, data = kept.pop(other % len(kept))
             node = next(s for s in nodes if s.members.own_name == name)
-            before = {n: m.record.age for n, m in node.members.members.items() if m.record is not None}
-            node.exchange.take(data, 0, WALL_US)
+            before = {n: m.record.version for n, m in node.members.members.items() if m.record is not None}
+            node.exchange.receive(data, now=0, wall=WALL_US)
             for n, member in node.members.members.items():
-                assert member.record is None or before.get(n, (0, 0)) <= member.record.age <= newest[n]
-    assert all(node.drop_count(Unread.SIGNATURE) == 0 for node in nodes)
+                assert member.record is None or before.get(n, (0, 0)) <= member.record.version <= newest[n]
+    assert all(node.drop_count(DropReason.INVALID_SIGNATURE) == 0 for node in nodes)
 
 
 def test_watchers_tell_of_a_death_in_a_large_fleet_and_one_alone_is_not_believed() -> None:
@@ -227,22 +233,22 @@
 
     times = itertools.count(1)
 
-    def hear(name: str, number: int, *missed: Missed) -> MemberState:
-        record = Record(name, WALL_US, number, WALL_US, False, b"", missed=list(missed))
-        members.receive(record, Signed(body_of(record), bytes(64)), direct=False)
+    def hear(name: str, number: int, *missed: Suspicion) -> MemberState:
+        record = NodeRecord(name, WALL_US, number, WALL_US, False, b"", suspicions=list(missed))
+        members.receive(record, SignedMessage(encode_body(record), bytes(64)), direct=False)
         members.advance(next(times))
         return dead.state
 
     hear("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert hear(watchers[0], 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert hear(watchers[0], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
         "one watcher alone may be cut off"
     )
-    assert hear(stranger, 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
-    assert hear(watchers[1], 1, Missed(place, WALL_US, 9)) is MemberState.SILENT
+    assert hear(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
+    assert hear(watchers[1], 1, Suspicion(place, WALL_US, 9)) is MemberState.SILENT
     assert hear("n20", 9) is MemberState.SILENT, "a record that its watchers had already"
     assert hear("n20", 10) is MemberState.PRESENT, "a newer record refutes the suspicion"
-    assert hear(watchers[2], 1, Missed(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert hear(watchers[2], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
         "a suspicion by an older record"
     )
 
@@ -295,17 +301,17 @@
     )
     blank = bytes(64)
     for number, name in enumerate(names[1:]):
-        record = Record(name, WALL_US, number, WALL_US + number, False, bytes(125))
-        members.receive(record, Signed(body_of(record), blank), direct=False)
-    own = Signed(
-        body_of(members.next_record(WALL_US, digest=0, shares=[], observations=[], promises=[])), blank
+        record = NodeRecord(name, WALL_US, number, WALL_US + number, False, bytes(125))
+        members.receive(record, SignedMessage(encode_body(record), blank), direct=False)
+    own = SignedMessage(
+        encode_body(members.next_record(WALL_US, digest=0, shares=[], observations=[], promises=[])), blank
     )
     sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
     assert {name for targets in sent for name in targets} == set(names[1:]), "each is reached within a round"
     records = members.pack_records(own, 1)[0]
-    assert len(datagram_of(records)) <= MOST_BYTES and len(records) >= 5
-    newest = record_of(records[1].body)
+    assert len(encode_datagram(records)) <= MAX_DATAGRAM_BYTES and len(records) >= 5
+    newest = decode_record(records[1].body)
     assert newest is not None and newest.name == names[-1], "the newest is forwarded first"
 
 
@@ -314,70 +320,70 @@
 
 def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
     good = ManualNode("b").next_datagram()
-    body = body_of(Record("b", WALL_US, 1, WALL_US, False, b""))
-    forged = datagram_of([Signed(body, Seal(SECRETS["c"]).sign(body))])
-    stranger = body_of(Record("x", WALL_US, 1, WALL_US, False, b""))
+    body = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
+    forged = encode_datagram([SignedMessage(body, Signer(SECRETS["c"]).sign(body))])
+    stranger = encode_body(NodeRecord("x", WALL_US, 1, WALL_US, False, b""))
     cases = [
-        (b"", Unread.EMPTY),
-        (bytes(MOST_BYTES + 1), Unread.LONG),
-        (bytes([VERSION + 1]) + good[1:], Unread.VERSION),
-        (bytes([VERSION]) + b"\xc1", Unread.FORM),
-        (datagram_of([Signed(b"", bytes(64))]), Unread.FORM),
-        (datagram_of([Signed(body, b"short")]), Unread.FORM),
-        (datagram_of([]), Unread.FORM),
-        (datagram_of([Signed(stranger, bytes(64))]), Unread.STRANGER),
-        (forged, Unread.SIGNATURE),
+        (b"", DropReason.EMPTY),
+        (bytes(MAX_DATAGRAM_BYTES + 1), DropReason.TOO_LONG),
+        (bytes([VERSION + 1]) + good[1:], DropReason.UNKNOWN_VERSION),
+        (bytes([VERSION]) + b"\xc1", DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(b"", bytes(64))]), DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(body, b"short")]), DropReason.MALFORMED),
+        (encode_datagram([]), DropReason.MALFORMED),
+        (encode_datagram([SignedMessage(stranger, bytes(64))]), DropReason.UNKNOWN_MEMBER),
+        (forged, DropReason.INVALID_SIGNATURE),
         (
             ManualNode("b", wall=WALL_US - 86_400_000_000).next_datagram(wall=WALL_US - 86_400_000_000),
-            Unread.STALE,
+            DropReason.TOO_OLD,
         ),
-        (ManualNode("b").next_datagram(wall=WALL_US + 2 * MAX_CLOCK_DIFFERENCE_US), Unread.EARLY),
+        (ManualNode("b").next_datagram(wall=WALL_US + 2 * MAX_CLOCK_DIFFERENCE_US), DropReason.IN_THE_FUTURE),
     ]
     node = ManualNode("a")
     for data, why in cases:
         before = node.drop_count(why)
-        assert node.exchange.take(data, 0, WALL_US).changes == []
+        assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
         assert node.drop_count(why) == before + 1, why
     assert node.members.is_alone, "nothing of it was taken in"
-    assert node.exchange.foreign == VERSION + 1, "for the log, which says it once"
-    assert node.exchange.take(good, 0, WALL_US).changes != []
+    assert node.exchange.unknown_version == VERSION + 1, "for the log, which says it once"
+    assert node.exchange.receive(good, now=0, wall=WALL_US).changes != []
 
 
 def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
     node, other = ManualNode("a"), ManualNode("b")
     first, second = other.next_datagram(), other.next_datagram()
-    node.exchange.take(second, 0, WALL_US)
+    node.exchange.receive(second, now=0, wall=WALL_US)
     for data in (first, second):
-        assert node.exchange.take(data, 0, WALL_US).changes == []
-    assert node.counts["cluster: record heard"] == 1 and node.counts["cluster: record known"] == 2
+        assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
+    assert node.counts["cluster_records_accepted"] == 1 and node.counts["cluster_records_known"] == 2
 
 
 def test_nobody_speaks_for_another() -> None:
     # A member with a key of its own may claim anything of itself, and must not of another member.
-    liar, node = Seal(SECRETS["b"]), ManualNode("a")
+    liar, node = Signer(SECRETS["b"]), ManualNode("a")
     run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
     before = node.members.members["c"].record
-    body = body_of(Record("c", WALL_US + 9, 99, WALL_US, True, b""))
-    own = body_of(Record("b", WALL_US, 1, WALL_US, False, b""))
-    data = datagram_of([Signed(own, liar.sign(own)), Signed(body, liar.sign(body))])
-    node.exchange.take(data, 0, WALL_US)
+    body = encode_body(NodeRecord("c", WALL_US + 9, 99, WALL_US, True, b""))
+    own = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
+    data = encode_datagram([SignedMessage(own, liar.sign(own)), SignedMessage(body, liar.sign(body))])
+    node.exchange.receive(data, now=0, wall=WALL_US)
     assert node.members.members["c"].record == before and node.state("c") is MemberState.PRESENT
-    assert node.drop_count(Unread.SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
+    assert node.drop_count(DropReason.INVALID_SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
 
 
 @settings(derandomize=True, max_examples=400, deadline=None)
-@given(st.binary(max_size=MOST_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
+@given(st.binary(max_size=MAX_DATAGRAM_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
 def test_no_bytes_at_all_end_a_reader(noise: bytes, place: int, change: int) -> None:
     good = bytearray(ManualNode("b").next_datagram())
     good[place % len(good)] = change
     for data in (noise, bytes([VERSION]) + noise, bytes(good), bytes(good[: place % len(good)])):
         node = ManualNode("a")
-        node.exchange.take(data, 0, WALL_US)
-        found = read(data)
+        node.exchange.receive(data, now=0, wall=WALL_US)
+        found = decode_datagram(data)
         if isinstance(found, Datagram):
-            for signed in found.records + found.notes:
-                record_of(signed.body)
-                note_of(signed.body)
+            for signed in found.records + found.messages:
+                decode_record(signed.body)
+                decode_message(signed.body)
 
 
 # The operator's file.
@@ -410,27 +416,27 @@
 )
 def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
     with pytest.raises(InvalidInputError) as error:
-        fleet_from(raw(**change), "cluster")
+        parse_cluster(raw(**change), "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
 def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
-    public = new_secret(tmp_path / "a.key")
-    secret = secret_of(tmp_path / "a.key")
+    public = create_secret(tmp_path / "a.key")
+    secret = read_secret(tmp_path / "a.key")
     assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
-    made = seal_of(secret)
-    assert made is not None and made.public.hex() == public
+    made = parse_signer(secret)
+    assert made is not None and made.public_key.hex() == public
     with pytest.raises(InvalidInputError, match="can't be written"):
-        new_secret(tmp_path / "a.key")
-    fleet = fleet_from(raw(), "cluster")
-    assert own_seal(fleet, "a", SECRETS["a"].hex()).public == KEYS["a"]
+        create_secret(tmp_path / "a.key")
+    fleet = parse_cluster(raw(), "cluster")
+    assert own_signer(fleet, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
     for name, key, why in (
         ("x", SECRETS["a"].hex(), "not among"),
         ("a", secret, "not the one"),
         ("a", "q", "32"),
     ):
         with pytest.raises(InvalidInputError, match=why):
-            own_seal(fleet, name, key)
+            own_signer(fleet, name, key)
 
 
 def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
