--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -9,8 +9,8 @@
 from msgspec import Meta, field
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
 from larchlatch.cluster.quota.account import Spans
 from larchlatch.cluster.quota.budgets import Dealing, Limit
@@ -83,7 +83,7 @@
     peers: dict[str, Peer]
     beat_us: int
     dealing: Dealing
-    roster: Roster
+    roster: Electorate
     apart_us: int  # by how much wall clocks may differ
 
     @property
@@ -125,11 +125,11 @@
     )
 
 
-def roster_of(read: Raw, dealing: Dealing, top: str) -> Roster:
+def roster_of(read: Raw, dealing: Dealing, top: str) -> Electorate:
     """Who elects, for which duties."""
     work = read.duties
     if work is None:
-        return Roster()
+        return Electorate()
     where = f"{top}: duties"
     if len(work.electors) % 2 == 0:
         raise ConfigurationError(
@@ -144,10 +144,10 @@
         raise ConfigurationError(f"{where}.term_ms", f"less than {BEATS_A_TERM} beats ({work.term_ms})")
     if work.allot and not dealing.limits:
         raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
-    tenure = Tenure(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
-    duties = (ALLOTTER,) * work.allot + (PACER,) * work.pace
+    tenure = LeaseTerms(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
+    duties = (QUOTA_ALLOCATOR,) * work.allot + (TOKEN_ISSUER,) * work.pace
     mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
-    return Roster(tuple(sorted(work.electors)), dealing.names, duties, tenure, mark)
+    return Electorate(tuple(sorted(work.electors)), dealing.names, duties, tenure, mark)
 
 
 def dealing_of(read: Raw, top: str) -> Dealing:
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -1,348 +1,300 @@
-"""The duties of a fleet as one node keeps them: elector, candidate, and who heeds a holder. No I/O."""
+"""The election of all roles as one node takes part in it. No I/O."""
 
 from __future__ import annotations
 
-from collections import Counter, deque
 from typing import TYPE_CHECKING, NamedTuple
 
-from xxhash import xxh3_64_intdigest
-
-from larchlatch.cluster.election.leases import (
-    Answer,
-    Ballot,
-    Candidate,
-    Elector,
-    Fence,
-    State,
-    Tenure,
-    What,
-)
+from larchlatch.cluster.election.ballots import Answer, Ballot, BallotKind, CandidateId
+from larchlatch.cluster.election.candidate import CandidateState
+from larchlatch.cluster.election.candidate_side import CandidateSide
+from larchlatch.cluster.election.elector_side import ElectorSide
+from larchlatch.cluster.election.known_holders import KnownHolders
 from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Mapping, Sequence
+    from collections.abc import Collection, Mapping, Sequence
     from random import Random
 
-ALLOTTER = "allotter"  # deals out what budgets hold above all floors
-PACER = "pacer"  # says which node may send a link to a cold host
-STANDING = 3  # nodes that would have a duty at a time: all others have them to vote for, and ask nothing
-LATE_BEATS = 3  # a node that looks so much later than its beat is late
-MOST_LATE = 3  # so often in a term, and it is too slow for a duty: others wait for its orders
-RESTS = 10  # terms for which it does not stand then
-FAR_US = 24 * 3600 * 1_000_000  # a number so far ahead of this node's wall clock is made up
+    from larchlatch.cluster.election.candidate_side import RoleEvent
+    from larchlatch.cluster.election.electorate import Electorate
+    from larchlatch.cluster.election.fencing import OrderPermit
+    from larchlatch.cluster.election.known_holders import Holder
 
+MAX_LEASE_AHEAD_US = 24 * 3600 * 1_000_000  # a lease's number further ahead of the wall clock is made up
 
-class Roster(NamedTuple):
-    """What the operator's file says of duties; the same on all that have read the same file."""
 
-    electors: tuple[str, ...] = ()
-    names: tuple[str, ...] = ()  # of all members, in order
-    duties: tuple[str, ...] = ()
-    tenure: Tenure = Tenure(3_000_000, 0.01)
-    mark: int = 0  # tells one file from another
+class RoleStatus(NamedTuple):
+    """One role, for the operators of the node.
 
+    Attributes:
+        role: the role's name.
+        holder: its holder as the electors tell; None where they tell of none.
+        lease: number of the holder's lease.
+        left_ms: rest of this node's own lease; 0 where it holds none.
+        since_ms: for how long the holder has been the same.
+        next_holder: node that should hold it after the present holder.
+        elector_count: electors that are heard.
 
-class Holder(NamedTuple):
-    name: str
-    lease: int
+    """
 
+    role: str
+    holder: str | None
+    lease: int
+    left_ms: int
+    since_ms: int
+    next_holder: str
+    elector_count: int
+
+    def to_json(self) -> dict[str, str | int | None]:
+        """Return the row of the admin API."""
+        return {
+            "duty": self.role,
+            "holder": self.holder,
+            "lease": self.lease,
+            "left_ms": self.left_ms,
+            "since_ms": self.since_ms,
+            "next": self.next_holder,
+            "electors": self.elector_count,
+        }
 
-class Event(NamedTuple):
-    """What has become of a duty here: held, ended, or given up."""
 
-    duty: str
-    what: str
-    lease: int
-    why: str
+class Election:
+    """One node's part in the election of all roles: elector, candidate, and receiver of orders.
 
+    Attributes:
+        heartbeat_us: interval at which `tick` is called, in microseconds.
+        electorate: roles, electors and terms by the present cluster file.
+        incarnation: life of this node under which it asks electors.
 
-class Standing(NamedTuple):
-    """One duty, for whoever operates the node."""
+    """
 
-    duty: str
-    holder: str | None  # as the electors tell
-    lease: int
-    left_ms: int  # of this node's own lease; 0: it holds none
-    since_ms: int  # for how long it has been so
-    next: str
-    electors: int  # that are heard, of all
-
-
-class Duties:
-    def __init__(self, me: str, roster: Roster, beat_us: int, now: int, chance: Random) -> None:
-        self.me = me
-        self.beat_us = beat_us
-        self.uniform: Callable[[float, float], float] = chance.uniform
-        self.roster = roster
-        self.looked_at = now
-        self.late: deque[int] = deque(maxlen=MOST_LATE)
-        self.rests_until = 0
-        self.leaving = False
-        self.events: list[Event] = []
-        self.fences = {duty: Fence() for duty in roster.duties}
-        self.holders: dict[str, Holder | None] = dict.fromkeys(roster.duties)
-        self.changed_at = dict.fromkeys(roster.duties, now)
-        self.incarnation = 0  # of this node, under which it asks
-        self.open(now)
+    def __init__(
+        self, own_name: str, electorate: Electorate, heartbeat_us: int, now: int, random: Random
+    ) -> None:
+        self.own_name = own_name
+        self.heartbeat_us = heartbeat_us
+        self.electorate = electorate
+        self.incarnation = 0
+        self._known_holders = KnownHolders(own_name, electorate, now)
+        self._candidate_side = CandidateSide(electorate, now, random.uniform)
+        self._elector_side = ElectorSide(own_name, electorate, now)
 
     def open(self, now: int) -> None:
-        """No other process of this node speaks: what that one has promised is not known."""
-        self.names = frozenset(self.roster.names)
-        self.candidates = {
-            duty: Candidate(self.roster.electors, self.roster.tenure, self.uniform)
-            for duty in self.roster.duties
-        }
-        elects = self.roster.duties if self.me in self.roster.electors else ()
-        self.electors = {duty: Elector.started(self.roster.tenure, now) for duty in elects}
-        self.held = dict.fromkeys(self.roster.duties, False)
-        self.released: dict[str, Ballot] = {}  # by the last look
-        self.called: set[str] = set()  # duties that were handed on to this node
-
-    def follow(self, roster: Roster, now: int) -> None:
-        """The operator's file has changed."""
-        # Danger: promises by the old file's electors may be out. As after a start nothing is promised for as
-        # long as those last, and ballots by the other file are not heard.
-        if roster.mark != self.roster.mark:
-            self.roster = roster
-            self.fences = {duty: self.fences.get(duty, Fence()) for duty in roster.duties}
-            self.holders = dict.fromkeys(roster.duties)
-            self.changed_at = {duty: self.changed_at.get(duty, now) for duty in roster.duties}
+        """Begin anew, as no other process of this node takes part; its promises are not known here."""
+        self._candidate_side.reset(self.electorate)
+        self._elector_side = ElectorSide(self.own_name, self.electorate, now)
+
+    def follow(self, electorate: Electorate, now: int) -> None:
+        """Go by the cluster file that was read now."""
+        # Promises by electors of the former file may last. As after a start, nothing is promised for as long
+        # as they may, and ballots by the other file are not answered.
+        if electorate.digest != self.electorate.digest:
+            self.electorate = electorate
+            self._known_holders.follow(electorate, now)
             self.open(now)
 
-    # What falls due.
-
-    def look(
-        self, now: int, wall: int, incarnation: int, there: Mapping[str, Record], ages: Mapping[str, int]
+    def hand_over_roles(self) -> None:
+        """Hand all roles over from the next heartbeat on, as this node is about to end."""
+        self._candidate_side.leaving = True
+
+    def tick(
+        self,
+        now: int,
+        wall: int,
+        incarnation: int,
+        records: Mapping[str, Record],
+        record_ages: Mapping[str, int],
     ) -> list[Bid]:
-        """One beat; there: the newest record of each member that is present; ages: of those with promises."""
-        self.slowness(now)
+        """Do what is due with a heartbeat.
+
+        Args:
+            now: time by the process's own clock, in microseconds.
+            wall: Unix time, in microseconds.
+            incarnation: present life of this node.
+            records: newest record of each member that is present.
+            record_ages: ages of those records that tell of promises, in microseconds.
+
+        Returns:
+            The ballots to send.
+
+        """
+        self._candidate_side.watch_lateness(now, self.heartbeat_us)
         self.incarnation = incarnation
         bids: list[Bid] = []
-        for place, duty in enumerate(self.roster.duties):
-            one = self.candidates[duty]
-            holder = self.told_holder(now, place, there, ages)
-            if holder != self.holders[duty]:
-                self.holders[duty], self.changed_at[duty] = holder, now
-            if holder is not None:
-                self.fences[duty].seen = max(self.fences[duty].seen, holder.lease)
-            if self.leaving and one.holds(now):
-                self.give_up(now, place, there)
-            stands = not self.leaving and now >= self.rests_until and self.stands(now, duty, there)
-            ballots = one.step(now, wall, stands)
-            again = [] if ballots else self.repeated(now, wall, place)
-            bids += again + self.sent(now, wall, place, ballots)
+        for index, role in enumerate(self.electorate.roles):
+            holder = self.majority_holder(now, index, records, record_ages)
+            self._known_holders.update(now, role, holder)
+            if self._candidate_side.leaving:
+                self._resign(now, role, records)
+            bids += self._step_candidate(now, wall, index, records)
         return bids
 
-    def slowness(self, now: int) -> None:
-        """Notice that this node is too slow for a duty."""
-        if now - self.looked_at > LATE_BEATS * self.beat_us:
-            self.late.append(now)
-        self.looked_at = now
-        term = self.roster.tenure.term_us
-        if len(self.late) == MOST_LATE and self.late[0] > now - term and now >= self.rests_until:
-            self.rests_until = now + RESTS * term
-            for one in self.candidates.values():
-                one.give_up(now)
-
-    def noted(self, now: int, duty: str) -> None:
-        """Tell whether a duty is held here, where that has changed."""
-        one = self.candidates[duty]
-        holds = one.holds(now)
-        if holds is not self.held[duty]:
-            self.held[duty] = holds
-            self.events.append(Event(duty, "held" if holds else "ended", one.lease, self.why(now, duty)))
-            self.called.discard(duty)
-
-    def why(self, now: int, duty: str) -> str:
-        """Why a duty is held here from now on, or no longer."""
-        if self.held[duty]:
-            return "it was handed on" if duty in self.called else "nobody held it"
-        if self.leaving:
-            return "this node ends"
-        return "this node is too slow" if now < self.rests_until else "not renewed in time"
-
-    def drained(self) -> list[Event]:
-        """What has become of duties here since this was last asked."""
-        events, self.events = self.events, []
-        return events
-
-    def give_up(self, now: int, place: int, there: Mapping[str, Record]) -> None:
-        duty = self.roster.duties[place]
-        ranked = [name for name in self.ranked(duty, there) if name != self.me]
-        self.candidates[duty].give_up(now, ranked[0] if ranked else "")
-
-    def ranked(self, duty: str, there: Mapping[str, Record]) -> list[str]:
-        """Who had better hold a duty: by chance, the same on all nodes; those that hold another last."""
-        names = [name for name in (*there, self.me) if name in self.names]
-        busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != duty}
-        return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{duty} {name}".encode())))
-
-    def stands(self, now: int, duty: str, there: Mapping[str, Record]) -> bool:
-        """Whether this node would have a duty that nobody holds."""
-        holder = self.holders[duty]
-        if holder is not None and holder.name in there:
-            return False
-        rank = self.ranked(duty, there).index(self.me) if self.me in self.roster.names else STANDING
-        # Those behind the first ask only if it has not got it for a while.
-        waits_us = rank * self.roster.tenure.term_us // 2
-        return rank < STANDING and now >= self.changed_at[duty] + waits_us
-
-    def told_holder(
-        self, now: int, place: int, there: Mapping[str, Record], ages: Mapping[str, int]
+    def _step_candidate(self, now: int, wall: int, role_index: int, present: Collection[str]) -> list[Bid]:
+        role = self.electorate.roles[role_index]
+        eligible = self._candidate_side.may_stand(now) and self._known_holders.is_standby(now, role, present)
+        ballots = self._candidate_side.candidates[role].step(now, wall, eligible=eligible)
+        repeated = [] if ballots else self._repeated_bids(now, wall, role_index)
+        return repeated + self._submit(now, wall, role_index, ballots)
+
+    def _resign(self, now: int, role: str, present: Collection[str]) -> None:
+        """Hand a role over to the node that should hold it next."""
+        candidate = self._candidate_side.candidates[role]
+        if candidate.holds(now):
+            heirs = [name for name in self._known_holders.ranked(role, present) if name != self.own_name]
+            candidate.resign(now, heirs[0] if heirs else "")
+
+    def holder(self, role: str) -> Holder | None:
+        """Return the holder of a role as a majority of the electors told at the last heartbeat."""
+        return self._known_holders.holders.get(role)
+
+    def majority_holder(
+        self, now: int, role_index: int, records: Mapping[str, Record], record_ages: Mapping[str, int]
     ) -> Holder | None:
-        """Who holds a duty, by what a majority of the electors tells: one liar can't make it up."""
-        told: Counter[Holder] = Counter()
-        for name in self.roster.electors:
-            if name == self.me:
-                promises, age = self.promises(now), 0
-            elif name in there:
-                promises, age = there[name].promises, ages.get(name, 0)
-            else:
-                continue
-            for promise in promises:
-                if promise.duty == place and promise.left_us > age and promise.place < len(self.roster.names):
-                    told[Holder(self.roster.names[promise.place], promise.lease)] += 1
-        for holder, count in told.items():
-            if count > len(self.roster.electors) // 2:
-                return holder
-        return None
+        """Return the holder of a role that a majority of the electors tells of by now."""
+        return self._known_holders.majority_holder(role_index, self.promises(now), records, record_ages)
 
     def promises(self, now: int) -> list[Promised]:
-        """What this node, as an elector, tells in its record."""
-        rows = []
-        for place, duty in enumerate(self.roster.duties):
-            elector = self.electors.get(duty)
-            promise = elector.promise if elector is not None else None
-            if promise is not None and now < promise.until and promise.holder[0] in self.roster.names:
-                holder = self.roster.names.index(promise.holder[0])
-                rows.append(Promised(place, promise.lease, holder, promise.until - now))
-        return rows
+        """Return what this node has promised as an elector, for its record."""
+        return self._elector_side.promises(now)
 
     # Ballots and votes.
 
-    def sent(self, now: int, wall: int, place: int, ballots: Sequence[Ballot]) -> list[Bid]:
-        """Ballots to all electors; this node's own part among them is asked at once."""
-        duty = self.roster.duties[place]
-        one, own = self.candidates[duty], self.electors.get(duty)
+    def _submit(self, now: int, wall: int, role_index: int, ballots: Sequence[Ballot]) -> list[Bid]:
+        """Return ballots for the other electors, after this node's own elector has answered them."""
+        role = self.electorate.roles[role_index]
+        candidate = self._candidate_side.candidates[role]
+        own_id = CandidateId(self.own_name, self.incarnation)
         bids: list[Bid] = []
         waiting = list(ballots)
         while waiting:
             ballot = waiting.pop(0)
-            bids += self.bids(wall, place, ballot, set())
-            if ballot.what is What.RELEASE:
-                self.released[duty] = ballot
-            answer = own.answer(now, (self.me, self.incarnation), ballot) if own is not None else None
+            bids += self._bids(wall, role_index, ballot)
+            if ballot.kind is BallotKind.RELEASE:
+                self._candidate_side.note_release(role, ballot)
+            answer = self._elector_side.answer(now, role, own_id, ballot)
             if answer is not None:
-                waiting += one.answered(now, self.me, ballot.round, answer)
-        self.noted(now, duty)
+                waiting += candidate.count_answer(now, self.own_name, ballot.round_number, answer)
+        self._candidate_side.note_change(now, role)
         return bids
 
-    def bids(self, wall: int, place: int, ballot: Ballot, but: set[str]) -> list[Bid]:
-        """A ballot to all electors but these, and to whom it hands on the duty."""
-        to = {*self.roster.electors, ballot.heir} - {self.me, "", *but}
+    def _bids(
+        self, wall: int, role_index: int, ballot: Ballot, answered: Collection[str] = frozenset()
+    ) -> list[Bid]:
+        """Return a ballot for each elector that has not answered it, and for the heir it names."""
+        receivers = {*self.electorate.electors, ballot.heir} - {self.own_name, "", *answered}
         return [
             Bid(
-                self.me,
-                self.incarnation,
-                ballot.round,
-                wall,
-                name,
-                self.roster.mark,
-                place,
-                ballot.lease,
-                ballot.what.value,
-                ballot.heir,
+                sender=self.own_name,
+                incarnation=self.incarnation,
+                number=ballot.round_number,
+                made_us=wall,
+                to=receiver,
+                mark=self.electorate.digest,
+                duty=role_index,
+                lease=ballot.lease,
+                what=ballot.kind.value,
+                heir=ballot.heir,
             )
-            for name in sorted(to)
+            for receiver in sorted(receivers)
         ]
 
-    def repeated(self, now: int, wall: int, place: int) -> list[Bid]:
-        """What may have been lost, once more."""
-        duty = self.roster.duties[place]
-        one = self.candidates[duty]
-        # A promise that nobody counts on any more keeps the duty from all for a term, if its release is lost.
-        released = self.released.pop(duty, None)
-        bids = self.bids(wall, place, released, set()) if released is not None else []
-        ballot = one.again(now)
-        return bids + (self.bids(wall, place, ballot, one.granted) if ballot is not None else [])
-
-    def bid(self, now: int, bid: Bid) -> Vote | None:
-        """What this node says to a candidate."""
-        if (
-            bid.mark != self.roster.mark
-            or bid.duty >= len(self.roster.duties)
-            or bid.what > What.RELEASE.value
-        ):
+    def _repeated_bids(self, now: int, wall: int, role_index: int) -> list[Bid]:
+        """Return once more what may have been lost."""
+        role = self.electorate.roles[role_index]
+        candidate = self._candidate_side.candidates[role]
+        bids: list[Bid] = []
+        # If a release is lost, promises that nobody counts on keep the role from all nodes for a term.
+        released = self._candidate_side.take_release(role)
+        if released is not None:
+            bids += self._bids(wall, role_index, released)
+        ballot = candidate.repeated_ballot(now)
+        if ballot is not None:
+            bids += self._bids(wall, role_index, ballot, candidate.granted_by)
+        return bids
+
+    def answer_bid(self, now: int, bid: Bid) -> Vote | None:
+        """Answer a candidate's ballot; None where this node has nothing to say to it."""
+        if bid.mark != self.electorate.digest or bid.duty >= len(self.electorate.roles):
             return None
-        duty = self.roster.duties[bid.duty]
-        ballot = Ballot(bid.lease, What(bid.what), bid.number, bid.heir)
-        if ballot.what is What.RELEASE and ballot.heir == self.me:
-            self.candidates[duty].called(now)
-            self.called.add(duty)
-            self.changed_at[duty] = now - STANDING * self.roster.tenure.term_us
-            self.holders[duty] = None
-        elector = self.electors.get(duty)
-        answer = elector.answer(now, (bid.sender, bid.incarnation), ballot) if elector is not None else None
+        if bid.what > BallotKind.RELEASE.value:
+            return None
+        role = self.electorate.roles[bid.duty]
+        ballot = Ballot(bid.lease, BallotKind(bid.what), bid.number, bid.heir)
+        if ballot.kind is BallotKind.RELEASE and ballot.heir == self.own_name:
+            self._candidate_side.accept_handover(now, role)
+            self._known_holders.accept_handover(now, role)
+        answer = self._elector_side.answer(now, role, CandidateId(bid.sender, bid.incarnation), ballot)
         if answer is None:
             return None
         return Vote(
-            self.me,
-            bid.sender,
-            bid.incarnation,
-            bid.number,
-            bid.duty,
-            answer.granted,
-            answer.known,
-            answer.left_us,
+            sender=self.own_name,
+            to=bid.sender,
+            incarnation=bid.incarnation,
+            number=bid.number,
+            duty=bid.duty,
+            granted=answer.granted,
+            known=answer.highest_lease,
+            left_us=answer.blocked_us,
         )
 
-    def awaited(self, vote: Vote) -> bool:
-        """Whether a vote that can't be trusted yet is worth a check of its signature."""
-        if vote.duty >= len(self.roster.duties) or vote.sender not in self.roster.electors:
+    def expects_vote(self, vote: Vote) -> bool:
+        """Return whether a vote, not yet trusted, is worth a check of its signature."""
+        if vote.duty >= len(self.electorate.roles) or vote.sender not in self.electorate.electors:
             return False
-        # Danger: rounds are counted anew in each life. A vote for an earlier one, under way while this node
-        # started, would be counted here for a promise that nobody has made to this life.
+        # Rounds are counted anew in each life. A vote for an earlier life, under way while this node started,
+        # would be counted for a promise that nobody has made to the present one.
         if vote.incarnation != self.incarnation:
             return False
-        one = self.candidates[self.roster.duties[vote.duty]]
-        return vote.number == one.round and one.state is not State.IDLE and vote.sender not in one.granted
-
-    def voted(self, now: int, wall: int, vote: Vote) -> list[Bid]:
-        """An elector's answer to this node; what goes out by it."""
-        one = self.candidates[self.roster.duties[vote.duty]]
-        known = vote.known if vote.known <= wall + FAR_US else 0
-        left_us = min(vote.left_us, self.roster.tenure.held_us)
-        answer = Answer(vote.granted, known, left_us)
-        ballots = one.answered(now, vote.sender, vote.number, answer)
-        return self.sent(now, wall, vote.duty, ballots)
-
-    # What others ask of it, and what it is asked.
-
-    def order(self, now: int, duty: str) -> tuple[int, int]:
-        """By which lease this node may give an order now, and for how long that holds; (0, 0): it may not."""
-        one = self.candidates.get(duty)
-        left_us = one.left(now) if one is not None else 0
-        return (one.lease, left_us) if one is not None and left_us > 0 else (0, 0)
-
-    def takes(self, duty: str, lease: int) -> bool:
-        """Whether an order by this lease may be carried out here."""
-        return duty in self.fences and self.fences[duty].takes(lease)
-
-    def told(self, now: int, there: Mapping[str, Record]) -> list[Standing]:
-        rows = []
-        heard = sum(name in there or name == self.me for name in self.roster.electors)
-        for duty in self.roster.duties:
-            one, holder = self.candidates[duty], self.holders[duty]
-            ranked = [name for name in self.ranked(duty, there) if holder is None or name != holder.name]
-            rows.append(
-                Standing(
-                    duty,
-                    holder.name if holder is not None else None,
-                    holder.lease if holder is not None else 0,
-                    max(0, one.until - now) // 1000 if one.holds(now) else 0,
-                    (now - self.changed_at[duty]) // 1000,
-                    ranked[0] if ranked else "",
-                    heard,
-                )
-            )
-        return rows
+        candidate = self._candidate_side.candidates[self.electorate.roles[vote.duty]]
+        if vote.number != candidate.round_number or candidate.state is CandidateState.IDLE:
+            return False
+        return vote.sender not in candidate.granted_by
+
+    def count_vote(self, now: int, wall: int, vote: Vote) -> list[Bid]:
+        """Count an elector's vote, and return the ballots that follow from it."""
+        candidate = self._candidate_side.candidates[self.electorate.roles[vote.duty]]
+        answer = Answer(
+            granted=vote.granted,
+            highest_lease=vote.known if vote.known <= wall + MAX_LEASE_AHEAD_US else 0,
+            blocked_us=min(vote.left_us, self.electorate.lease_terms.promise_us),
+        )
+        ballots = candidate.count_answer(now, vote.sender, vote.number, answer)
+        return self._submit(now, wall, vote.duty, ballots)
+
+    # Orders.
+
+    def order_permit(self, now: int, role: str) -> OrderPermit:
+        """Return by which lease this node may give an order of this role now; lease 0: it may not."""
+        return self._candidate_side.permit(now, role)
+
+    def accepts_order(self, role: str, lease: int) -> bool:
+        """Return whether an order by this lease may be carried out here."""
+        return self._known_holders.accepts_order(role, lease)
+
+    # For the node and its operators.
+
+    def take_events(self) -> list[RoleEvent]:
+        """Return, once, which roles this node has begun or ceased to hold since the last call."""
+        return self._candidate_side.take_events()
+
+    def statuses(self, now: int, present: Collection[str]) -> list[RoleStatus]:
+        """Return each role's status, with the members that are present now."""
+        electors = self.electorate.electors
+        elector_count = sum(name in present or name == self.own_name for name in electors)
+        return [self._status(now, role, present, elector_count) for role in self.electorate.roles]
+
+    def _status(self, now: int, role: str, present: Collection[str], elector_count: int) -> RoleStatus:
+        candidate = self._candidate_side.candidates[role]
+        holder = self._known_holders.holders[role]
+        ranked = self._known_holders.ranked(role, present)
+        successors = [name for name in ranked if holder is None or name != holder.name]
+        own_left_us = max(0, candidate.lease_ends_at - now) if candidate.holds(now) else 0
+        return RoleStatus(
+            role=role,
+            holder=holder.name if holder is not None else None,
+            lease=holder.lease if holder is not None else 0,
+            left_ms=own_left_us // 1000,
+            since_ms=(now - self._known_holders.changed_at[role]) // 1000,
+            next_holder=successors[0] if successors else "",
+            elector_count=elector_count,
+        )
--- /dev/null
+++ b/larchlatch/cluster/election/known_holders.py
@@ -0,0 +1,128 @@
+"""What a node knows of the holders of roles, by the records of the electors."""
+
+from __future__ import annotations
+
+from collections import Counter
+from typing import TYPE_CHECKING, NamedTuple
+
+from xxhash import xxh3_64_intdigest
+
+from larchlatch.cluster.election.fencing import FencingGuard
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Mapping, Sequence
+
+    from larchlatch.cluster.election.electorate import Electorate
+    from larchlatch.cluster.protocol.datagrams import Promised, Record
+
+STANDBYS = 3  # first nodes in the order of preference, which stand for a role: the others only answer ballots
+
+
+class Holder(NamedTuple):
+    """A role's holder, and the number of its lease."""
+
+    name: str
+    lease: int
+
+
+class KnownHolders:
+    """Holder of each role as the electors tell, since when, and the guard against former holders' orders.
+
+    Attributes:
+        holders: each role's holder; None where no majority of electors tells of one.
+        changed_at: since when each role's holder is the same, by the process's own clock.
+        guards: what each role's orders are checked by.
+
+    """
+
+    def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
+        self.own_name = own_name
+        self.electorate = electorate
+        self.holders: dict[str, Holder | None] = dict.fromkeys(electorate.roles)
+        self.changed_at = dict.fromkeys(electorate.roles, now)
+        self.guards = {role: FencingGuard() for role in electorate.roles}
+
+    def follow(self, electorate: Electorate, now: int) -> None:
+        """Go by a changed cluster file; what was seen of leases is kept."""
+        self.electorate = electorate
+        self.holders = dict.fromkeys(electorate.roles)
+        self.changed_at = {role: self.changed_at.get(role, now) for role in electorate.roles}
+        self.guards = {role: self.guards.get(role, FencingGuard()) for role in electorate.roles}
+
+    def update(self, now: int, role: str, holder: Holder | None) -> None:
+        """Note who holds a role now."""
+        if holder != self.holders[role]:
+            self.holders[role] = holder
+            self.changed_at[role] = now
+        if holder is not None:
+            self.guards[role].observe(holder.lease)
+
+    def accept_handover(self, now: int, role: str) -> None:
+        """Note that a role is free and reserved for this node, which need not wait for its turn."""
+        self.holders[role] = None
+        self.changed_at[role] = now - STANDBYS * self.electorate.lease_terms.term_us
+
+    def accepts_order(self, role: str, lease: int) -> bool:
+        """Return whether an order by this lease may be carried out here."""
+        return role in self.guards and self.guards[role].accepts(lease)
+
+    def majority_holder(
+        self,
+        role_index: int,
+        own_promises: Sequence[Promised],
+        records: Mapping[str, Record],
+        record_ages: Mapping[str, int],
+    ) -> Holder | None:
+        """Return the holder of a role that a majority of the electors tells of: one liar can't make it up.
+
+        Args:
+            role_index: place of the role in the cluster file's order.
+            own_promises: what this node has promised as an elector.
+            records: newest record of each member that is present.
+            record_ages: ages of those records that tell of promises, in microseconds.
+
+        """
+        votes: Counter[Holder] = Counter()
+        for name in self.electorate.electors:
+            if name == self.own_name:
+                promises, age_us = own_promises, 0
+            elif name in records:
+                promises, age_us = records[name].promises, record_ages.get(name, 0)
+            else:
+                continue
+            votes.update(self._promised_holders(role_index, promises, age_us))
+        for holder, count in votes.items():
+            if count > len(self.electorate.electors) // 2:
+                return holder
+        return None
+
+    def _promised_holders(self, role_index: int, promises: Sequence[Promised], age_us: int) -> list[Holder]:
+        """Return the holders in an elector's promises for a role that have not ended by now."""
+        names = self.electorate.names
+        return [
+            Holder(names[promise.place], promise.lease)
+            for promise in promises
+            if promise.duty == role_index and promise.left_us > age_us and promise.place < len(names)
+        ]
+
+    def ranked(self, role: str, present: Collection[str]) -> list[str]:
+        """Return the present nodes, this one included, in the order in which they should hold a role.
+
+        The order is by a hash, the same on all nodes that see the same members; nodes that hold another role
+        come last.
+        """
+        names = [name for name in (*present, self.own_name) if name in self.electorate.names]
+        busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != role}
+        return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{role} {name}".encode())))
+
+    def is_standby(self, now: int, role: str, present: Collection[str]) -> bool:
+        """Return whether this node should ask for a role, as nobody holds it and it is this node's turn."""
+        holder = self.holders[role]
+        if holder is not None and holder.name in present:
+            return False
+        if self.own_name not in self.electorate.names:
+            return False
+        rank = self.ranked(role, present).index(self.own_name)
+        # Those behind the first ask only if it has not got the role for a while.
+        wait_us = rank * self.electorate.lease_terms.term_us // 2
+        return rank < STANDBYS and now >= self.changed_at[role] + wait_us
--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -4,7 +4,8 @@
 
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Duties, Roster
+from larchlatch.cluster.election.election import Election
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
 from larchlatch.cluster.health.observations import Advice, Evidence
 from larchlatch.cluster.protocol.datagrams import (
     Ask,
@@ -77,7 +78,7 @@
     budgets: Budgets
     counts: Counts
     evidence: Evidence
-    duties: Duties
+    duties: Election
     pacing: Pacing
 
     @classmethod
@@ -85,7 +86,7 @@
         cls,
         me: str,
         dealing: Dealing,
-        roster: Roster,
+        roster: Electorate,
         apart_us: int,
         beat_us: int,
         now: int,
@@ -93,7 +94,7 @@
     ) -> Shared:
         """A node's part at its start; apart_us: by how much wall clocks may differ."""
         budgets = Budgets(me, dealing, beat_us, now, chance)
-        duties = Duties(me, roster, beat_us, now, chance)
+        duties = Election(me, roster, beat_us, now, chance)
         return cls(budgets, Counts(dealing, apart_us), Evidence(), duties, Pacing(me, roster, now))
 
     def open(self, now: int) -> None:
@@ -128,18 +129,18 @@
         sites: Mapping[str, str],
         keys: Mapping[str, bytes],
         dealing: Dealing,
-        roster: Roster,
+        roster: Electorate,
         beat_us: int,
         now: int,
     ) -> None:
         """The operator's file has changed: members that are gone are forgotten, those that stay are kept."""
         self.sites, self.keys = sites, keys
-        self.members.beat_us = self.budgets.beat_us = self.duties.beat_us = beat_us
+        self.members.beat_us = self.budgets.beat_us = self.duties.heartbeat_us = beat_us
         self.members.follow(sites)
         if dealing.mark != self.budgets.dealing.mark:
             self.budgets.follow(dealing, now)
             self.counts.follow(dealing)
-        if roster.mark != self.pacing.mark:
+        if roster.digest != self.pacing.mark:
             self.pacing.follow(roster)
         self.duties.follow(roster, now)
 
@@ -210,29 +211,29 @@
         elif isinstance(note, Grant):
             self.granted(note, now, taken)
         elif isinstance(note, Ask):
-            grant = self.budgets.answer(now, note, self.duties.order(now, ALLOTTER))
+            grant = self.budgets.answer(now, note, self.duties.order_permit(now, QUOTA_ALLOCATOR))
             self.count("cluster: lent by us" if grant is not None else "cluster: nothing to lend")
             if grant is not None:
                 taken.datagrams.append((note.sender, self.letter(grant)))
         elif isinstance(note, Seek):
-            leave = self.pacing.answer(now, note, self.duties.order(now, PACER))
+            leave = self.pacing.answer(now, note, self.duties.order_permit(now, TOKEN_ISSUER))
             if leave is not None:
                 taken.datagrams.append((note.sender, self.letter(leave)))
         elif isinstance(note, Leave):
             self.left(note, now, taken)
         elif isinstance(note, Bid):
-            vote = self.duties.bid(now, note)
+            vote = self.duties.answer_bid(now, note)
             if vote is not None:
                 taken.datagrams.append((note.sender, self.letter(vote)))
         else:
-            bids = self.duties.voted(now, wall, note)
+            bids = self.duties.count_vote(now, wall, note)
             taken.datagrams.extend((bid.to, self.letter(bid)) for bid in bids)
         return True
 
     def awaited(self, note: Note) -> bool:
         """Whether a note that can't be trusted yet is worth a check of its signature."""
         if isinstance(note, Vote):
-            return self.duties.awaited(note)
+            return self.duties.expects_vote(note)
         if isinstance(note, Seek):
             return self.pacing.news(note)
         if isinstance(note, Leave):
@@ -241,23 +242,23 @@
 
     def granted(self, grant: Grant, now: int, taken: Taken) -> None:
         """Rights have been lent to this node: by an order, where there is an allotter."""
-        if grant.lease and not self.duties.takes(ALLOTTER, grant.lease):
+        if grant.lease and not self.duties.accepts_order(QUOTA_ALLOCATOR, grant.lease):
             self.count("cluster: order refused by its number")
             return
         lent = self.budgets.granted(now, grant)
         self.count("cluster: lent to us" if lent else "cluster: lent too late")
         if lent and grant.lease:
-            taken.orders.append(Carried(ALLOTTER, grant.lease, grant.sender))
+            taken.orders.append(Carried(QUOTA_ALLOCATOR, grant.lease, grant.sender))
 
     def left(self, leave: Leave, now: int, taken: Taken) -> None:
         """The pacer's word."""
-        if not self.duties.takes(PACER, leave.lease):
+        if not self.duties.accepts_order(TOKEN_ISSUER, leave.lease):
             self.count("cluster: order refused by its number")
             return
         told = self.pacing.told(now, leave)
         if told is not None:
             taken.leaves.append(told)
-            taken.orders.append(Carried(PACER, leave.lease, leave.sender))
+            taken.orders.append(Carried(TOKEN_ISSUER, leave.lease, leave.sender))
         if leave.upstream:
             self.count("cluster: leave for a cold host" if told is not None else "cluster: leave too late")
 
@@ -273,7 +274,7 @@
         if seek.to != self.members.me:
             taken.datagrams.append((seek.to, self.letter(seek)))
             return
-        leave = self.pacing.answer(now, seek, self.duties.order(now, PACER))
+        leave = self.pacing.answer(now, seek, self.duties.order_permit(now, TOKEN_ISSUER))
         if leave is not None:
             self.left(leave, now, taken)
 
@@ -290,9 +291,9 @@
         there = members.there
         telling = {name: record for name, record in there.items() if record.findings or record.promises}
         ages = {name: max(0, wall - record.made_us) for name, record in telling.items()}
-        bids = self.duties.look(now, wall, members.incarnation, there, ages)
-        holder = self.duties.holders.get(ALLOTTER)
-        lease, _ = self.duties.order(now, ALLOTTER)
+        bids = self.duties.tick(now, wall, members.incarnation, there, ages)
+        holder = self.duties.holder(QUOTA_ALLOCATOR)
+        lease, _ = self.duties.order_permit(now, QUOTA_ALLOCATOR)
         budgets.allot(now, holder.name if holder is not None else "", lease)
         paced = self.paced(now, wall)
         promises = self.duties.promises(now)
@@ -328,8 +329,8 @@
         taken = Taken([], [], [], [])
         if not self.pacing.on:
             return taken
-        holder = self.duties.holders.get(PACER)
-        lease, _ = self.duties.order(now, PACER)
+        holder = self.duties.holder(TOKEN_ISSUER)
+        lease, _ = self.duties.order_permit(now, TOKEN_ISSUER)
         self.pacing.pace(now, lease)
         pacer = holder.name if holder is not None else ""
         seek, told = self.pacing.look(now, wall, self.members.incarnation, pacer)
@@ -342,7 +343,7 @@
     def ask_itself(self, now: int, asks: Iterable[Ask]) -> None:
         """A node that deals out a pool wants some of it."""
         for ask in asks:
-            grant = self.budgets.answer(now, ask, self.duties.order(now, ALLOTTER))
+            grant = self.budgets.answer(now, ask, self.duties.order_permit(now, QUOTA_ALLOCATOR))
             if grant is not None:
                 self.budgets.granted(now, grant)
 
--- a/larchlatch/cluster/quota/budgets.py
+++ b/larchlatch/cluster/quota/budgets.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.election.leases import Fence
+from larchlatch.cluster.election.fencing import order_ends_at
 from larchlatch.cluster.protocol.datagrams import Ask, Grant, Standing
 from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
 
@@ -244,7 +244,7 @@
     def granted(self, now: int, grant: Grant) -> bool:
         """What was asked for has been lent; whether it can be used still."""
         pending, rights = self.pending.pop(grant.number), self.rights.get(grant.budget)
-        late = self.dealing.allot and now >= Fence.ends_at(pending.asked_at, grant.left_us)
+        late = self.dealing.allot and now >= order_ends_at(pending.asked_at, grant.left_us)
         if rights is None or late:
             return False
         amount = min(grant.amount, pending.amount)
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -11,7 +11,7 @@
 from xxhash import xxh3_64_intdigest
 
 from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_of, follows, own_entry
-from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.exchange import Carried, Exchange, Shared
 from larchlatch.cluster.membership.membership import Change, Members, State
 from larchlatch.cluster.protocol.datagrams import MOST_BYTES
@@ -147,9 +147,9 @@
         for order in orders:
             self.counters.add("cluster: order carried out")
             # The pacer's are one a link.
-            (log.debug if order.duty == PACER else log.info)("order carried out", **order._asdict())
-        for event in self.duties.drained():
-            log.info(f"duty {event.what}", duty=event.duty, lease=event.lease, why=event.why)
+            (log.debug if order.duty == TOKEN_ISSUER else log.info)("order carried out", **order._asdict())
+        for event in self.duties.take_events():
+            log.info(f"duty {event.change}", duty=event.role, lease=event.lease, why=event.reason)
 
     async def beat(self) -> None:
         alone = False
@@ -201,7 +201,7 @@
 
     def retire(self) -> None:
         """This node is about to end: its duties go to others."""
-        self.duties.leaving = True
+        self.duties.hand_over_roles()
 
     # What the node asks, and tells.
 
@@ -272,7 +272,7 @@
 
     def tasks(self) -> list[dict[str, Any]]:
         """Duty by duty; see docs/operating-cluster.md."""
-        return [standing._asdict() for standing in self.duties.told(self.now(), self.members.there)]
+        return [status.to_json() for status in self.duties.statuses(self.now(), self.members.there)]
 
     def shares(self) -> list[dict[str, Any]]:
         """Budget by budget; see docs/operating-cluster.md."""
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -14,8 +14,8 @@
 from math import ceil
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.election.election import PACER, Roster
-from larchlatch.cluster.election.leases import Fence
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.fencing import order_ends_at
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
 
 if TYPE_CHECKING:
@@ -64,12 +64,12 @@
 
 
 class Pacing:
-    def __init__(self, me: str, roster: Roster, now: int) -> None:
+    def __init__(self, me: str, roster: Electorate, now: int) -> None:
         self.me = me
         self.number = 0  # of this node's notes
         self.heard: dict[str, tuple[int, int]] = {}  # the newest note of each member: its life, its number
         # Danger: a node that starts does not know for how long its earlier life has handed its turns over.
-        self.handed_until = self.known_until = now + roster.tenure.held_us  # known: by what was told before
+        self.handed_until = self.known_until = now + roster.lease_terms.promise_us  # known: by what was told before
         self.pending: dict[int, Pending] = {}
         self.upstreams: frozenset[int] = frozenset()
         self.cold_until = 0  # some host may be cold until then
@@ -77,13 +77,13 @@
         self.closed = False  # another process of this node places links
         self.follow(roster)
 
-    def follow(self, roster: Roster) -> None:
+    def follow(self, roster: Electorate) -> None:
         """The operator's file: at the start, and when it has changed."""
-        self.on = PACER in roster.duties
-        self.names, self.mark = frozenset(roster.names), roster.mark
+        self.on = TOKEN_ISSUER in roster.roles
+        self.names, self.mark = frozenset(roster.names), roster.digest
         # Turns are handed over for a term.
-        self.term_us, self.skew = roster.tenure.term_us, roster.tenure.skew
-        self.held_us = roster.tenure.held_us  # a term by the slowest clock, as the fastest shows it
+        self.term_us, self.skew = roster.lease_terms.term_us, roster.lease_terms.skew
+        self.held_us = roster.lease_terms.promise_us  # a term by the slowest clock, as the fastest shows it
         # As one that asks.
         self.pacer = ""
         self.stamp = self.lease = 0  # of the pacer's last word
@@ -171,7 +171,7 @@
     def told(self, now: int, leave: Leave) -> Told | None:
         """The pacer's word; what the decisions are to hear of it."""
         pending = self.pending.pop(leave.number)
-        ends_at = Fence.ends_at(pending.asked_at, leave.left_us)
+        ends_at = order_ends_at(pending.asked_at, leave.left_us)
         if now >= ends_at:
             return None
         self.stamp, self.lease, self.heard_at = leave.stamp, leave.lease, pending.asked_at
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -5,8 +5,9 @@
 import time
 from collections.abc import Sequence
 
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.election.candidate_side import RoleChange
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.exchange import Carried, Shared
 from larchlatch.cluster.membership.membership import Change, Members, State
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
@@ -152,13 +153,13 @@
 
     def ordered(self, orders: list[Carried]) -> None:
         company, now = self.company, self.company.stage.clock.now
-        events = self.duties.drained()
+        events = self.duties.take_events()
         for order in orders:
             company.stage.note("order", self.number, order.lease)
             company.tenures[order.duty].carried_out(order.lease)
         for event in events:
-            company.stage.note("duty", self.number, event.what, event.lease)
-            company.tenures[event.duty].held(now, self.number, event.what == "held")
+            company.stage.note("duty", self.number, event.change.value, event.lease)
+            company.tenures[event.role].held(now, self.number, event.change is RoleChange.HELD)
 
     def send(self, datagrams: list[tuple[str, bytes]]) -> None:
         for name, data in datagrams:
@@ -318,12 +319,12 @@
     return Dealing(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
 
 
-def roster_for(day: Day, names: Sequence[str], mark: int) -> Roster:
+def roster_for(day: Day, names: Sequence[str], mark: int) -> Electorate:
     """Who elects on this day: the first nodes, which are of all sites in turn."""
     cluster = day.cluster
     if not (cluster.allot or cluster.pace):
-        return Roster()
-    tenure = Tenure(us(cluster.term_s), cluster.skew, APART_US)
+        return Electorate()
+    tenure = LeaseTerms(us(cluster.term_s), cluster.skew, APART_US)
     electors = tuple(sorted(names[: cluster.electors]))
-    duties = (ALLOTTER,) * cluster.allot + (PACER,) * cluster.pace
-    return Roster(electors, tuple(sorted(names)), duties, tenure, mark)
+    duties = (QUOTA_ALLOCATOR,) * cluster.allot + (TOKEN_ISSUER,) * cluster.pace
+    return Electorate(electors, tuple(sorted(names)), duties, tenure, mark)
--- a/larchlatch/emulator/search.py
+++ b/larchlatch/emulator/search.py
@@ -1,6 +1,6 @@
 """Every order of events in a small world of leases, and whether two hold a duty: an explicit-state search.
 
-It runs the decisions themselves (cluster/duties/leases.py): electors, two candidates, two that take orders.
+It runs the decisions themselves (cluster/election): electors, two candidates, two that take orders.
 Messages are lost, doubled and overtaken; electors and candidates start anew; anybody may be stopped for any
 time; clocks are a quarter fast or slow. Breadth first, so that the first trace found is a shortest.
 
@@ -17,23 +17,17 @@
 from dataclasses import dataclass
 from typing import NamedTuple, TypeVar
 
-from larchlatch.cluster.election.leases import (
-    Answer,
-    Ballot,
-    Candidate,
-    Elector,
-    Fence,
-    Promise,
-    State,
-    Tenure,
-    What,
-)
+from larchlatch.cluster.election.ballots import Answer, Ballot, BallotKind, CandidateId
+from larchlatch.cluster.election.candidate import Candidate, CandidateState
+from larchlatch.cluster.election.elector import Elector, Promise
+from larchlatch.cluster.election.fencing import FencingGuard, order_ends_at
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 
 T = TypeVar("T")
 
 # A tick is eight units of time; a fast clock shows ten, a slow one six. A term is three ticks by the slowest,
 # and by the fastest the promise for it is three as well: nothing is rounded in anybody's favour.
-TENURE = Tenure(term_us=18, skew=0.25, rounds=2)
+TENURE = LeaseTerms(term_us=18, skew=0.25, rounds=2)
 LONG_AGO = -36  # two terms: what is older has run out by any clock
 CANDIDATES = RECEIVERS = 2
 
@@ -117,7 +111,7 @@
     """The decisions as they are; a planted fault changes one of them."""
 
     electors: int = 3
-    tenure: Tenure = TENURE
+    tenure: LeaseTerms = TENURE
     majority: Callable[[int], int] = lambda count: count // 2 + 1
     quiet: bool = True  # an elector that starts waits
     from_ask: bool = True  # a term runs from the ask
@@ -150,7 +144,7 @@
         self.names = [f"e{number}" for number in range(rules.electors)]
         self.need = rules.majority(rules.electors)
         blank = At(0, 0, -1, 0, 0, 0, -1, 0, (), (0, 0))
-        candidate = Would(0, State.IDLE.value, 0, 0, False, -1, 0, LONG_AGO)
+        candidate = Would(0, CandidateState.IDLE.value, 0, 0, False, -1, 0, LONG_AGO)
         self.start = World(
             0,
             (blank,) * rules.electors,
@@ -160,9 +154,9 @@
             budget,
         )
         if held:
-            promised = blank._replace(lease=1, holder=0, until=rules.tenure.held_us, known=1, votes=(2, 0))
+            promised = blank._replace(lease=1, holder=0, until=rules.tenure.promise_us, known=1, votes=(2, 0))
             holder = candidate._replace(
-                state=State.HOLDS.value, lease=1, until=rules.tenure.term_us, round=2, asked=0
+                state=CandidateState.HOLDING.value, lease=1, until=rules.tenure.term_us, round=2, asked=0
             )
             self.start = self.start._replace(
                 electors=(promised,) * rules.electors, candidates=(holder, candidate)
@@ -171,7 +165,9 @@
     # From values to decisions and back.
 
     def elector(self, at: At) -> Elector:
-        promise = Promise(at.lease, (f"c{at.holder}", at.life), at.until) if at.holder >= 0 else None
+        promise = (
+            Promise(at.lease, CandidateId(f"c{at.holder}", at.life), at.until) if at.holder >= 0 else None
+        )
         return Elector(self.rules.tenure, at.opens, promise, at.known, named(at.heir), at.kept)
 
     def candidate(self, world: World, place: int) -> Chooser:
@@ -181,7 +177,7 @@
             self.names,
             self.rules.tenure,
             lambda low, high: low,
-            State(would.state),
+            CandidateState(would.state),
             would.lease,
             would.until,
             would.closes,
@@ -214,7 +210,7 @@
                 number == 0 or world.electors[number] != world.electors[number - 1]
             ):
                 less = left._replace(elector_restarts=left.elector_restarts - 1)
-                opens = self.rules.tenure.quiet_us if self.rules.quiet else 0
+                opens = self.rules.tenure.startup_silence_us if self.rules.quiet else 0
                 old = world.electors[number]
                 new = At(opens, 0, -1, 0, 0, 0, -1, 0, old.inbox, old.votes)
                 yield f"e{number} starts anew", self.with_elector(world, number, new, less)
@@ -223,7 +219,7 @@
         if left.candidate_restarts:
             less = left._replace(candidate_restarts=left.candidate_restarts - 1)
             for place, would in enumerate(world.candidates):
-                blank = Would(would.life + 1, State.IDLE.value, 0, 0, False, -1, 0, LONG_AGO)
+                blank = Would(would.life + 1, CandidateState.IDLE.value, 0, 0, False, -1, 0, LONG_AGO)
                 restarted = world._replace(
                     electors=self.unvoted(world, place),
                     candidates=put(world.candidates, place, blank),
@@ -244,7 +240,7 @@
         )
         candidates = tuple(
             would._replace(
-                until=max(0, would.until - aged) if would.state == State.HOLDS.value else 0,
+                until=max(0, would.until - aged) if would.state == CandidateState.HOLDING.value else 0,
                 asked=max(LONG_AGO, would.asked - aged),
             )
             for would, aged in zip(world.candidates, candidate_rates, strict=True)
@@ -268,19 +264,21 @@
         left = world.left
         one = self.candidate(world, place)
         before = one.state
-        if before is State.IDLE and left.rounds:
+        if before is CandidateState.IDLE and left.rounds:
             wall = world.time if self.rules.wall else 0
             if not self.rules.renumbers:
                 one.lease = 0
-            one.step(0, wall, True)
+            one.step(0, wall, eligible=True)
             ballots: list[Ballot] = []
             for name in self.names[: self.need]:
-                ballots = one.answered(0, name, one.round, Answer(True, 0, 0))
+                ballots = one.count_answer(0, name, one.round_number, Answer(True, 0, 0))
             less = left._replace(rounds=left.rounds - 1)
             yield f"c{place} {told(ballots)}", self.sent(world, place, one, ballots, less)
-        elif before is not State.IDLE:
-            ballots = one.step(0, world.time, False)
-            renews = before is State.HOLDS and one.state is State.HOLDS and bool(ballots)
+        elif before is not CandidateState.IDLE:
+            ballots = one.step(0, world.time, eligible=False)
+            renews = (
+                before is CandidateState.HOLDING and one.state is CandidateState.HOLDING and bool(ballots)
+            )
             if (ballots or one.state is not before) and (left.renewals or not renews):
                 less = left._replace(renewals=left.renewals - renews)
                 yield f"c{place} {told(ballots)}", self.sent(world, place, one, ballots, less)
@@ -290,39 +288,39 @@
         if left.orders:
             less = left._replace(orders=left.orders - 1)
             for receiver in range(RECEIVERS):
-                for until in (Fence.ends_at(0, holder.left(0)), 0):
+                for until in (order_ends_at(0, holder.order_left_us(0)), 0):
                     order = Order(receiver, place, holder.lease, until)
                     how = "for a while" if until else "to be carried out at once"
                     ordered = world._replace(orders=world.orders | {order}, left=less)
                     yield f"c{place} gives r{receiver} an order, {how}", ordered
-        if left.hand_overs and not holder.closes:
+        if left.hand_overs and not holder.closing:
             less = left._replace(hand_overs=left.hand_overs - 1)
-            holder.give_up(0, f"c{1 - place}")
+            holder.resign(0, f"c{1 - place}")
             ballots = []
             if not self.rules.drains:
-                ballots = [holder.release()]
-                holder.idle(0, 0)
+                ballots = [holder.release_ballot()]
+                holder.become_idle(0, 0)
             yield f"c{place} gives it up", self.sent(world, place, holder, ballots, less)
 
     def sent(self, world: World, place: int, one: Candidate, ballots: list[Ballot], left: Budget) -> World:
         """What has become of a candidate, and its ballots on their way."""
         would = world.candidates[place]
-        holds = one.state is State.HOLDS
+        holds = one.state is CandidateState.HOLDING
         new = Would(
             would.life,
             one.state.value,
             one.lease,
-            one.until if holds else 0,
-            one.closes,
+            one.lease_ends_at if holds else 0,
+            one.closing,
             numbered(one.heir),
-            one.round,
-            one.asked_at if one.state is not State.IDLE else LONG_AGO,
+            one.round_number,
+            one.asked_at if one.state is not CandidateState.IDLE else LONG_AGO,
         )
         electors = world.electors
-        if one.round != would.round or one.state is State.IDLE:
+        if one.round_number != would.round or one.state is CandidateState.IDLE:
             electors = self.unvoted(world, place)
         letters = tuple(
-            (place, would.life, b.lease, b.what.value, b.round, numbered(b.heir)) for b in ballots
+            (place, would.life, b.lease, b.kind.value, b.round_number, numbered(b.heir)) for b in ballots
         )
         if letters:
             electors = tuple(at._replace(inbox=tuple(sorted({*at.inbox, *letters}))) for at in electors)
@@ -342,13 +340,13 @@
         for letter in at.inbox:
             place, life, lease, what, round, heir = letter
             elector = self.elector(at)
-            ballot = Ballot(lease, What(what), round, named(heir))
-            answer = elector.answer(0, (f"c{place}", life), ballot)
+            ballot = Ballot(lease, BallotKind(what), round, named(heir))
+            answer = elector.answer(0, CandidateId(f"c{place}", life), ballot)
             promise = elector.promise
             kept = max(0, elector.heir_until)
             votes = at.votes
             would = world.candidates[place]
-            counted = (would.life, would.round) == (life, round) and would.state != State.IDLE.value
+            counted = (would.life, would.round) == (life, round) and would.state != CandidateState.IDLE.value
             if answer is not None and answer.granted and counted and not votes[place]:
                 votes = pair(votes, place, 1)
             said = "says nothing" if answer is None else "grants" if answer.granted else "refuses"
@@ -357,8 +355,8 @@
                 promise.lease if promise is not None else 0,
                 int(promise.holder[0][1:]) if promise is not None else -1,
                 promise.holder[1] if promise is not None else 0,
-                max(0, promise.until) if promise is not None else 0,
-                elector.known,
+                max(0, promise.ends_at) if promise is not None else 0,
+                elector.highest_lease,
                 numbered(elector.heir) if kept else -1,
                 kept,
                 tuple(other for other in at.inbox if other != letter),
@@ -385,22 +383,22 @@
             one = self.candidate(world, place)
             if not self.rules.from_ask:
                 one.asked_at = 0
-            ballots = one.answered(0, self.names[number], one.round, Answer(True, 0, 0))
+            ballots = one.count_answer(0, self.names[number], one.round_number, Answer(True, 0, 0))
             new = at._replace(votes=pair(at.votes, place, 2))
             voted = world._replace(electors=put(world.electors, number, new))
             yield f"c{place} hears e{number}", self.sent(voted, place, one, ballots, world.left)
 
     def carried_out(self, world: World, order: Order) -> Iterator[tuple[str, World]]:
         before = world.receivers[order.receiver]
-        fence = Fence(before.seen)
-        if not fence.takes(order.lease) and self.rules.compares:
+        guard = FencingGuard(before.seen)
+        if not guard.accepts(order.lease) and self.rules.compares:
             return
         late = not order.until and order.lease < before.seen
-        after = Carries(fence.seen, before.lease, before.until)
+        after = Carries(guard.highest_lease, before.lease, before.until)
         if order.until:
-            after = Carries(fence.seen, order.lease, order.until)
+            after = Carries(guard.highest_lease, order.lease, order.until)
         elif late:
-            after = Carries(fence.seen, -1, 0)
+            after = Carries(guard.highest_lease, -1, 0)
         receivers = put(world.receivers, order.receiver, after)
         yield (
             f"r{order.receiver} carries out the order of c{order.holder}",
@@ -411,7 +409,10 @@
 
     @staticmethod
     def broken(world: World) -> str | None:
-        if sum(would.state == State.HOLDS.value and would.until > 0 for would in world.candidates) > 1:
+        if (
+            sum(would.state == CandidateState.HOLDING.value and would.until > 0 for would in world.candidates)
+            > 1
+        ):
             return "two hold the duty"
         if len({carries.lease for carries in world.receivers if carries.until > 0}) > 1:
             return "orders of two leases are carried out at once"
@@ -467,7 +468,7 @@
 
 
 def told(ballots: list[Ballot]) -> str:
-    return " and ".join(f"{ballot.what.name.lower()} {ballot.lease}" for ballot in ballots) or "looks up"
+    return " and ".join(f"{ballot.kind.name.lower()} {ballot.lease}" for ballot in ballots) or "looks up"
 
 
 class Case(NamedTuple):
@@ -479,11 +480,11 @@
     held: bool = False
 
 
-class NoSkew(Tenure):
+class NoSkew(LeaseTerms):
     """A planted fault: promises as long as the term, whatever the clocks."""
 
     @property
-    def held_us(self) -> int:
+    def promise_us(self) -> int:
         return self.term_us
 
 
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/load/puppet.py
@@ -17,7 +17,7 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.cluster import service as actor
-from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.exchange import Carried
 from larchlatch.days.puppets import ORDERS, Drift, Lying
 
@@ -42,7 +42,7 @@
         """The judge wants to see each order, also those that are not told at the usual level."""
         super().ordered(orders)
         for order in orders:
-            if order.duty == PACER:
+            if order.duty == TOKEN_ISSUER:
                 actor.log.info("order carried out", **order._asdict())
 
 
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -17,7 +17,7 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
-from larchlatch.cluster.election.election import Roster
+from larchlatch.cluster.election.electorate import Electorate
 from larchlatch.cluster.exchange import Exchange, Shared
 from larchlatch.cluster.membership.membership import (
     APART_US,
@@ -65,7 +65,7 @@
         self.counts: dict[str, int] = {}
         self.members = Members(name, dict.fromkeys(names, ""), BEAT, wall, 0, random.Random(seed))
         shared = Shared.of(
-            name, Dealing((), tuple(names), 1.0, SPANS, 1), Roster(), 0, BEAT, 0, random.Random(seed)
+            name, Dealing((), tuple(names), 1.0, SPANS, 1), Electorate(), 0, BEAT, 0, random.Random(seed)
         )
         sites = dict.fromkeys(names, "")
         self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -18,8 +18,9 @@
 
 from larchlatch.broker.contracts import Contracts, contracts_of
 from larchlatch.cluster.cluster_file import Raw, fleet_from, fleet_of
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure, What
+from larchlatch.cluster.election.ballots import BallotKind
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.exchange import Exchange, Shared
 from larchlatch.cluster.membership.membership import Members
 from larchlatch.cluster.membership.membership import State as MemberState
@@ -116,8 +117,8 @@
     return Dealing((Limit("all", 30, ("t",)),), NODES, 0.5, Spans(SECOND, 3 * SECOND, 0.01), 77, allot)
 
 
-def roster() -> Roster:
-    return Roster(NODES, NODES, (ALLOTTER, PACER), Tenure(3 * SECOND, 0.01, 200_000), 88)
+def roster() -> Electorate:
+    return Electorate(NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88)
 
 
 def exchange(name: str, started: int, allot: bool) -> Exchange:
@@ -225,7 +226,7 @@
 def cluster_marks() -> list[int]:
     """The digests by which nodes tell whether they go by the same cluster file."""
     fleets = [fleet_of(ROOT / "deploy" / "cluster.example.toml"), fleet_from(CLUSTER, "cluster")]
-    return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.mark)]
+    return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.digest)]
 
 
 def stored_values() -> dict[str, list[Any]]:
@@ -236,8 +237,8 @@
         "endpoint_state": [each.value for each in EndpointState],
         "outcome": [int(each) for each in Outcome],
         "member_state": [each.value for each in MemberState],
-        "ballot_kind": [each.value for each in What],
-        "roles": [ALLOTTER, PACER],
+        "ballot_kind": [each.value for each in BallotKind],
+        "roles": [QUOTA_ALLOCATOR, TOKEN_ISSUER],
     }
 
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -12,8 +12,14 @@
 from hypothesis import strategies as st
 
 from larchlatch.cluster.cluster_file import Fleet, fits_traffic_classes, fleet_from, follows
-from larchlatch.cluster.election.election import ALLOTTER, Duties, Holder, Roster
-from larchlatch.cluster.election.leases import Answer, Ballot, Candidate, Elector, Fence, State, Tenure, What
+from larchlatch.cluster.election.ballots import Answer, Ballot, BallotKind, CandidateId
+from larchlatch.cluster.election.candidate import Candidate, CandidateState
+from larchlatch.cluster.election.election import Election
+from larchlatch.cluster.election.elector import Elector
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, Electorate
+from larchlatch.cluster.election.fencing import order_ends_at
+from larchlatch.cluster.election.known_holders import Holder
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.datagrams import Bid, Promised, Record, Vote
 from larchlatch.days.day import checked, day_of
 from larchlatch.days.drawing import with_drawn
@@ -23,7 +29,7 @@
 from larchlatch.errors import InvalidInputError
 
 SECOND = 1_000_000
-TENURE = Tenure(term_us=3 * SECOND, skew=0.01, apart_us=200_000)
+TENURE = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
 START = 100 * SECOND
 WALL = 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c")
@@ -62,12 +68,14 @@
             ballot = ballots.pop(0)
             for elector, one in self.electors.items():
                 if elector not in self.cut:
-                    answer = one.answer(self.now, (name, self.lives[name]), ballot)
+                    answer = one.answer(self.now, CandidateId(name, self.lives[name]), ballot)
                     if answer is not None:
-                        ballots += self.candidates[name].answered(self.now, elector, ballot.round, answer)
+                        ballots += self.candidates[name].count_answer(
+                            self.now, elector, ballot.round_number, answer
+                        )
 
     def step(self, name: str, stands: bool = True, wall: int = 0) -> bool:
-        self.ask(name, self.candidates[name].step(self.now, wall or WALL + self.now, stands))
+        self.ask(name, self.candidates[name].step(self.now, wall or WALL + self.now, eligible=stands))
         return self.candidates[name].holds(self.now)
 
     def run(self, name: str, span_us: int, stands: bool = True) -> bool:
@@ -84,8 +92,8 @@
     assert small.run("x", 60 * SECOND) and small.candidates["x"].lease < WALL + 2 * START, "by one number"
     lease = small.candidates["x"].lease
     small.now += TENURE.term_us
-    assert not small.candidates["x"].holds(small.now) and small.candidates["x"].left(small.now) == 0
-    small.now += TENURE.held_us - TENURE.term_us
+    assert not small.candidates["x"].holds(small.now) and small.candidates["x"].order_left_us(small.now) == 0
+    small.now += TENURE.promise_us - TENURE.term_us
     assert small.run("y", SECOND) and small.candidates["y"].lease > lease
     assert not small.step("x"), "it wakes, and finds out"
 
@@ -109,12 +117,13 @@
         while not any(one.holds(small.now) for one in small.candidates.values()):
             small.now += 50_000
             asked = {
-                name: one.step(small.now, WALL + small.now, True) for name, one in small.candidates.items()
+                name: one.step(small.now, WALL + small.now, eligible=True)
+                for name, one in small.candidates.items()
             }
-            if all(one.state is State.ASKS for one in small.candidates.values()):
+            if all(one.state is CandidateState.PRE_VOTING for one in small.candidates.values()):
                 for name, one in small.candidates.items():
-                    asks, yes = one.round, Answer(True, 0, 0)
-                    grants = [b for n in NAMES for b in one.answered(small.now, n, asks, yes)]
+                    asks, yes = one.round_number, Answer(True, 0, 0)
+                    grants = [b for n in NAMES for b in one.count_answer(small.now, n, asks, yes)]
                     small.cut = {"b", "c"} if name == "x" else {"a", "c"}
                     small.ask(name, grants)
                 small.cut = set()
@@ -129,16 +138,16 @@
 def test_a_hand_over_that_is_planned_leaves_a_pause_of_one_round_trip() -> None:
     small = Small()
     assert small.step("x")
-    small.candidates["x"].give_up(small.now, "y")
+    small.candidates["x"].resign(small.now, "y")
     assert small.candidates["x"].holds(small.now) and not small.step("y")
-    end = small.candidates["x"].until
+    end = small.candidates["x"].lease_ends_at
     assert end <= small.now + TENURE.round_us
     small.now = end
-    assert not small.step("x", stands=False) and small.candidates["x"].state is State.IDLE
-    small.candidates["y"].called(small.now)
+    assert not small.step("x", stands=False) and small.candidates["x"].state is CandidateState.IDLE
+    small.candidates["y"].accept_handover(small.now)
     assert small.step("y"), "at the same instant"
-    small.candidates["y"].give_up(small.now, "")
-    small.now = small.candidates["y"].until
+    small.candidates["y"].resign(small.now, "")
+    small.now = small.candidates["y"].lease_ends_at
     small.step("y", stands=False)
     assert small.step("x"), "without an heir it is anybody's"
 
@@ -146,10 +155,10 @@
 def test_a_released_duty_is_kept_for_its_heir_for_a_moment_alone() -> None:
     small = Small()
     assert small.step("x")
-    small.candidates["x"].give_up(small.now, "z")
-    small.now = small.candidates["x"].until
+    small.candidates["x"].resign(small.now, "z")
+    small.now = small.candidates["x"].lease_ends_at
     small.step("x", stands=False)
-    small.candidates["y"].called(small.now)
+    small.candidates["y"].accept_handover(small.now)
     assert not small.step("y"), "kept for another"
     assert small.run("y", 2 * SECOND), "who did not come"
 
@@ -158,16 +167,16 @@
     small = Small()
     assert small.step("x", wall=WALL)
     first = small.candidates["x"].lease
-    small.now += TENURE.held_us
+    small.now += TENURE.promise_us
     assert small.step("y", wall=WALL - 3600 * SECOND), "told of the higher number, it asks by a higher one"
     assert small.candidates["y"].lease > first
     small.electors = {name: Elector.started(TENURE, small.now) for name in NAMES}
     small.lives["x"] = 2
     small.candidates["x"] = small.candidate("x")
     assert not small.step("x", wall=WALL + SECOND), "electors that have started say nothing"
-    small.now += TENURE.quiet_us
-    small.candidates["x"].called(small.now)
-    assert small.step("x", wall=WALL + TENURE.quiet_us)
+    small.now += TENURE.startup_silence_us
+    small.candidates["x"].accept_handover(small.now)
+    assert small.step("x", wall=WALL + TENURE.startup_silence_us)
     assert small.candidates["x"].lease > first
 
 
@@ -178,15 +187,15 @@
 @given(st.integers(0, 10**7), st.floats(0, 0.1), RATES)
 def test_an_order_ends_before_another_can_hold_it(late: int, skew: float, signs: tuple[int, int]) -> None:
     """The reckoning of docs/duties.md: clocks as wrong as may be, any delay of answer and order."""
-    tenure = Tenure(3 * SECOND, skew)
+    tenure = LeaseTerms(3 * SECOND, skew)
     holder, other = 1 + signs[0] * skew, 1 + signs[1] * skew
     # The vote is asked for at 0 and promised at once; the order is asked for and looked at at `late`.
     look = late % (2 * tenure.term_us)
     left = tenure.term_us - look * holder
     if left <= 0:
         return
-    ends = Fence.ends_at(0, int(left)) / other  # after it was asked for, by the receiver's clock
-    promised = tenure.held_us / (1 + skew)  # the shortest that an elector keeps it
+    ends = order_ends_at(0, int(left)) / other  # after it was asked for, by the receiver's clock
+    promised = tenure.promise_us / (1 + skew)  # the shortest that an elector keeps it
     assert look + ends <= promised + 2
 
 
@@ -203,23 +212,23 @@
 
 
 def test_a_ballot_without_an_answer_is_sent_again_and_so_is_a_release() -> None:
-    roster = Roster(NAMES, (*NAMES, "x"), (ALLOTTER,), TENURE, 1)
-    one = Duties("x", roster, 200_000, START, random.Random(1))
-    now = START + TENURE.quiet_us
-    first = one.look(now, WALL, 1, {}, {})
+    roster = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), TENURE, 1)
+    one = Election("x", roster, 200_000, START, random.Random(1))
+    now = START + TENURE.startup_silence_us
+    first = one.tick(now, WALL, 1, {}, {})
     assert [bid.to for bid in first] == list(NAMES)
     vote = Vote("b", "x", 1, first[0].number, 0, True, 0, 0)
-    assert one.awaited(vote) and not one.voted(now, WALL, vote)
-    again = one.look(now + 200_000, WALL, 1, {}, {})
+    assert one.expects_vote(vote) and not one.count_vote(now, WALL, vote)
+    again = one.tick(now + 200_000, WALL, 1, {}, {})
     assert [bid.to for bid in again] == ["a", "c"] and again[0].number == first[0].number
-    one.voted(now + 250_000, WALL, Vote("c", "x", 1, first[0].number, 0, True, 0, 0))
-    asks = one.look(now + 260_000, WALL, 1, {}, {})
-    assert {bid.what for bid in asks} == {What.GRANT.value}
+    one.count_vote(now + 250_000, WALL, Vote("c", "x", 1, first[0].number, 0, True, 0, 0))
+    asks = one.tick(now + 260_000, WALL, 1, {}, {})
+    assert {bid.what for bid in asks} == {BallotKind.GRANT.value}
     over = now + 250_000 + TENURE.round_us
-    released = one.look(over, WALL, 1, {}, {})
-    assert {bid.what for bid in released} == {What.RELEASE.value}
-    assert [bid.lease for bid in one.look(over + 1, WALL, 1, {}, {})] == [bid.lease for bid in released]
-    assert not one.look(over + 2, WALL, 1, {}, {})
+    released = one.tick(over, WALL, 1, {}, {})
+    assert {bid.what for bid in released} == {BallotKind.RELEASE.value}
+    assert [bid.lease for bid in one.tick(over + 1, WALL, 1, {}, {})] == [bid.lease for bid in released]
+    assert not one.tick(over + 2, WALL, 1, {}, {})
 
 
 def test_what_a_dead_third_leaves_reaches_the_others_by_the_allotter() -> None:
@@ -303,76 +312,76 @@
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
     roster = fleet("n0", "n1", "n2").roster
-    duties = Duties("n0", roster, 200_000, START, random.Random(1))
+    duties = Election("n0", roster, 200_000, START, random.Random(1))
     duties.open(START)
-    now = START + roster.tenure.quiet_us
-    bid = Bid("n5", 1, 1, WALL, "n0", roster.mark, 0, 7, What.GRANT.value, "")
-    assert duties.bid(now - 1, bid) is None, "it has just started"
-    vote = duties.bid(now, bid)
+    now = START + roster.lease_terms.startup_silence_us
+    bid = Bid("n5", 1, 1, WALL, "n0", roster.digest, 0, 7, BallotKind.GRANT.value, "")
+    assert duties.answer_bid(now - 1, bid) is None, "it has just started"
+    vote = duties.answer_bid(now, bid)
     assert vote is not None and vote.granted
     other = fleet("n0", "n1", "n3").roster
     duties.follow(other, now)
-    assert duties.bid(now + SECOND, bid) is None, "by another file"
-    ask = msgspec.structs.replace(bid, mark=other.mark)
-    assert duties.bid(now + SECOND, ask) is None
-    assert duties.bid(now + roster.tenure.quiet_us, ask) is not None
+    assert duties.answer_bid(now + SECOND, bid) is None, "by another file"
+    ask = msgspec.structs.replace(bid, mark=other.digest)
+    assert duties.answer_bid(now + SECOND, ask) is None
+    assert duties.answer_bid(now + roster.lease_terms.startup_silence_us, ask) is not None
 
 
 def test_a_holder_that_is_late_again_and_again_gives_its_duty_up() -> None:
     roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
-    duties = Duties("n0", roster, 200_000, START, random.Random(1))
+    duties = Election("n0", roster, 200_000, START, random.Random(1))
     duties.open(START)
-    now = START + roster.tenure.quiet_us
-    while not duties.order(now, ALLOTTER)[0]:
+    now = START + roster.lease_terms.startup_silence_us
+    while not duties.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        duties.look(now, WALL, 1, {}, {})
+        duties.tick(now, WALL, 1, {}, {})
     for _ in range(20):
         now += 200_000
-        duties.look(now, WALL, 1, {}, {})
-    assert duties.order(now, ALLOTTER)[0], "and in time it keeps it"
+        duties.tick(now, WALL, 1, {}, {})
+    assert duties.order_permit(now, QUOTA_ALLOCATOR)[0], "and in time it keeps it"
     for _ in range(3):
         now += 700_000
-        duties.look(now, WALL, 1, {}, {})
+        duties.tick(now, WALL, 1, {}, {})
     for _ in range(25):
         now += 200_000
-        duties.look(now, WALL, 1, {}, {})
-    assert not duties.order(now, ALLOTTER)[0], "it rests"
-    whys = [(event.what, event.why) for event in duties.drained()]
+        duties.tick(now, WALL, 1, {}, {})
+    assert not duties.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
+    whys = [(event.change, event.reason) for event in duties.take_events()]
     assert whys == [("held", "nobody held it"), ("ended", "this node is too slow")]
 
 
 def test_a_duty_that_was_handed_on_says_so_on_both_sides() -> None:
     roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
-    one, heir = (Duties(name, roster, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
+    one, heir = (Election(name, roster, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": Record("n1", 1, 1, WALL, False, b"")}
-    now = START + roster.tenure.quiet_us
-    while not one.order(now, ALLOTTER)[0]:
+    now = START + roster.lease_terms.startup_silence_us
+    while not one.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        one.look(now, WALL, 1, {}, {})
-    one.leaving = True
+        one.tick(now, WALL, 1, {}, {})
+    one.hand_over_roles()
     released: list[Bid] = []
     while not released:
         now += 200_000
-        released = [bid for bid in one.look(now, WALL, 1, there, {}) if bid.to == "n1"]
-    heir.bid(now, released[0])
-    asks = heir.look(now, WALL, 1, {}, {})
+        released = [bid for bid in one.tick(now, WALL, 1, there, {}) if bid.to == "n1"]
+    heir.answer_bid(now, released[0])
+    asks = heir.tick(now, WALL, 1, {}, {})
     while asks:
-        votes = [vote for bid in asks if bid.to == "n0" and (vote := one.bid(now, bid)) is not None]
-        asks = [bid for vote in votes for bid in heir.voted(now, WALL, vote)]
-    assert heir.order(now, ALLOTTER)[0], "in the same instant"
-    assert [(event.what, event.why) for event in heir.drained()] == [("held", "it was handed on")]
-    assert one.drained()[-1].why == "this node ends"
+        votes = [vote for bid in asks if bid.to == "n0" and (vote := one.answer_bid(now, bid)) is not None]
+        asks = [bid for vote in votes for bid in heir.count_vote(now, WALL, vote)]
+    assert heir.order_permit(now, QUOTA_ALLOCATOR)[0], "in the same instant"
+    assert [(event.change, event.reason) for event in heir.take_events()] == [("held", "it was handed on")]
+    assert one.take_events()[-1].reason == "this node ends"
 
 
 def test_one_liar_makes_up_no_holder() -> None:
     roster = fleet("n0", "n1", "n2").roster
-    duties = Duties("n5", roster, 200_000, START, random.Random(1))
+    duties = Election("n5", roster, 200_000, START, random.Random(1))
 
     def record(name: str, *promises: Promised) -> Record:
         return Record(name, 1, 1, WALL, False, b"", promises=list(promises))
 
     def holder(**records: Record) -> Holder | None:
-        return duties.told_holder(START, 0, records, dict.fromkeys(records, 100))
+        return duties.majority_holder(START, 0, records, dict.fromkeys(records, 100))
 
     said = Promised(0, 9, 4, SECOND)
     assert holder(n0=record("n0", said), n4=record("n4", said), n3=record("n3", said)) is None
@@ -383,23 +392,25 @@
 
 def test_ballots_of_any_kind_end_no_node() -> None:
     roster = fleet("n0", "n1", "n2").roster
-    duties = Duties("n0", roster, 200_000, START, random.Random(1))
+    duties = Election("n0", roster, 200_000, START, random.Random(1))
     for duty, what in ((0, 7), (9, 0), (9, 2)):
-        assert duties.bid(START, Bid("n5", 1, 1, WALL, "n0", roster.mark, duty, 7, what, "n0")) is None
-    assert not duties.awaited(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
-    assert not duties.awaited(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
+        assert (
+            duties.answer_bid(START, Bid("n5", 1, 1, WALL, "n0", roster.digest, duty, 7, what, "n0")) is None
+        )
+    assert not duties.expects_vote(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
+    assert not duties.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
 
 
 def test_a_vote_for_an_earlier_life_is_not_counted() -> None:
     # Danger: its round has the same number in this life, and no elector has promised this one anything.
     roster = fleet("n0", "n1", "n2").roster
-    duties = Duties("n5", roster, 200_000, START, random.Random(1))
+    duties = Election("n5", roster, 200_000, START, random.Random(1))
     now = START
     bids: list[Bid] = []
     while not bids:
         now += 200_000
-        bids = duties.look(now, WALL, 2, {}, {})
+        bids = duties.tick(now, WALL, 2, {}, {})
     votes = [Vote(bid.to, "n5", bid.incarnation, bid.number, 0, True, 0, 0) for bid in bids]
     early = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
-    assert all(duties.awaited(vote) for vote in votes)
-    assert not any(duties.awaited(vote) for vote in early)
+    assert all(duties.expects_vote(vote) for vote in votes)
+    assert not any(duties.expects_vote(vote) for vote in early)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.election.election import PACER, Roster
-from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
 from larchlatch.cluster.slow_start import tokens as pacing
 from larchlatch.cluster.slow_start.tokens import Pacing, Told
@@ -30,7 +30,7 @@
 WINDOW, TERM = SECOND, 3 * SECOND
 START, WALL = 1000 * SECOND, 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c", "d")
-ROSTER = Roster(NAMES[:3], NAMES, (PACER,), Tenure(TERM, 0.01, 200_000), 7)
+ROSTER = Electorate(NAMES[:3], NAMES, (TOKEN_ISSUER,), LeaseTerms(TERM, 0.01, 200_000), 7)
 UPSTREAM, BUDGET = 99, 5.0
 
 
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from larchlatch.cluster.cluster_file import fleet_from
-from larchlatch.cluster.election.election import Roster
+from larchlatch.cluster.election.electorate import Electorate
 from larchlatch.cluster.exchange import Exchange, Shared
 from larchlatch.cluster.health import observations as evidence
 from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
@@ -52,7 +52,7 @@
     def __init__(self, name: str, now: int, drift: Drift, chance: random.Random) -> None:
         self.drift = drift
         self.members = Members(name, dict.fromkeys(NAMES, ""), BEAT, now, drift.at(now), chance)
-        shared = Shared.of(name, dealing(), Roster(), 0, BEAT, drift.at(now), chance)
+        shared = Shared.of(name, dealing(), Electorate(), 0, BEAT, drift.at(now), chance)
         self.budgets, self.counts, self.evidence, *_ = shared
         shared.open(drift.at(now))
         keys = {name: key_of(name) for name in NAMES}
