--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -131,7 +131,7 @@
 
         fleet = fleet_of(cluster)
         sites = {peer.site for peer in fleet.peers.values()}
-        budgets = len(fleet.dealing.limits)
+        budgets = len(fleet.dealing.quotas)
         who = f"{len(fleet.peers)} nodes, {len(sites)} sites, {len(fleet.roster.electors)} electors"
         click.echo(f"cluster: in order; {who}, {budgets} budgets")
         return
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -12,8 +12,8 @@
 from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.signing import PUBLIC_BYTES, Key, Seal, key_of, seal_of
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.config.endpoints import address_of
 from larchlatch.config.toml_file import Strict, converted, read_toml
 from larchlatch.errors import ConfigurationError
@@ -82,7 +82,7 @@
 
     peers: dict[str, Peer]
     beat_us: int
-    dealing: Dealing
+    dealing: QuotaSettings
     roster: Electorate
     apart_us: int  # by how much wall clocks may differ
 
@@ -125,7 +125,7 @@
     )
 
 
-def roster_of(read: Raw, dealing: Dealing, top: str) -> Electorate:
+def roster_of(read: Raw, dealing: QuotaSettings, top: str) -> Electorate:
     """Who elects, for which duties."""
     work = read.duties
     if work is None:
@@ -142,18 +142,18 @@
             raise ConfigurationError(f"{where}.electors[{place}]", f"named twice ({name})")
     if read.beat_ms * BEATS_A_TERM > work.term_ms:
         raise ConfigurationError(f"{where}.term_ms", f"less than {BEATS_A_TERM} beats ({work.term_ms})")
-    if work.allot and not dealing.limits:
+    if work.allot and not dealing.quotas:
         raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
     tenure = LeaseTerms(work.term_ms * 1000, read.skew, read.clocks_ms * 1000)
     duties = (QUOTA_ALLOCATOR,) * work.allot + (TOKEN_ISSUER,) * work.pace
-    mark = digest(repr((dealing.mark, work.electors, work.term_ms, duties)))
+    mark = digest(repr((dealing.digest, work.electors, work.term_ms, duties)))
     return Electorate(tuple(sorted(work.electors)), dealing.names, duties, tenure, mark)
 
 
-def dealing_of(read: Raw, top: str) -> Dealing:
+def dealing_of(read: Raw, top: str) -> QuotaSettings:
     """How the budgets are dealt out."""
-    spans = Spans(read.window_ms * 1000, read.term_ms * 1000, read.skew)
-    limits: list[Limit] = []
+    spans = LoanTerms(read.window_ms * 1000, read.term_ms * 1000, read.skew)
+    limits: list[Quota] = []
     taken: dict[str, str] = {}
     for place, budget in enumerate(read.budgets):
         where = f"{top}: budgets[{place}]"
@@ -170,16 +170,18 @@
             raise ConfigurationError(
                 f"{where}.links_per_s", f"less than one link in a window ({budget.sessions_per_s})"
             )
-        limits.append(Limit(budget.name, sessions, tuple(budget.traffic_classes)))
+        limits.append(Quota(budget.name, sessions, tuple(budget.traffic_classes)))
     if limits and read.beat_ms * BEATS_A_TERM > read.term_ms:
         raise ConfigurationError(top, f"term_ms: fewer than {BEATS_A_TERM} beats ({read.term_ms})")
     names = tuple(sorted(entry.name for entry in read.nodes))
     allot = read.duties is not None and read.duties.allot
     mark = digest(dealing_text(limits, names, read.floor, spans, allot))
-    return Dealing(tuple(limits), names, read.floor, spans, mark, allot)
+    return QuotaSettings(tuple(limits), names, read.floor, spans, mark, allot)
 
 
-def dealing_text(limits: list[Limit], names: tuple[str, ...], floor: float, spans: Spans, allot: bool) -> str:
+def dealing_text(
+    limits: list[Quota], names: tuple[str, ...], floor: float, spans: LoanTerms, allot: bool
+) -> str:
     """Return the text whose digest tells one cluster file from another.
 
     Nodes of different versions compare the digest: the text must stay the same for the same file.
@@ -204,7 +206,7 @@
 def fits_traffic_classes(fleet: Fleet, traffic_classes: Iterable[str]) -> None:
     """BadInput where a budget names a tariff that this node does not have."""
     known = frozenset(traffic_classes)
-    for limit in fleet.dealing.limits:
+    for limit in fleet.dealing.quotas:
         for traffic_class in limit.traffic_classes:
             if traffic_class not in known:
                 raise ConfigurationError(
--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -24,8 +24,9 @@
     read,
     record_of,
 )
-from larchlatch.cluster.quota.budgets import Budgets, Dealing
 from larchlatch.cluster.quota.counts import Counts
+from larchlatch.cluster.quota.settings import QuotaSettings
+from larchlatch.cluster.quota.shared_quotas import SharedQuotas
 from larchlatch.cluster.slow_start.tokens import Pacing, Told
 
 if TYPE_CHECKING:
@@ -75,7 +76,7 @@
 class Shared(NamedTuple):
     """What the members share."""
 
-    budgets: Budgets
+    budgets: SharedQuotas
     counts: Counts
     evidence: Evidence
     duties: Election
@@ -85,7 +86,7 @@
     def of(
         cls,
         me: str,
-        dealing: Dealing,
+        dealing: QuotaSettings,
         roster: Electorate,
         apart_us: int,
         beat_us: int,
@@ -93,7 +94,7 @@
         chance: Random,
     ) -> Shared:
         """A node's part at its start; apart_us: by how much wall clocks may differ."""
-        budgets = Budgets(me, dealing, beat_us, now, chance)
+        budgets = SharedQuotas(me, dealing, beat_us, now, chance)
         duties = Election(me, roster, beat_us, now, chance)
         return cls(budgets, Counts(dealing, apart_us), Evidence(), duties, Pacing(me, roster, now))
 
@@ -128,16 +129,16 @@
         self,
         sites: Mapping[str, str],
         keys: Mapping[str, bytes],
-        dealing: Dealing,
+        dealing: QuotaSettings,
         roster: Electorate,
         beat_us: int,
         now: int,
     ) -> None:
         """The operator's file has changed: members that are gone are forgotten, those that stay are kept."""
         self.sites, self.keys = sites, keys
-        self.members.beat_us = self.budgets.beat_us = self.duties.heartbeat_us = beat_us
+        self.members.beat_us = self.budgets.heartbeat_us = self.duties.heartbeat_us = beat_us
         self.members.follow(sites)
-        if dealing.mark != self.budgets.dealing.mark:
+        if dealing.digest != self.budgets.settings.digest:
             self.budgets.follow(dealing, now)
             self.counts.follow(dealing)
         if roster.digest != self.pacing.mark:
@@ -238,14 +239,14 @@
             return self.pacing.news(note)
         if isinstance(note, Leave):
             return self.pacing.awaited(note)
-        return isinstance(note, Bid) or self.budgets.news(note)
+        return isinstance(note, Bid) or self.budgets.expects(note)
 
     def granted(self, grant: Grant, now: int, taken: Taken) -> None:
         """Rights have been lent to this node: by an order, where there is an allotter."""
         if grant.lease and not self.duties.accepts_order(QUOTA_ALLOCATOR, grant.lease):
             self.count("cluster: order refused by its number")
             return
-        lent = self.budgets.granted(now, grant)
+        lent = self.budgets.accept_grant(now, grant)
         self.count("cluster: lent to us" if lent else "cluster: lent too late")
         if lent and grant.lease:
             taken.orders.append(Carried(QUOTA_ALLOCATOR, grant.lease, grant.sender))
@@ -286,31 +287,31 @@
     def beat(self, now: int, wall: int) -> Beat:
         members, budgets = self.members, self.budgets
         changes = members.look(now)
-        budgets.agreed(now, [mark for mark, count in members.marks.items() if count])
-        mark = budgets.dealing.mark
+        budgets.note_digests(now, [mark for mark, count in members.marks.items() if count])
+        mark = budgets.settings.digest
         there = members.there
         telling = {name: record for name, record in there.items() if record.findings or record.promises}
         ages = {name: max(0, wall - record.made_us) for name, record in telling.items()}
         bids = self.duties.tick(now, wall, members.incarnation, there, ages)
         holder = self.duties.holder(QUOTA_ALLOCATOR)
         lease, _ = self.duties.order_permit(now, QUOTA_ALLOCATOR)
-        budgets.allot(now, holder.name if holder is not None else "", lease)
+        budgets.note_allocator(now, holder.name if holder is not None else "", lease)
         paced = self.paced(now, wall)
         promises = self.duties.promises(now)
-        own = members.own(wall, mark, budgets.told(now), self.evidence.told(now), promises)
+        own = members.own(wall, mark, budgets.standings(now), self.evidence.told(now), promises)
         self.counts.heard(own)
         signed = self.signed(own)
         targets = members.targets()
         letters = members.passed_on(signed, len(targets))
         datagrams = [(name, datagram_of(part)) for name, part in zip(targets, letters, strict=True)]
         datagrams += [(name, datagram_of([signed])) for name in members.watched() if name not in targets]
-        if not members.leaving and budgets.wanting(now):
+        if not members.leaving and budgets.wants_loans(now):
             spare = {
                 name: [share.spare for share in record.shares]
                 for name, record in there.items()
                 if record.mark == mark
             }
-            asks = budgets.asks(now, wall, members.incarnation, spare)
+            asks = budgets.loan_requests(now, wall, members.incarnation, spare)
             datagrams += [(ask.to, self.letter(ask)) for ask in asks if ask.to != members.me]
             self.ask_itself(now, [ask for ask in asks if ask.to == members.me])
         datagrams += [(bid.to, self.letter(bid)) for bid in bids]
@@ -345,7 +346,7 @@
         for ask in asks:
             grant = self.budgets.answer(now, ask, self.duties.order_permit(now, QUOTA_ALLOCATOR))
             if grant is not None:
-                self.budgets.granted(now, grant)
+                self.budgets.accept_grant(now, grant)
 
     def signed(self, told: Record | Note) -> Signed:
         body = body_of(told)
--- /dev/null
+++ b/larchlatch/cluster/quota/borrower.py
@@ -0,0 +1,203 @@
+"""The borrower's side: what a node asks for, of which lenders, and what it gets. No I/O."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.cluster.election.fencing import order_ends_at
+from larchlatch.cluster.protocol.datagrams import Ask
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping, Sequence
+
+    from larchlatch.cluster.protocol.datagrams import Grant
+    from larchlatch.cluster.quota.account import QuotaAccount
+    from larchlatch.cluster.quota.settings import QuotaSettings
+
+MAX_REQUESTS = 8  # in a heartbeat, over all quotas: bounds what a node sends, whatever is wanted
+MAX_LENDERS = 3  # asked for one quota in a heartbeat: more would lend a little each, and each loan is renewed
+MAX_LOANS = 24  # of one quota at a time: each has to be renewed once in half a term
+ANSWER_BEATS = 3  # heartbeats after which a request without an answer is taken for lost, and others are asked
+
+
+class Caller(NamedTuple):
+    """What each request says of this node: its life, and Unix time in microseconds."""
+
+    incarnation: int
+    wall: int
+
+
+class Offer(NamedTuple):
+    """What a node may lend, in sessions a window."""
+
+    lender: str
+    amount: int
+
+
+class PendingRequest(NamedTuple):
+    """A request that may yet be answered.
+
+    Attributes:
+        lender: the node that was asked.
+        quota: name of the quota.
+        amount: sessions a window.
+        asked_at: when it was asked, by this node's own clock.
+        renews: number of the request by which the loan was first made; 0: it is a new one.
+
+    """
+
+    lender: str
+    quota: str
+    amount: int
+    asked_at: int
+    renews: int
+
+
+class Borrower:
+    """Asks for loans and enters them in this node's accounts.
+
+    Attributes:
+        settings: quotas by the present cluster file.
+        allocator: the node that lends from the pools; "" where none is known.
+
+    """
+
+    def __init__(
+        self,
+        own_name: str,
+        settings: QuotaSettings,
+        accounts: Mapping[str, QuotaAccount],
+        shuffle: Callable[[list[str]], None],
+    ) -> None:
+        self.own_name = own_name
+        self.settings = settings
+        self.allocator = ""
+        self._accounts = accounts
+        self._shuffle = shuffle
+        self._last_number = 0
+        self._pending: dict[int, PendingRequest] = {}
+
+    def wants_loans(self, now: int) -> bool:
+        """Return whether there may be anything to ask for."""
+        return any(account.borrowed or account.wanted(now) for account in self._accounts.values())
+
+    def requests(
+        self, now: int, caller: Caller, heartbeat_us: int, spare: Mapping[str, Sequence[int]]
+    ) -> list[Ask]:
+        """Return what this heartbeat asks for.
+
+        Args:
+            now: present time.
+            caller: what each request says of this node.
+            heartbeat_us: interval between heartbeats.
+            spare: what each other node says it can lend of each quota, in the file's order.
+
+        """
+        self._forget_old(now)
+        awaited_since = now - ANSWER_BEATS * heartbeat_us
+        asks: list[Ask] = []
+        for index, (name, account) in enumerate(self._accounts.items()):
+            awaited = [
+                request
+                for request in self._pending.values()
+                if request.quota == name and request.asked_at > awaited_since
+            ]
+            wanted = account.wanted(now) - sum(request.amount for request in awaited if not request.renews)
+            drafts = self._renewals(now, name, account, awaited)
+            offers = self._offers(index, wanted, spare)
+            if len(account.borrowed) < MAX_LOANS:
+                drafts += self._new_loans(now, name, wanted, offers, awaited)
+            asks += [self.request(caller, draft) for draft in drafts[: MAX_REQUESTS - len(asks)]]
+        return asks
+
+    def _forget_old(self, now: int) -> None:
+        """Forget requests whose loan would be over by now."""
+        oldest = now - self.settings.loan_terms.term_us
+        self._pending = {n: request for n, request in self._pending.items() if request.asked_at > oldest}
+
+    def _renewals(
+        self, now: int, quota: str, account: QuotaAccount, awaited: Sequence[PendingRequest]
+    ) -> list[PendingRequest]:
+        """Return requests to renew the loans that end soon and are still wanted."""
+        limit, need = account.limit(now), account.need(now)
+        half_term_us = self.settings.loan_terms.term_us // 2
+        renewing = {request.renews for request in awaited}
+        drafts = []
+        for number, loan in account.borrowed.items():
+            if loan.ends_at - now > half_term_us or number in renewing:
+                continue
+            # What is no longer wanted ends by itself.
+            if limit - loan.amount < need:
+                drafts.append(PendingRequest(loan.lender, quota, loan.amount, asked_at=now, renews=number))
+            else:
+                limit -= loan.amount
+        return drafts
+
+    def _offers(self, index: int, wanted: int, spare: Mapping[str, Sequence[int]]) -> list[Offer]:
+        """Return offers for the quota at `index`: the allocator's, or those of others in random order."""
+        if self.settings.pooled:
+            return [Offer(self.allocator, wanted)] if self.allocator else []
+        lenders = [name for name, amounts in spare.items() if index < len(amounts) and amounts[index] > 0]
+        self._shuffle(lenders)
+        return [Offer(name, spare[name][index]) for name in lenders[:MAX_LENDERS]]
+
+    def _new_loans(
+        self,
+        now: int,
+        quota: str,
+        wanted: int,
+        offers: Sequence[Offer],
+        awaited: Sequence[PendingRequest],
+    ) -> list[PendingRequest]:
+        """Return requests for what is wanted, of lenders whose answer is not awaited already."""
+        asked = {request.lender for request in awaited}
+        drafts = []
+        for offer in offers:
+            if wanted <= 0:
+                break
+            if offer.lender not in asked:
+                amount = min(wanted, offer.amount)
+                drafts.append(PendingRequest(offer.lender, quota, amount, asked_at=now, renews=0))
+                wanted -= amount
+        return drafts
+
+    def request(self, caller: Caller, request: PendingRequest) -> Ask:
+        """Return the message of a request, whose answer is awaited from now on."""
+        self._last_number += 1
+        self._pending[self._last_number] = request
+        return Ask(
+            sender=self.own_name,
+            incarnation=caller.incarnation,
+            number=self._last_number,
+            made_us=caller.wall,
+            to=request.lender,
+            mark=self.settings.digest,
+            budget=request.quota,
+            amount=request.amount,
+            renews=request.renews,
+        )
+
+    def expects(self, grant: Grant) -> bool:
+        """Return whether a grant, not yet trusted, answers a request."""
+        request = self._pending.get(grant.number)
+        return request is not None and request.lender == grant.sender and request.quota == grant.budget
+
+    def accept(self, now: int, grant: Grant) -> bool:
+        """Enter what was lent by a grant that is expected; return whether it can still be used."""
+        request = self._pending.pop(grant.number)
+        account = self._accounts.get(grant.budget)
+        late = self.settings.pooled and now >= order_ends_at(request.asked_at, grant.left_us)
+        if account is None or late:
+            return False
+        amount = min(grant.amount, request.amount)
+        if request.renews:
+            known = account.borrowed.get(request.renews)
+            if known is None or known.amount != amount:
+                return False
+        return account.borrow(
+            now,
+            request=request.renews or grant.number,
+            lender=grant.sender,
+            amount=amount,
+            asked_at=request.asked_at,
+        )
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -14,7 +14,7 @@
     from collections.abc import Sequence
 
     from larchlatch.cluster.protocol.datagrams import Record
-    from larchlatch.cluster.quota.budgets import Dealing
+    from larchlatch.cluster.quota.settings import QuotaSettings
 
 WINDOWS = 10  # the stretch that is told of: a cut of a few windows shows in it, and has left it soon after
 THIN_US = 100_000  # samples of one origin are so far apart, which is enough for ten a window of a second
@@ -35,25 +35,25 @@
 
 
 class Counts:
-    def __init__(self, dealing: Dealing, apart_us: int) -> None:
+    def __init__(self, dealing: QuotaSettings, apart_us: int) -> None:
         """apart_us: wall clocks of nodes differ by no more."""
         self.apart_us = apart_us
         self.samples: dict[str, deque[Sample]] = {}
         self.follow(dealing)
 
-    def follow(self, dealing: Dealing) -> None:
+    def follow(self, dealing: QuotaSettings) -> None:
         """What was told by another file counts other budgets."""
         self.dealing = dealing
         self.samples = {name: deque() for name in dealing.names}
 
     @property
     def span_us(self) -> int:
-        return WINDOWS * self.dealing.spans.window_us
+        return WINDOWS * self.dealing.loan_terms.window_us
 
     def heard(self, record: Record) -> None:
         """What an origin has told, this node itself included."""
         kept = self.samples.get(record.name)
-        if kept is None or record.mark != self.dealing.mark:
+        if kept is None or record.mark != self.dealing.digest:
             return
         sample = Sample(record.made_us, record.incarnation, tuple(share.spent for share in record.shares))
         # The newest always counts; the one before makes way where it is close to the one before it.
@@ -66,7 +66,7 @@
 
     def told(self, wall: int) -> list[Range]:
         """Budget by budget, in the file's order."""
-        return [self.range(place, wall) for place in range(len(self.dealing.limits))]
+        return [self.range(place, wall) for place in range(len(self.dealing.quotas))]
 
     def range(self, place: int, wall: int) -> Range:
         start = wall - self.span_us
@@ -94,9 +94,9 @@
                 upto = max(upto, sample.made_us - self.apart_us)
                 before = sample
             gaps.append((upto, wall + self.apart_us))
-        windows, limit = self.dealing.spans.window_us, self.dealing.limits[place].sessions
+        windows, limit = self.dealing.loan_terms.window_us, self.dealing.quotas[place].sessions
         end = wall + self.apart_us
-        floors = {name: self.dealing.share(self.dealing.limits[place], name).floor for name in unknown}
+        floors = {name: self.dealing.share(self.dealing.quotas[place], name).floor for name in unknown}
         while end > start - self.apart_us:
             # In one window those of whom nothing is known can have used all but the others' floors.
             known = [name for name in unknown if not meets(unknown[name], end - windows, end)]
--- /dev/null
+++ b/larchlatch/cluster/quota/lender.py
@@ -0,0 +1,94 @@
+"""The lender's side: what a node answers to requests for loans. No I/O."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.cluster.protocol.datagrams import Grant
+from larchlatch.cluster.quota.account import LoanId
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from larchlatch.cluster.election.fencing import OrderPermit
+    from larchlatch.cluster.protocol.datagrams import Ask
+    from larchlatch.cluster.quota.account import QuotaAccount
+    from larchlatch.cluster.quota.pools import QuotaPools
+    from larchlatch.cluster.quota.settings import QuotaSettings
+
+
+class RequestAge(NamedTuple):
+    """Order of a member's requests: by its life, then by number."""
+
+    incarnation: int
+    number: int
+
+
+NO_REQUEST = RequestAge(-1, -1)
+
+
+class Lender:
+    """Answers requests, from this node's own accounts, or from the pools of the quota allocator."""
+
+    def __init__(
+        self,
+        own_name: str,
+        settings: QuotaSettings,
+        accounts: Mapping[str, QuotaAccount],
+        pools: QuotaPools,
+    ) -> None:
+        self.own_name = own_name
+        self.settings = settings
+        self._accounts = accounts
+        self._pools = pools
+        self._newest: dict[str, RequestAge] = {}  # request of each member
+
+    def follow(self, settings: QuotaSettings) -> None:
+        """Go by a changed cluster file; members that are gone are forgotten."""
+        self.settings = settings
+        self._newest = {name: age for name, age in self._newest.items() if name in settings.names}
+
+    def is_new(self, ask: Ask) -> bool:
+        """Return whether a request is newer than all before of its sender."""
+        # One that comes twice, or late, is not answered: what could be lent by it would have been lent
+        # already.
+        return RequestAge(ask.incarnation, ask.number) > self._newest.get(ask.sender, NO_REQUEST)
+
+    def answer(self, now: int, ask: Ask, permit: OrderPermit) -> Grant | None:
+        """Lend what is asked for, taken off here before it is told; None where nothing is lent.
+
+        Args:
+            now: present time.
+            ask: the request.
+            permit: lease by which this node may lend from the pools now.
+
+        """
+        self._newest[ask.sender] = RequestAge(ask.incarnation, ask.number)
+        if self.settings.pooled and permit.lease != self._pools.lease:
+            return None
+        # A node that goes by another file counts by another term, and would have the loan after it is back
+        # here.
+        if ask.amount <= 0 or ask.mark != self.settings.digest:
+            return None
+        amount = self._pools.lend(now, ask) if self.settings.pooled else self._lend_own(now, ask)
+        if not amount:
+            return None
+        return Grant(
+            sender=self.own_name,
+            to=ask.sender,
+            incarnation=ask.incarnation,
+            number=ask.number,
+            budget=ask.budget,
+            amount=amount,
+            lease=permit.lease,
+            left_us=permit.left_us,
+        )
+
+    def _lend_own(self, now: int, ask: Ask) -> int:
+        """Lend from this node's own share, or renew a loan; return how much is lent."""
+        account = self._accounts.get(ask.budget)
+        if account is None:
+            return 0
+        if ask.renews:
+            return account.renew(now, LoanId(ask.sender, ask.incarnation, ask.renews), ask.amount)
+        return account.lend(now, LoanId(ask.sender, ask.incarnation, ask.number), ask.amount)
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -178,7 +178,7 @@
         if looks or failed:
             self.counters.add("cluster: look at a host for others' word", len(looks))
             self.hearing.advise(looks, failed)
-        other = self.budgets.other
+        other = self.budgets.any_file_differs
         if other is not self.other_file_told:
             self.other_file_told = other
             log.warning("other nodes go by another cluster file" if other else "all go by this cluster file")
@@ -279,12 +279,12 @@
         ranges = self.counts.told(self.wall())
         return [
             {
-                **account._asdict(),
+                **account.to_json(),
                 "fleet_least": known.least,
                 "fleet_most": known.most,
                 "fleet_age_ms": known.age_us // 1000,
             }
-            for account, known in zip(self.budgets.accounts(self.now()), ranges, strict=True)
+            for account, known in zip(self.budgets.statuses(self.now()), ranges, strict=True)
         ]
 
     def told(self) -> list[dict[str, Any]]:
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -65,7 +65,9 @@
 
     def greedy_asks(self, now: int, wall: int) -> Iterable[tuple[str, bytes]]:
         """All that there is, of all budgets, from everybody."""
-        for limit in self.budgets.dealing.limits:
+        for limit in self.budgets.settings.quotas:
             for other in self.members.members:
-                ask = self.budgets.ask(now, wall, self.members.incarnation, other, limit.name, FAR, 0)
+                ask = self.budgets.request_loan(
+                    now, wall, self.members.incarnation, lender=other, quota=limit.name, amount=FAR
+                )
                 yield other, self.letter(ask)
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -11,8 +11,8 @@
 from larchlatch.cluster.exchange import Carried, Shared
 from larchlatch.cluster.membership.membership import Change, Members, State
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.cluster.slow_start.tokens import Told
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import us
@@ -308,15 +308,15 @@
         }
 
 
-def dealing_for(day: Day, names: Sequence[str], mark: int) -> Dealing:
+def dealing_for(day: Day, names: Sequence[str], mark: int) -> QuotaSettings:
     """How the day's budget, if it has one, is dealt out: as its cluster file would say it."""
     cluster = day.cluster
-    spans = Spans(us(cluster.window_s), us(cluster.term_s), cluster.skew)
-    limits: tuple[Limit, ...] = ()
+    spans = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.skew)
+    limits: tuple[Quota, ...] = ()
     if cluster.sessions_per_s:
         traffic_classes = tuple(f"t{place}" for place in range(len(day.sessions.effects)))
-        limits = (Limit("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
-    return Dealing(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
+        limits = (Quota("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
+    return QuotaSettings(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
 
 
 def roster_for(day: Day, names: Sequence[str], mark: int) -> Electorate:
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -42,8 +42,8 @@
     record_of,
 )
 from larchlatch.cluster.protocol.signing import Checks, Seal, seal_of
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import QuotaSettings
 from larchlatch.days.agreement import SETTLED_US, Agreement
 from larchlatch.days.chance import Chance
 from larchlatch.days.day import checked
@@ -52,7 +52,7 @@
 from larchlatch.errors import InvalidInputError
 
 BEAT = 200_000
-SPANS = Spans(1_000_000, 3_000_000, 0.01)
+SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
 WALL = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
 KEYS = {name: Seal(secret).public for name, secret in SECRETS.items()}
@@ -65,7 +65,7 @@
         self.counts: dict[str, int] = {}
         self.members = Members(name, dict.fromkeys(names, ""), BEAT, wall, 0, random.Random(seed))
         shared = Shared.of(
-            name, Dealing((), tuple(names), 1.0, SPANS, 1), Electorate(), 0, BEAT, 0, random.Random(seed)
+            name, QuotaSettings((), tuple(names), 1.0, SPANS, 1), Electorate(), 0, BEAT, 0, random.Random(seed)
         )
         sites = dict.fromkeys(names, "")
         self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -26,8 +26,8 @@
 from larchlatch.cluster.membership.membership import State as MemberState
 from larchlatch.cluster.protocol import datagrams
 from larchlatch.cluster.protocol.signing import Checks, Seal
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.config.endpoints import EndpointEntry
 from larchlatch.config.endpoints import EndpointList as MemberList
 from larchlatch.days.day import Day, day_of
@@ -113,12 +113,16 @@
 # Datagrams.
 
 
-def dealing(allot: bool) -> Dealing:
-    return Dealing((Limit("all", 30, ("t",)),), NODES, 0.5, Spans(SECOND, 3 * SECOND, 0.01), 77, allot)
+def dealing(allot: bool) -> QuotaSettings:
+    return QuotaSettings(
+        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND, 3 * SECOND, 0.01), 77, allot
+    )
 
 
 def roster() -> Electorate:
-    return Electorate(NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88)
+    return Electorate(
+        NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88
+    )
 
 
 def exchange(name: str, started: int, allot: bool) -> Exchange:
@@ -226,7 +230,7 @@
 def cluster_marks() -> list[int]:
     """The digests by which nodes tell whether they go by the same cluster file."""
     fleets = [fleet_of(ROOT / "deploy" / "cluster.example.toml"), fleet_from(CLUSTER, "cluster")]
-    return [mark for fleet in fleets for mark in (fleet.dealing.mark, fleet.roster.digest)]
+    return [mark for fleet in fleets for mark in (fleet.dealing.digest, fleet.roster.digest)]
 
 
 def stored_values() -> dict[str, list[Any]]:
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -14,14 +14,17 @@
 
 from larchlatch.cluster.cluster_file import fleet_from
 from larchlatch.cluster.election.electorate import Electorate
+from larchlatch.cluster.election.fencing import NO_PERMIT
 from larchlatch.cluster.exchange import Exchange, Shared
 from larchlatch.cluster.health import observations as evidence
 from larchlatch.cluster.health.observations import FRESH_US, HEED_US, LOOK_US, Evidence
 from larchlatch.cluster.membership.membership import Members
 from larchlatch.cluster.protocol.datagrams import Ask, Finding, Grant
 from larchlatch.cluster.quota import counts
-from larchlatch.cluster.quota.account import Rights, Share, Spans, dealt
-from larchlatch.cluster.quota.budgets import Budgets, Dealing, Limit
+from larchlatch.cluster.quota.account import QuotaAccount
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings, QuotaShare, share_at
+from larchlatch.cluster.quota.shared_quotas import SharedQuotas
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.day import Day, checked, day_of, settings_for
 from larchlatch.days.puppets import Drift
@@ -36,14 +39,14 @@
 
 SECOND = 1_000_000
 BEAT, STEP = 200_000, 20_000
-SPANS = Spans(SECOND, 2 * SECOND, 0.01)
+SPANS = LoanTerms(SECOND, 2 * SECOND, 0.01)
 START = 1_000_000 * SECOND  # also the wall clock: an incarnation is the time of its start
 LIMIT = 24
 NAMES = "abcd"
 
 
-def dealing(floor: float = 0.5, names: str = NAMES, limit: int = LIMIT, mark: int = 1) -> Dealing:
-    return Dealing((Limit("all", limit, ("t",)),), tuple(names), floor, SPANS, mark)
+def dealing(floor: float = 0.5, names: str = NAMES, limit: int = LIMIT, mark: int = 1) -> QuotaSettings:
+    return QuotaSettings((Quota("all", limit, ("t",)),), tuple(names), floor, SPANS, mark)
 
 
 class Side:
@@ -118,15 +121,15 @@
 def late_answer() -> Spending:
     """Two nodes; what one lends the other hears just before its term is over, and both spend all they may."""
     judge, began = Spending(LIMIT, SECOND), START + 60 * SECOND
-    one, other = (Budgets(n, dealing(names="ab"), BEAT, START, random.Random(1)) for n in "ab")
+    one, other = (SharedQuotas(n, dealing(names="ab"), BEAT, START, random.Random(1)) for n in "ab")
     for side in (one, other):
         side.open(START)
-    ask = other.ask(began, began, 1, "a", "all", 6, 0)
-    grant = one.answer(began, ask)
-    assert grant is not None and other.news(grant)
+    ask = other.request_loan(began, began, 1, lender="a", quota="all", amount=6)
+    grant = one.answer(began, ask, NO_PERMIT)
+    assert grant is not None and other.expects(grant)
     for now in range(began, began + 6 * SECOND, STEP):
         if now == began + SPANS.term_us - STEP:
-            assert other.granted(now, grant)
+            assert other.accept_grant(now, grant)
         for name, side in (("a", one), ("b", other)):
             for number in range(9):
                 ident = f"{name} {now} {number}"
@@ -158,24 +161,26 @@
     )
 
 
-def forgetful(rights: Rights, now: int) -> None:
+def forgetful(rights: QuotaAccount, now: int) -> None:
     rights.closed, rights.opens_at, rights.whole_at = False, now, now
 
 
-def careless(rights: Rights, now: int, loan: Any, amount: int) -> int:
+def careless(rights: QuotaAccount, now: int, loan: Any, amount: int) -> int:
     return max(0, min(amount, rights.spare(now)))
 
 
-def late_borrower(rights: Rights, now: int, number: int, lender: str, amount: int, asked_at: int) -> bool:
-    return borrow(rights, now, number, lender, amount, now)
+def late_borrower(
+    rights: QuotaAccount, now: int, *, request: int, lender: str, amount: int, asked_at: int
+) -> bool:
+    return borrow(rights, now, request=request, lender=lender, amount=amount, asked_at=now)
 
 
-borrow = Rights.borrow
+borrow = QuotaAccount.borrow
 PLANTED: list[tuple[object, str, Any]] = [
-    (Rights, "open", forgetful),
-    (Rights, "lend", careless),
-    (Rights, "borrow", late_borrower),
-    (Spans, "back_us", property(lambda spans: spans.term_us)),
+    (QuotaAccount, "open", forgetful),
+    (QuotaAccount, "lend", careless),
+    (QuotaAccount, "borrow", late_borrower),
+    (LoanTerms, "recovery_us", property(lambda spans: spans.term_us)),
     (counts, "meets", lambda *args: False),
 ]
 
@@ -197,38 +202,38 @@
     rows = [World(day_of(LOANS, {"seed": seed})).play() for seed in (1, 2)]
     assert all(row["over_budget"] == 0 and row["outside"] == 0 and row["members_wrong"] == 0 for row in rows)
     assert all(row["agreed_s"] is not None and not any(row["broken"].values()) for row in rows)
-    monkeypatch.setattr(Rights, "open", forgetful)
+    monkeypatch.setattr(QuotaAccount, "open", forgetful)
     assert World(day_of(LOANS, {"seed": 1})).play()["over_budget"] > 0, "the day is one on which it shows"
 
 
 def test_shares_make_up_the_limit_and_a_static_division_lends_nothing() -> None:
     for limit, count in ((24, 4), (10, 7), (3, 8), (1000, 200)):
-        shares = [dealt(limit, 0.5, count, place) for place in range(count)]
+        shares = [share_at(limit, 0.5, count, place) for place in range(count)]
         assert sum(share.own for share in shares) == limit
         assert all(0 <= share.floor <= share.own for share in shares)
-    rights = Rights(dealt(24, 1.0, 4, 0), SPANS, START)
+    rights = QuotaAccount(share_at(24, 1.0, 4, 0), SPANS, START)
     rights.open(START)
     assert rights.spare(START + 60 * SECOND) == 0
 
 
 def test_a_start_waits_a_window_then_has_its_floor_then_all_of_its_own() -> None:
-    rights = Rights(Share(10, 4), SPANS, START)
+    rights = QuotaAccount(QuotaShare(10, 4), SPANS, START)
     assert rights.limit(START + 99 * SECOND) == 0, "another process of this node may be spending"
     rights.open(START + 100 * SECOND)
     opened = START + 100 * SECOND
     assert rights.limit(opened + SECOND) == 0 and rights.admit(opened) > 0
-    assert rights.limit(opened + SPANS.counted_us) == 4
-    assert rights.limit(opened + SPANS.back_us) == 10
+    assert rights.limit(opened + SPANS.counting_window_us) == 4
+    assert rights.limit(opened + SPANS.recovery_us) == 10
 
 
 def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
     # Danger: nodes read it one after the other; more at once would be spent twice.
-    budgets = Budgets("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
     budgets.open(START)
     now = START + 60 * SECOND
-    assert budgets.rights["all"].limit(now) == 6
+    assert budgets.accounts["all"].limit(now) == 6
     budgets.follow(dealing(limit=12, mark=2), now)
-    assert budgets.rights["all"].limit(now) == 3
+    assert budgets.accounts["all"].limit(now) == 3
     budgets.follow(dealing(limit=48, mark=3), now)
     for marks, at, limit in (
         ([3, 3, None], 30, 3),
@@ -237,50 +242,54 @@
         ([3, 3, 3], 63, 3),
         ([3, 3, 3], 66, 12),
     ):
-        budgets.agreed(now + at * SECOND, marks)
-        assert budgets.rights["all"].limit(now + at * SECOND) == limit, (marks, at)
-    assert budgets.answer(now, Ask("b", 1, 1, now, "a", 2, "all", 1, 0)) is None, "by another file's term"
+        budgets.note_digests(now + at * SECOND, marks)
+        assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (marks, at)
+    assert budgets.answer(now, Ask("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
+        "by another file's term"
+    )
 
 
 def test_a_node_that_starts_with_another_file_than_the_others_keeps_to_its_floor() -> None:
-    budgets = Budgets("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
     budgets.open(START)
     for beat in range(100):
-        budgets.agreed(START + beat * BEAT, [1, 7, None])
-    assert budgets.rights["all"].limit(START + 100 * BEAT) == 3 and budgets.other
+        budgets.note_digests(START + beat * BEAT, [1, 7, None])
+    assert budgets.accounts["all"].limit(START + 100 * BEAT) == 3 and budgets.any_file_differs
 
 
 def test_one_process_of_a_node_spends_after_the_other() -> None:
     # Danger: in an upgrade two processes of one node run; each would have the node's whole share.
-    old, new = (Budgets("a", dealing(), BEAT, START, random.Random(1)) for _ in range(2))
+    old, new = (SharedQuotas("a", dealing(), BEAT, START, random.Random(1)) for _ in range(2))
     old.open(START)
     now = START + 60 * SECOND
     assert [old.admit(now, "t") for _ in range(6)] == [0] * 6 and new.admit(now, "t") > 0
     used = old.close(now)
     new.take_over(now, used)
     assert old.admit(now, "t") > 0 and new.admit(now, "t") > 0, "the window is used up"
-    later = now + SPANS.counted_us + SECOND
+    later = now + SPANS.counting_window_us + SECOND
     assert [new.admit(later, "t") > 0 for _ in range(4)] == [False, False, False, True], "its floor"
     new.open(later)
-    assert new.rights["all"].limit(later + SECOND) == 3, "what the old one lent is not back yet"
+    assert new.accounts["all"].limit(later + SECOND) == 3, "what the old one lent is not back yet"
     old.open(later)
     assert old.admit(later, "t") > 0, "broken off: the new one may have spent up to now"
 
 
 def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
-    budgets = Budgets("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
     budgets.open(START - 60 * SECOND)
-    ask = budgets.ask(START, START, 1, "b", "all", 5, 0)
+    ask = budgets.request_loan(START, START, 1, lender="b", quota="all", amount=5)
     for lender, number in (("c", 1), ("b", 2)):
-        assert not budgets.news(Grant(lender, "a", 1, number, "all", 5))
+        assert not budgets.expects(Grant(lender, "a", 1, number, "all", 5))
     grant = Grant("b", "a", 1, ask.number, "all", 500)
-    assert budgets.news(grant) and not budgets.granted(START + SPANS.term_us, grant)
-    ask = budgets.ask(START, START, 1, "b", "all", 5, 0)
-    assert not budgets.granted(START + 1, Grant("b", "a", 1, ask.number, "all", 500)), "time never runs back"
+    assert budgets.expects(grant) and not budgets.accept_grant(START + SPANS.term_us, grant)
+    ask = budgets.request_loan(START, START, 1, lender="b", quota="all", amount=5)
+    assert not budgets.accept_grant(START + 1, Grant("b", "a", 1, ask.number, "all", 500)), (
+        "time never runs back"
+    )
     now = START + 9 * SECOND
-    ask = budgets.ask(now, now, 1, "b", "all", 5, 0)
-    assert budgets.granted(now + 1, Grant("b", "a", 1, ask.number, "all", 500))
-    assert budgets.rights["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
+    ask = budgets.request_loan(now, now, 1, lender="b", quota="all", amount=5)
+    assert budgets.accept_grant(now + 1, Grant("b", "a", 1, ask.number, "all", 500))
+    assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
 
 
 class Told:
