--- a/larchlatch/cluster/exchange.py
+++ b/larchlatch/cluster/exchange.py
@@ -27,7 +27,8 @@
 from larchlatch.cluster.quota.counts import Counts
 from larchlatch.cluster.quota.settings import QuotaSettings
 from larchlatch.cluster.quota.shared_quotas import SharedQuotas
-from larchlatch.cluster.slow_start.tokens import Pacing, Told
+from larchlatch.cluster.slow_start.notices import TokenNotice
+from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable, Mapping
@@ -51,7 +52,7 @@
     changes: list[Change]
     datagrams: list[tuple[str, bytes]]
     advice: Advice
-    leaves: list[Told]
+    leaves: list[TokenNotice]
 
 
 class Carried(NamedTuple):
@@ -70,7 +71,7 @@
     changes: list[Change]
     datagrams: list[tuple[str, bytes]]
     orders: list[Carried]
-    leaves: list[Told]
+    leaves: list[TokenNotice]
 
 
 class Shared(NamedTuple):
@@ -80,7 +81,7 @@
     counts: Counts
     evidence: Evidence
     duties: Election
-    pacing: Pacing
+    pacing: SlowStartTokens
 
     @classmethod
     def of(
@@ -96,7 +97,7 @@
         """A node's part at its start; apart_us: by how much wall clocks may differ."""
         budgets = SharedQuotas(me, dealing, beat_us, now, chance)
         duties = Election(me, roster, beat_us, now, chance)
-        return cls(budgets, Counts(dealing, apart_us), Evidence(), duties, Pacing(me, roster, now))
+        return cls(budgets, Counts(dealing, apart_us), Evidence(), duties, SlowStartTokens(me, roster, now))
 
     def open(self, now: int) -> None:
         """No other process of this node spends, or promises anything."""
@@ -141,7 +142,7 @@
         if dealing.digest != self.budgets.settings.digest:
             self.budgets.follow(dealing, now)
             self.counts.follow(dealing)
-        if roster.digest != self.pacing.mark:
+        if roster.digest != self.pacing.digest:
             self.pacing.follow(roster)
         self.duties.follow(roster, now)
 
@@ -217,7 +218,7 @@
             if grant is not None:
                 taken.datagrams.append((note.sender, self.letter(grant)))
         elif isinstance(note, Seek):
-            leave = self.pacing.answer(now, note, self.duties.order_permit(now, TOKEN_ISSUER))
+            leave = self.pacing.issuer.answer(now, note, self.duties.order_permit(now, TOKEN_ISSUER))
             if leave is not None:
                 taken.datagrams.append((note.sender, self.letter(leave)))
         elif isinstance(note, Leave):
@@ -236,9 +237,9 @@
         if isinstance(note, Vote):
             return self.duties.expects_vote(note)
         if isinstance(note, Seek):
-            return self.pacing.news(note)
+            return self.pacing.issuer.is_new(note)
         if isinstance(note, Leave):
-            return self.pacing.awaited(note)
+            return self.pacing.requester.expects(note)
         return isinstance(note, Bid) or self.budgets.expects(note)
 
     def granted(self, grant: Grant, now: int, taken: Taken) -> None:
@@ -256,7 +257,7 @@
         if not self.duties.accepts_order(TOKEN_ISSUER, leave.lease):
             self.count("cluster: order refused by its number")
             return
-        told = self.pacing.told(now, leave)
+        told = self.pacing.requester.accept(now, leave)
         if told is not None:
             taken.leaves.append(told)
             taken.orders.append(Carried(TOKEN_ISSUER, leave.lease, leave.sender))
@@ -266,7 +267,7 @@
     def sought(self, now: int, wall: int, session: int, wants: list[tuple[int, TokenCandidate]]) -> Taken:
         """A link would go to one of these cold hosts, by the hashes of their names."""
         taken = Taken([], [], [], [])
-        seek = self.pacing.sought(now, wall, self.members.incarnation, session, wants)
+        seek = self.pacing.requester.request_token(now, wall, self.members.incarnation, session, wants)
         if seek is not None:
             self.ask_pacer(now, seek, taken)
         return taken
@@ -275,7 +276,7 @@
         if seek.to != self.members.me:
             taken.datagrams.append((seek.to, self.letter(seek)))
             return
-        leave = self.pacing.answer(now, seek, self.duties.order_permit(now, TOKEN_ISSUER))
+        leave = self.pacing.issuer.answer(now, seek, self.duties.order_permit(now, TOKEN_ISSUER))
         if leave is not None:
             self.left(leave, now, taken)
 
@@ -328,13 +329,13 @@
     def paced(self, now: int, wall: int) -> Taken:
         """A beat's part of the pacing."""
         taken = Taken([], [], [], [])
-        if not self.pacing.on:
+        if not self.pacing.enabled:
             return taken
         holder = self.duties.holder(TOKEN_ISSUER)
         lease, _ = self.duties.order_permit(now, TOKEN_ISSUER)
-        self.pacing.pace(now, lease)
+        self.pacing.issuer.hold(now, lease)
         pacer = holder.name if holder is not None else ""
-        seek, told = self.pacing.look(now, wall, self.members.incarnation, pacer)
+        seek, told = self.pacing.requester.tick(now, wall, self.members.incarnation, pacer)
         if told is not None:
             taken.leaves.append(told)
         if seek is not None:
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -24,7 +24,7 @@
     from pathlib import Path
     from random import Random
 
-    from larchlatch.cluster.slow_start.tokens import Told
+    from larchlatch.cluster.slow_start.notices import TokenNotice
     from larchlatch.node.metrics import Counters
     from larchlatch.node.ports import Hearing
     from larchlatch.policy.types import TokenCandidate
@@ -213,7 +213,9 @@
 
     def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
         self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
-        self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
+        self.pacing.update_upstreams(
+            self.now(), self.upstreams, slow_start_us=slow_start_us, window_us=window_us
+        )
         self.evidence.follow(self.upstreams)
 
     def saw(self, upstream: str, good: bool | None) -> None:
@@ -227,16 +229,16 @@
         self.ordered(taken.orders)
         self.pace(taken.leaves)
 
-    def pace(self, leaves: list[Told]) -> None:
+    def pace(self, leaves: list[TokenNotice]) -> None:
         # The module goes by another clock than terms do.
         ahead = now_us() - self.now()
         for told in leaves:
             upstream = self.upstreams.get(told.upstream, "")
-            if not self.hearing.pace(told.until + ahead, upstream, told.session, told.at + ahead):
-                self.pacing.unheard()
+            if not self.hearing.pace(told.handed_over_until + ahead, upstream, told.session, told.token_ends_at + ahead):
+                self.pacing.requester.withdraw()
 
     def cede(self) -> dict[str, int]:
-        self.pacing.close()
+        self.pacing.requester.close()
         return self.budgets.close(self.now())
 
     def resume(self) -> None:
@@ -244,7 +246,7 @@
         self.opened()
 
     def opened(self) -> None:
-        leaves = self.pacing.open(self.now())
+        leaves = self.pacing.requester.open(self.now())
         self.pace([leaves] if leaves is not None else [])
 
     def take_over(self, used: Mapping[str, int]) -> None:
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -13,7 +13,7 @@
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 from larchlatch.cluster.quota.loan_terms import LoanTerms
 from larchlatch.cluster.quota.settings import Quota, QuotaSettings
-from larchlatch.cluster.slow_start.tokens import Told
+from larchlatch.cluster.slow_start.notices import TokenNotice
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import us
 from larchlatch.days.avoidance import Avoidance
@@ -94,7 +94,9 @@
         self.evidence.follow(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
-        self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
+        self.pacing.update_upstreams(
+            self.now, upstreams, slow_start_us=max(0, slow_start_us), window_us=us(cold.tip_s)
+        )
 
     def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
@@ -103,13 +105,16 @@
         self.ordered(taken.orders)
         self.pace(taken.leaves)
 
-    def pace(self, leaves: list[Told]) -> None:
+    def pace(self, leaves: list[TokenNotice]) -> None:
         # The decisions go by the true clock here.
         ahead = self.company.stage.clock.now - self.now
         for told in leaves:
             node = self.company.stage.nodes[self.number]
             node.paced(
-                told.until + ahead, told.upstream if told.session >= 0 else -1, told.session, told.at + ahead
+                told.handed_over_until + ahead,
+                told.upstream if told.session >= 0 else -1,
+                told.session,
+                told.token_ends_at + ahead,
             )
 
     def saw(self, upstream: int, good: bool | None) -> None:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -185,8 +185,8 @@
     sent = []
     for beat in (0, 200_000, 8 * SECOND):
         sent += node.beat(NOW + beat, WALL + beat).datagrams
-    node.pacing.pacer = "b"
-    node.pacing.heard_at = NOW + 8 * SECOND
+    node.pacing.requester.issuer = "b"
+    node.pacing.requester.answered_at = NOW + 8 * SECOND
     sent += node.sought(NOW + 8 * SECOND, WALL, 4, [(99, TokenCandidate(1, 5.0, 1.0))]).datagrams
     return [[to, data.hex()] for to, data in sent]
 
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -13,10 +13,13 @@
 from hypothesis import strategies as st
 
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.fencing import NO_PERMIT, OrderPermit
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
-from larchlatch.cluster.slow_start import tokens as pacing
-from larchlatch.cluster.slow_start.tokens import Pacing, Told
+from larchlatch.cluster.slow_start.issuer import TokenIssuer
+from larchlatch.cluster.slow_start.notices import TokenNotice
+from larchlatch.cluster.slow_start.requester import NOTICE_LAG_US, TokenRequester
+from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 from larchlatch.days.day import Day, day_of
 from larchlatch.days.hosts import Upstream
 from larchlatch.days.puppets import Drift
@@ -39,17 +42,17 @@
 
     def __init__(self, name: str, now: int) -> None:
         self.name = name
-        self.pacing = Pacing(name, ROSTER, now)
-        self.pacing.listed(now, [UPSTREAM], 1000 * SECOND, WINDOW)
+        self.pacing = SlowStartTokens(name, ROSTER, now)
+        self.pacing.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
         self.incarnation = now
         self.until = 0  # turns are handed over, by what the decisions know
         self.leaves: dict[int, int] = {}
-        self.words: deque[tuple[int, Told]] = deque()  # not heard by the decisions yet
-        self.hear(now, self.pacing.open(now))
+        self.words: deque[tuple[int, TokenNotice]] = deque()  # not heard by the decisions yet
+        self.hear(now, self.pacing.requester.open(now))
         self.told(now)
         self.awake_at = 0
 
-    def hear(self, now: int, told: Told | None, lag_us: int = 0) -> None:
+    def hear(self, now: int, told: TokenNotice | None, lag_us: int = 0) -> None:
         if told is not None:
             last = self.words[-1][0] if self.words else 0
             self.words.append((max(last, now + lag_us), told))
@@ -57,15 +60,15 @@
     def told(self, now: int) -> None:
         while self.words and self.words[0][0] <= now:
             _, told = self.words.popleft()
-            self.until = told.until
+            self.until = told.handed_over_until
             if told.upstream:
-                self.leaves[told.session] = told.at
+                self.leaves[told.session] = told.token_ends_at
 
-    def take(self, now: int, note: Seek | Leave, order: tuple[int, int], lag_us: int) -> Leave | None:
+    def take(self, now: int, note: Seek | Leave, order: OrderPermit, lag_us: int) -> Leave | None:
         if isinstance(note, Seek):
-            return self.pacing.answer(now, note, order) if self.pacing.news(note) else None
-        if self.pacing.awaited(note):
-            self.hear(now, self.pacing.told(now, note), lag_us)
+            return self.pacing.issuer.answer(now, note, order) if self.pacing.issuer.is_new(note) else None
+        if self.pacing.requester.expects(note):
+            self.hear(now, self.pacing.requester.accept(now, note), lag_us)
         return None
 
 
@@ -96,12 +99,12 @@
 
     def lag(self) -> int:
         """Until the decisions hear of something."""
-        return self.chance.randrange(10_000 if self.chance.random() < 0.9 else pacing.TOLD_US)
+        return self.chance.randrange(10_000 if self.chance.random() < 0.9 else NOTICE_LAG_US)
 
-    def order(self, name: str, now: int) -> tuple[int, int]:
+    def order(self, name: str, now: int) -> OrderPermit:
         """Of the lease, as its holder's own clock has it: a round at most."""
         left = self.held_until - now if name == self.holder else 0
-        return (self.lease, min(left, TERM // 8)) if left > 0 else (0, 0)
+        return OrderPermit(self.lease, min(left, TERM // 8)) if left > 0 else NO_PERMIT
 
     def send(self, now: int, one: str, note: Seek | Leave | None) -> None:
         if note is None or self.chance.random() < self.loss or (one in self.cut) is not (note.to in self.cut):
@@ -150,8 +153,8 @@
         own = self.now_of(name, now)
         lease, _ = self.order(name, now)
         if now % BEAT == 0:
-            side.pacing.pace(own, lease)
-            seek, told = side.pacing.look(own, WALL + now, side.incarnation, self.holder)
+            side.pacing.issuer.hold(own, lease)
+            seek, told = side.pacing.requester.tick(own, WALL + now, side.incarnation, self.holder)
             side.hear(own, told, self.lag())
             self.ask(now, own, name, seek)
         side.told(own)
@@ -170,21 +173,21 @@
         if seek is None or seek.to != name:
             self.send(now, name, seek)
             return
-        leave = self.sides[name].pacing.answer(own, seek, self.order(name, now))
+        leave = self.sides[name].pacing.issuer.answer(own, seek, self.order(name, now))
         if leave is not None:
-            self.sides[name].take(own, leave, (0, 0), self.lag())
+            self.sides[name].take(own, leave, NO_PERMIT, self.lag())
 
     def session(self, now: int, own: int, name: str, side: Side) -> None:
         """One more link: it asks for leave, or goes by a turn of its node's, or not at all."""
         if own < side.until:
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            seek = side.pacing.sought(own, WALL + now, side.incarnation, self.sessions, want)
+            seek = side.pacing.requester.request_token(own, WALL + now, side.incarnation, self.sessions, want)
             self.ask(now, own, name, seek)
         elif now // WINDOW % len(NAMES) == NAMES.index(name):
             self.by_turn += 1
             for other, pacer in self.sides.items():
-                if self.order(other, now)[0] and pacer.pacing.held:
-                    until = pacer.pacing.promised.get(name, 0)
+                if self.order(other, now)[0] and pacer.pacing.issuer.lease:
+                    until = pacer.pacing.issuer.promised_until.get(name, 0)
                     self.taken_twice += self.now_of(other, now) < until
 
     @property
@@ -217,24 +220,24 @@
     assert played.sound and len(played.by_leave) > 0.7 * BUDGET * 22, "8 s pass until a start has its turns"
 
 
-def forgetful(one: Pacing, now: int) -> None:
-    one.handed_until = 0
+def forgetful(one: TokenRequester, now: int) -> None:
+    one.handed_over_until = 0
 
 
-def hasty(one: Pacing, now: int) -> bool:
-    return one.fresh(now)
+def hasty(one: TokenRequester, now: int) -> bool:
+    return one.answered_lately(now)
 
 
-def at_once(one: Pacing, now: int, lease: int) -> None:
-    if lease != one.held:
-        one.held, one.promised, one.given, one.opens_at = lease, {}, {}, now
+def at_once(one: TokenIssuer, now: int, lease: int) -> None:
+    if lease != one.lease:
+        one.lease, one.promised_until, one.issued, one.opens_at = lease, {}, {}, now
 
 
 PLANTED: list[tuple[object, str, Any]] = [
-    (Pacing, "open", forgetful),
-    (Pacing, "promises", hasty),
-    (Pacing, "pace", at_once),
-    (Pacing, "span_us", property(lambda one: WINDOW // 2)),
+    (TokenRequester, "open", forgetful),
+    (TokenRequester, "promises", hasty),
+    (TokenIssuer, "hold", at_once),
+    (TokenIssuer, "counting_span_us", property(lambda one: WINDOW // 2)),
 ]
 
 
@@ -247,12 +250,12 @@
     assert not all(Played(seed, *world).run(25).sound for seed in range(20) for world in worlds)
 
 
-def paced(now: int = START, lease: int = 5) -> Pacing:
+def paced(now: int = START, lease: int = 5) -> TokenIssuer:
     """A pacer to which all have handed their turns over."""
-    one = Pacing("a", ROSTER, now)
-    one.listed(now, [UPSTREAM], 100 * SECOND, WINDOW)
-    one.pace(now - TERM, lease)
-    one.promised = dict.fromkeys(NAMES, now + TERM)
+    one = TokenIssuer("a", ROSTER)
+    one.update_upstreams([UPSTREAM], window_us=WINDOW)
+    one.hold(now - TERM, lease)
+    one.promised_until = dict.fromkeys(NAMES, now + TERM)
     return one
 
 
@@ -262,68 +265,71 @@
 
 
 def test_a_heavy_link_counts_for_what_it_asks_of_a_host_and_none_is_too_heavy_for_an_empty_window() -> None:
-    one, order = paced(), (5, 300_000)
+    one, order = paced(), OrderPermit(5, 300_000)
     assert one.answer(START, asked(1, weight=9.0), order) is not None
     assert one.answer(START, asked(2, weight=0.1), order) is None
-    later = START + one.span_us + 1
+    later = START + one.counting_span_us + 1
     assert one.answer(later, asked(3, weight=4.5), order) is not None
     assert one.answer(later, asked(4, weight=1.0), order) is None
     assert one.answer(later, asked(5, weight=0.5), order) is not None
 
 
 def test_those_who_go_by_turns_still_keep_their_part() -> None:
-    one, order = paced(), (5, 300_000)
-    one.promised = {"a": START + TERM, "b": START + TERM}
+    one, order = paced(), OrderPermit(5, 300_000)
+    one.promised_until = {"a": START + TERM, "b": START + TERM}
     given = [one.answer(START, asked(number), order) is not None for number in range(1, 6)]
     assert given == [True, True, False, False, False], "half of five, for two of four"
-    one.promised = {}
+    one.promised_until = {}
     assert one.answer(START + 5 * SECOND, asked(9), order) is None
 
 
 def test_a_promise_counts_from_the_word_that_its_node_had_heard() -> None:
     # Danger: how old a note is can't be told. Counted from when it comes, a late one would be a promise that
     # ran out long ago.
-    one, order = paced(), (5, 300_000)
-    one.promised = {}
+    one, order = paced(), OrderPermit(5, 300_000)
+    one.promised_until = {}
     one.answer(START + 2 * SECOND, asked(1, lease=5, stamp=START), order)
-    assert START + TERM * 0.97 < one.promised["b"] < START + TERM * 0.99
+    assert START + TERM * 0.97 < one.promised_until["b"] < START + TERM * 0.99
     one.answer(START + 2 * SECOND, asked(2, lease=4, stamp=START + SECOND), order)
-    assert one.promised["b"] < START + TERM, "by another lease's clock"
+    assert one.promised_until["b"] < START + TERM, "by another lease's clock"
     one.answer(START, asked(3, lease=5, stamp=START + 9 * SECOND), order)
-    assert one.promised["b"] < START + TERM, "a word that was not said yet"
+    assert one.promised_until["b"] < START + TERM, "a word that was not said yet"
 
 
 def test_who_holds_no_duty_or_another_file_gives_nothing() -> None:
     one = paced()
-    assert one.answer(START, asked(1), (0, 0)) is None
-    assert one.answer(START, asked(2), (6, 300_000)) is None, "a lease that has only begun"
-    assert one.answer(START, asked(3, mark=8), (5, 300_000)) is None
-    assert one.answer(START, asked(4, sender="x"), (5, 300_000)) is None
+    assert one.answer(START, asked(1), NO_PERMIT) is None
+    assert one.answer(START, asked(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
+    assert one.answer(START, asked(3, mark=8), OrderPermit(5, 300_000)) is None
+    assert one.answer(START, asked(4, sender="x"), OrderPermit(5, 300_000)) is None
     stranger = msgspec.structs.replace(asked(6), wants=[Want(UPSTREAM + 1, 9000, 1)])
-    assert one.answer(START, stranger, (5, 300_000)) is None, "a host that is not on the list"
-    one.pace(START, 6)
-    assert one.answer(START + SECOND, asked(5), (6, 300_000)) is None, "what the one before gave is out yet"
+    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "a host that is not on the list"
+    one.hold(START, 6)
+    assert one.answer(START + SECOND, asked(5), OrderPermit(6, 300_000)) is None, (
+        "what the one before gave is out yet"
+    )
 
 
 def test_however_many_links_come_a_fleet_asks_so_often_and_no_more() -> None:
-    one, now, asked = paced(), START, 0
+    one, now, asked = TokenRequester("a", ROSTER, START), START, 0
+    one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
-    one.pacer, one.heard_at = "b", START + 10**9
+    one.issuer, one.answered_at = "b", START + 10**9
     for beat in range(50):
-        one.look(now + beat * BEAT, WALL, 1, "b")
+        one.tick(now + beat * BEAT, WALL, 1, "b")
         for _ in range(20):
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            asked += one.sought(now + beat * BEAT, WALL, 1, 7, want) is not None
+            asked += one.request_token(now + beat * BEAT, WALL, 1, 7, want) is not None
     assert 1000 * 10 / 200 - 5 <= asked <= 1000 * 10 / 200 + 16
 
 
 def test_what_was_given_long_ago_is_forgotten() -> None:
     one = paced()
-    assert one.answer(START, asked(1), (5, 300_000)) is not None
-    one.pace(START + 2 * one.span_us, 5)
-    assert one.given
-    one.pace(START + 5 * one.span_us, 5)
-    assert not one.given
+    assert one.answer(START, asked(1), OrderPermit(5, 300_000)) is not None
+    one.hold(START + 2 * one.counting_span_us, 5)
+    assert one.issued
+    one.hold(START + 5 * one.counting_span_us, 5)
+    assert not one.issued
 
 
 def test_a_leave_is_for_its_link_alone_and_ends() -> None:
@@ -387,16 +393,16 @@
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
     # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
     # that it is. Turns would be promised for a term more, and used again sooner.
-    one, now = Pacing("b", ROSTER, START), START
-    one.listed(now, [UPSTREAM], 100 * SECOND, WINDOW)
+    one, now = TokenRequester("b", ROSTER, START), START
+    one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
-        seek, _ = one.look(now, WALL, 1, "a")
+        seek, _ = one.tick(now, WALL, 1, "a")
         if seek is not None:
-            one.told(now, Leave("a", "b", 1, seek.number, 5, 300_000, now, 0))
+            one.accept(now, Leave("a", "b", 1, seek.number, 5, 300_000, now, 0))
         now += BEAT
     want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-    soon = one.sought(now, WALL, 1, 7, want)
-    assert soon is not None and soon.lease == 5 and one.handed_until >= now + TERM
-    late = one.heard_at + TERM - 50_000
-    asked = one.sought(late, WALL, 1, 8, want)
-    assert asked is not None and (not asked.lease or one.handed_until >= late + TERM)
+    soon = one.request_token(now, WALL, 1, 7, want)
+    assert soon is not None and soon.lease == 5 and one.handed_over_until >= now + TERM
+    late = one.answered_at + TERM - 50_000
+    asked = one.request_token(late, WALL, 1, 8, want)
+    assert asked is not None and (not asked.lease or one.handed_over_until >= late + TERM)
