--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -15,8 +15,8 @@
     from larchlatch.cluster.election.ballots import Ballot
     from larchlatch.cluster.election.electorate import Electorate
 
-LATE_BEATS = 3  # a heartbeat that comes so many intervals after the one before is late
-MAX_LATE_BEATS = 3  # so many in a term, and the node is too slow for a role: others wait for its orders
+LATE_HEARTBEATS = 3  # a heartbeat that comes so many intervals after the one before is late
+MAX_LATE_HEARTBEATS = 3  # so many in a term, and the node is too slow for a role: others wait for its orders
 PAUSE_TERMS = 10  # terms for which it does not stand for a role then
 
 
@@ -41,17 +41,17 @@
 
     Attributes:
         candidates: each role's candidate.
-        leaving: whether this node is about to end: it stands for no role and hands its roles over.
+        shutting_down: whether this node is about to end: it stands for no role and hands its roles over.
         paused_until: until when this node stands for no role, as it was too slow.
 
     """
 
     def __init__(self, electorate: Electorate, now: int, uniform: Callable[[float, float], float]) -> None:
         self.uniform = uniform
-        self.leaving = False
+        self.shutting_down = False
         self.paused_until = 0
-        self._last_beat_at = now
-        self._late_beats: deque[int] = deque(maxlen=MAX_LATE_BEATS)
+        self._last_heartbeat_at = now
+        self._late_heartbeats: deque[int] = deque(maxlen=MAX_LATE_HEARTBEATS)
         self._events: list[RoleEvent] = []
         self.reset(electorate)
 
@@ -68,11 +68,13 @@
 
     def watch_lateness(self, now: int, heartbeat_us: int) -> None:
         """Note a heartbeat; give all roles up where this node is too slow for them."""
-        if now - self._last_beat_at > LATE_BEATS * heartbeat_us:
-            self._late_beats.append(now)
-        self._last_beat_at = now
+        if now - self._last_heartbeat_at > LATE_HEARTBEATS * heartbeat_us:
+            self._late_heartbeats.append(now)
+        self._last_heartbeat_at = now
         term_us = self.electorate.lease_terms.term_us
-        often_late = len(self._late_beats) == MAX_LATE_BEATS and self._late_beats[0] > now - term_us
+        often_late = (
+            len(self._late_heartbeats) == MAX_LATE_HEARTBEATS and self._late_heartbeats[0] > now - term_us
+        )
         if often_late and now >= self.paused_until:
             self.paused_until = now + PAUSE_TERMS * term_us
             for candidate in self.candidates.values():
@@ -80,7 +82,7 @@
 
     def may_stand(self, now: int) -> bool:
         """Return whether this node may ask for roles at all."""
-        return not self.leaving and now >= self.paused_until
+        return not self.shutting_down and now >= self.paused_until
 
     def accept_handover(self, now: int, role: str) -> None:
         """Ask for a role that its holder has reserved for this node."""
@@ -116,7 +118,7 @@
         """Return why a role is held here from now on, or no longer."""
         if self._held[role]:
             return "it was handed on" if role in self._handed_over else "nobody held it"
-        if self.leaving:
+        if self.shutting_down:
             return "this node ends"
         return "this node is too slow" if now < self.paused_until else "not renewed in time"
 
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -93,9 +93,9 @@
             self._known_holders.follow(electorate, now)
             self.open(now)
 
-    def hand_over_roles(self) -> None:
+    def begin_handover(self) -> None:
         """Hand all roles over from the next heartbeat on, as this node is about to end."""
-        self._candidate_side.leaving = True
+        self._candidate_side.shutting_down = True
 
     def tick(
         self,
@@ -124,7 +124,7 @@
         for index, role in enumerate(self.electorate.roles):
             holder = self.majority_holder(now, index, records, record_ages)
             self._known_holders.update(now, role, holder)
-            if self._candidate_side.leaving:
+            if self._candidate_side.shutting_down:
                 self._resign(now, role, records)
             bids += self._step_candidate(now, wall, index, records)
         return bids
--- a/larchlatch/cluster/quota/lender.py
+++ b/larchlatch/cluster/quota/lender.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING
 
 from larchlatch.cluster.protocol.datagrams import Grant
 from larchlatch.cluster.quota.account import LoanId
+from larchlatch.cluster.replay_guard import ReplayGuard, RequestAge
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -17,16 +18,6 @@
     from larchlatch.cluster.quota.settings import QuotaSettings
 
 
-class RequestAge(NamedTuple):
-    """Order of a member's requests: by its life, then by number."""
-
-    incarnation: int
-    number: int
-
-
-NO_REQUEST = RequestAge(-1, -1)
-
-
 class Lender:
     """Answers requests, from this node's own accounts, or from the pools of the quota allocator."""
 
@@ -41,18 +32,18 @@
         self.settings = settings
         self._accounts = accounts
         self._pools = pools
-        self._newest: dict[str, RequestAge] = {}  # request of each member
+        self._replay_guard = ReplayGuard()
 
     def follow(self, settings: QuotaSettings) -> None:
         """Go by a changed cluster file; members that are gone are forgotten."""
         self.settings = settings
-        self._newest = {name: age for name, age in self._newest.items() if name in settings.names}
+        self._replay_guard.keep_only(settings.names)
 
     def is_new(self, ask: Ask) -> bool:
         """Return whether a request is newer than all before of its sender."""
         # One that comes twice, or late, is not answered: what could be lent by it would have been lent
         # already.
-        return RequestAge(ask.incarnation, ask.number) > self._newest.get(ask.sender, NO_REQUEST)
+        return self._replay_guard.is_new(ask.sender, RequestAge(ask.incarnation, ask.number))
 
     def answer(self, now: int, ask: Ask, permit: OrderPermit) -> Grant | None:
         """Lend what is asked for, taken off here before it is told; None where nothing is lent.
@@ -63,7 +54,7 @@
             permit: lease by which this node may lend from the pools now.
 
         """
-        self._newest[ask.sender] = RequestAge(ask.incarnation, ask.number)
+        self._replay_guard.record(ask.sender, RequestAge(ask.incarnation, ask.number))
         if self.settings.pooled and permit.lease != self._pools.lease:
             return None
         # A node that goes by another file counts by another term, and would have the loan after it is back
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -68,7 +68,7 @@
         if pool is None:
             return 0
         if not ask.renews:
-            amount = self._allot(now, pool, ask)
+            amount = self._allocate(now, pool, ask)
             return pool.lend(now, LoanId(ask.sender, ask.incarnation, ask.number), amount)
         if self._due_back(now, pool, ask):
             return 0
@@ -84,7 +84,7 @@
             lent[loan_id.borrower] += loan.amount
         return Division(pool.share.own // len(self._asked_at), lent)
 
-    def _allot(self, now: int, pool: QuotaAccount, ask: Ask) -> int:
+    def _allocate(self, now: int, pool: QuotaAccount, ask: Ask) -> int:
         """Return what a request gets of a pool: max-min by what is asked, a part at a time."""
         equal, lent = self._divide(now, pool, ask.sender)
         spare = pool.spare(now)
--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -179,16 +179,16 @@
     def _followed(self, quota: Quota, settings: QuotaSettings, now: int) -> QuotaAccount:
         """Return the account of a quota by new settings."""
         share = settings.share(quota, self.own_name)
-        account = self.accounts.get(quota.name)
-        if account is not None and account.loan_terms == settings.loan_terms:
-            account.follow(share)
-            return account
+        former = self.accounts.get(quota.name)
+        if former is not None and former.loan_terms == settings.loan_terms:
+            former.follow(share)
+            return former
         # Counted by other windows, what was spent can't be told: as after a start.
-        fresh = QuotaAccount(share, settings.loan_terms, now)
-        fresh.open(now)
-        if account is not None:
-            fresh.whole_at = max(fresh.whole_at, now + account.loan_terms.recovery_us)
-        return fresh
+        account = QuotaAccount(share, settings.loan_terms, now)
+        account.open(now)
+        if former is not None:
+            account.whole_at = max(account.whole_at, now + former.loan_terms.recovery_us)
+        return account
 
     def note_digests(self, now: int, digests: Sequence[int | None]) -> None:
         """Note by which cluster file each other member goes; None where it has not told."""
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -201,7 +201,7 @@
 
     def retire(self) -> None:
         """This node is about to end: its duties go to others."""
-        self.duties.hand_over_roles()
+        self.duties.begin_handover()
 
     # What the node asks, and tells.
 
--- a/larchlatch/cluster/slow_start/issuer.py
+++ b/larchlatch/cluster/slow_start/issuer.py
@@ -15,8 +15,8 @@
 
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
-from larchlatch.cluster.slow_start.notices import token_hold_us
-from larchlatch.cluster.slow_start.requester import MAX_CANDIDATES, MILLI
+from larchlatch.cluster.replay_guard import ReplayGuard, RequestAge
+from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -25,16 +25,6 @@
     from larchlatch.cluster.election.fencing import OrderPermit
 
 
-class RequestAge(NamedTuple):
-    """Order of a member's requests: by its life, then by number."""
-
-    incarnation: int
-    number: int
-
-
-NO_REQUEST = RequestAge(-1, -1)
-
-
 class IssuedToken(NamedTuple):
     """A token for a session of that weight, issued at that time."""
 
@@ -75,7 +65,7 @@
 
     def __init__(self, own_name: str, electorate: Electorate) -> None:
         self.own_name = own_name
-        self._newest: dict[str, RequestAge] = {}  # request of each member
+        self._replay_guard = ReplayGuard()
         self._upstreams: frozenset[int] = frozenset()
         self._window_us = 0
         self.follow(electorate)
@@ -121,48 +111,48 @@
             issued.forget(until)
         self.issued = {upstream: issued for upstream, issued in self.issued.items() if issued.tokens}
 
-    def is_new(self, seek: Seek) -> bool:
+    def is_new(self, request: Seek) -> bool:
         """Return whether a request, not yet trusted, is newer than all before of its sender."""
-        age = RequestAge(seek.incarnation, seek.number)
-        return self.enabled and age > self._newest.get(seek.sender, NO_REQUEST)
+        age = RequestAge(request.incarnation, request.number)
+        return self.enabled and self._replay_guard.is_new(request.sender, age)
 
-    def answer(self, now: int, seek: Seek, permit: OrderPermit) -> Leave | None:
+    def answer(self, now: int, request: Seek, permit: OrderPermit) -> Leave | None:
         """Answer a request; None where this node can't issue, or has no room for the session.
 
         Args:
             now: present time.
-            seek: the request.
+            request: the request.
             permit: lease by which this node may issue tokens now.
 
         """
-        self._newest[seek.sender] = RequestAge(seek.incarnation, seek.number)
+        self._replay_guard.record(request.sender, RequestAge(request.incarnation, request.number))
         if not permit.lease or permit.lease != self.lease:
             return None
-        if seek.mark != self._digest or seek.sender not in self.names:
+        if request.mark != self._digest or request.sender not in self.names:
             return None
-        self._note_promise(now, seek)
-        upstream = self._issue_first(now, seek.wants) if now >= self.opens_at else 0
-        if seek.wants and not upstream:
+        self._note_promise(now, request)
+        upstream = self._issue_first(now, request.wants) if now >= self.opens_at else 0
+        if request.wants and not upstream:
             return None  # the requester waits no longer than for an answer
         return Leave(
             sender=self.own_name,
-            to=seek.sender,
-            incarnation=seek.incarnation,
-            number=seek.number,
+            to=request.sender,
+            incarnation=request.incarnation,
+            number=request.number,
             lease=permit.lease,
             left_us=permit.left_us,
             stamp=now,
             upstream=upstream,
         )
 
-    def _note_promise(self, now: int, seek: Seek) -> None:
+    def _note_promise(self, now: int, request: Seek) -> None:
         """Note until when the sender has handed its turns over, if it has by this node's lease."""
-        if seek.lease != self.lease or not 0 < seek.stamp <= now:
+        if request.lease != self.lease or not 0 < request.stamp <= now:
             return
         # It had received the answer of that stamp when it promised: its term began after that, by a clock
         # that may be fast.
-        until = seek.stamp + int(self._term_us * (1 - self._skew) / (1 + self._skew))
-        self.promised_until[seek.sender] = max(until, self.promised_until.get(seek.sender, 0))
+        until = request.stamp + int(self._term_us * (1 - self._skew) / (1 + self._skew))
+        self.promised_until[request.sender] = max(until, self.promised_until.get(request.sender, 0))
 
     def _issue_first(self, now: int, wants: Sequence[Want]) -> int:
         """Issue a token for the first upstream that has room; return the hash of its name, or 0 for none."""
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -14,7 +14,8 @@
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.election.fencing import order_ends_at
 from larchlatch.cluster.protocol.datagrams import Leave, Seek, Want
-from larchlatch.cluster.slow_start.notices import TokenNotice, token_hold_us
+from larchlatch.cluster.slow_start.notices import TokenNotice
+from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -27,8 +28,6 @@
 NOTICE_LAG_US = 300_000  # the balancer has known it so long before it is promised to others: it lags by less
 REQUEST_BURST = 16  # requests for sessions that a node may send at once, when it has sent none for a while
 CLUSTER_REQUESTS_PER_S = 1000  # of all nodes together: the issuer checks a signature for each, 65 us
-MAX_CANDIDATES = 4  # upstreams that one request names
-MILLI = 1000  # budgets and weights go over the wire in thousandths of a session
 
 
 class PendingRequest(NamedTuple):
@@ -39,7 +38,7 @@
     session: int
 
 
-class TokenBeat(NamedTuple):
+class TokenActions(NamedTuple):
     """What is due with a heartbeat: a request to the issuer, and what the balancer is told."""
 
     request: Seek | None = None
@@ -105,7 +104,7 @@
         begun = self._promising_since is not None and now >= self._promising_since + NOTICE_LAG_US
         return begun and self.answered_lately(now) and now + self._term_us <= known_until
 
-    def tick(self, now: int, wall: int, incarnation: int, issuer: str) -> TokenBeat:
+    def tick(self, now: int, wall: int, incarnation: int, issuer: str) -> TokenActions:
         """Do what is due with a heartbeat.
 
         Args:
@@ -123,17 +122,17 @@
             if now < request.asked_at + self._term_us
         }
         if not self.enabled or self.closed or not issuer or not self._renewal_due(now):
-            return TokenBeat()
+            return TokenActions()
         self._asked_at = now
         if not self.answered_lately(now):
             self._promising_since = None
-            return TokenBeat(request=self._request(now, wall, incarnation))
+            return TokenActions(request=self._request(now, wall, incarnation))
         if self._promising_since is None:
             self._promising_since = now
         # Until the next renewal each request promises a term more, and the balancer may lag.
         self._known_until = self.handed_over_until
         self.handed_over_until = now + self._term_us + self._term_us // IDLE_RENEWALS + NOTICE_LAG_US
-        return TokenBeat(self._request(now, wall, incarnation), TokenNotice(self.handed_over_until))
+        return TokenActions(self._request(now, wall, incarnation), TokenNotice(self.handed_over_until))
 
     def _refill_allowance(self, now: int) -> None:
         passed_s = max(0, now - self._ticked_at) / 1e6 if self._ticked_at else 0.0
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -358,7 +358,7 @@
     while not one.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
         one.tick(now, WALL, 1, {}, {})
-    one.hand_over_roles()
+    one.begin_handover()
     released: list[Bid] = []
     while not released:
         now += 200_000
