--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -65,7 +65,13 @@
         self.counts: dict[str, int] = {}
         self.members = Members(name, dict.fromkeys(names, ""), BEAT, wall, 0, random.Random(seed))
         shared = Shared.of(
-            name, QuotaSettings((), tuple(names), 1.0, SPANS, 1), Electorate(), 0, BEAT, 0, random.Random(seed)
+            name,
+            QuotaSettings((), tuple(names), 1.0, SPANS, 1),
+            Electorate(),
+            0,
+            BEAT,
+            0,
+            random.Random(seed),
         )
         sites = dict.fromkeys(names, "")
         self.exchange = Exchange(self.members, shared, sites, KEYS, Seal(SECRETS[name]), Checks(), self.count)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -29,7 +29,7 @@
 from larchlatch.errors import InvalidInputError
 
 SECOND = 1_000_000
-TENURE = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
+LEASE_TERMS = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
 START = 100 * SECOND
 WALL = 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c")
@@ -53,14 +53,14 @@
 
     def __init__(self) -> None:
         self.now = START
-        self.electors = {name: Elector(TENURE, START) for name in NAMES}
+        self.electors = {name: Elector(LEASE_TERMS, START) for name in NAMES}
         self.candidates = {name: self.candidate(name) for name in ("x", "y")}
         self.lives = {"x": 1, "y": 1}
         self.cut: set[str] = set()
 
     @staticmethod
     def candidate(seed: str) -> Candidate:
-        return Candidate(NAMES, TENURE, random.Random(seed).uniform)
+        return Candidate(NAMES, LEASE_TERMS, random.Random(seed).uniform)
 
     def ask(self, name: str, ballots: list[Ballot]) -> None:
         """All electors that are not cut off hear it at once, and their answers come at once."""
@@ -91,9 +91,9 @@
     assert small.step("x") and not small.step("y")
     assert small.run("x", 60 * SECOND) and small.candidates["x"].lease < WALL + 2 * START, "by one number"
     lease = small.candidates["x"].lease
-    small.now += TENURE.term_us
+    small.now += LEASE_TERMS.term_us
     assert not small.candidates["x"].holds(small.now) and small.candidates["x"].order_left_us(small.now) == 0
-    small.now += TENURE.promise_us - TENURE.term_us
+    small.now += LEASE_TERMS.promise_us - LEASE_TERMS.term_us
     assert small.run("y", SECOND) and small.candidates["y"].lease > lease
     assert not small.step("x"), "it wakes, and finds out"
 
@@ -105,7 +105,7 @@
     small.cut = {"a"}
     assert small.run("x", 10 * SECOND)
     small.cut = {"b", "c"}
-    assert not small.run("x", 2 * TENURE.term_us)
+    assert not small.run("x", 2 * LEASE_TERMS.term_us)
 
 
 def test_two_candidates_in_step_do_not_block_each_other_for_long() -> None:
@@ -130,9 +130,9 @@
             else:
                 for name, ballots in asked.items():
                     small.ask(name, ballots)
-            assert small.now < START + 20 * TENURE.term_us
+            assert small.now < START + 20 * LEASE_TERMS.term_us
         took.append(small.now - START)
-    assert TENURE.round_us <= sorted(took)[15] <= TENURE.term_us
+    assert LEASE_TERMS.round_us <= sorted(took)[15] <= LEASE_TERMS.term_us
 
 
 def test_a_hand_over_that_is_planned_leaves_a_pause_of_one_round_trip() -> None:
@@ -141,7 +141,7 @@
     small.candidates["x"].resign(small.now, "y")
     assert small.candidates["x"].holds(small.now) and not small.step("y")
     end = small.candidates["x"].lease_ends_at
-    assert end <= small.now + TENURE.round_us
+    assert end <= small.now + LEASE_TERMS.round_us
     small.now = end
     assert not small.step("x", stands=False) and small.candidates["x"].state is CandidateState.IDLE
     small.candidates["y"].accept_handover(small.now)
@@ -167,16 +167,16 @@
     small = Small()
     assert small.step("x", wall=WALL)
     first = small.candidates["x"].lease
-    small.now += TENURE.promise_us
+    small.now += LEASE_TERMS.promise_us
     assert small.step("y", wall=WALL - 3600 * SECOND), "told of the higher number, it asks by a higher one"
     assert small.candidates["y"].lease > first
-    small.electors = {name: Elector.started(TENURE, small.now) for name in NAMES}
+    small.electors = {name: Elector.started(LEASE_TERMS, small.now) for name in NAMES}
     small.lives["x"] = 2
     small.candidates["x"] = small.candidate("x")
     assert not small.step("x", wall=WALL + SECOND), "electors that have started say nothing"
-    small.now += TENURE.startup_silence_us
+    small.now += LEASE_TERMS.startup_silence_us
     small.candidates["x"].accept_handover(small.now)
-    assert small.step("x", wall=WALL + TENURE.startup_silence_us)
+    assert small.step("x", wall=WALL + LEASE_TERMS.startup_silence_us)
     assert small.candidates["x"].lease > first
 
 
@@ -187,15 +187,15 @@
 @given(st.integers(0, 10**7), st.floats(0, 0.1), RATES)
 def test_an_order_ends_before_another_can_hold_it(late: int, skew: float, signs: tuple[int, int]) -> None:
     """The reckoning of docs/duties.md: clocks as wrong as may be, any delay of answer and order."""
-    tenure = LeaseTerms(3 * SECOND, skew)
+    lease_terms = LeaseTerms(3 * SECOND, skew)
     holder, other = 1 + signs[0] * skew, 1 + signs[1] * skew
     # The vote is asked for at 0 and promised at once; the order is asked for and looked at at `late`.
-    look = late % (2 * tenure.term_us)
-    left = tenure.term_us - look * holder
+    look = late % (2 * lease_terms.term_us)
+    left = lease_terms.term_us - look * holder
     if left <= 0:
         return
     ends = order_ends_at(0, int(left)) / other  # after it was asked for, by the receiver's clock
-    promised = tenure.promise_us / (1 + skew)  # the shortest that an elector keeps it
+    promised = lease_terms.promise_us / (1 + skew)  # the shortest that an elector keeps it
     assert look + ends <= promised + 2
 
 
@@ -212,9 +212,9 @@
 
 
 def test_a_ballot_without_an_answer_is_sent_again_and_so_is_a_release() -> None:
-    roster = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), TENURE, 1)
-    one = Election("x", roster, 200_000, START, random.Random(1))
-    now = START + TENURE.startup_silence_us
+    electorate = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), LEASE_TERMS, 1)
+    one = Election("x", electorate, 200_000, START, random.Random(1))
+    now = START + LEASE_TERMS.startup_silence_us
     first = one.tick(now, WALL, 1, {}, {})
     assert [bid.to for bid in first] == list(NAMES)
     vote = Vote("b", "x", 1, first[0].number, 0, True, 0, 0)
@@ -224,7 +224,7 @@
     one.count_vote(now + 250_000, WALL, Vote("c", "x", 1, first[0].number, 0, True, 0, 0))
     asks = one.tick(now + 260_000, WALL, 1, {}, {})
     assert {bid.what for bid in asks} == {BallotKind.GRANT.value}
-    over = now + 250_000 + TENURE.round_us
+    over = now + 250_000 + LEASE_TERMS.round_us
     released = one.tick(over, WALL, 1, {}, {})
     assert {bid.what for bid in released} == {BallotKind.RELEASE.value}
     assert [bid.lease for bid in one.tick(over + 1, WALL, 1, {}, {})] == [bid.lease for bid in released]
@@ -311,50 +311,50 @@
 
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
-    roster = fleet("n0", "n1", "n2").roster
-    duties = Election("n0", roster, 200_000, START, random.Random(1))
-    duties.open(START)
-    now = START + roster.lease_terms.startup_silence_us
-    bid = Bid("n5", 1, 1, WALL, "n0", roster.digest, 0, 7, BallotKind.GRANT.value, "")
-    assert duties.answer_bid(now - 1, bid) is None, "it has just started"
-    vote = duties.answer_bid(now, bid)
+    electorate = fleet("n0", "n1", "n2").roster
+    election = Election("n0", electorate, 200_000, START, random.Random(1))
+    election.open(START)
+    now = START + electorate.lease_terms.startup_silence_us
+    bid = Bid("n5", 1, 1, WALL, "n0", electorate.digest, 0, 7, BallotKind.GRANT.value, "")
+    assert election.answer_bid(now - 1, bid) is None, "it has just started"
+    vote = election.answer_bid(now, bid)
     assert vote is not None and vote.granted
     other = fleet("n0", "n1", "n3").roster
-    duties.follow(other, now)
-    assert duties.answer_bid(now + SECOND, bid) is None, "by another file"
+    election.follow(other, now)
+    assert election.answer_bid(now + SECOND, bid) is None, "by another file"
     ask = msgspec.structs.replace(bid, mark=other.digest)
-    assert duties.answer_bid(now + SECOND, ask) is None
-    assert duties.answer_bid(now + roster.lease_terms.startup_silence_us, ask) is not None
+    assert election.answer_bid(now + SECOND, ask) is None
+    assert election.answer_bid(now + electorate.lease_terms.startup_silence_us, ask) is not None
 
 
 def test_a_holder_that_is_late_again_and_again_gives_its_duty_up() -> None:
-    roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
-    duties = Election("n0", roster, 200_000, START, random.Random(1))
-    duties.open(START)
-    now = START + roster.lease_terms.startup_silence_us
-    while not duties.order_permit(now, QUOTA_ALLOCATOR)[0]:
+    electorate = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
+    election = Election("n0", electorate, 200_000, START, random.Random(1))
+    election.open(START)
+    now = START + electorate.lease_terms.startup_silence_us
+    while not election.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        duties.tick(now, WALL, 1, {}, {})
+        election.tick(now, WALL, 1, {}, {})
     for _ in range(20):
         now += 200_000
-        duties.tick(now, WALL, 1, {}, {})
-    assert duties.order_permit(now, QUOTA_ALLOCATOR)[0], "and in time it keeps it"
+        election.tick(now, WALL, 1, {}, {})
+    assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "and in time it keeps it"
     for _ in range(3):
         now += 700_000
-        duties.tick(now, WALL, 1, {}, {})
+        election.tick(now, WALL, 1, {}, {})
     for _ in range(25):
         now += 200_000
-        duties.tick(now, WALL, 1, {}, {})
-    assert not duties.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
-    whys = [(event.change, event.reason) for event in duties.take_events()]
+        election.tick(now, WALL, 1, {}, {})
+    assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
+    whys = [(event.change, event.reason) for event in election.take_events()]
     assert whys == [("held", "nobody held it"), ("ended", "this node is too slow")]
 
 
 def test_a_duty_that_was_handed_on_says_so_on_both_sides() -> None:
-    roster = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
-    one, heir = (Election(name, roster, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
+    electorate = fleet("n0", "n1", "n2").roster._replace(electors=("n0",))
+    one, heir = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": Record("n1", 1, 1, WALL, False, b"")}
-    now = START + roster.lease_terms.startup_silence_us
+    now = START + electorate.lease_terms.startup_silence_us
     while not one.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
         one.tick(now, WALL, 1, {}, {})
@@ -374,14 +374,14 @@
 
 
 def test_one_liar_makes_up_no_holder() -> None:
-    roster = fleet("n0", "n1", "n2").roster
-    duties = Election("n5", roster, 200_000, START, random.Random(1))
+    electorate = fleet("n0", "n1", "n2").roster
+    election = Election("n5", electorate, 200_000, START, random.Random(1))
 
     def record(name: str, *promises: Promised) -> Record:
         return Record(name, 1, 1, WALL, False, b"", promises=list(promises))
 
     def holder(**records: Record) -> Holder | None:
-        return duties.majority_holder(START, 0, records, dict.fromkeys(records, 100))
+        return election.majority_holder(START, 0, records, dict.fromkeys(records, 100))
 
     said = Promised(0, 9, 4, SECOND)
     assert holder(n0=record("n0", said), n4=record("n4", said), n3=record("n3", said)) is None
@@ -391,26 +391,27 @@
 
 
 def test_ballots_of_any_kind_end_no_node() -> None:
-    roster = fleet("n0", "n1", "n2").roster
-    duties = Election("n0", roster, 200_000, START, random.Random(1))
+    electorate = fleet("n0", "n1", "n2").roster
+    election = Election("n0", electorate, 200_000, START, random.Random(1))
     for duty, what in ((0, 7), (9, 0), (9, 2)):
         assert (
-            duties.answer_bid(START, Bid("n5", 1, 1, WALL, "n0", roster.digest, duty, 7, what, "n0")) is None
+            election.answer_bid(START, Bid("n5", 1, 1, WALL, "n0", electorate.digest, duty, 7, what, "n0"))
+            is None
         )
-    assert not duties.expects_vote(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
-    assert not duties.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
+    assert not election.expects_vote(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
+    assert not election.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
 
 
 def test_a_vote_for_an_earlier_life_is_not_counted() -> None:
     # Danger: its round has the same number in this life, and no elector has promised this one anything.
-    roster = fleet("n0", "n1", "n2").roster
-    duties = Election("n5", roster, 200_000, START, random.Random(1))
+    electorate = fleet("n0", "n1", "n2").roster
+    election = Election("n5", electorate, 200_000, START, random.Random(1))
     now = START
     bids: list[Bid] = []
     while not bids:
         now += 200_000
-        bids = duties.tick(now, WALL, 2, {}, {})
+        bids = election.tick(now, WALL, 2, {}, {})
     votes = [Vote(bid.to, "n5", bid.incarnation, bid.number, 0, True, 0, 0) for bid in bids]
     early = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
-    assert all(duties.expects_vote(vote) for vote in votes)
-    assert not any(duties.expects_vote(vote) for vote in early)
+    assert all(election.expects_vote(vote) for vote in votes)
+    assert not any(election.expects_vote(vote) for vote in early)
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -33,7 +33,7 @@
 WINDOW, TERM = SECOND, 3 * SECOND
 START, WALL = 1000 * SECOND, 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c", "d")
-ROSTER = Electorate(NAMES[:3], NAMES, (TOKEN_ISSUER,), LeaseTerms(TERM, 0.01, 200_000), 7)
+ELECTORATE = Electorate(NAMES[:3], NAMES, (TOKEN_ISSUER,), LeaseTerms(TERM, 0.01, 200_000), 7)
 UPSTREAM, BUDGET = 99, 5.0
 
 
@@ -42,7 +42,7 @@
 
     def __init__(self, name: str, now: int) -> None:
         self.name = name
-        self.pacing = SlowStartTokens(name, ROSTER, now)
+        self.pacing = SlowStartTokens(name, ELECTORATE, now)
         self.pacing.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
         self.incarnation = now
         self.until = 0  # turns are handed over, by what the decisions know
@@ -252,7 +252,7 @@
 
 def paced(now: int = START, lease: int = 5) -> TokenIssuer:
     """A pacer to which all have handed their turns over."""
-    one = TokenIssuer("a", ROSTER)
+    one = TokenIssuer("a", ELECTORATE)
     one.update_upstreams([UPSTREAM], window_us=WINDOW)
     one.hold(now - TERM, lease)
     one.promised_until = dict.fromkeys(NAMES, now + TERM)
@@ -311,7 +311,7 @@
 
 
 def test_however_many_links_come_a_fleet_asks_so_often_and_no_more() -> None:
-    one, now, asked = TokenRequester("a", ROSTER, START), START, 0
+    one, now, asked = TokenRequester("a", ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
     one.issuer, one.answered_at = "b", START + 10**9
@@ -393,7 +393,7 @@
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
     # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
     # that it is. Turns would be promised for a term more, and used again sooner.
-    one, now = TokenRequester("b", ROSTER, START), START
+    one, now = TokenRequester("b", ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
         seek, _ = one.tick(now, WALL, 1, "a")
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -39,14 +39,14 @@
 
 SECOND = 1_000_000
 BEAT, STEP = 200_000, 20_000
-SPANS = LoanTerms(SECOND, 2 * SECOND, 0.01)
+LOAN_TERMS = LoanTerms(SECOND, 2 * SECOND, 0.01)
 START = 1_000_000 * SECOND  # also the wall clock: an incarnation is the time of its start
 LIMIT = 24
 NAMES = "abcd"
 
 
 def dealing(floor: float = 0.5, names: str = NAMES, limit: int = LIMIT, mark: int = 1) -> QuotaSettings:
-    return QuotaSettings((Quota("all", limit, ("t",)),), tuple(names), floor, SPANS, mark)
+    return QuotaSettings((Quota("all", limit, ("t",)),), tuple(names), floor, LOAN_TERMS, mark)
 
 
 class Side:
@@ -128,7 +128,7 @@
     grant = one.answer(began, ask, NO_PERMIT)
     assert grant is not None and other.expects(grant)
     for now in range(began, began + 6 * SECOND, STEP):
-        if now == began + SPANS.term_us - STEP:
+        if now == began + LOAN_TERMS.term_us - STEP:
             assert other.accept_grant(now, grant)
         for name, side in (("a", one), ("b", other)):
             for number in range(9):
@@ -161,18 +161,18 @@
     )
 
 
-def forgetful(rights: QuotaAccount, now: int) -> None:
-    rights.closed, rights.opens_at, rights.whole_at = False, now, now
+def forgetful(account: QuotaAccount, now: int) -> None:
+    account.closed, account.opens_at, account.whole_at = False, now, now
 
 
-def careless(rights: QuotaAccount, now: int, loan: Any, amount: int) -> int:
-    return max(0, min(amount, rights.spare(now)))
+def careless(account: QuotaAccount, now: int, loan: Any, amount: int) -> int:
+    return max(0, min(amount, account.spare(now)))
 
 
 def late_borrower(
-    rights: QuotaAccount, now: int, *, request: int, lender: str, amount: int, asked_at: int
+    account: QuotaAccount, now: int, *, request: int, lender: str, amount: int, asked_at: int
 ) -> bool:
-    return borrow(rights, now, request=request, lender=lender, amount=amount, asked_at=now)
+    return borrow(account, now, request=request, lender=lender, amount=amount, asked_at=now)
 
 
 borrow = QuotaAccount.borrow
@@ -180,7 +180,7 @@
     (QuotaAccount, "open", forgetful),
     (QuotaAccount, "lend", careless),
     (QuotaAccount, "borrow", late_borrower),
-    (LoanTerms, "recovery_us", property(lambda spans: spans.term_us)),
+    (LoanTerms, "recovery_us", property(lambda terms: terms.term_us)),
     (counts, "meets", lambda *args: False),
 ]
 
@@ -211,19 +211,19 @@
         shares = [share_at(limit, 0.5, count, place) for place in range(count)]
         assert sum(share.own for share in shares) == limit
         assert all(0 <= share.floor <= share.own for share in shares)
-    rights = QuotaAccount(share_at(24, 1.0, 4, 0), SPANS, START)
-    rights.open(START)
-    assert rights.spare(START + 60 * SECOND) == 0
+    account = QuotaAccount(share_at(24, 1.0, 4, 0), LOAN_TERMS, START)
+    account.open(START)
+    assert account.spare(START + 60 * SECOND) == 0
 
 
 def test_a_start_waits_a_window_then_has_its_floor_then_all_of_its_own() -> None:
-    rights = QuotaAccount(QuotaShare(10, 4), SPANS, START)
-    assert rights.limit(START + 99 * SECOND) == 0, "another process of this node may be spending"
-    rights.open(START + 100 * SECOND)
+    account = QuotaAccount(QuotaShare(10, 4), LOAN_TERMS, START)
+    assert account.limit(START + 99 * SECOND) == 0, "another process of this node may be spending"
+    account.open(START + 100 * SECOND)
     opened = START + 100 * SECOND
-    assert rights.limit(opened + SECOND) == 0 and rights.admit(opened) > 0
-    assert rights.limit(opened + SPANS.counting_window_us) == 4
-    assert rights.limit(opened + SPANS.recovery_us) == 10
+    assert account.limit(opened + SECOND) == 0 and account.admit(opened) > 0
+    assert account.limit(opened + LOAN_TERMS.counting_window_us) == 4
+    assert account.limit(opened + LOAN_TERMS.recovery_us) == 10
 
 
 def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
@@ -266,7 +266,7 @@
     used = old.close(now)
     new.take_over(now, used)
     assert old.admit(now, "t") > 0 and new.admit(now, "t") > 0, "the window is used up"
-    later = now + SPANS.counting_window_us + SECOND
+    later = now + LOAN_TERMS.counting_window_us + SECOND
     assert [new.admit(later, "t") > 0 for _ in range(4)] == [False, False, False, True], "its floor"
     new.open(later)
     assert new.accounts["all"].limit(later + SECOND) == 3, "what the old one lent is not back yet"
@@ -281,7 +281,7 @@
     for lender, number in (("c", 1), ("b", 2)):
         assert not budgets.expects(Grant(lender, "a", 1, number, "all", 5))
     grant = Grant("b", "a", 1, ask.number, "all", 500)
-    assert budgets.expects(grant) and not budgets.accept_grant(START + SPANS.term_us, grant)
+    assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
     ask = budgets.request_loan(START, START, 1, lender="b", quota="all", amount=5)
     assert not budgets.accept_grant(START + 1, Grant("b", "a", 1, ask.number, "all", 500)), (
         "time never runs back"
