--- a/larchlatch/cli/inspect.py
+++ b/larchlatch/cli/inspect.py
@@ -50,7 +50,7 @@
     nodes = len(cluster.nodes)
     sites = len({node.site for node in cluster.nodes.values()})
     electors = len(cluster.electorate.electors)
-    budgets = len(cluster.quota_settings.limits)
+    budgets = len(cluster.quota_settings.quotas)
     return f"cluster: in order; {nodes} nodes, {sites} sites, {electors} electors, {budgets} budgets"
 
 
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -11,11 +11,11 @@
 from msgspec import Meta, field
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.signing import KEY_BYTES, PublicKey, parse_key
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.config.endpoints import parse_address
 from larchlatch.config.toml_file import Strict, convert_table, read_toml
 from larchlatch.errors import ConfigurationError
@@ -112,8 +112,8 @@
 
     nodes: dict[str, ClusterNode]
     heartbeat_us: int
-    quota_settings: Dealing
-    electorate: Roster
+    quota_settings: QuotaSettings
+    electorate: Electorate
     max_clock_difference_us: int
 
     @property
@@ -188,10 +188,10 @@
     return ClusterNode(name=table.name, address=address, site=table.site, key=key)
 
 
-def _parse_quotas(table: ClusterTable, top: str) -> Dealing:
+def _parse_quotas(table: ClusterTable, top: str) -> QuotaSettings:
     """Return how the quotas are divided among the nodes."""
-    periods = Spans(table.window_ms * 1000, table.term_ms * 1000, table.skew)
-    limits: list[Limit] = []
+    periods = LoanTerms(table.window_ms * 1000, table.term_ms * 1000, table.skew)
+    limits: list[Quota] = []
     for index, quota in enumerate(table.quotas):
         limits.append(_parse_quota(quota, limits, table.window_ms, f"{top}: budgets[{index}]"))
     if limits and table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > table.term_ms:
@@ -201,10 +201,10 @@
     names = tuple(sorted(node.name for node in table.nodes))
     allocated = table.roles is not None and table.roles.allocates_quotas
     text = _quota_digest_text(limits, names, table.floor, periods, allocated=allocated)
-    return Dealing(tuple(limits), names, table.floor, periods, digest(text), allocated)
+    return QuotaSettings(tuple(limits), names, table.floor, periods, digest(text), allocated)
 
 
-def _parse_quota(table: QuotaTable, before: list[Limit], window_ms: int, where: str) -> Limit:
+def _parse_quota(table: QuotaTable, before: list[Quota], window_ms: int, where: str) -> Quota:
     if any(table.name == limit.name for limit in before):
         raise ConfigurationError(f"{where}.name", f"there are two of this name ({table.name})")
     taken = {traffic_class: limit.name for limit in before for traffic_class in limit.traffic_classes}
@@ -219,27 +219,27 @@
         raise ConfigurationError(
             f"{where}.links_per_s", f"less than one link in a window ({table.sessions_per_s})"
         )
-    return Limit(table.name, sessions, tuple(table.traffic_classes))
+    return Quota(table.name, sessions, tuple(table.traffic_classes))
 
 
-def _parse_roles(table: ClusterTable, quota_settings: Dealing, top: str) -> Roster:
+def _parse_roles(table: ClusterTable, quota_settings: QuotaSettings, top: str) -> Electorate:
     """Return who elects, for which roles."""
     roles = table.roles
     if roles is None:
-        return Roster()
+        return Electorate()
     where = f"{top}: duties"
     _check_electors(roles.electors, quota_settings.names, f"{where}.electors")
     if table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > roles.term_ms:
         raise ConfigurationError(
             f"{where}.term_ms", f"less than {MIN_HEARTBEATS_PER_TERM} beats ({roles.term_ms})"
         )
-    if roles.allocates_quotas and not quota_settings.limits:
+    if roles.allocates_quotas and not quota_settings.quotas:
         raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
-    lease_terms = Tenure(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
-    names = (ALLOTTER,) * roles.allocates_quotas + (PACER,) * roles.issues_tokens
+    lease_terms = LeaseTerms(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
+    names = (QUOTA_ALLOCATOR,) * roles.allocates_quotas + (TOKEN_ISSUER,) * roles.issues_tokens
     # Nodes of different versions compare the digest: the text stays the same for the same file.
-    text = repr((quota_settings.mark, roles.electors, roles.term_ms, names))
-    return Roster(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
+    text = repr((quota_settings.digest, roles.electors, roles.term_ms, names))
+    return Electorate(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
 
 
 def _check_electors(electors: list[str], names: tuple[str, ...], where: str) -> None:
@@ -255,7 +255,7 @@
 
 
 def _quota_digest_text(
-    limits: list[Limit], names: tuple[str, ...], floor: float, periods: Spans, *, allocated: bool
+    limits: list[Quota], names: tuple[str, ...], floor: float, periods: LoanTerms, *, allocated: bool
 ) -> str:
     """Return the text whose digest tells one cluster file's quotas from another's.
 
@@ -282,7 +282,7 @@
 
     """
     known = frozenset(traffic_classes)
-    for limit in configuration.quota_settings.limits:
+    for limit in configuration.quota_settings.quotas:
         for traffic_class in limit.traffic_classes:
             if traffic_class not in known:
                 raise ConfigurationError(
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -7,12 +7,12 @@
 import structlog
 
 from larchlatch.cluster import counters
-from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
 
-    from larchlatch.cluster.election.election import Event
+    from larchlatch.cluster.election.candidate_side import RoleEvent
     from larchlatch.cluster.exchange.results import ExecutedOrder
     from larchlatch.cluster.membership.member import MemberChange
     from larchlatch.node.metrics import Counters
@@ -42,13 +42,13 @@
         for order in orders:
             self._counters.add(counters.ORDERS_EXECUTED)
             # There is one of the token issuer for each session.
-            write = log.debug if order.role == PACER else log.info
+            write = log.debug if order.role == TOKEN_ISSUER else log.info
             write("order_executed", **order._asdict())
 
-    def role_events(self, events: Iterable[Event]) -> None:
+    def role_events(self, events: Iterable[RoleEvent]) -> None:
         """Log what became of this node's own roles."""
         for event in events:
-            log.info(ROLE_EVENTS[event.what], role=event.duty, lease=event.lease, reason=event.why)
+            log.info(ROLE_EVENTS[event.change], role=event.role, lease=event.lease, reason=event.reason)
 
     def ejections_advised(self, ejections: Iterable[tuple[str, int]]) -> None:
         """Log upstreams that so many other nodes can't reach."""
--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -14,11 +14,11 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-    from larchlatch.cluster.election.election import Roster
+    from larchlatch.cluster.election.electorate import Electorate
     from larchlatch.cluster.exchange.results import ExchangeResult, HeartbeatResult
     from larchlatch.cluster.exchange.state import SharedState
     from larchlatch.cluster.membership.membership import Membership
-    from larchlatch.cluster.quota.budgets import Dealing
+    from larchlatch.cluster.quota.settings import QuotaSettings
     from larchlatch.policy.types import TokenCandidate
 
 
@@ -83,8 +83,8 @@
         self,
         sites: Mapping[str, str],
         keys: Mapping[str, bytes],
-        quota_settings: Dealing,
-        electorate: Roster,
+        quota_settings: QuotaSettings,
+        electorate: Electorate,
         *,
         heartbeat_us: int,
         now: int,
@@ -92,12 +92,12 @@
         """Go by a new cluster file: members that it lacks are forgotten, those that stay are kept."""
         self._heartbeats.sites, self._receiver.keys = sites, keys
         quotas, election, tokens = self.state.quotas, self.state.election, self.state.tokens
-        self.membership.heartbeat_us = quotas.beat_us = election.beat_us = heartbeat_us
+        self.membership.heartbeat_us = quotas.heartbeat_us = election.heartbeat_us = heartbeat_us
         self.membership.set_members(sites)
-        if quota_settings.mark != quotas.dealing.mark:
+        if quota_settings.digest != quotas.settings.digest:
             quotas.follow(quota_settings, now)
             self.state.quota_usage.set_quotas(quota_settings)
-        if electorate.mark != tokens.mark:
+        if electorate.digest != tokens.digest:
             tokens.follow(electorate)
         election.follow(electorate, now)
 
--- a/larchlatch/cluster/exchange/heartbeat.py
+++ b/larchlatch/cluster/exchange/heartbeat.py
@@ -65,7 +65,7 @@
             name: record for name, record in present.items() if record.health_observations or record.promises
         }
         ages = {name: max(0, wall - record.created_us) for name, record in reporting.items()}
-        ballots = self._state.election.look(now, wall, self._membership.incarnation, present, ages)
+        ballots = self._state.election.tick(now, wall, self._membership.incarnation, present, ages)
         self._loans.update_allocator(now)
         tokens = self._tokens.heartbeat(now, wall=wall)
         datagrams = self._record_datagrams(now=now, wall=wall)
@@ -77,13 +77,13 @@
 
     def _compare_configurations(self, now: int) -> None:
         """Tell the quotas by which cluster files the other members go."""
-        self._state.quotas.agreed(now, self._membership.configuration_digests())
+        self._state.quotas.note_digests(now, self._membership.configuration_digests())
 
     def _own_record(self, *, now: int, wall: int) -> NodeRecord:
         record = self._membership.next_record(
             wall,
-            digest=self._state.quotas.dealing.mark,
-            shares=self._state.quotas.told(now),
+            digest=self._state.quotas.settings.digest,
+            shares=self._state.quotas.standings(now),
             observations=self._state.health.own_report(now),
             promises=self._state.election.promises(now),
         )
--- a/larchlatch/cluster/exchange/receiver.py
+++ b/larchlatch/cluster/exchange/receiver.py
@@ -157,15 +157,15 @@
         """Return whether a message that can't be trusted yet is worth a check of its signature."""
         match message:
             case Vote():
-                return self._state.election.awaited(message)
+                return self._state.election.expects_vote(message)
             case TokenRequest():
-                return self._state.tokens.news(message)
+                return self._state.tokens.issuer.is_new(message)
             case TokenGrant():
-                return self._state.tokens.awaited(message)
+                return self._state.tokens.requester.expects(message)
             case BallotRequest():
                 return True
             case LoanRequest() | LoanGrant():
-                return self._state.quotas.news(message)
+                return self._state.quotas.expects(message)
 
     def _dispatch(self, message: DirectMessage, *, now: int, wall: int, result: ExchangeResult) -> None:
         """Hand a message that is genuine to the part that it is for."""
@@ -184,12 +184,12 @@
                 self._handle_vote(message, now=now, wall=wall, result=result)
 
     def _handle_ballot(self, ballot: BallotRequest, now: int, result: ExchangeResult) -> None:
-        vote = self._state.election.bid(now, ballot)
+        vote = self._state.election.answer_bid(now, ballot)
         if vote is not None:
             result.datagrams.append(OutgoingDatagram(ballot.sender, self._encode_message(vote)))
 
     def _handle_vote(self, vote: Vote, *, now: int, wall: int, result: ExchangeResult) -> None:
-        for ballot in self._state.election.voted(now, wall, vote):
+        for ballot in self._state.election.count_vote(now, wall, vote):
             result.datagrams.append(OutgoingDatagram(ballot.recipient, self._encode_message(ballot)))
 
     def _is_signed_by(self, name: str, signed: SignedMessage) -> bool:
--- a/larchlatch/cluster/exchange/results.py
+++ b/larchlatch/cluster/exchange/results.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from larchlatch.cluster.health.observations import EjectionAdvice
     from larchlatch.cluster.membership.member import MemberChange
-    from larchlatch.cluster.slow_start.tokens import Told
+    from larchlatch.cluster.slow_start.notices import TokenNotice
 
 
 class OutgoingDatagram(NamedTuple):
@@ -54,7 +54,7 @@
     changes: list[MemberChange] = field(default_factory=list)
     datagrams: list[OutgoingDatagram] = field(default_factory=list)
     orders: list[ExecutedOrder] = field(default_factory=list)
-    token_updates: list[Told] = field(default_factory=list)
+    token_updates: list[TokenNotice] = field(default_factory=list)
 
 
 class HeartbeatResult(NamedTuple):
@@ -71,4 +71,4 @@
     changes: list[MemberChange]
     datagrams: list[OutgoingDatagram]
     advice: EjectionAdvice
-    token_updates: list[Told]
+    token_updates: list[TokenNotice]
--- a/larchlatch/cluster/exchange/state.py
+++ b/larchlatch/cluster/exchange/state.py
@@ -4,13 +4,15 @@
 
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.cluster.election.election import Duties, Roster
+from larchlatch.cluster.election.election import Election
 from larchlatch.cluster.health.observations import HealthObservations
-from larchlatch.cluster.quota.budgets import Budgets, Dealing
 from larchlatch.cluster.quota.counts import FleetCounts
-from larchlatch.cluster.slow_start.tokens import Pacing
+from larchlatch.cluster.quota.shared_quotas import SharedQuotas
+from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 
 if TYPE_CHECKING:
+    from larchlatch.cluster.election.electorate import Electorate
+    from larchlatch.cluster.quota.settings import QuotaSettings
     from random import Random
 
 
@@ -26,18 +28,18 @@
 
     """
 
-    quotas: Budgets
+    quotas: SharedQuotas
     quota_usage: FleetCounts
     health: HealthObservations
-    election: Duties
-    tokens: Pacing
+    election: Election
+    tokens: SlowStartTokens
 
     @classmethod
     def create(
         cls,
         name: str,
-        quota_settings: Dealing,
-        electorate: Roster,
+        quota_settings: QuotaSettings,
+        electorate: Electorate,
         *,
         max_clock_difference_us: int,
         heartbeat_us: int,
@@ -57,11 +59,11 @@
 
         """
         return cls(
-            Budgets(name, quota_settings, heartbeat_us, now, random),
+            SharedQuotas(name, quota_settings, heartbeat_us, now, random),
             FleetCounts(quota_settings, clock_difference_us=max_clock_difference_us),
             HealthObservations(),
-            Duties(name, electorate, heartbeat_us, now, random),
-            Pacing(name, electorate, now),
+            Election(name, electorate, heartbeat_us, now, random),
+            SlowStartTokens(name, electorate, now),
         )
 
     def open(self, now: int) -> None:
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from larchlatch.cluster import counters
-from larchlatch.cluster.election.election import PACER
+from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
 
 if TYPE_CHECKING:
@@ -46,39 +46,41 @@
 
         """
         result = ExchangeResult()
-        request = self._tokens.sought(now, wall, self._membership.incarnation, session, candidates)
+        request = self._tokens.requester.request_token(
+            now, wall, self._membership.incarnation, session, candidates
+        )
         if request is not None:
             self._send_request(request, now, result)
         return result
 
     def handle_request(self, request: TokenRequest, now: int, result: ExchangeResult) -> None:
         """Answer another node, where this one is the token issuer."""
-        grant = self._tokens.answer(now, request, self._election.order(now, PACER))
+        grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
         if grant is not None:
             result.datagrams.append(OutgoingDatagram(request.sender, self._encode_message(grant)))
 
     def handle_grant(self, grant: TokenGrant, now: int, result: ExchangeResult) -> None:
         """Take up the token issuer's answer, unless a later holder of the role is known."""
-        if not self._election.takes(PACER, grant.lease):
+        if not self._election.accepts_order(TOKEN_ISSUER, grant.lease):
             self._count(counters.ORDERS_OUTDATED)
             return
-        update = self._tokens.told(now, grant)
+        update = self._tokens.requester.accept(now, grant)
         if update is not None:
             result.token_updates.append(update)
-            result.orders.append(ExecutedOrder(PACER, grant.lease, grant.sender))
+            result.orders.append(ExecutedOrder(TOKEN_ISSUER, grant.lease, grant.sender))
         if grant.upstream:
             self._count(counters.TOKENS_RECEIVED if update is not None else counters.TOKENS_TOO_LATE)
 
     def heartbeat(self, now: int, *, wall: int) -> ExchangeResult:
         """Return what falls due with a heartbeat: renewals of the lending of slow-start windows."""
         result = ExchangeResult()
-        if not self._tokens.on:
+        if not self._tokens.enabled:
             return result
-        holder = self._election.holders.get(PACER)
-        lease, _ = self._election.order(now, PACER)
-        self._tokens.pace(now, lease)
+        holder = self._election.holder(TOKEN_ISSUER)
+        lease, _ = self._election.order_permit(now, TOKEN_ISSUER)
+        self._tokens.issuer.hold(now, lease)
         issuer = holder.name if holder is not None else ""
-        request, update = self._tokens.look(now, wall, self._membership.incarnation, issuer)
+        request, update = self._tokens.requester.tick(now, wall, self._membership.incarnation, issuer)
         if update is not None:
             result.token_updates.append(update)
         if request is not None:
@@ -90,6 +92,6 @@
         if request.recipient != self._membership.own_name:
             result.datagrams.append(OutgoingDatagram(request.recipient, self._encode_message(request)))
             return
-        grant = self._tokens.answer(now, request, self._election.order(now, PACER))
+        grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
         if grant is not None:
             self.handle_grant(grant, now, result)
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -14,7 +14,7 @@
     from collections.abc import Iterable, Mapping, Sequence
 
     from larchlatch.cluster.protocol.messages import NodeRecord
-    from larchlatch.cluster.quota.budgets import Dealing
+    from larchlatch.cluster.quota.settings import QuotaSettings
 
 # The stretch that ranges cover: a cut of a few windows shows in it, and has left it soon after.
 WINDOWS = 10
@@ -82,12 +82,12 @@
 
     """
 
-    def __init__(self, dealing: Dealing, *, clock_difference_us: int) -> None:
+    def __init__(self, dealing: QuotaSettings, *, clock_difference_us: int) -> None:
         """Start without samples, for the quotas of one cluster file."""
         self.clock_difference_us = clock_difference_us
         self.set_quotas(dealing)
 
-    def set_quotas(self, dealing: Dealing) -> None:
+    def set_quotas(self, dealing: QuotaSettings) -> None:
         """Follow another cluster file: what was told by the one before counts other quotas."""
         self._dealing = dealing
         self._samples: dict[str, deque[Sample]] = {name: deque() for name in dealing.names}
@@ -95,12 +95,12 @@
     @property
     def span_us(self) -> int:
         """Return the length of the stretch that ranges cover."""
-        return WINDOWS * self._dealing.spans.window_us
+        return WINDOWS * self._dealing.loan_terms.window_us
 
     def receive(self, record: NodeRecord) -> None:
         """Keep what a node's record tells, this node's own included."""
         samples = self._samples.get(record.name)
-        if samples is None or record.config_digest != self._dealing.mark:
+        if samples is None or record.config_digest != self._dealing.digest:
             return
         admitted = tuple(share.spent for share in record.quota_reports)
         _append_thinned(samples, Sample(record.created_us, record.incarnation, admitted))
@@ -110,7 +110,7 @@
 
     def ranges(self, wall_us: int) -> list[UsageRange]:
         """Return the range of each quota, in the file's order."""
-        return [self._range(index, wall_us) for index in range(len(self._dealing.limits))]
+        return [self._range(index, wall_us) for index in range(len(self._dealing.quotas))]
 
     def _range(self, quota_index: int, wall_us: int) -> UsageRange:
         usages = {
@@ -121,7 +121,7 @@
         told = sum(usage.most for usage in usages.values())
         most = told + self._most_untold(gaps, quota_index, wall_us)
         heard_until_us = min((own[-1].begin_us for own in gaps.values()), default=wall_us)
-        limit = self._dealing.limits[quota_index].sessions
+        limit = self._dealing.quotas[quota_index].sessions
         return UsageRange(least, min(most, limit * WINDOWS), wall_us - heard_until_us)
 
     def _origin_usage(self, samples: Iterable[Sample], quota_index: int, wall_us: int) -> OriginUsage:
@@ -165,8 +165,8 @@
 
         In one window, the origins of which nothing is known can have used all but the others' floors.
         """
-        quota = self._dealing.limits[quota_index]
-        window_us = self._dealing.spans.window_us
+        quota = self._dealing.quotas[quota_index]
+        window_us = self._dealing.loan_terms.window_us
         floors = {name: self._dealing.share(quota, name).floor for name in gaps}
         earliest_us = wall_us - self.span_us - self.clock_difference_us
         end_us = wall_us + self.clock_difference_us
--- a/larchlatch/cluster/reports.py
+++ b/larchlatch/cluster/reports.py
@@ -41,15 +41,15 @@
     usage = state.quota_usage.ranges(wall)
     return [
         {
-            **account._asdict(),
+            **account.to_json(),
             "fleet_least": used.least,
             "fleet_most": used.most,
             "fleet_age_ms": used.age_us // 1000,
         }
-        for account, used in zip(state.quotas.accounts(now), usage, strict=True)
+        for account, used in zip(state.quotas.statuses(now), usage, strict=True)
     ]
 
 
 def role_rows(state: SharedState, membership: Membership, now: int) -> list[dict[str, Any]]:
     """Return one row for each role."""
-    return [status._asdict() for status in state.election.told(now, membership.present_records)]
+    return [status.to_json() for status in state.election.statuses(now, membership.present_records)]
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -36,7 +36,7 @@
 
     from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
     from larchlatch.cluster.health.observations import EjectionAdvice
-    from larchlatch.cluster.slow_start.tokens import Told
+    from larchlatch.cluster.slow_start.notices import TokenNotice
     from larchlatch.node.metrics import Counters
     from larchlatch.node.ports import Hearing
     from larchlatch.policy.types import TokenCandidate
@@ -185,7 +185,7 @@
         self._update_tokens(result.token_updates)
         self._send(result.datagrams)
         self._pass_on_advice(result.advice)
-        self._events.files_differ(now=self.state.quotas.other)
+        self._events.files_differ(now=self.state.quotas.any_file_differs)
 
     def _announce_shutdown(self) -> None:
         """Tell the others that this node ends: they need not wait until it counts as silent."""
@@ -208,18 +208,18 @@
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
         """Log orders that were carried out here, and what became of this node's own roles since."""
         self._events.orders(orders)
-        self._events.role_events(self.state.election.drained())
+        self._events.role_events(self.state.election.take_events())
 
-    def _update_tokens(self, updates: list[Told]) -> None:
+    def _update_tokens(self, updates: list[TokenNotice]) -> None:
         # The balancer goes by another clock than leases do.
         ahead_us = now_us() - self.now()
         for update in updates:
             upstream = self.upstreams.get(update.upstream, "")
             heard = self._balancer.pace(
-                update.until + ahead_us, upstream, update.session, update.at + ahead_us
+                update.handed_over_until + ahead_us, upstream, update.session, update.token_ends_at + ahead_us
             )
             if not heard:
-                self.state.tokens.unheard()
+                self.state.tokens.requester.withdraw()
 
     def _pass_on_advice(self, advice: EjectionAdvice) -> None:
         probes = [self.upstreams[upstream] for upstream in advice.probes]
@@ -234,7 +234,7 @@
 
     def retire(self) -> None:
         """Hand this node's roles over: it is about to end."""
-        self.state.election.leaving = True
+        self.state.election.begin_handover()
 
     def admit(self, traffic_class: str) -> int:
         """Spend one session of the traffic class's quota.
@@ -258,7 +258,9 @@
 
         """
         self.upstreams = {upstream_hash(upstream): upstream for upstream in upstreams}
-        self.state.tokens.listed(self.now(), self.upstreams, slow_start_us, window_us)
+        self.state.tokens.update_upstreams(
+            self.now(), self.upstreams, slow_start_us=slow_start_us, window_us=window_us
+        )
         self.state.health.set_upstreams(self.upstreams)
 
     def saw(self, upstream: str, good: bool | None) -> None:  # noqa: FBT001  the port's signature
@@ -283,7 +285,7 @@
             What this process has spent of each quota in the last window.
 
         """
-        self.state.tokens.close()
+        self.state.tokens.requester.close()
         return self.state.quotas.close(self.now())
 
     def resume(self) -> None:
@@ -303,7 +305,7 @@
 
     def _open_tokens(self) -> None:
         """Let this process place sessions on warming upstreams."""
-        update = self.state.tokens.open(self.now())
+        update = self.state.tokens.requester.open(self.now())
         self._update_tokens([update] if update is not None else [])
 
     # Configuration.
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -75,7 +75,10 @@
 
     def greedy_asks(self, now: int, wall: int) -> Iterable[OutgoingDatagram]:
         """All that there is, of all budgets, from everybody."""
-        for limit in self.state.quotas.dealing.limits:
+        for limit in self.state.quotas.settings.quotas:
             for other in self.membership.members:
-                ask = self.state.quotas.ask(now, wall, self.membership.incarnation, other, limit.name, FAR, 0)
+                incarnation = self.membership.incarnation
+                ask = self.state.quotas.request_loan(
+                    now, wall, incarnation, lender=other, quota=limit.name, amount=FAR
+                )
                 yield OutgoingDatagram(other, self.encode_message(ask))
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -5,16 +5,17 @@
 import time
 from collections.abc import Sequence
 
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure
+from larchlatch.cluster.election.candidate_side import RoleChange
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.exchange.results import ExecutedOrder, OutgoingDatagram
 from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.membership.member import MemberChange, MemberState
 from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
-from larchlatch.cluster.slow_start.tokens import Told
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
+from larchlatch.cluster.slow_start.notices import TokenNotice
 from larchlatch.days.agreement import Agreement
 from larchlatch.days.amounts import us
 from larchlatch.days.avoidance import Avoidance
@@ -105,7 +106,9 @@
         self.evidence.set_upstreams(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
-        self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
+        self.pacing.update_upstreams(
+            self.now, upstreams, slow_start_us=max(0, slow_start_us), window_us=us(cold.tip_s)
+        )
 
     def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
@@ -115,13 +118,16 @@
         self.ordered(taken.orders)
         self.pace(taken.token_updates)
 
-    def pace(self, leaves: list[Told]) -> None:
+    def pace(self, leaves: list[TokenNotice]) -> None:
         # The decisions go by the true clock here.
         ahead = self.company.stage.clock.now - self.now
         for told in leaves:
             node = self.company.stage.nodes[self.number]
             node.paced(
-                told.until + ahead, told.upstream if told.session >= 0 else -1, told.session, told.at + ahead
+                told.handed_over_until + ahead,
+                told.upstream if told.session >= 0 else -1,
+                told.session,
+                told.token_ends_at + ahead,
             )
 
     def saw(self, upstream: int, good: bool | None) -> None:
@@ -165,13 +171,13 @@
 
     def ordered(self, orders: list[ExecutedOrder]) -> None:
         company, now = self.company, self.company.stage.clock.now
-        events = self.duties.drained()
+        events = self.duties.take_events()
         for order in orders:
             company.stage.note("order", self.number, order.lease)
             company.tenures[order.role].carried_out(order.lease)
         for event in events:
-            company.stage.note("duty", self.number, event.what, event.lease)
-            company.tenures[event.duty].held(now, self.number, event.what == "held")
+            company.stage.note("duty", self.number, event.change.value, event.lease)
+            company.tenures[event.role].held(now, self.number, event.change is RoleChange.HELD)
 
     def send(self, datagrams: list[OutgoingDatagram]) -> None:
         for name, data in datagrams:
@@ -327,23 +333,23 @@
         }
 
 
-def dealing_for(day: Day, names: Sequence[str], mark: int) -> Dealing:
+def dealing_for(day: Day, names: Sequence[str], mark: int) -> QuotaSettings:
     """How the day's budget, if it has one, is dealt out: as its cluster file would say it."""
     cluster = day.cluster
-    spans = Spans(us(cluster.window_s), us(cluster.term_s), cluster.skew)
-    limits: tuple[Limit, ...] = ()
+    spans = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.skew)
+    limits: tuple[Quota, ...] = ()
     if cluster.sessions_per_s:
         traffic_classes = tuple(f"t{place}" for place in range(len(day.sessions.effects)))
-        limits = (Limit("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
-    return Dealing(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
+        limits = (Quota("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
+    return QuotaSettings(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
 
 
-def roster_for(day: Day, names: Sequence[str], mark: int) -> Roster:
+def roster_for(day: Day, names: Sequence[str], mark: int) -> Electorate:
     """Who elects on this day: the first nodes, which are of all sites in turn."""
     cluster = day.cluster
     if not (cluster.allot or cluster.pace):
-        return Roster()
-    tenure = Tenure(us(cluster.term_s), cluster.skew, APART_US)
+        return Electorate()
+    tenure = LeaseTerms(us(cluster.term_s), cluster.skew, APART_US)
     electors = tuple(sorted(names[: cluster.electors]))
-    duties = (ALLOTTER,) * cluster.allot + (PACER,) * cluster.pace
-    return Roster(electors, tuple(sorted(names)), duties, tenure, mark)
+    duties = (QUOTA_ALLOCATOR,) * cluster.allot + (TOKEN_ISSUER,) * cluster.pace
+    return Electorate(electors, tuple(sorted(names)), duties, tenure, mark)
--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -18,7 +18,7 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.cluster.cluster_file import parse_cluster
-from larchlatch.cluster.election.election import Roster
+from larchlatch.cluster.election.electorate import Electorate
 from larchlatch.cluster.exchange.exchange import Exchange
 from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.keys import create_secret, own_signer, read_secret
@@ -37,8 +37,8 @@
 )
 from larchlatch.cluster.protocol.messages import Datagram, DropReason, NodeRecord, SignedMessage, Suspicion
 from larchlatch.cluster.protocol.signing import Signer, Verifier, parse_signer
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import QuotaSettings
 from larchlatch.days.agreement import SETTLED_US, Agreement
 from larchlatch.days.chance import Chance
 from larchlatch.days.day import checked
@@ -47,7 +47,7 @@
 from larchlatch.errors import InvalidInputError
 
 HEARTBEAT_US = 200_000
-SPANS = Spans(1_000_000, 3_000_000, 0.01)
+SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
 WALL_US = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
 KEYS = {name: Signer(secret).public_key for name, secret in SECRETS.items()}
@@ -68,8 +68,8 @@
         )
         shared = SharedState.create(
             name,
-            Dealing((), tuple(names), 1.0, SPANS, 1),
-            Roster(),
+            QuotaSettings((), tuple(names), 1.0, SPANS, 1),
+            Electorate(),
             max_clock_difference_us=0,
             heartbeat_us=HEARTBEAT_US,
             now=0,
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -18,16 +18,17 @@
 
 from larchlatch.broker.contracts import Contracts, read_contracts
 from larchlatch.cluster.cluster_file import ClusterTable, parse_cluster, read_cluster_file
-from larchlatch.cluster.election.election import ALLOTTER, PACER, Roster
-from larchlatch.cluster.election.leases import Tenure, What
+from larchlatch.cluster.election.ballots import BallotKind
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR, TOKEN_ISSUER, Electorate
+from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.exchange.exchange import Exchange
 from larchlatch.cluster.exchange.state import SharedState
 from larchlatch.cluster.membership.member import MemberState
 from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.protocol import codec, messages
 from larchlatch.cluster.protocol.signing import Signer, Verifier
-from larchlatch.cluster.quota.account import Spans
-from larchlatch.cluster.quota.budgets import Dealing, Limit
+from larchlatch.cluster.quota.loan_terms import LoanTerms
+from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.config.endpoints import EndpointEntry
 from larchlatch.config.endpoints import EndpointList as MemberList
 from larchlatch.days.day import Day, day_of
@@ -84,7 +85,7 @@
     return [passing.encoded(packet, number % 3).hex() for number, packet in enumerate(packets())]
 
 
-# What the decisions have learned.
+# BallotKind the decisions have learned.
 
 
 def used_balancer(observed: bool) -> Balancer:
@@ -113,12 +114,16 @@
 # Datagrams.
 
 
-def dealing(allot: bool) -> Dealing:
-    return Dealing((Limit("all", 30, ("t",)),), NODES, 0.5, Spans(SECOND, 3 * SECOND, 0.01), 77, allot)
+def dealing(allot: bool) -> QuotaSettings:
+    return QuotaSettings(
+        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND, 3 * SECOND, 0.01), 77, allot
+    )
 
 
-def roster() -> Roster:
-    return Roster(NODES, NODES, (ALLOTTER, PACER), Tenure(3 * SECOND, 0.01, 200_000), 88)
+def roster() -> Electorate:
+    return Electorate(
+        NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88
+    )
 
 
 def exchange(name: str, started: int, allot: bool) -> Exchange:
@@ -191,8 +196,8 @@
     sent = []
     for beat in (0, 200_000, 8 * SECOND):
         sent += node.heartbeat(now=NOW + beat, wall=WALL + beat).datagrams
-    node.state.tokens.pacer = "b"
-    node.state.tokens.heard_at = NOW + 8 * SECOND
+    node.state.tokens.requester.issuer = "b"
+    node.state.tokens.requester.answered_at = NOW + 8 * SECOND
     candidates = [(99, TokenCandidate(1, 5.0, 1.0))]
     sent += node.request_token(4, candidates, now=NOW + 8 * SECOND, wall=WALL).datagrams
     return [[to, data.hex()] for to, data in sent]
@@ -237,7 +242,7 @@
 def cluster_marks() -> list[int]:
     """The digests by which nodes tell whether they go by the same cluster file."""
     fleets = [read_cluster_file(ROOT / "deploy" / "cluster.example.toml"), parse_cluster(CLUSTER, "cluster")]
-    return [mark for fleet in fleets for mark in (fleet.quota_settings.mark, fleet.electorate.mark)]
+    return [mark for fleet in fleets for mark in (fleet.quota_settings.digest, fleet.electorate.digest)]
 
 
 def stored_values() -> dict[str, list[Any]]:
@@ -248,8 +253,8 @@
         "endpoint_state": [each.value for each in EndpointState],
         "outcome": [int(each) for each in Outcome],
         "member_state": [each.value for each in MemberState],
-        "ballot_kind": [each.value for each in What],
-        "roles": [ALLOTTER, PACER],
+        "ballot_kind": [each.value for each in BallotKind],
+        "roles": [QUOTA_ALLOCATOR, TOKEN_ISSUER],
     }
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -14,7 +14,8 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.cluster.cluster_file import read_cluster_file
-from larchlatch.cluster.election.election import ALLOTTER, Event
+from larchlatch.cluster.election.candidate_side import RoleChange, RoleEvent
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR
 from larchlatch.cluster.exchange.results import ExecutedOrder
 from larchlatch.cluster.health.observations import EjectionAdvice, ReportedFailure
 from larchlatch.cluster.keys import create_secret, own_signer, read_secret
@@ -200,7 +201,7 @@
     assert counts["ended unanswered"] <= 10 and counts["lost with a node"] > 0 and row["dropped"] > 0
     assert counts["lost by the client"] > 0
     assert all(place.process is None or place.process.returncode is not None for place in load_test.places)
-    # What a machine that is busy makes late may cost a client its life, but not most of them.
+    # BallotKind a machine that is busy makes late may cost a client its life, but not most of them.
     assert abs(row["served"] - World(day).play()["served"]) < 0.25
 
 
@@ -240,9 +241,13 @@
     with service._socket, capture_logs() as lines:
         service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
         service._pass_on_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
-        service.state.election.events.append(Event(ALLOTTER, "held", 7, "nobody held it"))
-        service.log_orders([ExecutedOrder(ALLOTTER, 7, "n1")])
-        service.state.election.events.append(Event(ALLOTTER, "ended", 7, "not renewed in time"))
+        service.state.election._candidate_side._events.append(
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, "nobody held it")
+        )
+        service.log_orders([ExecutedOrder(QUOTA_ALLOCATOR, 7, "n1")])
+        service.state.election._candidate_side._events.append(
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.ENDED, 7, "not renewed in time")
+        )
         service.log_orders([])
 
     cluster = {"on": True, "links_per_s": 9.0, "allot": True, "electors": 3}
@@ -255,11 +260,11 @@
     log = tmp_path / "n0.log"
     for line in lines:
         if line["event"] == "role_ended":
-            assert company.tenures[ALLOTTER].claims == [0], "it was said to be held"
+            assert company.tenures[QUOTA_ALLOCATOR].claims == [0], "it was said to be held"
         with log.open("ab") as out:
             out.write(orjson.dumps(line) + b"\n")
         company.read()
     assert company.agreement.views[0][1]
     assert (0, 3) in company.avoidance.said and company.avoidance.heeded == 1
-    assert company.tenures[ALLOTTER].orders == 1 and company.tenures[ALLOTTER].claims == []
+    assert company.tenures[QUOTA_ALLOCATOR].orders == 1 and company.tenures[QUOTA_ALLOCATOR].claims == []
     assert len(lines) == 6, "each of them was read"
