--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Whatever a configuration lacks or mistypes, it is read, or complained of in one line that names the key."""
+"""Configuration: each fault is reported in one line that names the key; a reload follows what it can."""
 
 from __future__ import annotations
 
@@ -10,11 +10,14 @@
 
 import orjson
 import pytest
+import structlog
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from larchlatch.config.endpoints import decode_endpoint_list, parse_address
 from larchlatch.config.node import parse_node_configuration, read_node_configuration
-from larchlatch.errors import InvalidInputError
+from larchlatch.config.reading import EXACT_INTEGER_LIMIT, non_negative_int, one_of, optional, required
+from larchlatch.errors import ConfigurationError, InvalidInputError, ProtocolError
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.metrics import Counters
 from larchlatch.node.reload import reload_configuration
@@ -25,7 +28,7 @@
 
 
 def paths(value: Any, so_far: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """The way to each item, however deep."""
+    """Yield the path to each item, however deep."""
     rows = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for item, inner in rows:
         yield (*so_far, item)
@@ -35,7 +38,8 @@
 PATHS = list(paths(GOOD))
 
 
-def spoilt(path: tuple[Any, ...], wrong: Any, missing: bool) -> dict[str, Any]:
+def with_fault(path: tuple[Any, ...], wrong: Any, missing: bool) -> dict[str, Any]:
+    """Return the good configuration with one item missing or wrong."""
     raw = copy.deepcopy(GOOD)
     holder: Any = raw
     for item in path[:-1]:
@@ -49,19 +53,19 @@
 
 @settings(derandomize=True, max_examples=1500, deadline=None)
 @given(st.sampled_from(PATHS), st.sampled_from(WRONG), st.booleans())
-def test_a_spoilt_configuration_is_read_or_complained_of_by_name(
+def test_a_faulty_configuration_is_read_or_the_error_names_the_key(
     path: tuple[Any, ...], wrong: Any, missing: bool
 ) -> None:
     names = [str(item) for item in path if isinstance(item, str)]
     try:
-        parse_node_configuration(spoilt(path, wrong, missing))
+        parse_node_configuration(with_fault(path, wrong, missing))
     except InvalidInputError as error:
         assert "\n" not in str(error)
         assert any(name in str(error) for name in names), f"names none of {names}: {error}"
 
 
 @pytest.mark.parametrize("key", ["settings", "listen", "discovery", "name", "seed"])
-def test_a_new_configuration_without_a_key_is_refused_and_the_old_one_kept(key: str, tmp_path: Path) -> None:
+def test_a_faulty_configuration_is_rejected_at_reload(key: str, tmp_path: Path) -> None:
     async def post(word: object) -> None: ...
 
     current = parse_node_configuration(GOOD)
@@ -70,9 +74,82 @@
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
     assert reload_configuration(current, path, discovery, counters) is current
-    path.write_bytes(orjson.dumps(spoilt(("settings", "domain"), ["no object"], False)))
+    path.write_bytes(orjson.dumps(with_fault(("settings", "domain"), ["no object"], False)))
     assert reload_configuration(current, path, discovery, counters) is current
     path.write_bytes(orjson.dumps({**GOOD, "discovery": "127.0.0.1:2", "unread": 1}))
     new = reload_configuration(current, path, discovery, counters)
     assert new == replace(read_node_configuration(path)) and discovery.source.address == ("127.0.0.1", 2)
     assert counters.told() == {"configuration_reloaded": 1, "configuration_rejected": 2}
+
+
+@pytest.mark.parametrize(
+    ("changes", "keys"),
+    [
+        ({"seed": "2"}, None),
+        ({"discovery": "127.0.0.1:2"}, None),
+        ({"name": "other", "listen": "127.0.0.1:9"}, ["name", "listen_address"]),
+        ({"limits": {"sockets": 9}}, ["descriptor_limit"]),
+    ],
+)
+def test_changes_that_need_a_restart_are_named_and_not_followed(
+    changes: dict[str, Any], keys: list[str] | None, tmp_path: Path
+) -> None:
+    async def post(word: object) -> None: ...
+
+    current = parse_node_configuration(GOOD)
+    discovery = DiscoveryClient(current.discovery_address, 1, True, Counters(), post, lambda low, high: high)
+    path = tmp_path / "node.json"
+    path.write_bytes(orjson.dumps({**GOOD, **changes}))
+    with structlog.testing.capture_logs() as events:
+        new = reload_configuration(current, path, discovery, Counters())
+    named = [event["keys"] for event in events if event["event"] == "configuration_needs_restart"]
+    assert named == ([] if keys is None else [keys])
+    assert replace(new, discovery_address=current.discovery_address) == current
+
+
+@pytest.mark.parametrize(
+    ("value", "kind", "problem"),
+    [
+        (True, int, "key has the wrong type (bool)"),
+        (None, int, "key has the wrong type (NoneType)"),
+        ("1", (int, float), "key has the wrong type (str)"),
+        (1, bool, "key has the wrong type (int)"),
+    ],
+)
+def test_a_value_of_another_type_is_an_error(value: Any, kind: Any, problem: str) -> None:
+    with pytest.raises(ConfigurationError) as caught:
+        required({"key": value}, "key", kind, "file")
+    assert (caught.value.where, caught.value.problem) == ("file", problem)
+    with pytest.raises(ProtocolError):
+        required({"key": value}, "key", kind, "message", error=ProtocolError)
+
+
+def test_a_key_that_may_be_missing_has_its_default_also_for_null() -> None:
+    assert optional({}, "key", int, "file", 3) == optional({"key": None}, "key", int, "file", 3) == 3
+    assert optional({"key": 0}, "key", int, "file", 3) == 0
+    with pytest.raises(ConfigurationError, match=r"^file: key has the wrong type"):
+        optional({"key": "0"}, "key", int, "file", 3)
+    with pytest.raises(ConfigurationError, match=r"^file: key is missing$"):
+        required({}, "key", int, "file")
+
+
+@pytest.mark.parametrize("value", [-1, -0.5, EXACT_INTEGER_LIMIT, 1e300, float("inf"), float("nan")])
+def test_counts_and_times_are_exact_and_not_negative(value: float) -> None:
+    with pytest.raises(ConfigurationError, match=r"^file: key is out of range"):
+        non_negative_int({"key": value}, "key", "file")
+    assert non_negative_int({"key": 2.9}, "key", "file") == 2
+    assert non_negative_int({"key": EXACT_INTEGER_LIMIT - 1}, "key", "file") == EXACT_INTEGER_LIMIT - 1
+
+
+def test_an_unknown_word_is_an_error() -> None:
+    assert one_of("a", {"a": 1}, "file.key") == 1
+    with pytest.raises(ProtocolError, match=r"^list\.key: unknown value 'b'$"):
+        one_of("b", {"a": 1}, "list.key", error=ProtocolError)
+
+
+def test_faults_of_files_and_of_messages_are_told_apart() -> None:
+    with pytest.raises(ConfigurationError, match=r"^configuration: listen: not an address"):
+        parse_node_configuration({**GOOD, "listen": "here"})
+    with pytest.raises(ProtocolError, match=r"^list: members is missing$"):
+        decode_endpoint_list(b'{"complete": true, "revision": 1}')
+    assert parse_address("[::1]:3000", "file") == ("::1", 3000)
