--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -1,15 +1,16 @@
-"""The operators' door: HTTP/1.1, one call to a connection. It asks and tells the node's phase alone."""
+"""The admin API: HTTP/1.1, one call to a connection. It reads and changes nothing but the lifecycle state."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import anyio
 import h11
 import orjson
 import structlog
 
-from larchlatch.node.wire.listen import Listener, NoAccept, stream_of
+from larchlatch.node.metrics import CounterName
+from larchlatch.node.wire.listen import AcceptError, Listener, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
 
 if TYPE_CHECKING:
@@ -21,147 +22,196 @@
     from larchlatch.node.metrics import Counters
 
 BACKLOG = 64  # callers that wait to be accepted
-CALLERS = 16  # calls at once; each holds a descriptor, so the oldest makes way for the next
-CALL_S = 5.0  # for a whole call: a caller that says nothing holds nothing for longer
-MOST_HEAD = 8192  # bytes of a call's head
-MOST_BODY = 4096  # and of its body, which says nothing here
-CHUNK = 4096  # bytes read at a time
-PAUSE_S = 0.02  # before the next look where nothing can be accepted
+MAX_CALLERS = 16  # calls at once: each holds a descriptor, so the oldest makes way for the next
+CALL_TIMEOUT_S = 5.0  # seconds for a whole call: a caller that sends nothing holds nothing for longer
+MAX_HEAD_BYTES = 8192  # of a call's head
+MAX_BODY_BYTES = 4096  # of a call's body, which has no meaning here
+READ_BYTES = 4096  # bytes read at a time
+ACCEPT_RETRY_S = 0.02  # seconds before the next try after a connection could not be accepted
 
 log = structlog.get_logger()
 
 
 class Reply(NamedTuple):
+    """The response to a call.
+
+    Attributes:
+        status: the HTTP status.
+        body: sent as JSON.
+        headers: sent beside those that each response has.
+
+    """
+
     status: int
-    told: dict[str, object]
+    body: dict[str, object]
     headers: tuple[tuple[str, str], ...] = ()
 
 
+class Route(NamedTuple):
+    """What a path does, and by which method it is called."""
+
+    method: str
+    handler: Callable[[], Reply]
+
+
 class AdminApi:
+    """Serves operators' calls: readiness, and the start and stop of a drain.
+
+    Args:
+        phase: the node's lifecycle state.
+        drain: begins to send clients away, once the state says so.
+        counters: where calls are counted.
+
+    """
+
     def __init__(self, phase: Phase, drain: Callable[[], None], counters: Counters) -> None:
-        self.phase = phase
-        self.counters = counters
-        self.calls: dict[str, tuple[str, Callable[[], Reply]]] = {
-            "/ops/readiness": ("GET", self.readiness),
-            "/ops/drain/start": ("POST", self.start_drain),
-            "/ops/drain/stop": ("POST", self.stop_drain),
+        self._phase = phase
+        self._drain = drain
+        self._counters = counters
+        self._routes = {
+            "/ops/readiness": Route("GET", self._readiness),
+            "/ops/drain/start": Route("POST", self._start_drain),
+            "/ops/drain/stop": Route("POST", self._stop_drain),
         }
-        self.drain = drain
-        self.callers: dict[anyio.CancelScope, None] = {}  # oldest first
+        self._callers: dict[anyio.CancelScope, None] = {}  # oldest first
 
     async def run(self, listener: Listener) -> None:
+        """Serve the callers of this listener until cancelled."""
         async with anyio.create_task_group() as tasks:
-            await self.accept(listener, tasks)
+            await self._accept(listener, tasks)
 
-    async def accept(self, listener: Listener, tasks: TaskGroup) -> None:
+    async def _accept(self, listener: Listener, tasks: TaskGroup) -> None:
         while True:
             try:
                 sock = await listener.accept()
-            except NoAccept:
-                await anyio.sleep(PAUSE_S)
+            except AcceptError:
+                await anyio.sleep(ACCEPT_RETRY_S)
                 continue
-            if len(self.callers) >= CALLERS:
-                oldest = next(iter(self.callers))
-                del self.callers[oldest]
-                oldest.cancel()
-                self.counters.add("door: caller turned out")
+            if len(self._callers) >= MAX_CALLERS:
+                self._evict_oldest()
             scope = anyio.CancelScope()
-            self.callers[scope] = None
-            tasks.start_soon(self.serve, await stream_of(sock), scope)
+            self._callers[scope] = None
+            tasks.start_soon(self._serve, await stream_of(sock), scope)
+            # A crowd that waits to be accepted must not keep those from being served who are accepted.
             await anyio.lowlevel.checkpoint()
 
-    async def serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        caller = Lines(stream)
+    def _evict_oldest(self) -> None:
+        oldest = next(iter(self._callers))
+        del self._callers[oldest]
+        oldest.cancel()
+        self._counters.add(CounterName.ADMIN_CALLER_EVICTED)
+
+    async def _serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
+        """Serve one connection, until its call is answered or its scope is cancelled."""
+        connection = Lines(stream)
         try:
             with scope:
-                scope.deadline = anyio.current_time() + CALL_S
-                await self.answered(caller)
+                scope.deadline = anyio.current_time() + CALL_TIMEOUT_S
+                await self._answer(connection)
             if scope.cancelled_caught:
-                self.counters.add("door: call not finished")
-        except Exception:
-            self.counters.add("door: call failed")
-            log.exception("an operator's call failed")
+                self._counters.add(CounterName.ADMIN_CALL_UNFINISHED)
+        except Exception:  # a fault in one call must not end the node, which holds clients' sessions
+            self._counters.add(CounterName.ADMIN_CALL_ERROR)
+            log.exception("admin_call_error")
         finally:
-            self.callers.pop(scope, None)
-            await caller.close()
+            self._callers.pop(scope, None)
+            await connection.close()
 
-    async def answered(self, caller: Lines) -> None:
-        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MOST_HEAD)
+    async def _answer(self, connection: Lines) -> None:
+        """Read one call and send its response; nothing where the caller has left."""
+        http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
-            reply = await self.reply(http, caller)
+            reply = await self._reply(http, connection)
         except h11.RemoteProtocolError as error:
             reply = Reply(error.error_status_hint, {"error": str(error)})
         if reply is None:
             return
-        self.counters.add(f"door: answered {reply.status}")
-        body = orjson.dumps(reply.told) + b"\n"
-        headers = [
-            ("Content-Type", "application/json"),
-            ("Content-Length", str(len(body))),
-            ("Connection", "close"),
-            *reply.headers,
-        ]
-        head = http.send(h11.Response(status_code=reply.status, headers=headers)) or b""
-        if await caller.send(head + body):
-            await caller.finish(Ending.END)
-
-    async def reply(self, http: h11.Connection, caller: Lines) -> Reply | None:
-        """What a call is answered, once it is whole; None where its caller has left."""
+        self._counters.add(f"{CounterName.ADMIN_RESPONSE}_{reply.status}")
+        if await connection.send(encode_response(http, reply)):
+            await connection.finish(Ending.END)
+
+    async def _reply(self, http: h11.Connection, connection: Lines) -> Reply | None:
+        """Read one call to its end and carry it out; None where the caller has left before."""
         request: h11.Request | None = None
-        size = 0
-        while True:
-            event = http.next_event()
-            if event is h11.NEED_DATA:
-                try:
-                    http.receive_data(await caller.stream.receive(CHUNK))
-                except anyio.EndOfStream:
-                    http.receive_data(b"")
-                except GONE:
-                    return None
-            elif isinstance(event, h11.Request):
+        body_size = 0
+        while (event := await receive_event(http, connection)) is not None:
+            if isinstance(event, h11.Request):
                 request = event
-                refusal = self.refusal(request)
-                if refusal is not None:
-                    return refusal
+                rejection = self._rejection(request)
+                if rejection is not None:
+                    return rejection
             elif isinstance(event, h11.Data):
-                size += len(event.data)
-                if size > MOST_BODY:
+                body_size += len(event.data)
+                if body_size > MAX_BODY_BYTES:
                     return Reply(413, {"error": "the body is too large"})
             elif isinstance(event, h11.EndOfMessage) and request is not None:
-                return self.calls[path_of(request)][1]()
+                return self._routes[path_of(request)].handler()
             else:
-                return None
-
-    def refusal(self, request: h11.Request) -> Reply | None:
-        call = self.calls.get(path_of(request))
-        if call is None:
-            return Reply(404, {"error": "no such call", "calls": sorted(self.calls)})
-        if request.method.decode() != call[0]:
-            return Reply(405, {"error": f"this call is a {call[0]}"}, (("Allow", call[0]),))
+                break
+        return None
+
+    def _rejection(self, request: h11.Request) -> Reply | None:
+        """Return the response to a call whose head alone shows that it is wrong."""
+        route = self._routes.get(path_of(request))
+        if route is None:
+            return Reply(404, {"error": "no such call", "calls": sorted(self._routes)})
+        if request.method.decode() != route.method:
+            return Reply(405, {"error": f"this call is a {route.method}"}, (("Allow", route.method),))
         length = dict(request.headers).get(b"content-length", b"0")
-        if int(length) > MOST_BODY:  # a whole number, h11 has seen to that
+        if int(length) > MAX_BODY_BYTES:  # h11 has made sure that it is a whole number
             return Reply(413, {"error": "the body is too large"})
         return None
 
-    def readiness(self) -> Reply:
-        # Of the process, not of the drain: a drained node is well, it only wants no clients.
-        return Reply(200 if self.phase.ready else 503, self.told())
+    def _readiness(self) -> Reply:
+        # Readiness is of the process. A drained node is in order and only wants no clients.
+        return Reply(200 if self._phase.ready else 503, self._state())
 
-    def start_drain(self) -> Reply:
-        log.info("drain", on=True, again=self.phase.draining)
-        self.phase.drain(anyio.current_time())
-        self.drain()
-        return Reply(200, self.told())
+    def _start_drain(self) -> Reply:
+        log.info("drain_started", repeated=self._phase.draining)
+        self._phase.drain(anyio.current_time())
+        self._drain()
+        return Reply(200, self._state())
 
-    def stop_drain(self) -> Reply:
-        log.info("drain", on=False, again=not self.phase.draining)
-        self.phase.end_drain()
-        return Reply(200, self.told())
+    def _stop_drain(self) -> Reply:
+        log.info("drain_stopped", repeated=not self._phase.draining)
+        self._phase.end_drain()
+        return Reply(200, self._state())
 
-    def told(self) -> dict[str, object]:
-        phase = self.phase
+    def _state(self) -> dict[str, object]:
+        phase = self._phase
         return {"ready": phase.ready, "draining": phase.draining, "stopping": phase.stopped_at is not None}
 
 
 def path_of(request: h11.Request) -> str:
+    """Return the path of a request's target, without the query."""
     return request.target.decode("latin-1").partition("?")[0]
+
+
+async def receive_event(http: h11.Connection, connection: Lines) -> Any:
+    """Return the next h11 event of a call; None where the connection is broken.
+
+    Raises:
+        h11.RemoteProtocolError: the caller does not keep to HTTP/1.1.
+
+    """
+    while (event := http.next_event()) is h11.NEED_DATA:
+        try:
+            http.receive_data(await connection.stream.receive(READ_BYTES))
+        except anyio.EndOfStream:
+            http.receive_data(b"")
+        except GONE:
+            return None
+    return event
+
+
+def encode_response(http: h11.Connection, reply: Reply) -> bytes:
+    """Return head and body of a response after which the connection is closed."""
+    body = orjson.dumps(reply.body) + b"\n"
+    headers = [
+        ("Content-Type", "application/json"),
+        ("Content-Length", str(len(body))),
+        ("Connection", "close"),
+        *reply.headers,
+    ]
+    head = http.send(h11.Response(status_code=reply.status, headers=headers)) or b""
+    return head + body
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -243,7 +243,7 @@
                 self.counters.add("try withdrawn")
                 record.attempt.cancel()
         if due.ask_list and self.discovery is not None:
-            self.discovery.ask()
+            self.discovery.start()
         return due.wait_us
 
     def cede(self, on: bool) -> dict[str, Any]:
--- a/larchlatch/node/client.py
+++ b/larchlatch/node/client.py
@@ -14,7 +14,7 @@
 
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.descriptor_budget import DescriptorBudget, Quiet
+from larchlatch.node.descriptor_budget import DescriptorBudget, IdleConnection
 from larchlatch.node.hot_restart import packets as passing
 from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.messages import Arrived, AttemptFinished, Left, Stood
@@ -129,7 +129,7 @@
             await see_off(sock, self.linger_s)
         finally:
             self.connections -= 1
-            self.descriptors.give()
+            self.descriptors.release()
 
     async def serve(self, sock: socket.socket, heard: Heard | None = None) -> None:
         """One connection, from its first line to its end; nothing that goes wrong leaves here."""
@@ -150,7 +150,7 @@
             else:
                 sock.close()
             self.connections -= 1
-            self.descriptors.give()
+            self.descriptors.release()
 
     async def served(self, client: Lines, heard: Heard | None) -> None:
         if heard is not None and heard.opening is not None:
@@ -201,12 +201,12 @@
         began = anyio.current_time()
         with anyio.CancelScope(deadline=began + (CROSSING_S if self.phase.ending else FIRST_LINE_S)) as scope:
             self.resting[scope] = None
-            quiet = Quiet(scope.cancel, began)
+            idle = IdleConnection(scope.cancel, began)
 
             def begun() -> None:
-                self.descriptors.heard(quiet, anyio.current_time())
+                self.descriptors.record_received(idle, anyio.current_time())
 
-            self.descriptors.add(quiet, began)
+            self.descriptors.add_idle(idle, began)
             self.unheard += 1
             client.begun = begun
             if client.tail:  # a piece of its line was there before anything was made of the connection
@@ -217,7 +217,7 @@
                     if not pinged:  # a front: whoever ends need not wait for it
                         pinged = True
                         self.unheard -= 1
-                    self.descriptors.heard(quiet, anyio.current_time(), whole=True)
+                    self.descriptors.record_received(idle, anyio.current_time(), is_complete_line=True)
                     await self.ready.wait()
                     await client.send(say.PONG if self.phase.welcome else say.NO)
                     scope.deadline = anyio.current_time() + PINGED_S
@@ -226,8 +226,8 @@
                 client.begun = None
                 del self.resting[scope]
                 self.unheard -= not pinged
-                if not self.descriptors.remove(quiet):
-                    self.counters.add("made room (half a line)" if quiet.pieces else "made room (silent)")
+                if not self.descriptors.remove_idle(idle):
+                    self.counters.add("made room (half a line)" if idle.fragments else "made room (silent)")
         return None
 
     async def refuse(self, client: Lines, why: str) -> None:
@@ -240,7 +240,7 @@
     @property
     def linger_s(self) -> float:
         """How long a connection on which all has been said may wait for its client's end."""
-        return SHORT_LINGER_S if self.descriptors.short else LINGER_S
+        return SHORT_LINGER_S if self.descriptors.scarce else LINGER_S
 
     def dismiss(self) -> None:
         """This node ends: whoever rests here is told so, and who still comes is turned away."""
@@ -379,7 +379,7 @@
             for sock in socks[len(sides) :]:
                 sock.close()
             for _ in socks:
-                self.descriptors.give()
+                self.descriptors.release()
 
     async def let_go(self, record: SessionRecord) -> None:
         """Nothing of a link outlives its client's connection."""
@@ -419,7 +419,7 @@
             await self.stands(client, record, verdict)
         finally:
             await verdict.upstream.close(reset=True)
-            self.descriptors.give()
+            self.descriptors.release()
 
     async def stands(
         self, client: Lines, record: SessionRecord, verdict: Delivered, last: Outcome = Outcome.RESET
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -1,4 +1,7 @@
-"""How many more sockets the node may hold, and who goes first when they run short; seconds are handed in."""
+"""The file descriptors that the node may hold, and which idle connection is evicted when they run short.
+
+It decides only, without I/O. Times are seconds of one monotonic clock, passed in by the caller.
+"""
 
 from __future__ import annotations
 
@@ -7,79 +10,115 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-RESERVE = 48  # descriptors for the loop, the log, the listener, the list and probes of a first-size fleet
-QUIET_SHARE = 3  # connections without a whole line may hold a third, links and hosts the rest
-FEWEST_QUIET = 8  # but so many at least, however few descriptors there are
-SPARED = 3  # pieces of a line after which one more spares its client no longer
+# Descriptors kept out of the budget: for the event loop, the log, the listener, discovery, and probes of a
+# fleet of the first size.
+HEADROOM = 48
+IDLE_DIVISOR = 3  # idle connections may hold one part in so many; sessions and upstreams have the others
+MIN_IDLE_CONNECTIONS = 8  # may be held however few descriptors there are
+MAX_FRAGMENTS = 3  # fragments of a line after which a further one no longer protects its client
+
 
+class IdleConnection:
+    """A client's connection that holds a descriptor and has no session yet.
 
-class Quiet:
-    """A connection that holds a descriptor without a link."""
+    Attributes:
+        evict: ends the connection.
+        fragments: the fragments received of a line that is not complete, `MAX_FRAGMENTS` at most.
+        last_received_at: when it connected or last sent something, in seconds.
 
-    def __init__(self, turn_out: Callable[[], None], now: float) -> None:
-        self.turn_out = turn_out
-        self.pieces = 0  # of a line that is not whole yet, up to SPARED
-        self.heard_at = now  # when it connected, or last sent something
+    """
+
+    def __init__(self, evict: Callable[[], None], now: float) -> None:
+        self.evict = evict
+        self.fragments = 0
+        self.last_received_at = now
 
 
 class DescriptorBudget:
-    def __init__(self, sockets: int) -> None:
-        self.free = self.most = max(2, sockets - RESERVE)
-        self.most_quiet = max(FEWEST_QUIET, self.most // QUIET_SHARE)
-        # By their pieces, and each in the order in which they were last heard of.
-        self.quiet: list[dict[Quiet, None]] = [{} for _ in range(SPARED + 1)]
-
-    def take(self, now: float) -> bool:
-        """Room for one socket; a connection without a link has to make it if need be."""
-        if self.free <= 0 and not self.turn_out(now):
+    """Counts descriptors in use and evicts idle connections where none is free.
+
+    Args:
+        max_descriptors: what the process may hold in all; `HEADROOM` of these stay out of the budget.
+
+    Attributes:
+        capacity: descriptors that may be in use.
+        free: descriptors that may still be reserved; negative after more were lent than were free.
+        idle_limit: idle connections that may be held.
+
+    """
+
+    def __init__(self, max_descriptors: int) -> None:
+        self.capacity = max(2, max_descriptors - HEADROOM)
+        self.free = self.capacity
+        self.idle_limit = max(MIN_IDLE_CONNECTIONS, self.capacity // IDLE_DIVISOR)
+        # By number of fragments; each in the order in which they last sent something.
+        self._idle_by_fragments: list[dict[IdleConnection, None]] = [{} for _ in range(MAX_FRAGMENTS + 1)]
+
+    @property
+    def in_use(self) -> int:
+        """The number of descriptors that are reserved."""
+        return self.capacity - self.free
+
+    @property
+    def scarce(self) -> bool:
+        """Whether sessions may soon need the descriptors that idle connections hold."""
+        return self.free < self.capacity // IDLE_DIVISOR
+
+    def reserve(self, now: float) -> bool:
+        """Reserve one descriptor, if need be by evicting an idle connection; False where none is left."""
+        if self.free <= 0 and not self.evict_idle(now):
             return False
         self.free -= 1
         return True
 
-    def give(self) -> None:
+    def release(self) -> None:
+        """Give one reserved descriptor back."""
         self.free += 1
 
-    def lend(self, number: int) -> None:
-        """Leave so many to another process of this node; fewer than none take some back."""
-        self.most -= number
-        self.free -= number
+    def lend(self, count: int) -> None:
+        """Move capacity to another process of this node; a negative count moves it back."""
+        self.capacity -= count
+        self.free -= count
+
+    def add_idle(self, connection: IdleConnection, now: float) -> None:
+        """Add a connection that may be evicted until it is removed again."""
+        # A crowd that sends nothing would otherwise shut out sound clients. A client that sends its line at
+        # once is never evicted.
+        if sum(map(len, self._idle_by_fragments)) >= self.idle_limit:
+            self.evict_idle(now)
+        self._idle_by_fragments[0][connection] = None
+
+    def record_received(
+        self, connection: IdleConnection, now: float, *, is_complete_line: bool = False
+    ) -> None:
+        """Note that a connection has sent a fragment of a line, or a complete line that opens no session."""
+        if self.remove_idle(connection):
+            connection.fragments = 0 if is_complete_line else min(MAX_FRAGMENTS, connection.fragments + 1)
+            connection.last_received_at = now
+            self._idle_by_fragments[connection.fragments][connection] = None
+
+    def remove_idle(self, connection: IdleConnection) -> bool:
+        """Remove a connection that opens a session or has ended; False where it was evicted before."""
+        group = self._idle_by_fragments[connection.fragments]
+        was_idle = connection in group
+        group.pop(connection, None)
+        return was_idle
+
+    def evict_idle(self, now: float) -> bool:
+        """Evict the connection that has been silent for longest; False where there is none.
+
+        Its descriptor is released a moment later, when its task has closed it.
+        """
+        candidates = [next(iter(group)) for group in self._idle_by_fragments if group]
+        if not candidates:
+            return False
 
-    @property
-    def short(self) -> bool:
-        """Whether links may soon want what connections without one hold."""
-        return self.free < self.most // QUIET_SHARE
+        # A sound client may be slow, but goes on: each fragment of its line halves its silence.
+        def weighted_silence(connection: IdleConnection) -> float:
+            silence_s = now - connection.last_received_at
+            return silence_s / (1 << connection.fragments)
 
-    @property
-    def held(self) -> int:
-        return self.most - self.free
-
-    def add(self, quiet: Quiet, now: float) -> None:
-        """It has connected; it may be turned out from now on, until it is heard in full."""
-        # Crowds that say nothing would shut out sound clients: who is heard at once makes way for nobody.
-        if sum(map(len, self.quiet)) >= self.most_quiet:
-            self.turn_out(now)
-        self.quiet[0][quiet] = None
-
-    def heard(self, quiet: Quiet, now: float, whole: bool = False) -> None:
-        """It has sent a piece of a line, or a whole one that asks for no link."""
-        if self.remove(quiet):
-            quiet.pieces = 0 if whole else min(SPARED, quiet.pieces + 1)
-            quiet.heard_at = now
-            self.quiet[quiet.pieces][quiet] = None
-
-    def remove(self, quiet: Quiet) -> bool:
-        """False where it was turned out before."""
-        held = quiet in self.quiet[quiet.pieces]
-        self.quiet[quiet.pieces].pop(quiet, None)
-        return held
-
-    def turn_out(self, now: float) -> bool:
-        """End the connection that has been silent for longest; its socket is free a moment later."""
-        first = [next(iter(quiet)) for quiet in self.quiet if quiet]
-        if not first:
-            return False
-        # A sound client may be slow, but goes on: each piece of its line makes its silence count half.
-        longest = max(first, key=lambda quiet: (now - quiet.heard_at) / 2**quiet.pieces)
-        self.remove(longest)
-        longest.turn_out()
+        longest_silent = max(candidates, key=weighted_silence)
+        self.remove_idle(longest_silent)
+        longest_silent.evict()
         return True
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -1,4 +1,4 @@
-"""The list's actor: what the node held first, then a watch on what changes."""
+"""Follows the endpoint list: a watch on its changes, opened anew whenever it ends, with backoff."""
 
 from __future__ import annotations
 
@@ -10,168 +10,234 @@
 
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.messages import ListFailed, ListTold, Post
-from larchlatch.node.wire import discovery_client as catalog
+from larchlatch.node.metrics import CounterName
+from larchlatch.node.wire import discovery_client
+from larchlatch.node.wire.discovery_client import CallTimeouts, DiscoveryRefusedError, EndpointUpdate, Watch
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from larchlatch.config.endpoints import EndpointList
     from larchlatch.node.metrics import Counters
 
 PATH = "/catalog/members"
-# Where changes are pushed, discovery is an agent on this machine that answers at once and at no cost. What it
-# has counts as told, whether or not a watch is open: a host may be drained in the instant a watch breaks, or
-# as discovery comes back. A call that it does not answer at once will not be answered: the next one follows
-# right away, and AGENT.answer_s + UNREAD_S + AGAIN_S lie within the grace that a drain leaves.
-# A watch that falls silent counts as broken then; what it misses, and what is missed after a call that failed
-# in another way, counts as told 6 s later: CYCLE_S + connect_s, and what this node is late by.
-SILENCE_S = 2.6  # a watch says something whole every 2 s: a moment later it is opened anew
-CYCLE_S = 4.0  # from the last word, or the beginning of a call without one, to the next call at the most
-AGENT = catalog.Limits(0.12, 0.12, SILENCE_S)
-AGAIN_S = 0.05  # the longest pause before an agent is called again: it is this node's own, and costs nobody
-# Where it must be asked, it is one service for all nodes: calls wait their turn, and pauses double within
-# the cycle.
-SHARED = catalog.Limits(0.5, SILENCE_S, SILENCE_S)
-SHARED_AGAIN_S = 0.5  # the longest first pause; also after an agent that says no
+
+# A change counts as known to this node 6 s after discovery had it and could be reached. In the worst case it
+# comes right after a call has begun that fails: the next call follows MAX_CYCLE_S after that beginning at the
+# latest and takes connect_s to connect. What remains of the 6 s is for this node's own lateness.
+# A sound watch sends something complete every 2 s and may be a little late; a watch that is silent for longer
+# counts as broken.
+WATCH_SILENCE_S = 2.6  # seconds
+MAX_CYCLE_S = 4.0  # seconds from the last progress, or from the beginning of a call without any, to the next
+
+# Where changes are pushed, discovery is an agent on this machine: it answers at once, and calls cost nothing.
+# What the agent has counts as known whether or not a watch is open: an upstream may drain in the instant in
+# which a watch breaks or the agent comes back. A call that it does not answer at once will not be answered,
+# so the next one follows right away: answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S lie within the grace that
+# a drain leaves.
+AGENT_TIMEOUTS = CallTimeouts(connect_s=0.12, answer_s=0.12, silence_s=WATCH_SILENCE_S)
+MAX_AGENT_PAUSE_S = 0.05  # seconds before an agent is called again: it serves this node alone
+
+# Otherwise discovery is one service for all nodes: calls wait for their turn there, and pauses double up to
+# MAX_CYCLE_S.
+SERVICE_TIMEOUTS = CallTimeouts(connect_s=0.5, answer_s=WATCH_SILENCE_S, silence_s=WATCH_SILENCE_S)
+FIRST_SERVICE_PAUSE_S = 0.5  # seconds, the longest first pause; also before an agent that refuses is called
+
+# What a call ends with when discovery is out of reach, or stops in the middle of its answer.
+CONNECTION_FAILURES = (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.RemoteProtocolError)
 
 log = structlog.get_logger()
 
 
-class Source:
-    """Where the list is had, and what has been heard there: a call that is late can touch its own alone."""
+class EndpointSource:
+    """An address of discovery with the state of the list that was received from there.
+
+    A call keeps the source that it began with. When the address changes during the call, what still comes in
+    can only alter the state of the old one.
+
+    Attributes:
+        address: host and port.
+        revision: the revision up to which the list is known.
+        needs_full_list: whether the next call has to fetch the whole list before it watches.
+
+    """
 
-    def __init__(self, address: tuple[str, int], revision: int, whole: bool) -> None:
+    def __init__(self, address: tuple[str, int], *, revision: int, needs_full_list: bool) -> None:
         self.address = address
         self.revision = revision
-        self.whole = whole  # the next list is to be the whole one
+        self.needs_full_list = needs_full_list
 
 
 class DiscoveryClient:
-    """Follows the list for as long as the node lives: at once where the settings say that changes are pushed,
-    else from when it is told to ask.
+    """Follows the endpoint list and posts each update to the balancer actor.
+
+    It begins at once where the deployment settings say that changes are pushed, otherwise when `start` is
+    called. From then on it keeps a watch open for as long as the node lives.
+
+    Args:
+        address: host and port of discovery.
+        revision: the revision of the list that the node holds already.
+        pushed: whether discovery is an agent that pushes changes; otherwise it is a shared service.
+        counters: where calls and updates are counted.
+        post: sends a message to the balancer actor.
+        uniform: draws a number between two bounds, as `random.Random.uniform`.
+
+    Attributes:
+        source: the address that is followed now.
+        first_update: set once an update has come from discovery itself.
+        refused: whether the last call was answered, with a refusal or with an invalid list.
+        last_progress_at: when the last complete object or keep-alive came, or the last call began; in
+            seconds of `anyio.current_time`.
+        max_pause_s: seconds, the longest pause after the next call that fails at a shared service.
+
     """
 
     def __init__(
         self,
         address: tuple[str, int],
+        *,
         revision: int,
         pushed: bool,
         counters: Counters,
         post: Post,
         uniform: Callable[[float, float], float],
     ) -> None:
-        self.source = Source(address, revision, False)
-        self.counters = counters
-        self.post = post
-        self.uniform = uniform
-        self.pushed = pushed
-        self.limits = AGENT if pushed else SHARED
-        self.again_s = SHARED_AGAIN_S  # the longest pause after the next call that a shared service fails
-        self.refused = False  # the last call was answered, by a no or by nonsense
-        self.failures = 0  # calls since the last word
-        self.heard_at = 0.0  # when the last whole word came, or the last call began
-        self.following: anyio.CancelScope | None = None  # the call that is out, or the pause after it
-        self.fresh = anyio.Event()  # the first word from discovery itself has come
-        self.wanted = anyio.Event()
+        self.source = EndpointSource(address, revision=revision, needs_full_list=False)
+        self.first_update = anyio.Event()
+        self.refused = False
+        self.last_progress_at = 0.0
+        self.max_pause_s = FIRST_SERVICE_PAUSE_S
+        self._counters = counters
+        self._post = post
+        self._uniform = uniform
+        self._pushed = pushed
+        self._timeouts = AGENT_TIMEOUTS if pushed else SERVICE_TIMEOUTS
+        self._failed_calls = 0  # since the last progress
+        self._call_scope: anyio.CancelScope | None = None  # of the present call and of the pause after it
+        self._started = anyio.Event()
         if pushed:
-            self.ask()
+            self.start()
 
     @property
     def revision(self) -> int:
+        """The revision up to which the list is known."""
         return self.source.revision
 
     @revision.setter
     def revision(self, revision: int) -> None:
         self.source.revision = revision
 
-    def ask(self) -> None:
-        self.wanted.set()
+    def start(self) -> None:
+        """Let `run` begin to call discovery."""
+        self._started.set()
 
-    def follow(self, address: tuple[str, int]) -> None:
-        """From now on the list is had at another address."""
-        # Versions there need not go on from the ones here: a host that the new list lacks would stay.
-        self.source = Source(address, 0, True)
-        self.again_s = SHARED_AGAIN_S
-        if self.following is not None:
-            self.following.cancel()
+    def change_address(self, address: tuple[str, int]) -> None:
+        """Follow the list at another address from now on; the present call is cancelled."""
+        # The revisions there need not continue the ones here, and an upstream that the new list lacks would
+        # stay: the whole list is fetched first.
+        self.source = EndpointSource(address, revision=0, needs_full_list=True)
+        self.max_pause_s = FIRST_SERVICE_PAUSE_S
+        if self._call_scope is not None:
+            self._call_scope.cancel()
 
     async def run(self) -> None:
-        await self.wanted.wait()
+        """Call discovery again and again, with a pause after each call, until cancelled."""
+        await self._started.wait()
         while True:
-            # Broken off by follow alone, also in the middle of a pause: the new address is called at once.
-            with anyio.CancelScope() as self.following:
-                await self.called(self.source)
-                await self.post(ListFailed())
+            # Only `change_address` cancels this scope, also during the pause: the new address is called at
+            # once.
+            with anyio.CancelScope() as self._call_scope:
+                await self._call(self.source)
+                await self._post(ListFailed())
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
-        """How long before the next call."""
-        if self.pushed and not self.refused:
-            return self.uniform(0, AGAIN_S)
-        # All nodes lose it together, and would call together for ever: each after a pause of its own.
-        pause_s = self.uniform(0, self.again_s)
-        self.again_s = min(CYCLE_S, 2 * self.again_s)
-        return max(0.0, min(pause_s, self.heard_at + CYCLE_S - now))
-
-    def heard(self) -> None:
-        if self.failures > 1:
-            log.info("list found", calls=self.failures)
-        self.heard_at, self.failures = anyio.current_time(), 0
-
-    async def tell(self, source: Source, told: EndpointList, faults: list[str]) -> None:
-        source.revision, self.again_s = told.revision, SHARED_AGAIN_S
-        self.counters.add("list whole" if told.whole else "list change")
-        if faults:
-            self.counters.add("list entry unreadable", len(faults))
-            log.warning("list entries unreadable", count=len(faults), first=faults[0])
-        await self.post(ListTold(told, asked=True))
-        self.fresh.set()
-
-    async def called(self, source: Source) -> None:
-        """Follow a watch until it ends, whatever ends it."""
-        self.heard_at, self.refused = anyio.current_time(), False
+        """Draw the pause before the next call, in seconds; doubles the bound of the one after it.
+
+        Args:
+            now: seconds of `anyio.current_time`.
+
+        """
+        if self._pushed and not self.refused:
+            return self._uniform(0, MAX_AGENT_PAUSE_S)
+        # All nodes lose a shared service at the same time. Without a random pause they would go on calling
+        # it at the same time.
+        pause_s = self._uniform(0, self.max_pause_s)
+        self.max_pause_s = min(MAX_CYCLE_S, 2 * self.max_pause_s)
+        return max(0.0, min(pause_s, self.last_progress_at + MAX_CYCLE_S - now))
+
+    async def _call(self, source: EndpointSource) -> None:
+        """Follow the list by one call until it ends, and record how it ended."""
+        self.last_progress_at, self.refused = anyio.current_time(), False
         try:
-            if source.whole:
-                await self.tell(source, *await catalog.fetch(source.address, PATH, self.limits))
-                source.whole = False
-                self.heard()
-            target = catalog.watch_target(PATH, source.revision)
-            async with catalog.get(source.address, target, self.limits) as body:
-                await self.watched(source, catalog.Watch(body, self.limits.silence_s))
-        except catalog.Refused as error:
+            await self._follow(source)
+        except DiscoveryRefusedError as error:
             self.refused = True
-            self.lost(error)
+            self._record_failure(error)
         except InvalidInputError as error:
-            # Nonsense from discovery is no list: the node works on with the one it has.
-            self.refused = True  # it was answered: the next answer is no better for coming at once
-            self.counters.add("list unreadable")
-            log.warning("list unreadable", why=str(error))
-        except (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.RemoteProtocolError) as error:
-            self.lost(error)
-        except Exception:
-            self.counters.add("list lost")
-            log.exception("list lost")
-
-    def lost(self, error: Exception) -> None:
-        self.counters.add("list lost")
-        # An agent that is silent is called many times a second: one line tells of it.
-        if not self.failures:
-            log.info("list lost", why=repr(error))
-        self.failures += 1
-
-    async def watched(self, source: Source, watch: catalog.Watch) -> None:
+            # The node goes on with the list that it has. Discovery was there and answered: the next answer
+            # is no better for being asked for at once.
+            self.refused = True
+            self._counters.add(CounterName.ENDPOINT_LIST_INVALID)
+            log.warning("endpoint_list_invalid", reason=str(error))
+        except CONNECTION_FAILURES as error:
+            self._record_failure(error)
+        except Exception:  # a fault in this code must not end the node, which serves by the list it has
+            self._counters.add(CounterName.DISCOVERY_CALL_FAILED)
+            log.exception("discovery_call_error")
+
+    async def _follow(self, source: EndpointSource) -> None:
+        """Fetch the whole list if it is needed, then watch it."""
+        if source.needs_full_list:
+            update = await discovery_client.fetch_list(source.address, PATH, self._timeouts)
+            await self._publish(source, update)
+            source.needs_full_list = False
+            self._record_progress()
+        target = discovery_client.watch_target(PATH, source.revision)
+        async with discovery_client.open_get(source.address, target, self._timeouts) as body:
+            await self._consume(source, Watch(body, self._timeouts.silence_s))
+
+    async def _consume(self, source: EndpointSource, watch: Watch) -> None:
+        """Publish the changes of a watch until one shows that the whole list is needed."""
         while True:
-            change = await watch.next()
-            self.heard()
-            if change is None:
+            update = await watch.next()
+            self._record_progress()
+            if update is None:
                 continue
-            told, faults = change
-            # A line holds all that changed since the one before, whatever versions lie between. A whole
-            # list fetched for each jump is one more call on a service that all nodes ask, and while it
-            # waits its turn the watch is not read: a drain that has come counts as told.
-            if told.revision < source.revision and not told.whole:
-                # It runs back: what the new count lacks would never be heard of. Asked for anew.
-                source.whole = True
-                self.counters.add("list ran back")
+            # A line holds all changes since the line before, however many revisions lie between. Fetching
+            # the whole list after each jump would be one more call to a service that all nodes call, and
+            # while it waits for its turn the watch is not read: a drain that has arrived counts as known.
+            if update.endpoints.revision < source.revision and not update.endpoints.whole:
+                # Revisions have been reset. This node would never learn which of its endpoints the new
+                # count does not have.
+                source.needs_full_list = True
+                self._counters.add(CounterName.ENDPOINT_LIST_WENT_BACK)
                 return
-            await self.tell(source, told, faults)
+            await self._publish(source, update)
+
+    async def _publish(self, source: EndpointSource, update: EndpointUpdate) -> None:
+        """Send an update to the balancer actor and reset the backoff."""
+        endpoints, faults = update
+        source.revision, self.max_pause_s = endpoints.revision, FIRST_SERVICE_PAUSE_S
+        self._counters.add(
+            CounterName.ENDPOINT_LIST_FULL if endpoints.whole else CounterName.ENDPOINT_LIST_CHANGE
+        )
+        if faults:
+            self._counters.add(CounterName.ENDPOINT_ENTRY_INVALID, len(faults))
+            log.warning("endpoint_entries_invalid", count=len(faults), first=faults[0])
+        await self._post(ListTold(endpoints, asked=True))
+        self.first_update.set()
+
+    def _record_progress(self) -> None:
+        """Note that something complete has come."""
+        # A single failed call is put right by the next one: that is not worth a line.
+        if self._failed_calls > 1:
+            log.info("discovery_recovered", failed_calls=self._failed_calls)
+        self.last_progress_at, self._failed_calls = anyio.current_time(), 0
+
+    def _record_failure(self, error: Exception) -> None:
+        """Count a failed call; only the first of a row is logged."""
+        self._counters.add(CounterName.DISCOVERY_CALL_FAILED)
+        # An agent that is silent is called several times a second.
+        if not self._failed_calls:
+            log.info("discovery_call_failed", reason=repr(error))
+        self._failed_calls += 1
--- a/larchlatch/node/hot_restart/handover.py
+++ b/larchlatch/node/hot_restart/handover.py
@@ -16,7 +16,7 @@
 
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import BASE_US
-from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
+from larchlatch.node.descriptor_budget import HEADROOM, DescriptorBudget
 from larchlatch.node.hot_restart.packets import Ceded, Channel, Hello, Packet, Serving, Standing, Welcome
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire.listen import Listener
@@ -149,11 +149,11 @@
                 continue
             self.channel = Channel(await UNIXSocketStream.from_socket(made))
             # The new one needs descriptors to start with, though it has taken nothing yet.
-            self.door.descriptors.lend(RESERVE)
+            self.door.descriptors.lend(HEADROOM)
             try:
                 await self.converse(self.channel)
             finally:
-                self.door.descriptors.lend(-RESERVE)
+                self.door.descriptors.lend(-HEADROOM)
                 await self.channel.close()
             self.counters.add("upgrade broken off")
             log.warning("the process that was to follow is gone")
@@ -184,7 +184,7 @@
         ceded = Ceded(
             self.door.balancer_actor.cede(True),
             list(self.door.idents),
-            RESERVE + descriptors.held + more,
+            HEADROOM + descriptors.in_use + more,
             None if self.phase.drained_at is None else anyio.current_time() - self.phase.drained_at,
             BASE_US,
         )
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -37,6 +37,6 @@
     if later:
         log.warning("changes that want a restart", keys=later)
     if new.discovery != plan.discovery:
-        discovery.follow(new.discovery)
+        discovery.change_address(new.discovery)
     log.info("configuration read", discovery=new.discovery)
     return replace(plan, discovery=new.discovery)
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -24,7 +24,7 @@
 from larchlatch.node.metrics import Counters
 from larchlatch.node.reload import reread
 from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
-from larchlatch.node.wire.listen import Listener, NoAccept
+from larchlatch.node.wire.listen import AcceptError, Listener
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -79,26 +79,26 @@
         self.gate(False)
         # Danger: closed while the loop still waits on it, it would go on accepting, for nobody.
         await self.idle.wait()
-        while (sock := self.listener.accept_now()) is not None:
+        while (sock := self.listener.accept_nowait()) is not None:
             self.descriptors.lend(1)  # the door gives it back; short or not, it can be answered now or never
             self.tasks.start_soon(self.door.serve, sock)
         self.listener.sock.close()
 
     async def accept(self) -> None:
         while True:
-            if not self.descriptors.take(anyio.current_time()):
+            if not self.descriptors.reserve(anyio.current_time()):
                 # Out of descriptors: who comes now waits in the backlog, which costs nothing.
                 self.door.counters.add("accepting paused")
-                while not self.descriptors.take(anyio.current_time()):
+                while not self.descriptors.reserve(anyio.current_time()):
                     await anyio.sleep(PAUSE_S)
             sock = None
             try:
                 sock = await self.listener.accept()
-            except NoAccept:
+            except AcceptError:
                 self.door.counters.add("accept failed")
             finally:
                 if sock is None:
-                    self.descriptors.give()
+                    self.descriptors.release()
             if sock is None:
                 await anyio.sleep(PAUSE_S)
                 continue
@@ -121,7 +121,12 @@
         plan.settings, plan.zones, plan.traffic_classes, chance, plan.reach, descriptors, counters
     )
     discovery = DiscoveryClient(
-        plan.discovery, plan.known.revision, plan.pushed, counters, balancer_actor.post, chance.uniform
+        plan.discovery,
+        revision=plan.known.revision,
+        pushed=plan.pushed,
+        counters=counters,
+        post=balancer_actor.post,
+        uniform=chance.uniform,
     )
     balancer_actor.discovery = discovery
     lag = Lag()
@@ -142,7 +147,7 @@
             leaving = Leaving(phase, door, counters, tasks)
             if plan.control is not None:
                 # Before all else: operators are answered from the start, if only that it can't serve yet.
-                operators = Listener.bound(plan.control, DOOR_BACKLOG)
+                operators = Listener.bind(plan.control, DOOR_BACKLOG)
                 log.info("operators' door", listen=operators.address)
                 tasks.start_soon(AdminApi(phase, leaving.drain, counters).run, operators)
             tasks.start_soon(lag.run)
@@ -164,14 +169,14 @@
             if taking is not None:
                 listener = taking.listener
             else:
-                listener = Listener.bound(plan.listen, BACKLOG, shared=plan.control is not None)
+                listener = Listener.bind(plan.listen, BACKLOG, shared=plan.control is not None)
             entrance = Entrance(listener, door, descriptors, tasks)
             leaving.shut = entrance.shut
             tasks.start_soon(entrance.run)
             if taking is None:
                 entrance.gate(True)
             with anyio.move_on_after(FIRST_LIST_S):
-                await discovery.fresh.wait()
+                await discovery.first_update.wait()
             if taking is not None:
                 # The other process goes on taking what is new up to now, with a loop that is warm.
                 await taking.ceded(descriptors, phase, balancer_actor, door)
@@ -199,7 +204,7 @@
                     if company is not None:
                         company.reread()
                     continue
-                log.info("counters", **counters.told(), lag_ms=lag.told_ms())
+                log.info("counters", **counters.snapshot(), lag_ms=lag.told_ms())
                 if told == signal.SIGUSR1:
                     for row in balancer_actor.told():
                         log.info("host", **row)
@@ -214,4 +219,4 @@
                     if company is not None:
                         company.retire()
                     tasks.start_soon(leaving.stop)
-    log.info("stopped", **counters.told(), lag_ms=lag.told_ms())
+    log.info("stopped", **counters.snapshot(), lag_ms=lag.told_ms())
--- a/larchlatch/node/upstream_actor.py
+++ b/larchlatch/node/upstream_actor.py
@@ -154,13 +154,13 @@
             if not kept:
                 if upstream is not None:
                     await upstream.close()
-                self.descriptors.give()
+                self.descriptors.release()
 
     async def room_had(self, within_s: float) -> bool:
         """Whether there is room for one more connection."""
         # Who makes way takes a moment to go: given up at once, all of a link's attempts would pass in that.
         with anyio.move_on_after(within_s):
-            while not self.descriptors.take(anyio.current_time()):
+            while not self.descriptors.reserve(anyio.current_time()):
                 await anyio.sleep(ROOM_S)
             return True
         return False
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -1,8 +1,7 @@
-"""The HTTP client of discovery: the whole endpoint list, or a watch on its changes."""
+"""The HTTP client of discovery: fetches the whole endpoint list, or watches its changes."""
 
 from __future__ import annotations
 
-import re
 from collections import deque
 from contextlib import asynccontextmanager
 from typing import TYPE_CHECKING, Any, NamedTuple
@@ -11,7 +10,8 @@
 import h11
 
 from larchlatch.config.endpoints import EndpointList, decoded
-from larchlatch.errors import ProtocolError
+from larchlatch.errors import LarchlatchError, ProtocolError
+from larchlatch.node.wire.json_framing import MAX_LIST_BYTES, JsonObjectFramer
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.stream import Unconnected, dial
 
@@ -20,155 +20,166 @@
 
     from anyio.abc import SocketStream
 
-CHUNK = 65536  # bytes read at a time
-MOST = 8 * 1024 * 1024  # bytes of one list: thousands of hosts
-UNREAD_S = 0.02  # for what has come already to be read: a turn of the loop
-STRINGS = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
-
-
-class Framing:
-    """Cuts the bytes of a watch into its objects, on one line each or indented over many."""
-
-    def __init__(self) -> None:
-        self.tail = b""  # of a line that is still open
-        self.lines: list[bytes] = []  # of an object that is still open
-        self.size = 0  # bytes of these
-        self.depth = 0  # brackets that are open
-
-    def feed(self, chunk: bytes) -> list[bytes]:
-        """What has become whole: objects, and nothing (empty) for each empty line between them."""
-        *lines, self.tail = (self.tail + chunk).split(b"\n")
-        pieces = [piece for line in lines if (piece := self.line(line)) is not None]
-        if self.size + len(self.tail) > MOST:
-            raise ProtocolError("list", "too long")
-        return pieces
-
-    def line(self, line: bytes) -> bytes | None:
-        bare = line.strip()
-        if not bare and not self.lines:
-            return b""
-        # An empty line is sent between objects alone, and a line that begins one right within another can't
-        # be its own: the one before has been cut short, and would swallow all that follows.
-        if self.lines and (not bare or (self.depth <= 1 and bare.startswith(b"{"))):
-            raise ProtocolError("list", "broken off within an object")
-        rest = STRINGS.sub(b"", bare)
-        if b'"' in rest:
-            raise ProtocolError("list", "a string without an end")
-        self.depth += rest.count(b"{") + rest.count(b"[") - rest.count(b"}") - rest.count(b"]")
-        self.lines.append(line)
-        self.size += len(line)
-        if self.depth > 0:
-            return None
-        piece = b"\n".join(self.lines)
-        self.lines, self.size, self.depth = [], 0, 0
-        return piece
-
-
-class Refused(Exception):
-    """Discovery has answered, and said no."""
-
-
-class Limits(NamedTuple):
-    """How long discovery may take, in seconds."""
-
-    connect_s: float  # for a connection
-    answer_s: float  # from then on for an answer to begin
-    silence_s: float  # for the next whole word of it
-
-
-class Body:
-    """The answer to one GET, piece by piece as it comes."""
+READ_BYTES = 65536  # bytes read at a time: a list of usual size in a few reads
+UNREAD_GRACE_S = 0.02  # seconds for the event loop to read what has arrived already: one turn of it
+
+
+class DiscoveryRefusedError(LarchlatchError):
+    """Discovery has answered a call with an HTTP status other than 200."""
+
+
+class CallTimeouts(NamedTuple):
+    """How long each step of a call to discovery may take.
+
+    Attributes:
+        connect_s: seconds for the connection.
+        answer_s: seconds from then on until the response begins.
+        silence_s: seconds until the next complete object or keep-alive line, again after each.
+
+    """
+
+    connect_s: float
+    answer_s: float
+    silence_s: float
+
+
+class EndpointUpdate(NamedTuple):
+    """An endpoint list or a change to one, as far as it could be read.
+
+    Attributes:
+        endpoints: the entries that could be read.
+        faults: what is wrong with each of the others.
+
+    """
+
+    endpoints: EndpointList
+    faults: list[str]
+
+
+class ResponseBody:
+    """The response to one GET, read piece by piece as it arrives."""
 
     def __init__(self, stream: SocketStream) -> None:
-        self.stream = stream
-        self.http = h11.Connection(h11.CLIENT)
+        self._stream = stream
+        self._http = h11.Connection(h11.CLIENT)
 
-    async def event(self) -> Any:
-        while (event := self.http.next_event()) is h11.NEED_DATA:
-            try:
-                self.http.receive_data(await self.stream.receive(CHUNK))
-            except anyio.EndOfStream:
-                self.http.receive_data(b"")
-        return event
+    async def send_request(self, target: str, host: str) -> None:
+        """Send a GET for this target."""
+        request = h11.Request(method="GET", target=target, headers=[("Host", host)])
+        head = self._http.send(request) or b""
+        await self._stream.send(head + (self._http.send(h11.EndOfMessage()) or b""))
+
+    async def read_head(self, timeout_s: float) -> None:
+        """Wait for the head of the response.
 
-    async def begun(self, within_s: float) -> None:
-        """Its head has come, and says yes; TimeoutError where none comes in time."""
+        Raises:
+            TimeoutError: no head came in time.
+            ConnectionError: the connection ended before.
+            DiscoveryRefusedError: its status is not 200.
+
+        """
         event: Any = None
-        # Looked at once more when the time is up: where this node's own loop was late, it lies here unread.
-        for wait_s in (within_s, UNREAD_S):
+        # A second, short wait when the time is up: where this node's own loop was late, the answer has
+        # arrived and lies unread.
+        for wait_s in (timeout_s, UNREAD_GRACE_S):
             with anyio.move_on_after(wait_s):
-                event = await self.event()
+                event = await self._next_event()
                 break
         if event is None:
             raise TimeoutError("no answer")
         if not isinstance(event, h11.Response):
-            raise OSError("no answer")
+            raise ConnectionError("no answer")
         if event.status_code != 200:
-            raise Refused(f"status {event.status_code}")
+            raise DiscoveryRefusedError(f"status {event.status_code}")
 
-    async def more(self) -> bytes | None:
-        """The next bytes; None at the answer's end."""
+    async def read_some(self) -> bytes | None:
+        """Return the next bytes of the body; None at its end."""
         while True:
-            event = await self.event()
+            event = await self._next_event()
             if isinstance(event, h11.Data):
                 return bytes(event.data)
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 return None
 
+    async def _next_event(self) -> Any:
+        while (event := self._http.next_event()) is h11.NEED_DATA:
+            try:
+                self._http.receive_data(await self._stream.receive(READ_BYTES))
+            except anyio.EndOfStream:
+                self._http.receive_data(b"")
+        return event
+
 
 @asynccontextmanager
-async def get(address: tuple[str, int], target: str, limits: Limits) -> AsyncIterator[Body]:
-    """One GET that is being answered, its connection ended with the block.
+async def open_get(
+    address: tuple[str, int], target: str, timeouts: CallTimeouts
+) -> AsyncIterator[ResponseBody]:
+    """Send one GET and yield the body of its response; the connection is closed with the block.
+
+    Raises:
+        OSError: no connection, or no answer in time.
+        DiscoveryRefusedError: the status of the response is not 200.
 
-    OSError where it is not answered in time, Refused where the answer is no.
     """
-    sock = await dial(address, limits.connect_s)
+    sock = await dial(address, timeouts.connect_s)
     if isinstance(sock, Unconnected):
-        raise OSError(f"no connection ({sock.value})")
+        raise ConnectionError(f"no connection ({sock.value})")
     async with await stream_of(sock) as stream:
-        body = Body(stream)
-        request = h11.Request(method="GET", target=target, headers=[("Host", f"{address[0]}:{address[1]}")])
-        await stream.send((body.http.send(request) or b"") + (body.http.send(h11.EndOfMessage()) or b""))
-        await body.begun(limits.answer_s)
+        body = ResponseBody(stream)
+        await body.send_request(target, host=f"{address[0]}:{address[1]}")
+        await body.read_head(timeouts.answer_s)
         yield body
 
 
-async def fetch(address: tuple[str, int], path: str, limits: Limits) -> tuple[EndpointList, list[str]]:
-    """The whole list; TimeoutError where it has not come in time."""
+async def fetch_list(address: tuple[str, int], path: str, timeouts: CallTimeouts) -> EndpointUpdate:
+    """Fetch the whole endpoint list.
+
+    Raises:
+        OSError: no connection, or not complete in time (TimeoutError).
+        DiscoveryRefusedError: the status of the response is not 200.
+        ProtocolError: the response is no endpoint list, or too long.
+
+    """
     text = b""
-    async with get(address, path, limits) as body:
-        with anyio.fail_after(limits.silence_s):
-            while (chunk := await body.more()) is not None:
+    async with open_get(address, path, timeouts) as body:
+        with anyio.fail_after(timeouts.silence_s):
+            while (chunk := await body.read_some()) is not None:
                 text += chunk
-                if len(text) > MOST:
+                if len(text) > MAX_LIST_BYTES:
                     raise ProtocolError("list", "too long")
-    return decoded(text)
+    return EndpointUpdate(*decoded(text))
 
 
 class Watch:
-    """What changes, as it is told; its body is a GET's that does not end."""
+    """The changes to the endpoint list, read from the body of a GET that does not end."""
+
+    def __init__(self, body: ResponseBody, silence_s: float) -> None:
+        self._body = body
+        self._silence_s = silence_s
+        self._framer = JsonObjectFramer()
+        self._pieces: deque[bytes] = deque()
 
-    def __init__(self, body: Body, silence_s: float) -> None:
-        self.body = body
-        self.silence_s = silence_s
-        self.framing = Framing()
-        self.pieces: deque[bytes] = deque()
+    async def next(self) -> EndpointUpdate | None:
+        """Return the next change; None for a keep-alive line.
 
-    async def next(self) -> tuple[EndpointList, list[str]] | None:
-        """The next change; None for a word that only says that it goes on.
+        Raises:
+            TimeoutError: nothing complete came in time.
+            anyio.EndOfStream: the watch has ended.
+            ProtocolError: what came is no endpoint list.
 
-        TimeoutError where nothing whole has come in time, EndOfStream where it ends.
         """
-        # Danger: bytes alone are no word. One that trickles, or stops in the middle of a line, tells nothing.
-        with anyio.fail_after(self.silence_s):
-            while not self.pieces:
-                chunk = await self.body.more()
+        # Bytes alone don't restart the timeout: a watch that trickles, or stops in the middle of a line,
+        # brings no change.
+        with anyio.fail_after(self._silence_s):
+            while not self._pieces:
+                chunk = await self._body.read_some()
                 if chunk is None:
                     raise anyio.EndOfStream
-                self.pieces.extend(self.framing.feed(chunk))
-        piece = self.pieces.popleft()
-        return decoded(piece) if piece else None
+                self._pieces.extend(self._framer.feed(chunk))
+        piece = self._pieces.popleft()
+        return EndpointUpdate(*decoded(piece)) if piece else None
 
 
 def watch_target(path: str, revision: int) -> str:
+    """Return the request target of a watch on all changes after this revision."""
     return f"{path}?watch=1&from={revision}"
--- a/larchlatch/node/wire/listen.py
+++ b/larchlatch/node/wire/listen.py
@@ -1,4 +1,4 @@
-"""A listening socket that can be shared with another process, and what comes in on it."""
+"""A listening TCP socket that can be shared with another process, and the connections accepted on it."""
 
 from __future__ import annotations
 
@@ -8,22 +8,58 @@
 import anyio
 from anyio.abc import SocketStream
 
-# Errors of accepting that pass: no descriptor or memory now, or a client that has left already.
-PASSING = (errno.EMFILE, errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO)
+from larchlatch.errors import LarchlatchError
 
+# Errors of accept that pass: no descriptor or memory at the moment, or a client that has left already.
+TRANSIENT_ERRORS = (
+    errno.EMFILE,
+    errno.ENFILE,
+    errno.ECONNABORTED,
+    errno.ENOBUFS,
+    errno.ENOMEM,
+    errno.EPROTO,
+)
 
-class NoAccept(Exception):
-    """Nothing could be accepted now; later perhaps."""
+
+class AcceptError(LarchlatchError):
+    """No connection could be accepted at the moment; a later try may succeed.
+
+    Attributes:
+        errno: the system's error number.
+
+    """
+
+    def __init__(self, number: int) -> None:
+        """Keep the system's error number."""
+        super().__init__(number)
+        self.errno = number
 
 
 class Listener:
+    """Accepts connections from a listening socket.
+
+    Attributes:
+        sock: the listening socket, non-blocking; whoever has the listener closes it.
+
+    """
+
     def __init__(self, sock: socket.socket) -> None:
         sock.setblocking(False)
         self.sock = sock
 
     @classmethod
-    def bound(cls, address: tuple[str, int], backlog: int, shared: bool = False) -> Listener:
-        """Listens at the address; shared: beside another process of the same user."""
+    def bind(cls, address: tuple[str, int], backlog: int, *, shared: bool = False) -> Listener:
+        """Listen at an address.
+
+        Args:
+            address: host and port; port 0 for any that is free.
+            backlog: connections that the system holds until they are accepted.
+            shared: whether another process of the same user may listen there too (SO_REUSEPORT).
+
+        Raises:
+            OSError: the address can't be had.
+
+        """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM)
         try:
@@ -39,36 +75,44 @@
 
     @property
     def address(self) -> tuple[str, int]:
+        """The host and port that the socket is bound to."""
         host, port = self.sock.getsockname()[:2]
         return str(host), int(port)
 
-    def accept_now(self) -> socket.socket | None:
-        """A connection that is there already; None where there is none, or none can be had."""
+    def accept_nowait(self) -> socket.socket | None:
+        """Accept a connection that is waiting; None where there is none, or it can't be accepted."""
         try:
-            made, _ = self.sock.accept()
+            connection, _ = self.sock.accept()
         except OSError:
             return None
-        made.setblocking(False)
-        return made
+        connection.setblocking(False)
+        return connection
 
     async def accept(self) -> socket.socket:
-        """The next connection."""
-        # Cancelled only while it waits: accepted and then dropped, a client would be turned back unheard.
+        """Wait for the next connection and accept it.
+
+        Raises:
+            AcceptError: it could not be accepted at the moment.
+            OSError: the listening socket is of no more use.
+
+        """
+        # Cancellation is only possible while it waits. Between accept and return it would drop an accepted
+        # connection, and a client would be turned away without an answer.
         while True:
             try:
-                made, _ = self.sock.accept()
-            except BlockingIOError:  # nobody there, or the other process that shares the queue was faster
+                connection, _ = self.sock.accept()
+            except BlockingIOError:  # none is waiting, or the process that shares the queue was faster
                 await anyio.wait_readable(self.sock)
             except OSError as error:
-                if error.errno not in PASSING:
+                if error.errno not in TRANSIENT_ERRORS:
                     raise
-                raise NoAccept(error.errno) from None
+                raise AcceptError(error.errno) from None
             else:
-                made.setblocking(False)
-                return made
+                connection.setblocking(False)
+                return connection
 
 
 async def stream_of(sock: socket.socket) -> SocketStream:
-    """A connected socket as a stream."""
+    """Wrap a connected socket in a stream that sends small writes at once (TCP_NODELAY)."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return await SocketStream.from_socket(sock)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 from larchlatch.node import upstream_actor as node_peer
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us
-from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
+from larchlatch.node.descriptor_budget import HEADROOM, DescriptorBudget
 from larchlatch.node.messages import AttemptFinished, Message
 from larchlatch.node.metrics import Counters
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord
@@ -80,7 +80,7 @@
                 not upstream_actor.trying and not upstream_actor.standing
                 for upstream_actor in module.upstream_actors.values()
             )
-            and door.descriptors.free == door.descriptors.most - 1  # for the next one to be accepted
+            and door.descriptors.free == door.descriptors.capacity - 1  # for the next one to be accepted
         )
     )
 
@@ -334,7 +334,7 @@
 
         monkeypatch.setattr(node_peer, "dial", dialled)
         assert await alone.attempt(record) is Outcome.NOT_SENT
-        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
+        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
 
     on_loopback(body)
 
@@ -354,7 +354,7 @@
 
         monkeypatch.setattr(node_peer, "dial", dialled)
         assert await alone.attempt(hand_of(), 20_000) is Outcome.NOT_SENT
-        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
+        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
 
     on_loopback(body)
 
@@ -666,9 +666,9 @@
         if isinstance(record.verdict, Delivered):
             assert record.verdict.line in (b"UP r1\r\n", b"BYE\r\n")
             await record.verdict.upstream.close()
-            alone.descriptors.give()
+            alone.descriptors.release()
         await until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.most and alone.upstream_actor.trying == 0
+        assert alone.descriptors.free == alone.descriptors.capacity and alone.upstream_actor.trying == 0
 
     on_loopback(body)
 
@@ -692,7 +692,7 @@
         given_up.set()
         assert record.verdict is None
         await until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.most
+        assert alone.descriptors.free == alone.descriptors.capacity
 
     on_loopback(body)
 
@@ -721,9 +721,9 @@
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.verdict, Delivered)
         if isinstance(record.verdict, Delivered):
             await record.verdict.upstream.close()
-            alone.descriptors.give()
+            alone.descriptors.release()
         await until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.most
+        assert alone.descriptors.free == alone.descriptors.capacity
 
     on_loopback(body)
 
@@ -758,7 +758,7 @@
         port = closed.getsockname()[1]
         closed.close()
         raw = configuration(upstreams.addresses[:1], port)
-        raw["limits"] = {"sockets": RESERVE + 24}
+        raw["limits"] = {"sockets": HEADROOM + 24}
         raw["control"] = door_address()
         at = await serving(tasks, raw)
         idle = [raw_client(at, b"") for _ in range(60)]
@@ -776,7 +776,7 @@
                 await anyio.sleep_forever()
 
         tasks.start_soon(listener.serve, serve)
-        await until(lambda: doors[0].counters.counts["list whole"] == 1)
+        await until(lambda: doors[0].counters.counts["endpoint_list_full"] == 1)
         for _ in range(5):
             assert await (await opened(at)).line() == b"UP r1\r\n"
         assert {upstream for upstream, _ in upstreams.lines} == {1}
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -15,12 +15,20 @@
 
 from larchlatch.config.endpoints import decoded
 from larchlatch.errors import InvalidInputError
-from larchlatch.node import discovery as node_listing
-from larchlatch.node.discovery import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, DiscoveryClient
+from larchlatch.node import discovery as node_discovery
+from larchlatch.node.discovery import (
+    AGENT_TIMEOUTS,
+    MAX_AGENT_PAUSE_S,
+    MAX_CYCLE_S,
+    SERVICE_TIMEOUTS,
+    WATCH_SILENCE_S,
+    DiscoveryClient,
+)
 from larchlatch.node.messages import ListTold, Message
 from larchlatch.node.metrics import Counters
-from larchlatch.node.wire import discovery_client as catalog
-from larchlatch.node.wire.discovery_client import UNREAD_S, Framing, Limits
+from larchlatch.node.wire import discovery_client
+from larchlatch.node.wire.discovery_client import UNREAD_GRACE_S, CallTimeouts
+from larchlatch.node.wire.json_framing import JsonObjectFramer
 from larchlatch.node.wire.stream import Lines
 from larchlatch.policy.types import EndpointState
 from tests.ground import Upstreams, configuration, member, on_loopback, opened, port_of, until
@@ -147,18 +155,25 @@
 def followed(
     port: int, heard: Heard, uniform: Callable[[float, float], float], at: int = 1
 ) -> DiscoveryClient:
-    return DiscoveryClient(("127.0.0.1", port), at, True, Counters(), heard.post, uniform)
+    return DiscoveryClient(
+        ("127.0.0.1", port),
+        revision=at,
+        pushed=True,
+        counters=Counters(),
+        post=heard.post,
+        uniform=uniform,
+    )
 
 
 def test_the_bounds_of_discovery_add_up() -> None:
     """The worst call has just begun when the news are there: it ends, and the next one brings them."""
-    for limits in (AGENT, SHARED):
-        assert limits.connect_s + limits.silence_s < CYCLE_S, (
+    for timeouts in (AGENT_TIMEOUTS, SERVICE_TIMEOUTS):
+        assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
             "a call that brings nothing ends within its cycle"
         )
-        assert CYCLE_S + limits.connect_s + LATE_S <= TOLD_S
-    assert SILENCE_S > 2.0 + 0.5, "a sound watch says something every 2 s, and may be a little late"
-    assert AGENT.answer_s + UNREAD_S + AGAIN_S < GRACE_S, (
+        assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= TOLD_S
+    assert WATCH_SILENCE_S > 2.0 + 0.5, "a sound watch says something every 2 s, and may be a little late"
+    assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
         "an agent that is back is heard within a drain's grace"
     )
 
@@ -167,7 +182,12 @@
 @given(
     st.booleans(),
     st.lists(
-        st.tuples(st.floats(0, SHARED.connect_s + SILENCE_S), st.floats(0, 1), st.booleans(), st.booleans()),
+        st.tuples(
+            st.floats(0, SERVICE_TIMEOUTS.connect_s + WATCH_SILENCE_S),
+            st.floats(0, 1),
+            st.booleans(),
+            st.booleans(),
+        ),
         max_size=12,
     ),
 )
@@ -176,22 +196,27 @@
 ) -> None:
     now, share = 1000.0, 0.0
     listing = DiscoveryClient(
-        ("127.0.0.1", 1), 1, pushed, Counters(), Heard().post, lambda low, high: low + share * (high - low)
+        ("127.0.0.1", 1),
+        revision=1,
+        pushed=pushed,
+        counters=Counters(),
+        post=Heard().post,
+        uniform=lambda low, high: low + share * (high - low),
     )
     for took, share, told, refused in calls:  # noqa: B007
-        listing.heard_at, listing.refused = now, refused
+        listing.last_progress_at, listing.refused = now, refused
         if told:
-            listing.again_s = node_listing.SHARED_AGAIN_S
+            listing.max_pause_s = node_discovery.FIRST_SERVICE_PAUSE_S
         pause = listing.pause_s(now + took)
-        assert pause <= AGAIN_S or refused or not pushed
-        assert 0 <= took + pause <= CYCLE_S + 1e-6
+        assert pause <= MAX_AGENT_PAUSE_S or refused or not pushed
+        assert 0 <= took + pause <= MAX_CYCLE_S + 1e-6
         now += took + pause
 
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_after_any_fault_the_news_come_by_the_next_call(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_listing, "AGENT", Limits(1.0, 0.3, 0.3))
-    monkeypatch.setattr(node_listing, "CYCLE_S", 0.5)
+    monkeypatch.setattr(node_discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 0.3, 0.3))
+    monkeypatch.setattr(node_discovery, "MAX_CYCLE_S", 0.5)
 
     async def body(tasks: TaskGroup) -> None:
         service = await Service(FAULTS[fault], FAULTS[fault], tells(NEWS)).start(tasks)
@@ -214,9 +239,9 @@
     before: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In the middle of a call, and of the pause after one: both would last beyond this test."""
-    monkeypatch.setattr(node_listing, "AGENT", Limits(1.0, 1000.0, 1000.0))
-    for name in ("CYCLE_S", "SHARED_AGAIN_S"):
-        monkeypatch.setattr(node_listing, name, 1000.0)
+    monkeypatch.setattr(node_discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 1000.0, 1000.0))
+    for name in ("MAX_CYCLE_S", "FIRST_SERVICE_PAUSE_S"):
+        monkeypatch.setattr(node_discovery, name, 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
         way = tells({**NEWS, "revision": 99}) if before == "told" else FAULTS[before]
@@ -229,20 +254,20 @@
         if before == "told":
             await heard.told.wait()
         heard.told = anyio.Event()
-        listing.follow(("127.0.0.1", new.port))
+        listing.change_address(("127.0.0.1", new.port))
         await heard.told.wait()
         assert new.asked[0] == "/catalog/members", "the whole list first"
         assert listing.revision == 7
         await until(lambda: old.open == 0)
 
     # The answer of a fetch ends with the list; the stand-in's goes on, as a watch does.
-    monkeypatch.setattr(catalog, "fetch", whole_of_watch)
+    monkeypatch.setattr(discovery_client, "fetch_list", whole_of_watch)
     on_loopback(body)
 
 
-async def whole_of_watch(address: Any, path: str, limits: Limits) -> Any:
-    async with catalog.get(address, path, limits) as body:
-        while (told := await catalog.Watch(body, limits.silence_s).next()) is None:
+async def whole_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
+    async with discovery_client.open_get(address, path, timeouts) as body:
+        while (told := await discovery_client.Watch(body, timeouts.silence_s).next()) is None:
             pass
         return told
 
@@ -258,10 +283,10 @@
         heard = Heard()
         heard.room = anyio.Event()  # the module's mailbox is full: the first list waits there
         listing = followed(1, heard, lambda low, high: low)
-        listing.follow(("127.0.0.1", first.port))
+        listing.change_address(("127.0.0.1", first.port))
         tasks.start_soon(listing.run)
         await heard.told.wait()
-        listing.follow(("127.0.0.1", second.port))
+        listing.change_address(("127.0.0.1", second.port))
         heard.room.set()
         await until(lambda: len(second.asked) >= 2)
         assert second.asked[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
@@ -305,7 +330,7 @@
 ) -> None:
     text = b"".join(orjson.dumps(told, option=how) + b"\n\n" for told, how in lists)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=6)))
-    framing = Framing()
+    framing = JsonObjectFramer()
     pieces = []
     for low, high in zip([0, *cuts], [*cuts, len(text)], strict=True):
         pieces += framing.feed(text[low:high])
@@ -318,7 +343,7 @@
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=5))
 def test_any_bytes_on_a_watch_are_lists_or_one_plain_complaint(noise: list[bytes]) -> None:
-    framing = Framing()
+    framing = JsonObjectFramer()
     try:
         for piece in noise:
             for whole in framing.feed(piece + b"\n"):
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -24,7 +24,7 @@
 from larchlatch.config.node import plan_from
 from larchlatch.node import client as node_client
 from larchlatch.node import upstream_actor as upstream_actor
-from larchlatch.node.descriptor_budget import RESERVE
+from larchlatch.node.descriptor_budget import HEADROOM
 from larchlatch.node.runtime import node
 from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
 from larchlatch.node.wire.stream import Ending, Lines
@@ -279,7 +279,7 @@
         upstreams = await Upstreams("UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
         raw = configuration(upstreams.addresses, discovery.port)
-        raw["limits"] = {"sockets": RESERVE + 20}
+        raw["limits"] = {"sockets": HEADROOM + 20}
         port = await serving(tasks, raw)
         crowd = [await dial(port) for _ in range(100)]
         for client in crowd[::2]:
@@ -320,7 +320,7 @@
         upstreams = await Upstreams("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
         discovery = await Discovery([NEWS]).start(tasks)
         raw = configuration(upstreams.addresses, discovery.port)
-        raw["limits"] = {"sockets": RESERVE + 70}
+        raw["limits"] = {"sockets": HEADROOM + 70}
         port = await serving(tasks, raw)
         before = len(os.listdir("/proc/self/fd"))
 
@@ -349,7 +349,7 @@
         upstreams = await Upstreams("UP echo").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
         raw = configuration(upstreams.addresses, discovery.port)
-        raw["limits"] = {"sockets": RESERVE + 4}
+        raw["limits"] = {"sockets": HEADROOM + 4}
         port = await serving(tasks, raw)
         first = await opened(port, traffic_class="once")
         assert await first.line() == b"UP echo\r\n"
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -59,11 +59,11 @@
         upstreams = await Upstreams("UP r1").start(tasks)
         _, door = await with_door(tasks, upstreams)
         host, _, port = door.rpartition(":")
-        idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * control.CALLERS)]
+        idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * control.MAX_CALLERS)]
         for number, caller in enumerate(idle):
             if number % 2:
                 await caller.send(b"GET /ops/readiness HTTP/1.1\r\nHo")
-        with anyio.fail_after(control.CALL_S / 2):
+        with anyio.fail_after(control.CALL_TIMEOUT_S / 2):
             for _ in range(3):
                 status, text = await call(door, READY)
                 assert status == 200 and '"ready":true' in text
@@ -79,8 +79,8 @@
         ("GET /ops/nothing", "", 404, "no such call"),
         ("POST /ops/readiness", "", 405, "Allow: GET"),
         ("GET /ops/drain/start", "", 405, "Allow: POST"),
-        ("GET /ops/readiness", "X: " + "y" * 2 * control.MOST_HEAD + "\r\n", 431, ""),
-        (START, f"Content-Length: {control.MOST_BODY + 1}\r\n", 413, "too large"),
+        ("GET /ops/readiness", "X: " + "y" * 2 * control.MAX_HEAD_BYTES + "\r\n", 431, ""),
+        (START, f"Content-Length: {control.MAX_BODY_BYTES + 1}\r\n", 413, "too large"),
         (START, "Content-Length: many\r\n", 400, ""),
         ("GET /ops/readiness", "no header at all\r\n", 400, ""),
         ("\0\x16\x03", "", 400, ""),
@@ -102,7 +102,7 @@
 def test_a_call_comes_cut_at_any_byte_and_one_without_an_end_is_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(control, "CALL_S", 0.3)
+    monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.3)
     text = f"{READY} HTTP/1.1\r\nHost: door\r\n\r\n".encode()
 
     async def body(tasks: TaskGroup) -> None:
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -113,11 +113,16 @@
                 got.append(word)
 
             listing = DiscoveryClient(
-                ("127.0.0.1", port_of(listener)), 1, True, Counters(), post, lambda low, high: high
+                ("127.0.0.1", port_of(listener)),
+                revision=1,
+                pushed=True,
+                counters=Counters(),
+                post=post,
+                uniform=lambda low, high: high,
             )
             async with anyio.create_task_group() as watching:
                 watching.start_soon(listing.run)
-                await listing.fresh.wait()
+                await listing.first_update.wait()
                 watching.cancel_scope.cancel()
             (told,) = got
             assert isinstance(told, ListTold) and told.members.revision == 5
--- a/tests/test_room.py
+++ b/tests/test_room.py
@@ -11,7 +11,13 @@
 from hypothesis import strategies as st
 
 from larchlatch.node import client as node_client
-from larchlatch.node.descriptor_budget import FEWEST_QUIET, RESERVE, SPARED, DescriptorBudget, Quiet
+from larchlatch.node.descriptor_budget import (
+    HEADROOM,
+    MAX_FRAGMENTS,
+    MIN_IDLE_CONNECTIONS,
+    DescriptorBudget,
+    IdleConnection,
+)
 from larchlatch.node.wire.stream import Ending
 from tests.ground import IDENTS, Discovery, Upstreams, configuration, dial, on_loopback
 from tests.test_node import NEWS, serving
@@ -29,19 +35,19 @@
     steps: list[tuple[str, int, float]], sockets: int
 ) -> None:
     room, now = DescriptorBudget(sockets), 50.0
-    there: list[Quiet] = []  # connected, in their order
-    out: list[Quiet] = []
+    there: list[IdleConnection] = []  # connected, in their order
+    out: list[IdleConnection] = []
     held = 0
 
-    def gone(quiet: Quiet) -> None:
+    def gone(quiet: IdleConnection) -> None:
         nonlocal held
         there.remove(quiet)
         out.append(quiet)
         held -= 1
-        room.give()
+        room.release()
 
-    def connected(now: float) -> Quiet:
-        quiet = Quiet(lambda: gone(quiet), now)
+    def connected(now: float) -> IdleConnection:
+        quiet = IdleConnection(lambda: gone(quiet), now)
         return quiet
 
     for step, which, passed in steps:
@@ -49,32 +55,35 @@
         quiet = there[which % len(there)] if there else None
         if step in ("connect", "socket"):
             before, had_room = list(there), room.free > 0
-            if room.take(now):
+            if room.reserve(now):
                 held += 1
                 if step == "connect":
                     there.append(connected(now))
-                    room.add(there[-1], now)
+                    room.add_idle(there[-1], now)
             else:
                 assert not before and not had_room, "refused though one without a link could make room"
             for one in [one for one in before if one not in there]:
                 # Whoever goes on with a line is spared while another has said nothing for twice as long.
                 for other in there:
-                    longest = (now - one.heard_at) / 2 ** min(SPARED, one.pieces)
-                    assert longest >= (now - other.heard_at) / 2 ** min(SPARED, other.pieces) - 1e-9
+                    longest = (now - one.last_received_at) / 2 ** min(MAX_FRAGMENTS, one.fragments)
+                    assert (
+                        longest
+                        >= (now - other.last_received_at) / 2 ** min(MAX_FRAGMENTS, other.fragments) - 1e-9
+                    )
         elif quiet is None:
             continue
         elif step in ("part", "ping"):
-            room.heard(quiet, now, whole=step == "ping")
+            room.record_received(quiet, now, is_complete_line=step == "ping")
         elif step == "line":  # it is a link now, and makes way for nobody
-            assert room.remove(quiet)
+            assert room.remove_idle(quiet)
             there.remove(quiet)
         else:
-            assert room.remove(quiet)
+            assert room.remove_idle(quiet)
             there.remove(quiet)
             held -= 1
-            room.give()
-        assert held == room.held <= max(2, sockets - RESERVE)
-        assert len(there) <= max(FEWEST_QUIET, room.most_quiet)
+            room.release()
+        assert held == room.in_use <= max(2, sockets - HEADROOM)
+        assert len(there) <= max(MIN_IDLE_CONNECTIONS, room.idle_limit)
     assert not set(out) & set(there)
 
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -65,7 +65,14 @@
     async def post(word: object) -> None: ...
 
     plan = plan_from(GOOD)
-    listing = DiscoveryClient(plan.discovery, 1, True, Counters(), post, lambda low, high: high)
+    listing = DiscoveryClient(
+        plan.discovery,
+        revision=1,
+        pushed=True,
+        counters=Counters(),
+        post=post,
+        uniform=lambda low, high: high,
+    )
     counters = Counters()
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
@@ -75,4 +82,4 @@
     path.write_bytes(orjson.dumps({**GOOD, "discovery": "127.0.0.1:2", "unread": 1}))
     new = reread(plan, path, listing, counters)
     assert new == replace(plan_of(path)) and listing.source.address == ("127.0.0.1", 2)
-    assert counters.told() == {"configuration read": 1, "configuration refused": 2}
+    assert counters.snapshot() == {"configuration read": 1, "configuration refused": 2}
