--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -1,4 +1,4 @@
-"""A node that is behind with its reading: what lay unread for long is answered in time, or served."""
+"""A node that reads late: what lay unread for long is answered in time, or served."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 )
 from tests.test_node import NEWS
 
-STOPPED_S = 1.2  # twice what a setup takes at these hosts
+STOPPED_S = 1.2  # seconds: twice what an attempt takes at these upstreams
 
 
 def test_lines_that_lay_unread_are_turned_away_at_once_where_too_little_time_is_left(tmp_path: Path) -> None:
@@ -36,10 +36,10 @@
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
         async with process(path) as node:
-            first = await opened(node.port)  # tells what a setup takes
+            first = await opened(node.port)  # lets the node measure what an attempt takes
             assert await first.line() == b"UP echo\r\n"
             node.signal(signal.SIGSTOP)
-            # Its machine takes all of these meanwhile; it reads them when they have waited.
+            # The system accepts all of these meanwhile; the node reads them when they have waited.
             short = [
                 await opened(node.port, 1500, traffic_class) for traffic_class in ("rerun", "ticket", "once")
             ]
@@ -54,7 +54,7 @@
                 answer = await client.line()
                 assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), "with when to come back"
                 assert isinstance(await client.line(), Ending), "nothing after it"
-            assert len(upstreams.lines) <= 2, "a try that could not end in time"
+            assert len(upstreams.lines) <= 2, "an attempt that could not end in time"
             assert await bad.line() == b"ERR\r\n"
             assert await front.line() == b"PONG\r\n"
             await half.send(b"me,d=3000\r\n")
--- a/tests/test_room.py
+++ b/tests/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Who makes room when descriptors run short: the rule without I/O, and a crowd beside sound slow clients."""
+"""Eviction when descriptors run short: the rule without I/O, and a crowd beside sound slow clients."""
 
 from __future__ import annotations
 
@@ -31,60 +31,60 @@
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(STEPS, max_size=80), st.integers(1, 200))
-def test_whatever_comes_no_more_is_held_than_there_is_and_the_quiet_give_way(
+def test_the_budget_is_kept_and_idle_connections_are_evicted_in_order(
     steps: list[tuple[str, int, float]], sockets: int
 ) -> None:
-    room, now = DescriptorBudget(sockets), 50.0
-    there: list[IdleConnection] = []  # connected, in their order
-    out: list[IdleConnection] = []
+    budget, now = DescriptorBudget(sockets), 50.0
+    idle: list[IdleConnection] = []  # connected, in their order
+    evicted: list[IdleConnection] = []
     held = 0
 
-    def gone(quiet: IdleConnection) -> None:
+    def evict(connection: IdleConnection) -> None:
         nonlocal held
-        there.remove(quiet)
-        out.append(quiet)
+        idle.remove(connection)
+        evicted.append(connection)
         held -= 1
-        room.release()
+        budget.release()
 
-    def connected(now: float) -> IdleConnection:
-        quiet = IdleConnection(lambda: gone(quiet), now)
-        return quiet
+    def new_connection(now: float) -> IdleConnection:
+        connection = IdleConnection(lambda: evict(connection), now)
+        return connection
 
     for step, which, passed in steps:
         now += passed
-        quiet = there[which % len(there)] if there else None
+        connection = idle[which % len(idle)] if idle else None
         if step in ("connect", "socket"):
-            before, had_room = list(there), room.free > 0
-            if room.reserve(now):
+            before, had_free = list(idle), budget.free > 0
+            if budget.reserve(now):
                 held += 1
                 if step == "connect":
-                    there.append(connected(now))
-                    room.add_idle(there[-1], now)
+                    idle.append(new_connection(now))
+                    budget.add_idle(idle[-1], now)
             else:
-                assert not before and not had_room, "refused though one without a link could make room"
-            for one in [one for one in before if one not in there]:
-                # Whoever goes on with a line is spared while another has said nothing for twice as long.
-                for other in there:
-                    longest = (now - one.last_received_at) / 2 ** min(MAX_FRAGMENTS, one.fragments)
+                assert not before and not had_free, "refused though an idle connection could be evicted"
+            for victim in [victim for victim in before if victim not in idle]:
+                # One that goes on with a line is kept while another has been silent for twice as long.
+                for other in idle:
+                    longest = (now - victim.last_received_at) / 2 ** min(MAX_FRAGMENTS, victim.fragments)
                     assert (
                         longest
                         >= (now - other.last_received_at) / 2 ** min(MAX_FRAGMENTS, other.fragments) - 1e-9
                     )
-        elif quiet is None:
+        elif connection is None:
             continue
         elif step in ("part", "ping"):
-            room.record_received(quiet, now, is_complete_line=step == "ping")
-        elif step == "line":  # it is a link now, and makes way for nobody
-            assert room.remove_idle(quiet)
-            there.remove(quiet)
+            budget.record_received(connection, now, is_complete_line=step == "ping")
+        elif step == "line":  # it has a session now and is never evicted
+            assert budget.remove_idle(connection)
+            idle.remove(connection)
         else:
-            assert room.remove_idle(quiet)
-            there.remove(quiet)
+            assert budget.remove_idle(connection)
+            idle.remove(connection)
             held -= 1
-            room.release()
-        assert held == room.in_use <= max(2, sockets - HEADROOM)
-        assert len(there) <= max(MIN_IDLE_CONNECTIONS, room.idle_limit)
-    assert not set(out) & set(there)
+            budget.release()
+        assert held == budget.in_use <= max(2, sockets - HEADROOM)
+        assert len(idle) <= max(MIN_IDLE_CONNECTIONS, budget.idle_limit)
+    assert not set(evicted) & set(idle)
 
 
 def test_a_thousand_idle_and_half_written_beside_sound_slow_clients(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -98,7 +98,7 @@
         raw: dict[str, Any] = configuration(upstreams.addresses, discovery.port)
         raw["limits"]["sockets"] = 192
         port = await serving(tasks, raw)
-        told = []
+        answers = []
 
         async def idle(says: bytes) -> None:
             client = await dial(port)
@@ -108,7 +108,7 @@
             if says == b"PING\r\n":
                 assert said == b"PONG\r\n"
                 said = await client.line()
-            told.append(said)
+            answers.append(said)
             await client.close()
 
         async def slow() -> None:
@@ -120,9 +120,9 @@
             got.append(await client.line())
 
         got: list[bytes | Ending] = []
-        async with anyio.create_task_group() as crowd:
+        async with anyio.create_task_group() as idle_tasks:
             for number in range(1000):
-                crowd.start_soon(idle, (b"", b"OPEN i", b"PING\r\n", b"", b"PING\r\n")[number % 5])
+                idle_tasks.start_soon(idle, (b"", b"OPEN i", b"PING\r\n", b"", b"PING\r\n")[number % 5])
                 if number % 100 == 50:
                     tasks.start_soon(slow)
                 if number % 10 == 0:
@@ -131,6 +131,6 @@
                 while len(got) < 10:
                     await anyio.sleep(0.02)
         assert got == [b"UP r1\r\n"] * 10
-        assert len(told) == 1000 and set(told) <= {b"ERR\r\n", Ending.END, Ending.RESET}
+        assert len(answers) == 1000 and set(answers) <= {b"ERR\r\n", Ending.END, Ending.RESET}
 
     on_loopback(body)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery at close range: whatever a call met, the next one comes in time, and news are acted on."""
+"""The discovery client: after any fault the next call comes in time, and changes are acted on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from larchlatch.config.endpoints import decoded
 from larchlatch.errors import InvalidInputError
-from larchlatch.node import discovery as node_discovery
+from larchlatch.node import discovery
 from larchlatch.node.discovery import (
     AGENT_TIMEOUTS,
     MAX_AGENT_PAUSE_S,
@@ -34,12 +34,14 @@
 from tests.ground import Upstreams, configuration, member, on_loopback, opened, port_of, until
 from tests.test_node import serving
 
-TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
+KNOWN_WITHIN_S = (
+    6.0  # seconds after which a change that discovery has counts as known, while it can be reached
+)
 LATE_S = 1.0  # what a node in a crowd may be late by, with room to spare
 GRACE_S = 0.25 + 0.05  # the shortest grace of a drain that a page names, with the protocol's slack
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-NEWS = {"revision": 7, "complete": False, "members": [member(0, "127.0.0.1:9", "terminating")]}
-WHOLE = {**NEWS, "complete": True}
+CHANGE = {"revision": 7, "complete": False, "members": [member(0, "127.0.0.1:9", "terminating")]}
+FULL_LIST = {**CHANGE, "complete": True}
 
 
 def chunk(data: bytes) -> bytes:
@@ -47,10 +49,10 @@
 
 
 class Service:
-    """Discovery that serves one call after the other as told, the last way for all that follow."""
+    """A stand-in that serves each call by the next behaviour, and all later calls by the last one."""
 
-    def __init__(self, *ways: Callable[[SocketStream], Awaitable[None]]) -> None:
-        self.ways = list(ways)
+    def __init__(self, *behaviours: Callable[[SocketStream], Awaitable[None]]) -> None:
+        self.behaviours = list(behaviours)
         self.asked: list[str] = []
         self.open = 0
         self.port = 0
@@ -62,116 +64,116 @@
         return self
 
     async def serve(self, stream: SocketStream) -> None:
-        way = self.ways.pop(0) if len(self.ways) > 1 else self.ways[0]
+        behaviour = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
         self.open += 1
         async with stream:
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                 self.asked.append((await stream.receive()).split(b" ")[1].decode())
-                await way(stream)
+                await behaviour(stream)
         self.open -= 1
 
 
-async def over(stream: SocketStream) -> None:
-    """Until the caller has ended it."""
+async def wait_for_close(stream: SocketStream) -> None:
+    """Wait until the caller has closed the connection."""
     while True:
         await stream.receive()
 
 
-def says(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    """Says this and then nothing more."""
+def sends_and_stalls(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
+    """Return a behaviour that sends this and then nothing more."""
 
-    async def way(stream: SocketStream) -> None:
+    async def behaviour(stream: SocketStream) -> None:
         for part in parts:
             await stream.send(part)
-        await over(stream)
+        await wait_for_close(stream)
 
-    return way
+    return behaviour
 
 
-def ends(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    async def way(stream: SocketStream) -> None:
+def sends_and_ends(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
+    async def behaviour(stream: SocketStream) -> None:
         for part in parts:
             await stream.send(part)
 
-    return way
+    return behaviour
 
 
 def trickles(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    async def way(stream: SocketStream) -> None:
+    async def behaviour(stream: SocketStream) -> None:
         await stream.send(start)
         while True:
             await stream.send(piece)
             await anyio.sleep(0.02)
 
-    return way
+    return behaviour
 
 
 async def resets(stream: SocketStream) -> None:
     await Lines(stream).close(reset=True)
 
 
-def tells(told: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
-    return trickles(HEAD + chunk(orjson.dumps(told) + b"\n"), chunk(b"\n"))
+def streams_updates(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
+    return trickles(HEAD + chunk(orjson.dumps(update) + b"\n"), chunk(b"\n"))
 
 
-REFUSES = ends(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
+REFUSAL = sends_and_ends(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
 FAULTS = {
-    "silent at once": says(),
-    "silent after its head": says(HEAD),
-    "silent in mid-line": says(HEAD, chunk(b'{"revision":6,"comp')),
-    "silent within an indented list": says(HEAD, chunk(b'{\n "revision": 6,\n "members": [\n')),
+    "silent at once": sends_and_stalls(),
+    "silent after its head": sends_and_stalls(HEAD),
+    "silent in mid-line": sends_and_stalls(HEAD, chunk(b'{"revision":6,"comp')),
+    "silent within an indented list": sends_and_stalls(HEAD, chunk(b'{\n "revision": 6,\n "members": [\n')),
     "trickles bytes without a line": trickles(HEAD + chunk(b'{"revision":6,"complete":"'), chunk(b"x")),
     "trickles a head without an end": trickles(b"HTTP/1.1 200 OK\r\nX: ", b"x"),
     "reset": resets,
-    "refused": REFUSES,
-    "ends": ends(HEAD, b"0\r\n\r\n"),
-    "no HTTP": ends(b"nonsense\r\n\r\n"),
-    "nonsense": says(HEAD, chunk(b"{nonsense\n")),
-    "a line cut short, then another": says(
+    "refused": REFUSAL,
+    "ends": sends_and_ends(HEAD, b"0\r\n\r\n"),
+    "no HTTP": sends_and_ends(b"nonsense\r\n\r\n"),
+    "nonsense": sends_and_stalls(HEAD, chunk(b"{nonsense\n")),
+    "a line cut short, then another": sends_and_stalls(
         HEAD, chunk(b'{"revision":6,"complete":false,"members":[\n'), chunk(b"\n")
     ),
-    "a string without an end": says(HEAD, chunk(b'{"revision":"6\n')),
-    "no list": says(HEAD, chunk(b"[1]\n")),
+    "a string without an end": sends_and_stalls(HEAD, chunk(b'{"revision":"6\n')),
+    "no list": sends_and_stalls(HEAD, chunk(b"[1]\n")),
 }
 
 
-class Heard:
-    """What a listing has told."""
+class Mailbox:
+    """Keeps what the discovery client has posted."""
 
     def __init__(self) -> None:
-        self.words: list[Message] = []
-        self.told = anyio.Event()
-        self.room = anyio.Event()  # the mailbox takes what comes
-        self.room.set()
-
-    async def post(self, word: Message) -> None:
-        self.words.append(word)
-        if isinstance(word, ListTold):
-            self.told.set()
+        self.messages: list[Message] = []
+        self.update_received = anyio.Event()
+        self.has_space = anyio.Event()  # not set: `post` waits as with a full mailbox
+        self.has_space.set()
+
+    async def post(self, message: Message) -> None:
+        self.messages.append(message)
+        if isinstance(message, ListTold):
+            self.update_received.set()
         with anyio.CancelScope(shield=True):
-            await self.room.wait()
+            await self.has_space.wait()
 
 
-def followed(
-    port: int, heard: Heard, uniform: Callable[[float, float], float], at: int = 1
+def client_of(
+    port: int, mailbox: Mailbox, uniform: Callable[[float, float], float], at: int = 1
 ) -> DiscoveryClient:
     return DiscoveryClient(
         ("127.0.0.1", port),
         revision=at,
         pushed=True,
         counters=Counters(),
-        post=heard.post,
+        post=mailbox.post,
         uniform=uniform,
     )
 
 
 def test_the_bounds_of_discovery_add_up() -> None:
-    """The worst call has just begun when the news are there: it ends, and the next one brings them."""
+    """In the worst case a call has just begun when the change comes: it ends, and the next one brings it."""
     for timeouts in (AGENT_TIMEOUTS, SERVICE_TIMEOUTS):
         assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
             "a call that brings nothing ends within its cycle"
         )
-        assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= TOLD_S
+        assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= KNOWN_WITHIN_S
     assert WATCH_SILENCE_S > 2.0 + 0.5, "a sound watch says something every 2 s, and may be a little late"
     assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
         "an agent that is back is heard within a drain's grace"
@@ -195,37 +197,39 @@
     pushed: bool, calls: list[tuple[float, float, bool, bool]]
 ) -> None:
     now, share = 1000.0, 0.0
-    listing = DiscoveryClient(
+    client = DiscoveryClient(
         ("127.0.0.1", 1),
         revision=1,
         pushed=pushed,
         counters=Counters(),
-        post=Heard().post,
+        post=Mailbox().post,
         uniform=lambda low, high: low + share * (high - low),
     )
-    for took, share, told, refused in calls:  # noqa: B007
-        listing.last_progress_at, listing.refused = now, refused
-        if told:
-            listing.max_pause_s = node_discovery.FIRST_SERVICE_PAUSE_S
-        pause = listing.pause_s(now + took)
+    for took, share, updated, refused in calls:  # noqa: B007
+        client.last_progress_at, client.refused = now, refused
+        if updated:
+            client.max_pause_s = discovery.FIRST_SERVICE_PAUSE_S
+        pause = client.pause_s(now + took)
         assert pause <= MAX_AGENT_PAUSE_S or refused or not pushed
         assert 0 <= took + pause <= MAX_CYCLE_S + 1e-6
         now += took + pause
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_after_any_fault_the_news_come_by_the_next_call(fault: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 0.3, 0.3))
-    monkeypatch.setattr(node_discovery, "MAX_CYCLE_S", 0.5)
+def test_after_any_fault_the_next_call_brings_the_changes(
+    fault: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 0.3, 0.3))
+    monkeypatch.setattr(discovery, "MAX_CYCLE_S", 0.5)
 
     async def body(tasks: TaskGroup) -> None:
-        service = await Service(FAULTS[fault], FAULTS[fault], tells(NEWS)).start(tasks)
-        heard = Heard()
+        service = await Service(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
+        mailbox = Mailbox()
         async with anyio.create_task_group() as running:
-            running.start_soon(followed(service.port, heard, lambda low, high: high).run)
-            await heard.told.wait()
-            (told,) = [word for word in heard.words if isinstance(word, ListTold)]
-            assert told.members.members[0].state is EndpointState.DRAINING
+            running.start_soon(client_of(service.port, mailbox, lambda low, high: high).run)
+            await mailbox.update_received.wait()
+            (update,) = [message for message in mailbox.messages if isinstance(message, ListTold)]
+            assert update.members.members[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
@@ -239,25 +243,27 @@
     before: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """In the middle of a call, and of the pause after one: both would last beyond this test."""
-    monkeypatch.setattr(node_discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 1000.0, 1000.0))
+    monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 1000.0, 1000.0))
     for name in ("MAX_CYCLE_S", "FIRST_SERVICE_PAUSE_S"):
-        monkeypatch.setattr(node_discovery, name, 1000.0)
+        monkeypatch.setattr(discovery, name, 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
-        way = tells({**NEWS, "revision": 99}) if before == "told" else FAULTS[before]
-        old = await Service(way).start(tasks)
-        new = await Service(tells(WHOLE)).start(tasks)
-        heard = Heard()
-        listing = followed(old.port, heard, lambda low, high: high)
-        tasks.start_soon(listing.run)
-        await until(lambda: bool(old.asked) and (before not in ("refused", "no list") or bool(heard.words)))
+        behaviour = streams_updates({**CHANGE, "revision": 99}) if before == "told" else FAULTS[before]
+        old = await Service(behaviour).start(tasks)
+        new = await Service(streams_updates(FULL_LIST)).start(tasks)
+        mailbox = Mailbox()
+        client = client_of(old.port, mailbox, lambda low, high: high)
+        tasks.start_soon(client.run)
+        await until(
+            lambda: bool(old.asked) and (before not in ("refused", "no list") or bool(mailbox.messages))
+        )
         if before == "told":
-            await heard.told.wait()
-        heard.told = anyio.Event()
-        listing.change_address(("127.0.0.1", new.port))
-        await heard.told.wait()
+            await mailbox.update_received.wait()
+        mailbox.update_received = anyio.Event()
+        client.change_address(("127.0.0.1", new.port))
+        await mailbox.update_received.wait()
         assert new.asked[0] == "/catalog/members", "the whole list first"
-        assert listing.revision == 7
+        assert client.revision == 7
         await until(lambda: old.open == 0)
 
     # The answer of a fetch ends with the list; the stand-in's goes on, as a watch does.
@@ -267,27 +273,27 @@
 
 async def whole_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
     async with discovery_client.open_get(address, path, timeouts) as body:
-        while (told := await discovery_client.Watch(body, timeouts.silence_s).next()) is None:
+        while (update := await discovery_client.Watch(body, timeouts.silence_s).next()) is None:
             pass
-        return told
+        return update
 
 
 def test_a_second_new_address_during_the_first_is_asked_for_its_whole_list() -> None:
-    """What the first one still tells, after the second was named, must not pass for the second's."""
+    """What still comes from the first address, after the second was set, must not pass for the second's."""
 
     async def body(tasks: TaskGroup) -> None:
-        line = chunk(orjson.dumps({**WHOLE, "revision": 50}) + b"\n")
-        first = await Service(ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
-        answer = HEAD + chunk(orjson.dumps(WHOLE) + b"\n") + b"0\r\n\r\n"
-        second = await Service(ends(answer), tells(NEWS)).start(tasks)
-        heard = Heard()
-        heard.room = anyio.Event()  # the module's mailbox is full: the first list waits there
-        listing = followed(1, heard, lambda low, high: low)
-        listing.change_address(("127.0.0.1", first.port))
-        tasks.start_soon(listing.run)
-        await heard.told.wait()
-        listing.change_address(("127.0.0.1", second.port))
-        heard.room.set()
+        line = chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
+        first = await Service(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
+        answer = HEAD + chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
+        second = await Service(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
+        mailbox = Mailbox()
+        mailbox.has_space = anyio.Event()  # the balancer actor's mailbox is full: the first list waits there
+        client = client_of(1, mailbox, lambda low, high: low)
+        client.change_address(("127.0.0.1", first.port))
+        tasks.start_soon(client.run)
+        await mailbox.update_received.wait()
+        client.change_address(("127.0.0.1", second.port))
+        mailbox.has_space.set()
         await until(lambda: len(second.asked) >= 2)
         assert second.asked[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
 
@@ -295,8 +301,8 @@
 
 
 @pytest.mark.parametrize("nameless", [False, True])
-def test_one_entry_that_is_wrong_costs_no_other_host_its_news(nameless: bool) -> None:
-    """A drain beside it is heard; the host that it speaks of stays as it was, also in a whole list."""
+def test_one_invalid_entry_does_not_hide_the_changes_of_others(nameless: bool) -> None:
+    """A drain beside it is acted on; its own upstream stays as it was, also in a whole list."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks, 3)
@@ -306,7 +312,9 @@
             *([{"host_port": 7}] if nameless else []),
             member(2, upstreams.addresses[2], "terminating"),
         ]
-        service = await Service(tells({"revision": 9, "complete": True, "members": rows})).start(tasks)
+        service = await Service(streams_updates({"revision": 9, "complete": True, "members": rows})).start(
+            tasks
+        )
         port = await serving(tasks, configuration(upstreams.addresses, service.port))
         for number in range(20):
             assert await (await opened(port, key=f"key{number}")).line() == b"UP r1\r\n"
@@ -315,8 +323,8 @@
     on_loopback(body)
 
 
-LISTS = st.builds(
-    lambda number, whole, text: {**NEWS, "revision": number, "complete": whole, "note": text},
+LIST_JSON = st.builds(
+    lambda number, whole, text: {**CHANGE, "revision": number, "complete": whole, "note": text},
     st.integers(0, 2**40),
     st.booleans(),
     st.text(max_size=20),
@@ -324,25 +332,25 @@
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
-@given(st.lists(st.tuples(LISTS, st.sampled_from([0, orjson.OPT_INDENT_2])), max_size=4), st.data())
+@given(st.lists(st.tuples(LIST_JSON, st.sampled_from([0, orjson.OPT_INDENT_2])), max_size=4), st.data())
 def test_lists_are_read_however_they_are_set_and_cut(
     lists: list[tuple[dict[str, Any], int]], data: st.DataObject
 ) -> None:
-    text = b"".join(orjson.dumps(told, option=how) + b"\n\n" for told, how in lists)
+    text = b"".join(orjson.dumps(update, option=how) + b"\n\n" for update, how in lists)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(text)), max_size=6)))
     framing = JsonObjectFramer()
     pieces = []
     for low, high in zip([0, *cuts], [*cuts, len(text)], strict=True):
         pieces += framing.feed(text[low:high])
     assert [decoded(piece)[0].revision for piece in pieces if piece] == [
-        told["revision"] for told, _ in lists
+        update["revision"] for update, _ in lists
     ]
     assert pieces[1::2] == [b""] * len(lists)
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(st.lists(st.binary(max_size=40), max_size=5))
-def test_any_bytes_on_a_watch_are_lists_or_one_plain_complaint(noise: list[bytes]) -> None:
+def test_any_bytes_on_a_watch_are_lists_or_one_protocol_error(noise: list[bytes]) -> None:
     framing = JsonObjectFramer()
     try:
         for piece in noise:
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -1,4 +1,4 @@
-"""The operators' door, the drain and the stop: what they may not hold up, lose or leave standing."""
+"""The admin API, the drain and the stop: what they may not hold up, lose or leave open."""
 
 from __future__ import annotations
 
@@ -15,8 +15,7 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.node import admin_api as control
-from larchlatch.node import lifecycle_state as phases
+from larchlatch.node import admin_api, lifecycle_state
 from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.wire.stream import Ending, Lines
 from tests.ground import (
@@ -36,8 +35,8 @@
 START, STOP, READY = "POST /ops/drain/start", "POST /ops/drain/stop", "GET /ops/readiness"
 
 
-async def with_door(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> tuple[int, str]:
-    """A node with a door: the port for clients, and the door's address."""
+async def node_with_admin_api(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> tuple[int, str]:
+    """Start a node with an admin API; return the port for clients and the address of the admin API."""
     discovery = await Discovery([NEWS]).start(tasks)
     raw = configuration(upstreams.addresses, discovery.port, **changes)
     raw["control"] = door_address()
@@ -52,48 +51,48 @@
     return said
 
 
-def test_the_door_answers_while_callers_finish_no_call() -> None:
-    """Each unfinished call holds a descriptor and a task: the oldest makes way, nobody waits behind it."""
+def test_the_admin_api_answers_while_callers_finish_no_call() -> None:
+    """Each unfinished call holds a descriptor and a task: the oldest is evicted, and no call waits for it."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
-        _, door = await with_door(tasks, upstreams)
-        host, _, port = door.rpartition(":")
-        idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * control.MAX_CALLERS)]
+        _, admin_address = await node_with_admin_api(tasks, upstreams)
+        host, _, port = admin_address.rpartition(":")
+        idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)]
         for number, caller in enumerate(idle):
             if number % 2:
                 await caller.send(b"GET /ops/readiness HTTP/1.1\r\nHo")
-        with anyio.fail_after(control.CALL_TIMEOUT_S / 2):
+        with anyio.fail_after(admin_api.CALL_TIMEOUT_S / 2):
             for _ in range(3):
-                status, text = await call(door, READY)
+                status, text = await call(admin_address, READY)
                 assert status == 200 and '"ready":true' in text
-            # Turned out to the last but a few: the first ones' connections have ended.
+            # All but the last few are evicted: the connections of the first ones have ended.
             assert isinstance(await idle[0].line(), Ending)
 
     on_loopback(body)
 
 
 @pytest.mark.parametrize(
-    ("what", "more", "status", "says"),
+    ("request_line", "more_headers", "status", "expected"),
     [
         ("GET /ops/nothing", "", 404, "no such call"),
         ("POST /ops/readiness", "", 405, "Allow: GET"),
         ("GET /ops/drain/start", "", 405, "Allow: POST"),
-        ("GET /ops/readiness", "X: " + "y" * 2 * control.MAX_HEAD_BYTES + "\r\n", 431, ""),
-        (START, f"Content-Length: {control.MAX_BODY_BYTES + 1}\r\n", 413, "too large"),
+        ("GET /ops/readiness", "X: " + "y" * 2 * admin_api.MAX_HEAD_BYTES + "\r\n", 431, ""),
+        (START, f"Content-Length: {admin_api.MAX_BODY_BYTES + 1}\r\n", 413, "too large"),
         (START, "Content-Length: many\r\n", 400, ""),
         ("GET /ops/readiness", "no header at all\r\n", 400, ""),
         ("\0\x16\x03", "", 400, ""),
     ],
 )
-def test_bad_calls_are_told_what_is_wrong_and_touch_nothing(
-    what: str, more: str, status: int, says: str
+def test_invalid_calls_are_rejected_with_a_reason_and_change_nothing(
+    request_line: str, more_headers: str, status: int, expected: str
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
-        port, door = await with_door(tasks, upstreams)
-        got, text = await call(door, what, more)
-        assert got == status and says.lower() in text.lower()
+        port, admin_address = await node_with_admin_api(tasks, upstreams)
+        got, text = await call(admin_address, request_line, more_headers)
+        assert got == status and expected.lower() in text.lower()
         assert await ping(port) == b"PONG\r\n"
 
     on_loopback(body)
@@ -102,13 +101,13 @@
 def test_a_call_comes_cut_at_any_byte_and_one_without_an_end_is_ended(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(control, "CALL_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
     text = f"{READY} HTTP/1.1\r\nHost: door\r\n\r\n".encode()
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
-        _, door = await with_door(tasks, upstreams)
-        host, _, port = door.rpartition(":")
+        _, admin_address = await node_with_admin_api(tasks, upstreams)
+        host, _, port = admin_address.rpartition(":")
         for cut in range(1, len(text), 3):
             caller = Lines(await anyio.connect_tcp(host, int(port)))
             await caller.send(text[:cut])
@@ -122,8 +121,8 @@
     on_loopback(body)
 
 
-def test_the_door_says_not_yet_until_the_node_can_serve(tmp_path: Path) -> None:
-    """It listens before anything slow: here a list service that never answers."""
+def test_readiness_is_false_until_the_node_can_serve(tmp_path: Path) -> None:
+    """It listens before anything slow: here a discovery service that never answers."""
 
     async def body(tasks: TaskGroup) -> None:
         silent = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -139,35 +138,35 @@
     on_loopback(body)
 
 
-def test_a_drain_sends_everybody_away_and_its_end_takes_clients_again(
+def test_a_drain_moves_all_sessions_and_its_end_accepts_clients_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Links that stand, that are being set up, and that come meanwhile; a node that drains stays up."""
-    monkeypatch.setattr(phases, "DRAIN_S", 2.0)
-    monkeypatch.setattr(phases, "STILL_S", 0.3)
+    """Sessions established, being established, and new ones; a node that drains stays up."""
+    monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
+    monkeypatch.setattr(lifecycle_state, "STILL_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
-        port, door = await with_door(tasks, upstreams)
-        standing = [await opened(port, key=f"k{n}") for n in range(8)]
-        for client in standing:
+        port, admin_address = await node_with_admin_api(tasks, upstreams)
+        established = [await opened(port, key=f"k{n}") for n in range(8)]
+        for client in established:
             assert await client.line() == b"UP r1\r\n"
         setup = await opened(port)
         while len(upstreams.lines) < 9:
             await anyio.sleep(0.01)
-        assert (await call(door, START))[0] == 200
+        assert (await call(admin_address, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
         during = await opened(port)
         assert await during.line() == b"UP r3\r\n", "a front sends on for a moment: it is served"
-        assert (await call(door, START))[0] == 200, "told twice"
+        assert (await call(admin_address, START))[0] == 200, "told twice"
         with anyio.fail_after(3.0):
-            for client in (*standing, during):
+            for client in (*established, during):
                 assert await rest_of(client) == [b"MOVE\r\n"]
             assert await rest_of(setup) == [b"UP r2\r\n", b"MOVE\r\n"]
         late = await rest_of(await opened(port))
         assert len(late) == 1 and late[0].startswith(b"BUSY "), "shed with advice: it would have to leave"
-        assert (await call(door, READY))[0] == 200, "the process is well"
-        assert (await call(door, STOP))[0] == 200
+        assert (await call(admin_address, READY))[0] == 200, "the process is well"
+        assert (await call(admin_address, STOP))[0] == 200
         assert await ping(port) == b"PONG\r\n"
         assert await (await opened(port)).line() == b"UP r3\r\n"
 
@@ -175,45 +174,45 @@
 
 
 def test_moves_of_a_drain_are_spread_and_end_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(phases, "DRAIN_S", 2.0)
+    monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
-        port, door = await with_door(tasks, upstreams)
-        standing = [await opened(port, key=f"k{n}") for n in range(40)]
+        port, admin_address = await node_with_admin_api(tasks, upstreams)
+        established = [await opened(port, key=f"k{n}") for n in range(40)]
         moved = 0
 
         async def watched(client: Lines) -> None:
             nonlocal moved
             moved += await rest_of(client) == [b"MOVE\r\n"]
 
-        for client in standing:
+        for client in established:
             assert await client.line() == b"UP r1\r\n"
             tasks.start_soon(watched, client)
-        await call(door, START)
+        await call(admin_address, START)
         while not moved:
             await anyio.sleep(0.01)
-        await call(door, STOP)
+        await call(admin_address, STOP)
         await anyio.sleep(0.2)
-        went = moved
-        assert 0 < went < 40, "all at once they are a crowd elsewhere"
+        moved_before = moved
+        assert 0 < moved_before < 40, "all at once they are a crowd elsewhere"
         await anyio.sleep(1.2)
-        assert moved == went, "moved though the drain was over"
+        assert moved == moved_before, "moved though the drain was over"
 
     on_loopback(body)
 
 
 def test_a_client_that_reads_nothing_is_cut_off_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(phases, "DRAIN_S", 1.5)
+    monkeypatch.setattr(lifecycle_state, "DRAIN_S", 1.5)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP flood").start(tasks)
-        port, door = await with_door(tasks, upstreams)
+        port, admin_address = await node_with_admin_api(tasks, upstreams)
         client = await opened(port)
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
-        await anyio.sleep(0.3)  # it reads no more: what its host sends fills all buffers
-        await call(door, START)
+        await anyio.sleep(0.3)  # it reads no more: what its upstream sends fills all buffers
+        await call(admin_address, START)
         with anyio.fail_after(3.0):
             while not upstreams.ended:
                 await anyio.sleep(0.01)
@@ -222,7 +221,7 @@
 
 
 @pytest.mark.parametrize("first", ["drain", "stop"])
-def test_a_drain_and_a_stop_in_either_order_move_all_links_once(first: str, tmp_path: Path) -> None:
+def test_a_drain_and_a_stop_in_either_order_move_all_sessions_once(first: str, tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
         discovery = await Discovery([NEWS]).start(tasks)
@@ -231,8 +230,8 @@
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
         async with process(path) as running:
-            standing = [await opened(running.port, key=f"k{n}") for n in range(6)]
-            for client in standing:
+            established = [await opened(running.port, key=f"k{n}") for n in range(6)]
+            for client in established:
                 assert await client.line() == b"UP r1\r\n"
             if first == "drain":
                 await call(raw["control"], START)
@@ -243,7 +242,7 @@
                 await running.told("stopping")
                 assert (await call(raw["control"], START))[0] == 200
                 assert (await call(raw["control"], STOP))[0] == 200
-            for client in standing:
+            for client in established:
                 assert await rest_of(client) == [b"MOVE\r\n"]
             assert await running.ended() == 0
 
@@ -255,15 +254,15 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(STEPS, max_size=30), st.integers(0, 50), st.booleans())
-def test_whatever_order_and_lag_all_links_have_left_when_they_must(
-    steps: list[tuple[str, float]], standing: int, passes: bool
+def test_all_sessions_have_left_in_time_whatever_the_order_and_lag(
+    steps: list[tuple[str, float]], established: int, passes: bool
 ) -> None:
-    phase, now, began = Phase(3.3, passes), 100.0, None
+    phase, now, drained_at = Phase(3.3, passes), 100.0, None
     phase.ready = True
     for step, passed in steps:
         now += passed
         if step == "drain":
-            began = began if phase.draining else now
+            drained_at = drained_at if phase.draining else now
             phase.drain(now)
         elif step == "end":
             phase.end_drain()
@@ -271,47 +270,55 @@
             phase.stop(now)
         elif step in ("cede", "resume"):  # another process serves, or has failed
             phase.ceded = step == "cede"
-        due = phase.leave(now, standing)
-        assert 0 <= due <= standing
-        standing -= due
+        due = phase.leave(now, established)
+        assert 0 <= due <= established
+        established -= due
         assert phase.welcome is not phase.draining
         if not phase.leaving or (passes and not phase.hands_over):
             assert due == 0, "sent away for nothing"
-        elif phase.hands_over and phase.stopped_at is not None and now >= phase.stopped_at + phases.PASS_S:
-            assert standing == 0, "not handed over in time"
+        elif (
+            phase.hands_over
+            and phase.stopped_at is not None
+            and now >= phase.stopped_at + lifecycle_state.PASS_S
+        ):
+            assert established == 0, "not handed over in time"
         elif passes:
             assert phase.hands_over
-        elif phase.draining and began is not None and now >= began + phases.DRAIN_S - phases.CLOSE_S:
-            assert standing == 0, "held longer than a drain grants"
+        elif (
+            phase.draining
+            and drained_at is not None
+            and now >= drained_at + lifecycle_state.DRAIN_S - lifecycle_state.CLOSE_S
+        ):
+            assert established == 0, "held longer than a drain grants"
         elif phase.stopped_at is not None and now >= phase.stopped_at + 3.3:
-            assert standing == 0, "held longer than a stop grants"
+            assert established == 0, "held longer than a stop grants"
 
 
-def test_links_leave_evenly() -> None:
+def test_sessions_leave_evenly() -> None:
     phase = Phase(3.3, False)
     phase.drain(0.0)
-    standing, went = 300, []
+    established, moved_per_step = 300, []
     for step in range(1, 61):
-        due = phase.leave(step * 0.05, standing)
-        standing -= due
-        went.append(due)
-    assert standing == 0 and max(went) <= 6, "a crowd at the other nodes"
+        due = phase.leave(step * 0.05, established)
+        established -= due
+        moved_per_step.append(due)
+    assert established == 0 and max(moved_per_step) <= 6, "a crowd at the other nodes"
 
 
 @pytest.mark.parametrize(
-    ("control_at", "says"),
+    ("control_address", "expected"),
     [
         ("nowhere", "configuration: control: not an address"),
         (9600, "configuration: control has the wrong type"),
         ("127.0.0.1:3000", "configuration: control: the address where clients are taken"),
     ],
 )
-def test_a_bad_address_of_the_door_is_named(control_at: Any, says: str, tmp_path: Path) -> None:
+def test_an_invalid_admin_api_address_is_named(control_address: Any, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "node.json"
-    raw = {**configuration([], 1), "listen": "127.0.0.1:3000", "control": control_at}
+    raw = {**configuration([], 1), "listen": "127.0.0.1:3000", "control": control_address}
     path.write_bytes(orjson.dumps(raw))
     result = CliRunner().invoke(cli, ["check", "--config", str(path)])
-    assert result.exit_code == 2 and says in result.output and result.output.count("\n") == 1
+    assert result.exit_code == 2 and expected in result.output and result.output.count("\n") == 1
     del raw["control"]
     path.write_bytes(orjson.dumps(raw))
     bad = CliRunner().invoke(cli, ["check", "--config", str(path)], env={"EDGE_CONTROL": "x"})
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -1,4 +1,4 @@
-"""Messages cut at any byte, from every side; and peers that stay and say, or read, nothing."""
+"""Messages split at any byte, from every side; and peers that stay connected and send, or read, nothing."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.node import upstream_actor as upstream_actor
+from larchlatch.node import upstream_actor
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.messages import ListTold, Message, Probed
@@ -36,7 +36,7 @@
 
 
 async def cut(send: Callable[[bytes], Awaitable[object]], data: bytes, at: int) -> None:
-    """The data in two pieces."""
+    """Send the data in two pieces."""
     for piece in (data[:at], data[at:]):
         if piece:
             await send(piece)
@@ -83,7 +83,7 @@
             if said.startswith(b"UP"):
                 assert got == said
             else:
-                # Turned away where it can't have run, or where its host rests by then.
+                # Rejected where it can't have run, or where its upstream is in backoff by then.
                 assert got.count(b"\r\n") == 1 and got.startswith((b"ERR", b"BUSY")), "one final answer"
 
     on_loopback(body)
@@ -109,10 +109,10 @@
         for at in range(1, len(answer), 2):  # noqa: B007
             got: list[Message] = []
 
-            async def post(word: Message, got: list[Message] = got) -> None:
-                got.append(word)
+            async def post(message: Message, got: list[Message] = got) -> None:
+                got.append(message)
 
-            listing = DiscoveryClient(
+            client = DiscoveryClient(
                 ("127.0.0.1", port_of(listener)),
                 revision=1,
                 pushed=True,
@@ -121,18 +121,18 @@
                 uniform=lambda low, high: high,
             )
             async with anyio.create_task_group() as watching:
-                watching.start_soon(listing.run)
-                await listing.first_update.wait()
+                watching.start_soon(client.run)
+                await client.first_update.wait()
                 watching.cancel_scope.cancel()
-            (told,) = got
-            assert isinstance(told, ListTold) and told.members.revision == 5
-            assert [entry.name for entry in told.members.members] == ["s-0"]
+            (update,) = got
+            assert isinstance(update, ListTold) and update.members.revision == 5
+            assert [entry.name for entry in update.members.members] == ["s-0"]
 
     on_loopback(body)
 
 
 def test_a_list_service_that_turns_callers_away_empties_no_list() -> None:
-    """An HTTP error is a failed list: the node asks again, later and later, and works with what it has."""
+    """An HTTP error is a failed call: the node calls again with backoff and works with the list it has."""
 
     async def body(tasks: TaskGroup) -> None:
         asked = 0
@@ -171,7 +171,7 @@
     on_loopback(body)
 
 
-def test_the_node_tells_host_by_host_what_it_believes_beside_its_sockets(tmp_path: Path) -> None:
+def test_the_node_reports_each_upstream_beside_its_sockets(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks, 2)
         story = {
@@ -197,51 +197,57 @@
 
 
 async def pong_once(stream: SocketStream) -> None:
-    """A host that answers the first probe on a connection; a later one finds it silent."""
+    """Answer the first probe on a connection and leave a later one without an answer."""
     async with stream:
         await stream.receive()
         await stream.send(b"PONG\r\n")
         await anyio.sleep_forever()
 
 
-def test_a_probes_connection_takes_room_and_gives_it_back() -> None:
+def test_a_probes_connection_reserves_and_releases_a_descriptor() -> None:
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
-        room = DescriptorBudget(100)
+        descriptors = DescriptorBudget(100)
 
-        async def post(word: Message) -> None:
+        async def post(message: Message) -> None:
             pass
 
-        reach = UpstreamSettings(250_000, False, False, 0)
+        upstream_settings = UpstreamSettings(250_000, False, False, 0)
         upstream = upstream_actor.UpstreamActor(
-            0, "s-0", ("127.0.0.1", port_of(listener)), reach, room, Counters(), post
+            0, "s-0", ("127.0.0.1", port_of(listener)), upstream_settings, descriptors, Counters(), post
         )
-        free = room.free
-        assert await upstream.probed() is not None and room.free == free - 1
-        assert await upstream.probed() is None and room.free == free
+        free = descriptors.free
+        assert await upstream.probed() is not None and descriptors.free == free - 1
+        assert await upstream.probed() is None and descriptors.free == free
 
     on_loopback(body)
 
 
 def test_a_probe_ordered_while_one_is_under_way_does_not_end_the_node() -> None:
-    # Danger: other nodes' words order probes beside the node's own; both would read from one connection.
+    # Other nodes' observations order probes beside the node's own: both would read from one connection.
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
-        told: list[Message] = []
+        posted: list[Message] = []
 
-        async def post(word: Message) -> None:
-            told.append(word)
+        async def post(message: Message) -> None:
+            posted.append(message)
 
-        reach = UpstreamSettings(250_000, False, False, 0)
+        upstream_settings = UpstreamSettings(250_000, False, False, 0)
         upstream = upstream_actor.UpstreamActor(
-            0, "s-0", ("127.0.0.1", port_of(listener)), reach, DescriptorBudget(100), Counters(), post
+            0,
+            "s-0",
+            ("127.0.0.1", port_of(listener)),
+            upstream_settings,
+            DescriptorBudget(100),
+            Counters(),
+            post,
         )
         await upstream.probe()
         async with anyio.create_task_group() as both:
             both.start_soon(upstream.probe)
             both.start_soon(upstream.probe)
-        assert [word.answered for word in told if isinstance(word, Probed)] == [True, False]
+        assert [message.answered for message in posted if isinstance(message, Probed)] == [True, False]
 
     on_loopback(body)
