--- a/larchlatch/cluster/exchange/state.py
+++ b/larchlatch/cluster/exchange/state.py
@@ -11,9 +11,10 @@
 from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 
 if TYPE_CHECKING:
+    from random import Random
+
     from larchlatch.cluster.election.electorate import Electorate
     from larchlatch.cluster.quota.settings import QuotaSettings
-    from random import Random
 
 
 class SharedState(NamedTuple):
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -58,7 +58,7 @@
     if waiting:
         log.warning("configuration_needs_restart", keys=waiting)
     if new.discovery_address != current.discovery_address:
-        discovery.follow(new.discovery_address)
+        discovery.change_address(new.discovery_address)
     log.info("configuration_reloaded", discovery=new.discovery_address)
     return replace(current, discovery_address=new.discovery_address)
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -69,7 +69,14 @@
     async def post(word: object) -> None: ...
 
     current = parse_node_configuration(GOOD)
-    discovery = DiscoveryClient(current.discovery_address, 1, True, Counters(), post, lambda low, high: high)
+    discovery = DiscoveryClient(
+        current.discovery_address,
+        revision=1,
+        pushed=True,
+        counters=Counters(),
+        post=post,
+        uniform=lambda low, high: high,
+    )
     counters = Counters()
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
@@ -79,7 +86,7 @@
     path.write_bytes(orjson.dumps({**GOOD, "discovery": "127.0.0.1:2", "unread": 1}))
     new = reload_configuration(current, path, discovery, counters)
     assert new == replace(read_node_configuration(path)) and discovery.source.address == ("127.0.0.1", 2)
-    assert counters.told() == {"configuration_reloaded": 1, "configuration_rejected": 2}
+    assert counters.snapshot() == {"configuration_reloaded": 1, "configuration_rejected": 2}
 
 
 @pytest.mark.parametrize(
@@ -97,7 +104,14 @@
     async def post(word: object) -> None: ...
 
     current = parse_node_configuration(GOOD)
-    discovery = DiscoveryClient(current.discovery_address, 1, True, Counters(), post, lambda low, high: high)
+    discovery = DiscoveryClient(
+        current.discovery_address,
+        revision=1,
+        pushed=True,
+        counters=Counters(),
+        post=post,
+        uniform=lambda low, high: high,
+    )
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({**GOOD, **changes}))
     with structlog.testing.capture_logs() as events:
