--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -14,7 +14,7 @@
 from larchlatch.config.node import Plan, plan_of
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.ports import Join
-from larchlatch.node.runtime import node
+from larchlatch.node.runtime import run_node
 
 WHERE = click.option(
     "--config",
@@ -93,7 +93,7 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.DEBUG if verbose else logging.INFO),
         logger_factory=structlog.PrintLoggerFactory(),
     )
-    anyio.run(node, plan, config, join, backend_options={"use_uvloop": True})
+    anyio.run(run_node, plan, config, join, backend_options={"use_uvloop": True})
 
 
 def joining(plan: Plan, path: Path, key: Path | None) -> Join:
--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -17,7 +17,7 @@
 
     from anyio.abc import SocketStream, TaskGroup
 
-    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
 BACKLOG = 64  # callers that wait to be accepted
@@ -38,7 +38,7 @@
 
 
 class AdminApi:
-    def __init__(self, phase: Phase, drain: Callable[[], None], counters: Counters) -> None:
+    def __init__(self, phase: LifecycleState, drain: Callable[[], None], counters: Counters) -> None:
         self.phase = phase
         self.counters = counters
         self.calls: dict[str, tuple[str, Callable[[], Reply]]] = {
@@ -149,7 +149,7 @@
 
     def start_drain(self) -> Reply:
         log.info("drain", on=True, again=self.phase.draining)
-        self.phase.drain(anyio.current_time())
+        self.phase.start_drain(anyio.current_time())
         self.drain()
         return Reply(200, self.told())
 
@@ -160,7 +160,7 @@
 
     def told(self) -> dict[str, object]:
         phase = self.phase
-        return {"ready": phase.ready, "draining": phase.draining, "stopping": phase.stopped_at is not None}
+        return {"ready": phase.ready, "draining": phase.draining, "stopping": phase.stopping}
 
 
 def path_of(request: h11.Request) -> str:
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -26,12 +26,12 @@
     from larchlatch.config.upstream import UpstreamSettings
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.discovery import DiscoveryClient
+    from larchlatch.node.mailbox import Mailbox
     from larchlatch.node.metrics import Counters
     from larchlatch.node.ports import Fellows
 
 TICK_US = 4_000  # held links are looked at together once in this: hundreds would each wake the loop by itself
 FAILED_US = 100_000  # before the decisions are asked again how long to wait, after they failed
-MAILBOX = 1024  # words: when it is full, whoever reads from sockets waits
 
 log = structlog.get_logger()
 
@@ -46,10 +46,13 @@
         reach: UpstreamSettings,
         descriptors: DescriptorBudget,
         counters: Counters,
+        mailbox: Mailbox,
+        discovery: DiscoveryClient | None = None,
+        fellows: Fellows | None = None,
     ) -> None:
         self.balancer = Balancer(settings, chance)
         self.traffic_classes = traffic_classes
-        self.fellows: Fellows | None = None  # other nodes, where this one knows of any
+        self.fellows = fellows  # other nodes, where this one knows of any
         self.zones = {name: place for place, name in enumerate(zones)}
         self.reach = reach
         self.descriptors = descriptors
@@ -60,26 +63,20 @@
         self.records: dict[int, SessionRecord] = {}  # links in hand by number
         self.held: list[tuple[int, int]] = []  # when to ask again, link
         self.enough_us = 0  # the decisions' own word on links that lay unread, for the door
-        self.discovery: DiscoveryClient | None = None
+        self.discovery = discovery
         self.actor_tasks: TaskGroup | None = None
-        self.sender, self.messages = anyio.create_memory_object_stream[messages.Message](MAILBOX)
+        self.mailbox = mailbox
 
     async def post(self, message: messages.Message) -> None:
-        # Shielded: an outcome lost on the way would leave its link without a final answer.
-        with anyio.CancelScope(shield=True):
-            await self.sender.send(message)
+        await self.mailbox.post(message)
 
     def offer(self, message: messages.Arrived) -> bool:
         """Whether there was room in the mailbox for a link that is new."""
-        try:
-            self.sender.send_nowait(message)
-        except anyio.WouldBlock:
-            return False
-        return True
+        return self.mailbox.offer(message)
 
     async def submit(self, message: messages.Arrived) -> None:
         """A link that is new; whoever breaks the waiting off takes it back."""
-        await self.sender.send(message)
+        await self.mailbox.submit(message)
 
     async def run(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -89,9 +86,9 @@
             wake_at = now_us()
             while True:
                 with anyio.move_on_after(seconds_until(wake_at)):
-                    self.hear(await self.messages.receive())
-                while self.messages.statistics().current_buffer_used:
-                    self.hear(self.messages.receive_nowait())
+                    self.hear(await self.mailbox.receive())
+                while (message := self.mailbox.receive_buffered()) is not None:
+                    self.hear(message)
                 wake_at = self.looked()
 
     def hear(self, message: messages.Message) -> None:
@@ -174,22 +171,6 @@
         if self.fellows is not None and upstream in self.upstream_actors:
             self.fellows.saw(self.upstream_actors[upstream].name, good)
 
-    def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
-        """What other nodes say of hosts; dropped where there is no time for it: it is said again."""
-        try:
-            self.sender.send_nowait(messages.Advised(looks, failed))
-        except anyio.WouldBlock:
-            self.counters.add("advice dropped")
-
-    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
-        """What the pacer of a cluster says; whether there is time for it."""
-        try:
-            self.sender.send_nowait(messages.Paced(until, upstream, session, at))
-        except anyio.WouldBlock:
-            self.counters.add("advice dropped")
-            return False
-        return True
-
     def carry_out(self, record: SessionRecord, answer: Answer) -> None:
         # Never waited for: a peer that can't take it has sent nothing, which is an outcome like others.
         while answer.upstream >= 0 and not self.upstream_actors[answer.upstream].order(
--- a/larchlatch/node/client.py
+++ b/larchlatch/node/client.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Iterable
 from contextlib import asynccontextmanager
 from itertools import count
 from typing import NamedTuple
@@ -15,8 +15,8 @@
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us, seconds_until
 from larchlatch.node.descriptor_budget import DescriptorBudget, Quiet
-from larchlatch.node.hot_restart import packets as passing
-from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.hot_restart.packets import SessionHandover
+from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.messages import Arrived, AttemptFinished, Left, Stood
 from larchlatch.node.metrics import Counters
 from larchlatch.node.relay import Ended, Relay, Side
@@ -48,7 +48,7 @@
 
 # Hands a standing link over to another process of this node; False where that went wrong, and the link is
 # still here.
-Successor = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
+SendSession = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
 
 log = structlog.get_logger()
 
@@ -78,7 +78,7 @@
         descriptors: DescriptorBudget,
         counters: Counters,
         ready: anyio.Event,
-        phase: Phase,
+        phase: LifecycleState,
     ) -> None:
         self.balancer_actor = balancer_actor
         self.traffic_classes = {name: place for place, name in enumerate(traffic_classes)}
@@ -95,8 +95,22 @@
         self.connections = 0  # that are open here, whatever they wait for
         self.resting: dict[anyio.CancelScope, None] = {}  # ends the waiting of those without a line
         self.unheard = 0  # connections that have sent no whole line yet
-        self.successor: Successor | None = None  # another process of this node, which goes on with links
-        self.elsewhere: set[str] = set()  # ids of links that the process before this one has in hand
+        self._send_to_successor: SendSession | None = (
+            None  # another process of this node, which goes on with links
+        )
+        self._reserved_ids: set[str] = set()  # ids of links that the process before this one has in hand
+
+    def hand_sessions_to(self, send: SendSession | None) -> None:
+        """Hand the sessions that are to leave to the successor; None: there is none any more."""
+        self._send_to_successor = send
+
+    def reserve_ids(self, session_ids: Iterable[str]) -> None:
+        """Reject new sessions with these ids: the predecessor has sessions of these ids in hand."""
+        self._reserved_ids.update(session_ids)
+
+    def release_ids(self) -> None:
+        """The predecessor has ended: its sessions' ids are free again."""
+        self._reserved_ids.clear()
 
     def heard(self, sock: socket.socket) -> Heard | None:
         """What a connection just accepted has said, where this node is behind; None where it is not."""
@@ -162,7 +176,7 @@
         # In a crowd a line may lie unread for a tenth of a second, and the client's time runs from when it
         # came: counted from the reading, the answer would find that the client has given up.
         now = now_us() - client.waited_us()
-        if line is None and self.phase.ending:
+        if line is None and self.phase.rejects_all:
             # A request that crosses this word has its answer with it: one that only finds the end is lost.
             self.counters.add("resting connection ended")
             await client.send(say.shed_line(BACK_US))
@@ -192,14 +206,16 @@
         if opening.tenant is not None and self.tenants and opening.tenant not in self.tenants:
             return "unknown tenant"
         # Hosts turn a doubled id away with an error: passed on, it would count as the host's failure.
-        if opening.ident in self.idents or opening.ident in self.elsewhere:
+        if opening.ident in self.idents or opening.ident in self._reserved_ids:
             return "id of an open link"
         return None
 
     async def first_line(self, client: Lines) -> bytes | Ending | None:
         """The line that says what the client wants; None where it says nothing in time."""
         began = anyio.current_time()
-        with anyio.CancelScope(deadline=began + (CROSSING_S if self.phase.ending else FIRST_LINE_S)) as scope:
+        with anyio.CancelScope(
+            deadline=began + (CROSSING_S if self.phase.rejects_all else FIRST_LINE_S)
+        ) as scope:
             self.resting[scope] = None
             quiet = Quiet(scope.cancel, began)
 
@@ -219,7 +235,7 @@
                         self.unheard -= 1
                     self.descriptors.heard(quiet, anyio.current_time(), whole=True)
                     await self.ready.wait()
-                    await client.send(say.PONG if self.phase.welcome else say.NO)
+                    await client.send(say.PONG if self.phase.accepts_clients else say.NO)
                     scope.deadline = anyio.current_time() + PINGED_S
                 return line
             finally:
@@ -244,8 +260,8 @@
 
     def dismiss(self) -> None:
         """This node ends: whoever rests here is told so, and who still comes is turned away."""
-        if not self.phase.ending:
-            self.phase.ending = True
+        if not self.phase.rejects_all:
+            self.phase.rejects_all = True
             for scope in list(self.resting):
                 scope.cancel()
 
@@ -257,7 +273,7 @@
         """When a link that came at this time is to have its answer."""
         wait_us = self.wait_us(opening)
         deadline = now + wait_us - lag_us(wait_us)
-        ends_in = self.phase.ends_in(anyio.current_time())
+        ends_in = self.phase.time_left_s(anyio.current_time())
         return deadline if ends_in is None else min(deadline, now_us() + int(ends_in * 1e6))
 
     def record(self, now: int, opening: say.Opening) -> SessionRecord:
@@ -316,7 +332,7 @@
     def begun(self, record: SessionRecord) -> bool:
         """Whether a link is on its way to its answer; False where the module's mailbox is full."""
         at = record.opening.standing_at
-        if at is None and (self.phase.turns_away(anyio.current_time()) or self.phase.ending):
+        if at is None and (self.phase.sheds_new_sessions(anyio.current_time()) or self.phase.rejects_all):
             record.settle(Shed(BACK_US))
         elif at is None:
             return self.balancer_actor.offer(Arrived(record))
@@ -339,15 +355,15 @@
             self.in_hand -= 1
             await self.let_go(record)
 
-    async def resume(self, told: passing.Standing, socks: list[socket.socket]) -> None:
+    async def resume(self, told: SessionHandover, socks: list[socket.socket]) -> None:
         """A standing link that another process of this node hands over: both of its sides go on unbroken."""
         sides: list[Lines] = []
         try:
-            for sock, early in zip(socks, (told.client_early, told.upstream_early), strict=True):
+            for sock, early in zip(socks, (told.client_unread, told.upstream_unread), strict=True):
                 sides.append(Lines(await stream_of(sock)))
                 sides[-1].feed(early)
             client, upstream = sides
-            opening = say.parse_opening(told.line)
+            opening = say.parse_opening(told.request_line)
             number = self.balancer_actor.numbers.get(told.upstream)
             if (
                 isinstance(opening, say.BadLine)
@@ -362,14 +378,14 @@
             record.session.load = told.load
             # Danger: nobody read its host while the link changed hands. Counted from the line, that pause is
             # the host's, and on a busy machine all hosts are quiet to a process that has just begun.
-            record.asked_at = now_us() if told.asked_at else 0
+            record.asked_at = now_us() if told.unanswered_since_us else 0
             verdict = Delivered(upstream, b"", number)
             record.settle(verdict)
             async with self.held(record):
-                self.elsewhere.discard(opening.ident)
+                self._reserved_ids.discard(opening.ident)
                 self.counters.add("link taken over")
                 await self.balancer_actor.post(Stood(record, number))
-                await self.stands(client, record, verdict, Outcome(told.last))
+                await self.stands(client, record, verdict, Outcome(told.outcome_at_end))
         except Exception:
             self.counters.add("connection failed")
             log.exception("a link could not be taken over")
@@ -436,9 +452,8 @@
                 record.pass_on = relay.pass_on
                 ended = await relay.run()
                 if ended.side is Side.SUCCESSOR:
-                    if self.successor is not None and await self.successor(
-                        record, client, upstream, relay.last
-                    ):
+                    send = self._send_to_successor
+                    if send is not None and await send(record, client, upstream, relay.last):
                         self.counters.add("link passed on")
                         return
                     ended = Ended(Side.NODE, Ending.END, Outcome.CANCELLED)
--- a/larchlatch/node/clock.py
+++ b/larchlatch/node/clock.py
@@ -1,16 +1,19 @@
-"""The node's clock: whole microseconds that never run back, near enough Unix time to compare with it."""
+"""The node's clock: whole microseconds that never run back, close to Unix time."""
 
 from __future__ import annotations
 
 import time
 
-# Read once: a wall clock that is set anew while the node runs must not move a time-out.
-BASE_US = (time.time_ns() - time.monotonic_ns()) // 1000
+# Unix time minus the monotonic clock. Read once: a wall clock that is set anew while the node runs must not
+# move a timeout.
+UNIX_OFFSET_US = (time.time_ns() - time.monotonic_ns()) // 1000
 
 
 def now_us() -> int:
-    return BASE_US + time.monotonic_ns() // 1000
+    """Return the microseconds since 1970, counted by the monotonic clock from the start of the process."""
+    return UNIX_OFFSET_US + time.monotonic_ns() // 1000
 
 
 def seconds_until(at_us: int) -> float:
+    """Return the seconds until a time of this clock, and 0.0 where it is past."""
     return max(0.0, (at_us - now_us()) / 1e6)
--- a/larchlatch/node/event_loop_lag.py
+++ b/larchlatch/node/event_loop_lag.py
@@ -1,22 +1,26 @@
-"""How late the loop runs: what waits for it, answers at the door included, waits at least so long."""
+"""Measures how late the event loop runs: all that waits for it waits as long, also answers to clients."""
 
 from __future__ import annotations
 
 import anyio
 
-STEP_S = 0.05  # between two looks
+SAMPLE_INTERVAL_S = 0.05  # short against the 0.15 s that an answer leaves before its deadline
 
 
-class Lag:
+class EventLoopLagMonitor:
+    """Keeps the longest delay of a timer since it was last asked for."""
+
     def __init__(self) -> None:
-        self.most_s = 0.0  # since it was last told
+        self._worst_s = 0.0
 
     async def run(self) -> None:
+        """Compare each timer's due time with the time at which it ran, until cancelled."""
         while True:
-            due = anyio.current_time() + STEP_S
-            await anyio.sleep(STEP_S)
-            self.most_s = max(self.most_s, anyio.current_time() - due)
+            due_at = anyio.current_time() + SAMPLE_INTERVAL_S
+            await anyio.sleep(SAMPLE_INTERVAL_S)
+            self._worst_s = max(self._worst_s, anyio.current_time() - due_at)
 
-    def told_ms(self) -> int:
-        most, self.most_s = self.most_s, 0.0
-        return int(most * 1000)
+    def take_worst_ms(self) -> int:
+        """Return the longest delay since the last call, in whole milliseconds, and begin anew."""
+        worst_s, self._worst_s = self._worst_s, 0.0
+        return int(worst_s * 1000)
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -1,75 +1,101 @@
-"""What two processes of one node say at an upgrade, over a Unix socket: packets with descriptors."""
+"""The packets of a hot restart, and their form on the Unix socket between two processes of one node.
+
+A packet is a JSON object. Processes of different versions read each other's packets, so neither a kind nor a
+key in `FORMS` may change: fields and classes may be renamed, what they are written as may not.
+"""
 
 from __future__ import annotations
 
-import socket
-import struct
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-import anyio
 import orjson
 
 from larchlatch.config.deployment import NUMBER, need
 from larchlatch.config.endpoints import EndpointList, endpoint_list_of, wire_form
 from larchlatch.errors import ProtocolError
-from larchlatch.node.wire.stream import GONE
 
 if TYPE_CHECKING:
-    from anyio.abc import UNIXSocketStream
+    from collections.abc import Callable, Mapping
 
-MAGIC = b"LL"
-VERSION = 1  # of these packets: another one is not understood, and each process goes on alone
-HEAD = struct.Struct("!2sBBI")  # magic, version, descriptors, bytes of the body
-MOST = 16 * 1024 * 1024  # bytes of one body: a list of thousands of hosts
-MOST_FDS = 2
+WHERE = "packet"  # how an error names the place of what is wrong
+LONGEST_KIND_IN_ERROR = 40  # characters
 
 
 class Hello(NamedTuple):
-    """The new process: which node it is."""
+    """The successor says which node it is.
+
+    Attributes:
+        name: of the node.
+        listen: the address for clients, host:port.
+
+    """
 
     name: str
     listen: str
 
 
 class Welcome(NamedTuple):
-    """The old one: what it knows, and beside it the descriptor on which it listens."""
+    """The predecessor's endpoint list; the listening socket's descriptor comes beside it."""
 
-    members: EndpointList
+    endpoints: EndpointList
 
 
 class Serving(NamedTuple):
-    """The new one can serve: from now on it takes what is new."""
+    """The successor can serve: from now on it takes what is new."""
+
+
+class StateHandover(NamedTuple):
+    """The predecessor takes nothing new any more; what its successor has to know.
+
+    Attributes:
+        balancer_state: what the balancer has learned, as `policy.state_export` writes it.
+        session_ids: ids of the sessions that the predecessor has in hand.
+        descriptor_count: descriptors that it holds or may come to hold.
+        draining_for_s: for how long a drain has been on; None where there is none.
+        clock_offset_us: Unix time minus the monotonic clock, as the predecessor read them at its start.
+
+    """
 
+    balancer_state: dict[str, Any]
+    session_ids: list[str]
+    descriptor_count: int
+    draining_for_s: float | None
+    clock_offset_us: int
 
-class Ceded(NamedTuple):
-    """The old one takes nothing new any more."""
 
-    learned: dict[str, Any]
-    idents: list[str]  # ids of links that it has in hand
-    holds: int  # descriptors that it holds or may come to hold
-    drained_s: float | None  # for how long a drain has been on
-    clock_us: int  # what its clock read at the start of the machine's own
+class SessionHandover(NamedTuple):
+    """An established session; its client's and its upstream's connection come beside it, in this order.
 
+    Attributes:
+        request_line: the client's first line.
+        upstream: the upstream's name.
+        load: that the session makes.
+        unanswered_since_us: when a line was sent that has had no answer yet; 0 where none waits.
+        outcome_at_end: the `Outcome` that the end of the upstream's side would mean.
+        client_unread: bytes that were read from the client and not passed on.
+        upstream_unread: bytes that were read from the upstream and not passed on.
 
-class Standing(NamedTuple):
-    """A standing link, with its client's and its host's connection."""
+    """
 
-    line: bytes  # the client's first one
+    request_line: bytes
     upstream: str
     load: float
-    asked_at: int  # when a line was sent that has had no answer yet; 0: none waits
-    last: int  # what the end of its host's side would mean
-    client_early: bytes  # read of either side, and not passed on
-    upstream_early: bytes
+    unanswered_since_us: int
+    outcome_at_end: int
+    client_unread: bytes
+    upstream_unread: bytes
 
 
-Packet = Hello | Welcome | Serving | Ceded | Standing
+Packet = Hello | Welcome | Serving | StateHandover | SessionHandover
 
 
 class Form(NamedTuple):
-    """How a packet is written: its kind, and the key of each field in the fields' order.
+    """How a packet is written.
+
+    Attributes:
+        kind: the value of the key `kind`.
+        keys: the key of each field, in the fields' order.
 
-    Processes of different versions read each other's packets, so none of these names may change.
     """
 
     kind: str
@@ -80,118 +106,95 @@
     Hello: Form("Hello", ("name", "listen")),
     Welcome: Form("Welcome", ("members",)),
     Serving: Form("Serving"),
-    Ceded: Form("Ceded", ("learned", "idents", "holds", "drained_s", "clock_us")),
-    Standing: Form("Standing", ("line", "host", "load", "asked_at", "last", "client_early", "host_early")),
+    StateHandover: Form("Ceded", ("learned", "idents", "holds", "drained_s", "clock_us")),
+    SessionHandover: Form(
+        "Standing", ("line", "host", "load", "asked_at", "last", "client_early", "host_early")
+    ),
 }
 
 
-def encoded(packet: Packet, fds: int) -> bytes:
+def encode_packet(packet: Packet) -> bytes:
+    """Write a packet as JSON; bytes become text of the same code points (Latin-1)."""
     form = FORMS[type(packet)]
     body: dict[str, Any] = {"kind": form.kind}
-    for name, value in zip(form.keys, packet, strict=True):
-        if isinstance(value, bytes):
-            body[name] = value.decode("latin-1")
-        else:
-            body[name] = wire_form(value) if isinstance(value, EndpointList) else value
-    text = orjson.dumps(body)
-    return HEAD.pack(MAGIC, VERSION, fds, len(text)) + text
+    for key, value in zip(form.keys, packet, strict=True):
+        body[key] = _json_value(value)
+    return orjson.dumps(body)
+
 
+def decode_packet(body: bytes) -> Packet:
+    """Read a packet.
 
-def decoded(text: bytes) -> Packet:
+    Raises:
+        ProtocolError: the bytes are no packet of a known kind with all its keys.
+
+    """
     try:
-        raw = orjson.loads(text)
+        raw = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise ProtocolError("packet", f"no JSON ({error})") from None
-    top = "packet"
+        raise ProtocolError(WHERE, f"no JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise ProtocolError(top, "not an object")
-    match need(raw, "kind", str, top):
-        case "Hello":
-            return Hello(need(raw, "name", str, top), need(raw, "listen", str, top))
-        case "Welcome":
-            return Welcome(endpoint_list_of(need(raw, "members", dict, top), f"{top}.members"))
-        case "Serving":
-            return Serving()
-        case "Ceded":
-            drained = raw.get("drained_s")
-            return Ceded(
-                need(raw, "learned", dict, top),
-                [str(ident) for ident in need(raw, "idents", list, top)],
-                need(raw, "holds", int, top),
-                float(drained) if isinstance(drained, NUMBER) else None,
-                need(raw, "clock_us", int, top),
-            )
-        case "Standing":
-            return Standing(
-                bytes_of(raw, "line"),
-                need(raw, "host", str, top),
-                float(need(raw, "load", NUMBER, top)),
-                need(raw, "asked_at", int, top),
-                need(raw, "last", int, top),
-                bytes_of(raw, "client_early"),
-                bytes_of(raw, "host_early"),
-            )
-        case kind:
-            raise ProtocolError(top, f"unknown kind {kind[:40]!r}")
-
-
-def bytes_of(raw: dict[str, Any], item: str) -> bytes:
+        raise ProtocolError(WHERE, "not an object")
+    kind = need(raw, "kind", str, WHERE)
+    reader = READERS.get(kind)
+    if reader is None:
+        raise ProtocolError(WHERE, f"unknown kind {kind[:LONGEST_KIND_IN_ERROR]!r}")
+    return reader(raw)
+
+
+def _json_value(value: Any) -> Any:
+    if isinstance(value, bytes):
+        return value.decode("latin-1")
+    return wire_form(value) if isinstance(value, EndpointList) else value
+
+
+def _hello(raw: dict[str, Any]) -> Hello:
+    return Hello(need(raw, "name", str, WHERE), need(raw, "listen", str, WHERE))
+
+
+def _welcome(raw: dict[str, Any]) -> Welcome:
+    return Welcome(endpoint_list_of(need(raw, "members", dict, WHERE), f"{WHERE}.members"))
+
+
+def _serving(_raw: dict[str, Any]) -> Serving:
+    return Serving()
+
+
+def _state_handover(raw: dict[str, Any]) -> StateHandover:
+    draining_for_s = raw.get("drained_s")
+    return StateHandover(
+        balancer_state=need(raw, "learned", dict, WHERE),
+        session_ids=[str(session_id) for session_id in need(raw, "idents", list, WHERE)],
+        descriptor_count=need(raw, "holds", int, WHERE),
+        draining_for_s=float(draining_for_s) if isinstance(draining_for_s, NUMBER) else None,
+        clock_offset_us=need(raw, "clock_us", int, WHERE),
+    )
+
+
+def _session_handover(raw: dict[str, Any]) -> SessionHandover:
+    return SessionHandover(
+        request_line=_bytes(raw, "line"),
+        upstream=need(raw, "host", str, WHERE),
+        load=float(need(raw, "load", NUMBER, WHERE)),
+        unanswered_since_us=need(raw, "asked_at", int, WHERE),
+        outcome_at_end=need(raw, "last", int, WHERE),
+        client_unread=_bytes(raw, "client_early"),
+        upstream_unread=_bytes(raw, "host_early"),
+    )
+
+
+READERS: Mapping[str, Callable[[dict[str, Any]], Packet]] = {
+    FORMS[Hello].kind: _hello,
+    FORMS[Welcome].kind: _welcome,
+    FORMS[Serving].kind: _serving,
+    FORMS[StateHandover].kind: _state_handover,
+    FORMS[SessionHandover].kind: _session_handover,
+}
+
+
+def _bytes(raw: dict[str, Any], key: str) -> bytes:
+    text: str = need(raw, key, str, WHERE)
     try:
-        return bytes(need(raw, item, str, "packet").encode("latin-1"))
+        return text.encode("latin-1")
     except UnicodeEncodeError:
-        raise ProtocolError("packet", f"{item} holds no bytes") from None
-
-
-class Channel:
-    """One side of the conversation; that it has broken off is an answer, not an exception."""
-
-    def __init__(self, stream: UNIXSocketStream) -> None:
-        self.stream = stream
-        self.sending = anyio.Lock()
-
-    async def send(self, packet: Packet, fds: list[int] | None = None) -> bool:
-        """Whether it was written; the descriptors stay open here."""
-        data = encoded(packet, len(fds or ()))
-        # Whole or not at all: half a packet would make all that follow unreadable.
-        async with self.sending:
-            with anyio.CancelScope(shield=True):
-                try:
-                    if fds:
-                        await self.stream.send_fds(data[: HEAD.size], fds)
-                        await self.stream.send(data[HEAD.size :])
-                    else:
-                        await self.stream.send(data)
-                except GONE:
-                    return False
-        return True
-
-    async def receive(self) -> tuple[Packet, list[socket.socket]] | None:
-        """The next packet and the sockets beside it; None when the other side has ended or broken off."""
-        fds: list[int] = []
-        try:
-            head = b""
-            while len(head) < HEAD.size:
-                some, came = await self.stream.receive_fds(HEAD.size - len(head), MOST_FDS)
-                head += some
-                fds += came
-            magic, version, count, length = HEAD.unpack(head)
-            if magic != MAGIC or version != VERSION or length > MOST:
-                raise ProtocolError("packet", f"not of version {VERSION}")
-            text = bytearray()
-            while len(text) < length:
-                text += await self.stream.receive(min(65536, length - len(text)))
-            packet = decoded(bytes(text))
-            if count != len(fds):
-                raise ProtocolError("packet", f"{len(fds)} descriptors, not {count}")
-        except (anyio.EndOfStream, *GONE):
-            for fd in fds:
-                socket.close(fd)
-            return None
-        except BaseException:
-            for fd in fds:
-                socket.close(fd)
-            raise
-        return packet, [socket.socket(fileno=fd) for fd in fds]
-
-    async def close(self) -> None:
-        await self.stream.aclose()
+        raise ProtocolError(WHERE, f"{key} holds no bytes") from None
--- /dev/null
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -0,0 +1,220 @@
+"""The side of the process that serves now: it waits for a successor and hands over what it has."""
+
+from __future__ import annotations
+
+import os
+from contextlib import asynccontextmanager
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+import structlog
+from anyio.abc import UNIXSocketStream
+
+from larchlatch.node.clock import UNIX_OFFSET_US
+from larchlatch.node.descriptor_budget import RESERVE
+from larchlatch.node.hot_restart.channel import Channel
+from larchlatch.node.hot_restart.packets import Serving, SessionHandover, StateHandover, Welcome
+from larchlatch.node.hot_restart.rendezvous import ANSWER_S, hello_of, is_same_user, receive_within
+from larchlatch.node.wire import lines as request_lines
+
+if TYPE_CHECKING:
+    import socket
+    from collections.abc import AsyncIterator
+
+    from larchlatch.config.node import Plan
+    from larchlatch.node.balancer_actor import BalancerActor
+    from larchlatch.node.client import Door
+    from larchlatch.node.client_listener import ClientListener
+    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.hot_restart.rendezvous import Rendezvous
+    from larchlatch.node.lifecycle_state import LifecycleState
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.session_record import SessionRecord
+    from larchlatch.node.wire.stream import Lines
+    from larchlatch.policy.types import Outcome
+
+START_S = 30.0  # for a successor until it serves: descriptors lent to it come back then
+
+STATE_HANDED_OVER = "hot_restart_state_handed_over"
+SUCCESSOR_LOST = "hot_restart_successor_lost"
+
+log = structlog.get_logger()
+
+
+class DetachedConnection(NamedTuple):
+    """A connection that this process has let go of, to be handed over or taken back.
+
+    Attributes:
+        lines: the connection's lines, without a transport now.
+        descriptor: a copy of its descriptor, which is to be closed.
+        unread: bytes that were read and not passed on.
+
+    """
+
+    lines: Lines
+    descriptor: int
+    unread: bytes
+
+
+class Predecessor:
+    """Waits for successors, one at a time, and hands listener, state and sessions over.
+
+    A successor that fails costs nothing: this process then serves on as before.
+    """
+
+    def __init__(
+        self,
+        configuration: Plan,
+        rendezvous: Rendezvous,
+        lifecycle: LifecycleState,
+        balancer_actor: BalancerActor,
+        connections: Door,
+        client_listener: ClientListener,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+    ) -> None:
+        self._configuration = configuration
+        self._rendezvous = rendezvous
+        self._lifecycle = lifecycle
+        self._balancer_actor = balancer_actor
+        self._connections = connections
+        self._client_listener = client_listener
+        self._descriptors = descriptors
+        self._counters = counters
+
+    async def run(self) -> None:
+        """Wait for a successor again and again, until cancelled or no socket can be had."""
+        while (listening := self._rendezvous.listen()) is not None:
+            sock = await _accept_one(listening)
+            if not is_same_user(sock):
+                sock.close()
+                continue
+            channel = Channel(await UNIXSocketStream.from_socket(sock))
+            # The successor needs descriptors to start with, though it has taken nothing yet.
+            self._descriptors.lend(RESERVE)
+            try:
+                await self._serve_successor(channel)
+            finally:
+                self._descriptors.lend(-RESERVE)
+                await channel.close()
+            self._counters.add(SUCCESSOR_LOST)
+            log.warning("hot_restart_successor_lost")
+
+    async def _serve_successor(self, channel: Channel) -> None:
+        """Hand over what the successor asks for; return when it has ended, and this process goes on."""
+        received = await receive_within(channel, ANSWER_S)
+        if received is None or received.packet != hello_of(self._configuration):
+            return
+        log.info("hot_restart_successor_starting")
+        welcome = Welcome(self._balancer_actor.members())
+        if not await channel.send(welcome, [self._client_listener.fileno()]):
+            return
+        received = await receive_within(channel, START_S)
+        if received is None or not isinstance(received.packet, Serving):
+            return
+        async with self._successor_serving(channel) as state:
+            if await channel.send(state):
+                await channel.receive()  # nothing more is said: it ends
+
+    @asynccontextmanager
+    async def _successor_serving(self, channel: Channel) -> AsyncIterator[StateHandover]:
+        """Take nothing new for as long as this lasts, and give the state that the successor goes on from."""
+        self._lifecycle.successor_serves = True
+        self._client_listener.pause()
+        self._connections.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
+        # One descriptor more for each session that may yet need its upstream; all others are the successor's.
+        reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
+        lent = self._descriptors.free - reserved
+        self._descriptors.lend(lent)
+        state = self._state_for_successor(reserved)
+        self._counters.add(STATE_HANDED_OVER)
+        log.info("hot_restart_successor_serving", sessions=len(self._connections.standing))
+        try:
+            yield state
+        finally:
+            self._connections.hand_sessions_to(None)
+            self._lifecycle.successor_serves = False
+            self._balancer_actor.cede(False)
+            self._descriptors.lend(-lent)
+            self._client_listener.open()
+
+    def _sessions_without_upstream(self) -> int:
+        connections = self._connections
+        return connections.in_hand - len(connections.standing) + connections.unheard
+
+    def _state_for_successor(self, reserved_descriptors: int) -> StateHandover:
+        draining_since = self._lifecycle.drain_started_at
+        return StateHandover(
+            balancer_state=self._balancer_actor.cede(True),
+            session_ids=list(self._connections.idents),
+            descriptor_count=RESERVE + self._descriptors.held + reserved_descriptors,
+            draining_for_s=None if draining_since is None else anyio.current_time() - draining_since,
+            clock_offset_us=UNIX_OFFSET_US,
+        )
+
+
+class SessionSender:
+    """Hands established sessions to the successor, with both of their connections."""
+
+    def __init__(self, channel: Channel, balancer_actor: BalancerActor) -> None:
+        self._channel = channel
+        self._balancer_actor = balancer_actor
+        self._one_at_a_time = anyio.Lock()
+
+    async def send(self, record: SessionRecord, client: Lines, upstream: Lines, last: Outcome) -> bool:
+        """Hand a session over; `last` is what the end of its upstream's side would mean.
+
+        Returns:
+            Whether the successor has it; else it is still here, with both connections as they were.
+
+        """
+        # Each has four descriptors here until it is gone, with both processes at their limit.
+        async with self._one_at_a_time:
+            detached: list[DetachedConnection] = []
+            try:
+                if _detach(client, detached) and _detach(upstream, detached):
+                    packet = self._packet(record, last, *detached)
+                    if await self._channel.send(packet, [side.descriptor for side in detached]):
+                        return True
+                # It stays here, to be migrated: neither side is to notice but by that.
+                for side in detached:
+                    await side.lines.take_back(os.dup(side.descriptor), side.unread)
+                return False
+            finally:
+                for side in detached:
+                    os.close(side.descriptor)
+
+    def _packet(
+        self,
+        record: SessionRecord,
+        last: Outcome,
+        client: DetachedConnection,
+        upstream: DetachedConnection,
+    ) -> SessionHandover:
+        return SessionHandover(
+            request_line=request_lines.first_line(record.opening),
+            upstream=self._balancer_actor.upstream_actors[record.session.upstream].name,
+            load=record.session.load,
+            unanswered_since_us=record.asked_at,
+            outcome_at_end=int(last),
+            client_unread=client.unread,
+            upstream_unread=upstream.unread,
+        )
+
+
+async def _accept_one(listening: socket.socket) -> socket.socket:
+    """Accept one connection, then close the listening socket."""
+    with listening:
+        await anyio.wait_readable(listening)
+        sock, _ = listening.accept()
+    sock.setblocking(False)
+    return sock
+
+
+def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
+    """Take a connection from its transport; False where something waits to be sent, or it has ended."""
+    released = lines.hand_out()
+    if released is None:
+        return False
+    detached.append(DetachedConnection(lines, *released))
+    return True
--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -1,93 +1,123 @@
-"""Whether the node serves, drains or stops, and how fast its links leave: no I/O, in seconds handed in."""
+"""Whether the node is ready, draining or stopping, and how fast its sessions leave: without I/O.
+
+All times are seconds of the event loop's clock, and are passed in.
+"""
 
 from __future__ import annotations
 
-DRAIN_S = 4.0  # after so long no client's connection may be held that was not sent away
-CLOSE_S = 1.0  # a client that does not read takes so long to be rid of, a loop that lags included
-PASS_S = 1.5  # standing links are handed to the next process within this: each costs both some work
-STILL_S = 1.0  # a front still sends new links for a moment after the drain has begun; later ones are shed
+DRAIN_S = 4.0  # after so long no client's connection may be held that was not told to move
+DISCONNECT_S = 1.0  # part of DRAIN_S for a client that does not read, an event loop that lags included
+HANDOVER_S = 1.5  # established sessions are handed to the successor within this: each costs both some work
+NEW_SESSIONS_GRACE_S = (
+    1.0  # a front sends new sessions for a moment after the drain began; later ones are shed
+)
+
+
+class LifecycleState:
+    """The one state that PING, the admin API, graceful shutdown and a hot restart ask and change.
 
+    It alone sets the rate at which established sessions leave, for a drain and a stop alike: with two rates
+    at once sessions would be migrated twice as fast, and neither would know of the other's end.
 
-class Phase:
-    """Asked by PING, by the operators' door, by the stop and by an upgrade."""
+    Attributes:
+        stop_duration_s: all sessions are to have left so long after the stop began.
+        sessions_outlive_node: packets pass through, so an established session need not leave.
+        ready: the node can serve.
+        drain_started_at: when the drain that is on began; None where there is none.
+        stop_started_at: when the stop began; None before it.
+        rejects_all: the end is near: each client that still comes is rejected at once.
+        successor_serves: another process of this node takes what is new.
 
-    def __init__(self, stop_s: float, passes_through: bool) -> None:
-        self.stop_s = stop_s  # all links are to have left so long after the stop began
-        self.passes_through = passes_through  # a standing link outlives this node: it need not leave
+    """
+
+    def __init__(self, stop_duration_s: float, *, sessions_outlive_node: bool) -> None:
+        self.stop_duration_s = stop_duration_s
+        self.sessions_outlive_node = sessions_outlive_node
         self.ready = False
-        self.drained_at: float | None = None  # when the drain began that is on
-        self.stopped_at: float | None = None
-        self.ending = False  # nothing more is taken: whoever comes is turned away at once
-        self.ceded = False  # another process of this node takes what is new
-        self.looked_at = 0.0  # when links were last asked to leave
-        self.share = 0.0  # the part of a link that is due by now
+        self.drain_started_at: float | None = None
+        self.stop_started_at: float | None = None
+        self.rejects_all = False
+        self.successor_serves = False
+        self._last_released_at = 0.0  # when sessions were last asked to leave
+        self._fraction_due = 0.0  # the part of one session that is due by now
 
     @property
     def draining(self) -> bool:
-        return self.drained_at is not None
+        """Whether a drain is on."""
+        return self.drain_started_at is not None
+
+    @property
+    def stopping(self) -> bool:
+        """Whether the stop has begun."""
+        return self.stop_started_at is not None
 
     @property
-    def welcome(self) -> bool:
-        """Whether clients may be sent here."""
+    def accepts_clients(self) -> bool:
+        """Whether a front may send clients here: the answer to PING."""
         return self.ready and not self.draining
 
     @property
-    def leaving(self) -> bool:
-        return self.draining or self.stopped_at is not None
+    def releasing_sessions(self) -> bool:
+        """Whether established sessions are to leave."""
+        return self.draining or self.stopping
 
     @property
-    def hands_over(self) -> bool:
-        """Whether links that leave go to another process of this node, which goes on with them."""
-        return self.ceded and self.stopped_at is not None
+    def hands_over_sessions(self) -> bool:
+        """Whether the sessions that leave go to the successor, which goes on with them."""
+        return self.successor_serves and self.stopping
 
-    def drain(self, now: float) -> None:
-        """Send clients away; told twice, the first time counts: the links' time runs from there."""
-        if self.drained_at is None:
-            self.begin(now)
-            self.drained_at = now
+    def start_drain(self, now: float) -> None:
+        """Begin a drain; of several calls the first counts, as the sessions' time runs from there."""
+        if self.drain_started_at is None:
+            self._begin_release(now)
+            self.drain_started_at = now
 
     def end_drain(self) -> None:
-        self.drained_at = None
-
-    def stop(self, now: float) -> None:
-        if self.stopped_at is None:
-            self.begin(now)
-            self.stopped_at = now
-
-    def begin(self, now: float) -> None:
-        if not self.leaving:
-            self.looked_at, self.share = now, 0.0
-
-    def ends_in(self, now: float) -> float | None:
-        """How long until all that is in hand is to be over; None where no end is in sight."""
-        return None if self.stopped_at is None else self.stopped_at + self.stop_s - now
-
-    def turns_away(self, now: float) -> bool:
-        """Whether a new link is shed: it would have to leave at once."""
-        return self.drained_at is not None and now >= self.drained_at + STILL_S
-
-    def gone_at(self) -> float | None:
-        """When the last link is to have left; None where none has to."""
-        ends = []
-        if self.drained_at is not None:
-            ends.append(self.drained_at + DRAIN_S - CLOSE_S)
-        if self.stopped_at is not None:
-            ends.append(self.stopped_at + self.stop_s)
-        if self.hands_over and self.stopped_at is not None:  # a drain goes on over there
-            return min([*ends, self.stopped_at + PASS_S])
-        return min(ends) if ends and not self.passes_through else None
-
-    def leave(self, now: float, standing: int) -> int:
-        """How many of the links that stand are to leave now."""
-        end = self.gone_at()
-        if end is None:
+        """Take clients again."""
+        self.drain_started_at = None
+
+    def start_stop(self, now: float) -> None:
+        """Begin the stop; only the first call counts."""
+        if self.stop_started_at is None:
+            self._begin_release(now)
+            self.stop_started_at = now
+
+    def time_left_s(self, now: float) -> float | None:
+        """Return for how long sessions may still be in hand; None where no end is in sight."""
+        return None if self.stop_started_at is None else self.stop_started_at + self.stop_duration_s - now
+
+    def sheds_new_sessions(self, now: float) -> bool:
+        """Return whether a new session is shed: it would have to leave at once."""
+        return self.drain_started_at is not None and now >= self.drain_started_at + NEW_SESSIONS_GRACE_S
+
+    def release_deadline(self) -> float | None:
+        """Return when the last session is to have left; None where none has to."""
+        deadlines = []
+        if self.drain_started_at is not None:
+            deadlines.append(self.drain_started_at + DRAIN_S - DISCONNECT_S)
+        if self.stop_started_at is not None:
+            deadlines.append(self.stop_started_at + self.stop_duration_s)
+        if (
+            self.hands_over_sessions and self.stop_started_at is not None
+        ):  # the successor goes on with a drain
+            return min([*deadlines, self.stop_started_at + HANDOVER_S])
+        return min(deadlines) if deadlines and not self.sessions_outlive_node else None
+
+    def release_sessions(self, now: float, established_count: int) -> int:
+        """Return how many of the established sessions are to leave now."""
+        deadline = self.release_deadline()
+        if deadline is None:
             return 0
         # All at once they would come back as one crowd at the other nodes: spread evenly, by the time that
-        # has really passed, or a loop that lags would hold them all until the end.
-        passed, self.looked_at = now - self.looked_at, now
-        if now >= end:
-            return standing
-        self.share += standing * passed / (passed + end - now)
-        whole = int(self.share)
-        self.share -= whole
-        return min(whole, standing)
+        # has really passed, or an event loop that lags would hold them all until the end.
+        elapsed_s, self._last_released_at = now - self._last_released_at, now
+        if now >= deadline:
+            return established_count
+        self._fraction_due += established_count * elapsed_s / (elapsed_s + deadline - now)
+        due_count = int(self._fraction_due)
+        self._fraction_due -= due_count
+        return min(due_count, established_count)
+
+    def _begin_release(self, now: float) -> None:
+        if not self.releasing_sessions:
+            self._last_released_at, self._fraction_due = now, 0.0
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -1,217 +1,316 @@
-"""A node's life: start, serve, stop."""
+"""Composes a node from its parts, starts them in order, and runs them until it is told to stop."""
 
 from __future__ import annotations
 
 import random
-import signal
+from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import anyio
 import structlog
 from anyio import TASK_STATUS_IGNORED
 
-from larchlatch.node.admin_api import BACKLOG as DOOR_BACKLOG
+from larchlatch.node.admin_api import BACKLOG as ADMIN_BACKLOG
 from larchlatch.node.admin_api import AdminApi
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.client import Door
+from larchlatch.node.client_listener import ClientListener
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
-from larchlatch.node.event_loop_lag import Lag
-from larchlatch.node.hot_restart.handover import Giving, Meeting, Taking
-from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.event_loop_lag import EventLoopLagMonitor
+from larchlatch.node.hot_restart.predecessor import Predecessor
+from larchlatch.node.hot_restart.rendezvous import Rendezvous
+from larchlatch.node.hot_restart.successor import Successor
+from larchlatch.node.lifecycle_state import LifecycleState
+from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.messages import ListTold
 from larchlatch.node.metrics import Counters
-from larchlatch.node.reload import reread
-from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
-from larchlatch.node.wire.listen import Listener, NoAccept
+from larchlatch.node.shutdown import STOP_GRACE_S, STOP_MARGIN_S, GracefulShutdown, SessionDrainer
+from larchlatch.node.signal_handler import SIGNALS, SignalHandler
+from larchlatch.node.wire.listen import Listener
 
 if TYPE_CHECKING:
     from pathlib import Path
 
     from anyio.abc import TaskGroup, TaskStatus
 
+    from larchlatch.config.endpoints import EndpointList
     from larchlatch.config.node import Plan
-    from larchlatch.node.ports import Join
+    from larchlatch.node.ports import Company, Join
 
-BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
-FIRST_LIST_S = 1.0  # a node waits so long for the present list before it serves with the one it had
-PAUSE_S = 0.02  # between two looks for room when descriptors have run out
-
-# Each has its handler before the first link is taken: by default a process ends at them, its links with it.
-SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+CLIENT_BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
+FIRST_LIST_WAIT_S = 1.0  # a node waits so long for the present list before it serves with the one it had
+CLUSTER_SEED_BITS = 64
 
 log = structlog.get_logger()
 
 
-class Entrance:
-    """Takes in clients while its gate is open."""
-
-    def __init__(
-        self, listener: Listener, door: Door, descriptors: DescriptorBudget, tasks: TaskGroup
-    ) -> None:
-        self.listener = listener
-        self.door = door
-        self.descriptors = descriptors
-        self.tasks = tasks
-        self.wide = anyio.Event()
-        self.scope = anyio.CancelScope()
-        self.idle = anyio.Event()  # nothing is being accepted
-        self.idle.set()
-
-    def gate(self, wide: bool) -> None:
-        if wide:
-            self.wide.set()
-        else:
-            self.wide = anyio.Event()
-            self.scope.cancel()
-
-    async def run(self) -> None:
-        while True:
-            await self.wide.wait()
-            self.idle = anyio.Event()
-            with anyio.CancelScope() as self.scope:
-                await self.accept()
-            self.idle.set()
-
-    async def shut(self) -> None:
-        """Take what the system has accepted for this node, and no more: whoever comes later is refused."""
-        self.gate(False)
-        # Danger: closed while the loop still waits on it, it would go on accepting, for nobody.
-        await self.idle.wait()
-        while (sock := self.listener.accept_now()) is not None:
-            self.descriptors.lend(1)  # the door gives it back; short or not, it can be answered now or never
-            self.tasks.start_soon(self.door.serve, sock)
-        self.listener.sock.close()
-
-    async def accept(self) -> None:
-        while True:
-            if not self.descriptors.take(anyio.current_time()):
-                # Out of descriptors: who comes now waits in the backlog, which costs nothing.
-                self.door.counters.add("accepting paused")
-                while not self.descriptors.take(anyio.current_time()):
-                    await anyio.sleep(PAUSE_S)
-            sock = None
-            try:
-                sock = await self.listener.accept()
-            except NoAccept:
-                self.door.counters.add("accept failed")
-            finally:
-                if sock is None:
-                    self.descriptors.give()
-            if sock is None:
-                await anyio.sleep(PAUSE_S)
-                continue
-            heard = self.door.heard(sock)
-            if heard is not None and self.door.turned_away(sock, heard):
-                self.tasks.start_soon(self.door.seen_off, sock)
-            else:
-                self.tasks.start_soon(self.door.serve, sock, heard)
-            await anyio.lowlevel.checkpoint()  # a crowd that waits must not keep those from work who are in
-
-
-async def node(
-    plan: Plan, path: Path, join: Join | None = None, *, task_status: TaskStatus[int] = TASK_STATUS_IGNORED
+@dataclass(frozen=True, slots=True)
+class NodeComponents:
+    """The parts of a node that live as long as it does.
+
+    Attributes:
+        counters: what the node has done, by kind.
+        lag_monitor: how late the event loop runs.
+        descriptors: the file descriptors that the node may hold.
+        lifecycle: ready, draining, stopping.
+        ready: set once the node can serve.
+        discovery: follows the endpoint list.
+        cluster: the other nodes; None where this one knows of none.
+        balancer_actor: places sessions.
+        connections: the clients' connections.
+        drainer: makes established sessions leave.
+
+    """
+
+    counters: Counters
+    lag_monitor: EventLoopLagMonitor
+    descriptors: DescriptorBudget
+    lifecycle: LifecycleState
+    ready: anyio.Event
+    discovery: DiscoveryClient
+    cluster: Company | None
+    balancer_actor: BalancerActor
+    connections: Door
+    drainer: SessionDrainer
+
+    def figures(self) -> dict[str, int]:
+        """Return all counters, and the worst lag since the last call."""
+        return {**self.counters.told(), "lag_ms": self.lag_monitor.take_worst_ms()}
+
+
+async def run_node(
+    configuration: Plan,
+    path: Path,
+    join: Join | None = None,
+    *,
+    task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve by this plan, read from that file, until told to stop; says on which port once it can."""
+    """Serve until told to stop.
+
+    Args:
+        configuration: the node's own.
+        path: the file that it was read from, which SIGHUP has read again.
+        join: how the node joins its cluster; None without one.
+        task_status: started with the port for clients once the node can serve.
+
+    """
+    with anyio.open_signal_receiver(*SIGNALS) as signals:
+        async with anyio.create_task_group() as tasks:
+            # Before all else: operators are answered from the start, if only that it can't serve yet.
+            admin_listener = bind_admin_listener(configuration)
+            components = build_components(configuration, join, tasks)
+            start_admin_api(admin_listener, components, tasks)
+            rendezvous = Rendezvous.for_node(configuration)
+            successor = await connect_predecessor(configuration, rendezvous, components.counters)
+            start_balancing(newest_endpoint_list(configuration.known, successor), components, tasks)
+            listener = listener_for_clients(configuration, successor)
+            client_listener = ClientListener(listener, components.connections, components.descriptors, tasks)
+            tasks.start_soon(client_listener.run)
+            await open_to_clients(client_listener, successor, components, tasks)
+            if rendezvous is not None:
+                start_predecessor(configuration, rendezvous, client_listener, components, tasks)
+            announce_ready(configuration, listener, components)
+            task_status.started(listener.address[1])
+            shutdown = build_shutdown(client_listener, components, tasks)
+            await SignalHandler(configuration, path, components, shutdown, tasks).run(signals)
+    log.info("stopped", **components.figures())
+
+
+def bind_admin_listener(configuration: Plan) -> Listener | None:
+    """Listen at the admin API's address; None where the configuration names none."""
+    if configuration.control is None:
+        return None
+    listener = Listener.bound(configuration.control, ADMIN_BACKLOG)
+    log.info("admin_api_listening", listen=listener.address)
+    return listener
+
+
+def build_components(configuration: Plan, join: Join | None, tasks: TaskGroup) -> NodeComponents:
+    """Make the parts, each from those that it needs; nothing runs yet.
+
+    The balancer actor calls discovery and cluster, and both send to it: they get its mailbox, made first.
+    """
     counters = Counters()
-    descriptors = DescriptorBudget(plan.sockets)
-    chance = random.Random(plan.seed)
+    descriptors = DescriptorBudget(configuration.sockets)
+    # Shared by balancer and discovery client: their draws come in the order of events.
+    chance = random.Random(configuration.seed)
+    mailbox = Mailbox(counters)
+    discovery = build_discovery_client(configuration, chance, mailbox, counters)
+    cluster = join_cluster(join, counters, chance, mailbox)
     balancer_actor = BalancerActor(
-        plan.settings, plan.zones, plan.traffic_classes, chance, plan.reach, descriptors, counters
-    )
-    discovery = DiscoveryClient(
-        plan.discovery, plan.known.revision, plan.pushed, counters, balancer_actor.post, chance.uniform
+        configuration.settings,
+        configuration.zones,
+        configuration.traffic_classes,
+        chance,
+        configuration.reach,
+        descriptors,
+        counters,
+        mailbox,
+        discovery,
+        cluster,
     )
-    balancer_actor.discovery = discovery
-    lag = Lag()
+    lifecycle = build_lifecycle_state(configuration)
     ready = anyio.Event()
-    phase = Phase(plan.longest_wait_us / 1e6 + GRANTED_S - SPARE_S, plan.passes_through)
-    door = Door(
+    connections = Door(
         balancer_actor,
-        plan.traffic_classes,
-        plan.tenants,
-        plan.longest_wait_us,
+        configuration.traffic_classes,
+        configuration.tenants,
+        configuration.longest_wait_us,
         descriptors,
         counters,
         ready,
-        phase,
+        lifecycle,
+    )
+    return NodeComponents(
+        counters=counters,
+        lag_monitor=EventLoopLagMonitor(),
+        descriptors=descriptors,
+        lifecycle=lifecycle,
+        ready=ready,
+        discovery=discovery,
+        cluster=cluster,
+        balancer_actor=balancer_actor,
+        connections=connections,
+        drainer=SessionDrainer(lifecycle, connections, counters, tasks),
+    )
+
+
+def build_discovery_client(
+    configuration: Plan, chance: random.Random, mailbox: Mailbox, counters: Counters
+) -> DiscoveryClient:
+    """Make the client that follows the endpoint list from the configuration's revision on."""
+    return DiscoveryClient(
+        configuration.discovery,
+        configuration.known.revision,
+        configuration.pushed,
+        counters,
+        mailbox.post,
+        chance.uniform,
+    )
+
+
+def build_lifecycle_state(configuration: Plan) -> LifecycleState:
+    """Make the state, with the time that a stop may take."""
+    longest_wait_s = configuration.longest_wait_us / 1e6
+    return LifecycleState(
+        longest_wait_s + STOP_GRACE_S - STOP_MARGIN_S,
+        sessions_outlive_node=configuration.passes_through,
+    )
+
+
+def join_cluster(
+    join: Join | None, counters: Counters, chance: random.Random, mailbox: Mailbox
+) -> Company | None:
+    """Make this node's side of its cluster; the cluster draws from a stream of its own."""
+    if join is None:
+        return None
+    return join(counters, random.Random(chance.getrandbits(CLUSTER_SEED_BITS)), mailbox)
+
+
+def start_admin_api(listener: Listener | None, components: NodeComponents, tasks: TaskGroup) -> None:
+    """Answer operators, watch the event loop, and talk with the cluster."""
+    if listener is not None:
+        admin_api = AdminApi(components.lifecycle, components.drainer.start, components.counters)
+        tasks.start_soon(admin_api.run, listener)
+    tasks.start_soon(components.lag_monitor.run)
+    if components.cluster is not None:
+        tasks.start_soon(components.cluster.run)
+
+
+async def connect_predecessor(
+    configuration: Plan, rendezvous: Rendezvous | None, counters: Counters
+) -> Successor | None:
+    """Reach the process of this node that serves now; None where there is none to follow."""
+    if rendezvous is None:
+        return None
+    return await Successor.connect(configuration, rendezvous, counters)
+
+
+def newest_endpoint_list(known: EndpointList, successor: Successor | None) -> EndpointList:
+    """Return the configuration's list, or the predecessor's where that is as new."""
+    if successor is not None and successor.endpoints.revision >= known.revision:
+        return successor.endpoints
+    return known
+
+
+def start_balancing(endpoints: EndpointList, components: NodeComponents, tasks: TaskGroup) -> None:
+    """Start balancer and discovery client with a list held before, by which sessions can be placed."""
+    components.discovery.revision = endpoints.revision
+    components.balancer_actor.heard(now_us(), ListTold(endpoints, asked=False))
+    tasks.start_soon(components.balancer_actor.run)
+    tasks.start_soon(components.discovery.run)
+
+
+def listener_for_clients(configuration: Plan, successor: Successor | None) -> Listener:
+    """Return the predecessor's listener, or a new one, which a process of this node may share."""
+    if successor is not None:
+        return successor.listener
+    return Listener.bound(configuration.listen, CLIENT_BACKLOG, shared=configuration.control is not None)
+
+
+async def open_to_clients(
+    client_listener: ClientListener,
+    successor: Successor | None,
+    components: NodeComponents,
+    tasks: TaskGroup,
+) -> None:
+    """Accept clients, once the predecessor does no more, and wait a moment for the present list."""
+    if successor is None:
+        client_listener.open()
+    with anyio.move_on_after(FIRST_LIST_WAIT_S):
+        await components.discovery.fresh.wait()
+    if successor is None:
+        return
+    # The predecessor has gone on taking what is new up to now, with an event loop that is warm.
+    await successor.take_over_state(
+        components.descriptors, components.lifecycle, components.balancer_actor, components.connections
+    )
+    tasks.start_soon(successor.run, components.connections, tasks)
+    client_listener.open()
+    if components.lifecycle.draining:
+        components.drainer.start()
+
+
+def start_predecessor(
+    configuration: Plan,
+    rendezvous: Rendezvous,
+    client_listener: ClientListener,
+    components: NodeComponents,
+    tasks: TaskGroup,
+) -> None:
+    """Wait for a process of this node that is to follow this one."""
+    predecessor = Predecessor(
+        configuration,
+        rendezvous,
+        components.lifecycle,
+        components.balancer_actor,
+        components.connections,
+        client_listener,
+        components.descriptors,
+        components.counters,
+    )
+    tasks.start_soon(predecessor.run)
+
+
+def build_shutdown(
+    client_listener: ClientListener, components: NodeComponents, tasks: TaskGroup
+) -> GracefulShutdown:
+    """Make what ends the node."""
+    return GracefulShutdown(
+        components.lifecycle, components.connections, components.drainer, client_listener, tasks
+    )
+
+
+def announce_ready(configuration: Plan, listener: Listener, components: NodeComponents) -> None:
+    """Tell operators, waiting clients and the log that the node serves."""
+    components.lifecycle.ready = True
+    components.ready.set()
+    log.info(
+        "serving",
+        node=configuration.name,
+        listen=listener.address,
+        upstreams=len(components.balancer_actor.upstream_actors),
+        passes_through=configuration.passes_through,
     )
-    with anyio.open_signal_receiver(*SIGNALS) as signals:
-        async with anyio.create_task_group() as tasks:
-            leaving = Leaving(phase, door, counters, tasks)
-            if plan.control is not None:
-                # Before all else: operators are answered from the start, if only that it can't serve yet.
-                operators = Listener.bound(plan.control, DOOR_BACKLOG)
-                log.info("operators' door", listen=operators.address)
-                tasks.start_soon(AdminApi(phase, leaving.drain, counters).run, operators)
-            tasks.start_soon(lag.run)
-            company = None
-            if join is not None:
-                company = join(counters, random.Random(chance.getrandbits(64)), balancer_actor)
-                balancer_actor.fellows = company
-                tasks.start_soon(company.run)
-            meeting = Meeting.of(plan)
-            taking = None if meeting is None else await Taking.reached(plan, meeting, counters)
-            # The list held from before comes first: old as it may be, links can be placed by it at once.
-            held = plan.known
-            if taking is not None and taking.members.revision >= held.revision:
-                held = taking.members
-            discovery.revision = held.revision
-            balancer_actor.heard(now_us(), ListTold(held, asked=False))
-            tasks.start_soon(balancer_actor.run)
-            tasks.start_soon(discovery.run)
-            if taking is not None:
-                listener = taking.listener
-            else:
-                listener = Listener.bound(plan.listen, BACKLOG, shared=plan.control is not None)
-            entrance = Entrance(listener, door, descriptors, tasks)
-            leaving.shut = entrance.shut
-            tasks.start_soon(entrance.run)
-            if taking is None:
-                entrance.gate(True)
-            with anyio.move_on_after(FIRST_LIST_S):
-                await discovery.fresh.wait()
-            if taking is not None:
-                # The other process goes on taking what is new up to now, with a loop that is warm.
-                await taking.ceded(descriptors, phase, balancer_actor, door)
-                tasks.start_soon(taking.run, door, tasks)
-                entrance.gate(True)
-                if phase.draining:
-                    leaving.drain()
-            if meeting is not None:
-                giving = Giving(plan, meeting, phase, door, listener, counters)
-                giving.gate = entrance.gate
-                tasks.start_soon(giving.run)
-            phase.ready = True
-            ready.set()
-            log.info(
-                "serving",
-                node=plan.name,
-                listen=listener.address,
-                upstreams=len(balancer_actor.upstream_actors),
-                passes_through=plan.passes_through,
-            )
-            task_status.started(listener.address[1])
-            async for told in signals:
-                if told == signal.SIGHUP:
-                    plan = reread(plan, path, discovery, counters)
-                    if company is not None:
-                        company.reread()
-                    continue
-                log.info("counters", **counters.told(), lag_ms=lag.told_ms())
-                if told == signal.SIGUSR1:
-                    for row in balancer_actor.told():
-                        log.info("host", **row)
-                    for row in company.told() if company is not None else ():
-                        log.info("member", **row)
-                    for row in company.shares() if company is not None else ():
-                        log.info("budget", **row)
-                    for row in company.tasks() if company is not None else ():
-                        log.info("duty", **row)
-                if told != signal.SIGUSR1 and phase.stopped_at is None:
-                    phase.stop(anyio.current_time())
-                    if company is not None:
-                        company.retire()
-                    tasks.start_soon(leaving.stop)
-    log.info("stopped", **counters.told(), lag_ms=lag.told_ms())
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -1,4 +1,4 @@
-"""Leaving, for a drain or for good: links are moved bit by bit; setups are finished before the node ends."""
+"""Drain and graceful shutdown: sessions migrate bit by bit, and attempts end before the node does."""
 
 from __future__ import annotations
 
@@ -8,82 +8,122 @@
 import structlog
 
 if TYPE_CHECKING:
-    from collections.abc import Awaitable, Callable
-
     from anyio.abc import TaskGroup
 
     from larchlatch.node.client import Door
-    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.client_listener import ClientListener
+    from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
 
-GRANTED_S = 0.7  # what PROTOCOL grants a node beyond the longest cut-off before it is ended
-SPARE_S = 0.4  # all is over this long before that: a moved link takes a moment to close
-PASSING_S = 0.4  # for a link to come to a stop between two lines: well under the second that one may be held
-STEP_S = 0.05  # between two rounds of moves
-EARLY_S = 0.1  # before links have to have their answers, those who rest here are told to go
-LAST_S = 0.4  # for the last words to them, and their ends: within EARLY_S and SPARE_S
+STOP_GRACE_S = 0.7  # what the protocol grants a node beyond the longest deadline before it is ended
+STOP_MARGIN_S = 0.4  # all is over this long before that: a migrated session takes a moment to close
+LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines: well under the second that one may be held
+ROUND_INTERVAL_S = 0.05  # between two rounds of migrations
+EARLY_REJECTION_S = (
+    0.1  # waiting clients without a request are rejected so long before the last answers are due
+)
+LAST_ANSWERS_S = 0.4  # for the last answers and connection ends: within EARLY_REJECTION_S and STOP_MARGIN_S
+
+SESSIONS_RELEASED = "session_released"
 
 log = structlog.get_logger()
 
 
-class Leaving:
-    """One pace for a drain and a stop, whichever comes first and whichever ends."""
-
-    def __init__(self, phase: Phase, door: Door, counters: Counters, tasks: TaskGroup) -> None:
-        self.phase = phase
-        self.door = door
-        self.counters = counters
-        self.tasks = tasks
-        self.moving = False
-        self.shut: Callable[[], Awaitable[None]] | None = None  # closes the entrance
-
-    def drain(self) -> None:
-        """The phase has been told of a drain: see that links leave."""
-        if not self.moving:
-            self.moving = True
-            self.tasks.start_soon(self.move)
-
-    async def stop(self) -> None:
-        """Ends everything when nothing is in hand and the granted time is over."""
-        log.info("stopping", sessions=len(self.door.standing))
-        self.drain()
-        until = anyio.current_time() + self.phase.stop_s - EARLY_S
-        # Until the time is up new links may come through a front that has not noticed, unless another process
-        # takes them; those that have connected here get their answer here.
-        while self.door.in_hand > 0 or (
-            anyio.current_time() < until and not (self.phase.hands_over and not self.door.unheard)
-        ):
-            if anyio.current_time() >= until:
-                self.door.dismiss()
-            await anyio.sleep(STEP_S)
-        # Cut off as it is, a connection whose line has just come would be reset: each gets a word first, also
-        # those that the system has accepted for this node and that it has not taken yet.
-        self.door.dismiss()
-        # Where another process goes on, what waits to be accepted is its own.
-        if self.shut is not None and not self.phase.hands_over:
-            await self.shut()
-        with anyio.move_on_after(LAST_S):
-            while self.door.connections > 0:
-                await anyio.sleep(STEP_S)
-        self.tasks.cancel_scope.cancel()
-
-    async def move(self) -> None:
-        asked: dict[SessionRecord, float] = {}  # links that another process is to go on with, and since when
-        while self.phase.leaving:
+class SessionDrainer:
+    """Makes established sessions leave at the rate of the lifecycle state, for a drain and a stop alike."""
+
+    def __init__(
+        self, lifecycle: LifecycleState, connections: Door, counters: Counters, tasks: TaskGroup
+    ) -> None:
+        self._lifecycle = lifecycle
+        self._connections = connections
+        self._counters = counters
+        self._tasks = tasks
+        self._running = False
+
+    def start(self) -> None:
+        """Release sessions for as long as the lifecycle state wants it; again and again changes nothing."""
+        if not self._running:
+            self._running = True
+            self._tasks.start_soon(self._run)
+
+    async def _run(self) -> None:
+        handed_over_at: dict[SessionRecord, float] = {}  # when the hand-over to the successor was asked for
+        while self._lifecycle.releasing_sessions:
             now = anyio.current_time()
-            standing = [h for h in self.door.standing.values() if not h.move.is_set() and h not in asked]
-            # Where packets pass through none is due: links go on through other nodes.
-            for record in standing[: self.phase.leave(now, len(standing))]:
-                if not self.phase.hands_over:
-                    self.counters.add("link sent away")
-                    record.move.set()
-                elif record.pass_on is not None:
-                    asked[record] = now
-                    record.pass_on()
-            # A side that does not read keeps its link from stopping between two lines: it has to be moved.
-            for record in [record for record, at in asked.items() if now >= at + PASSING_S]:
-                del asked[record]
+            self._release_due(now, handed_over_at)
+            self._migrate_unready(now, handed_over_at)
+            await anyio.sleep(ROUND_INTERVAL_S)
+        self._running = False
+
+    def _release_due(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
+        established = [
+            record
+            for record in self._connections.standing.values()
+            if not record.move.is_set() and record not in handed_over_at
+        ]
+        # Where packets pass through none is due: sessions go on through other nodes.
+        due_count = self._lifecycle.release_sessions(now, len(established))
+        for record in established[:due_count]:
+            if not self._lifecycle.hands_over_sessions:
+                self._counters.add(SESSIONS_RELEASED)
                 record.move.set()
-            await anyio.sleep(STEP_S)
-        self.moving = False
+            elif record.pass_on is not None:
+                handed_over_at[record] = now
+                record.pass_on()
+
+    def _migrate_unready(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
+        # A side that does not read keeps its session from stopping between two lines: it has to be migrated.
+        overdue = [record for record, at in handed_over_at.items() if now >= at + LINE_BOUNDARY_S]
+        for record in overdue:
+            del handed_over_at[record]
+            record.move.set()
+
+
+class GracefulShutdown:
+    """Ends the node once all that it has in hand is answered and the time granted is over."""
+
+    def __init__(
+        self,
+        lifecycle: LifecycleState,
+        connections: Door,
+        drainer: SessionDrainer,
+        listener: ClientListener,
+        tasks: TaskGroup,
+    ) -> None:
+        self._lifecycle = lifecycle
+        self._connections = connections
+        self._drainer = drainer
+        self._listener = listener
+        self._tasks = tasks
+
+    async def run(self) -> None:
+        """Release the sessions, answer all clients, close the listener, and cancel the node's tasks."""
+        log.info("stopping", sessions=len(self._connections.standing))
+        self._drainer.start()
+        await self._finish_requests()
+        # Cut off as it is, a connection whose request has just come would be reset: each gets an answer
+        # first, also those that the system has accepted for this node and that it has not taken yet.
+        self._connections.dismiss()
+        # Where a successor goes on, what waits to be accepted is its own.
+        if not self._lifecycle.hands_over_sessions:
+            await self._listener.close()
+        with anyio.move_on_after(LAST_ANSWERS_S):
+            while self._connections.connections > 0:  # noqa: ASYNC110 - a count, which sets no event
+                await anyio.sleep(ROUND_INTERVAL_S)
+        self._tasks.cancel_scope.cancel()
+
+    async def _finish_requests(self) -> None:
+        reject_at = anyio.current_time() + self._lifecycle.stop_duration_s - EARLY_REJECTION_S
+        # Until the time is up new sessions may come through a front that has not noticed, unless a successor
+        # takes them; those that have connected here get their answer here.
+        while self._connections.in_hand > 0 or (
+            anyio.current_time() < reject_at and not self._nothing_more_comes()
+        ):
+            if anyio.current_time() >= reject_at:
+                self._connections.dismiss()
+            await anyio.sleep(ROUND_INTERVAL_S)
+
+    def _nothing_more_comes(self) -> bool:
+        return self._lifecycle.hands_over_sessions and not self._connections.unheard
--- /dev/null
+++ b/larchlatch/node/signal_handler.py
@@ -0,0 +1,89 @@
+"""Handles signals: SIGTERM and SIGINT stop the node, SIGHUP rereads its files, SIGUSR1 logs its state."""
+
+from __future__ import annotations
+
+import signal
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+
+from larchlatch.node.reload import reread
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+    from pathlib import Path
+
+    from anyio.abc import TaskGroup
+
+    from larchlatch.config.node import Plan
+    from larchlatch.node.runtime import NodeComponents
+    from larchlatch.node.shutdown import GracefulShutdown
+
+# Each has its handler before the first session is taken: by default a process ends at them.
+SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
+
+log = structlog.get_logger()
+
+
+class SignalHandler:
+    """Handles signals one after the other."""
+
+    def __init__(
+        self,
+        configuration: Plan,
+        path: Path,
+        components: NodeComponents,
+        shutdown: GracefulShutdown,
+        tasks: TaskGroup,
+    ) -> None:
+        self._configuration = configuration  # what the node goes by now
+        self._path = path  # of the configuration file
+        self._components = components
+        self._shutdown = shutdown
+        self._tasks = tasks
+
+    async def run(self, signals: AsyncIterator[signal.Signals]) -> None:
+        """Handle the signals until cancelled."""
+        async for number in signals:
+            self._handle(number)
+
+    def _handle(self, number: signal.Signals) -> None:
+        if number == signal.SIGHUP:
+            self._reload()
+            return
+        log.info("counters", **self._components.figures())
+        if number == signal.SIGUSR1:
+            self._log_status()
+        else:
+            self._begin_stop()
+
+    def _reload(self) -> None:
+        components = self._components
+        self._configuration = reread(
+            self._configuration, self._path, components.discovery, components.counters
+        )
+        if components.cluster is not None:
+            components.cluster.reread()
+
+    def _log_status(self) -> None:
+        for row in self._components.balancer_actor.told():
+            log.info("host", **row)
+        cluster = self._components.cluster
+        if cluster is None:
+            return
+        for row in cluster.told():
+            log.info("member", **row)
+        for row in cluster.shares():
+            log.info("budget", **row)
+        for row in cluster.tasks():
+            log.info("duty", **row)
+
+    def _begin_stop(self) -> None:
+        lifecycle = self._components.lifecycle
+        if lifecycle.stopping:
+            return
+        lifecycle.start_stop(anyio.current_time())
+        if self._components.cluster is not None:
+            self._components.cluster.retire()
+        self._tasks.start_soon(self._shutdown.run)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -32,6 +32,7 @@
 from larchlatch.days.day import Day, day_of
 from larchlatch.emulator.world import World
 from larchlatch.node.hot_restart import packets as passing
+from larchlatch.node.hot_restart.channel import HEADER, frame
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.state_export import export_state, restore_state
 from larchlatch.policy.types import (
@@ -73,14 +74,16 @@
         passing.Hello("n1", "127.0.0.1:3000"),
         passing.Welcome(MemberList(41, True, [listed])),
         passing.Serving(),
-        passing.Ceded({"hosts": {}, "asked": [1], "noted": 0.5}, ["id-1", "id-2"], 60, 1.25, 123456),
-        passing.Ceded({}, [], 0, None, 0),
-        passing.Standing(b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.RESET), b"\xff", b"x"),
+        passing.StateHandover({"hosts": {}, "asked": [1], "noted": 0.5}, ["id-1", "id-2"], 60, 1.25, 123456),
+        passing.StateHandover({}, [], 0, None, 0),
+        passing.SessionHandover(
+            b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.RESET), b"\xff", b"x"
+        ),
     ]
 
 
 def packet_bytes() -> list[str]:
-    return [passing.encoded(packet, number % 3).hex() for number, packet in enumerate(packets())]
+    return [frame(packet, number % 3).hex() for number, packet in enumerate(packets())]
 
 
 # What the decisions have learned.
@@ -268,10 +271,10 @@
 
 def test_recorded_packets_are_read_and_written_again_the_same() -> None:
     for data, packet in zip(recorded()["packets"], packets(), strict=True):
-        body = bytes.fromhex(data)[passing.HEAD.size :]
-        read = passing.decoded(body)
+        body = bytes.fromhex(data)[HEADER.size :]
+        read = passing.decode_packet(body)
         assert read == packet
-        assert passing.encoded(read, 0)[passing.HEAD.size :] == body
+        assert frame(read, 0)[HEADER.size :] == body
 
 
 def test_learned_state_is_exported_as_before() -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -26,6 +26,7 @@
 from larchlatch.node import runtime as node_run
 from larchlatch.node import upstream_actor as node_peer
 from larchlatch.node.balancer_actor import BalancerActor
+from larchlatch.node.client_listener import ClientListener
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
 from larchlatch.node.messages import AttemptFinished, Message
@@ -497,7 +498,7 @@
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         raw["control"] = door_address()
         path.write_bytes(orjson.dumps(raw))
-        event = "operators' door" if crossing == "start" else "serving"
+        event = "admin_api_listening" if crossing == "start" else "serving"
         async with process(path, event) as node:
             if crossing == "start":
                 node.signal(signal.SIGTERM)
@@ -542,25 +543,25 @@
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The system has accepted them, and holds their requests, when the node shuts its entrance."""
-    entrances: list[node_run.Entrance] = []
+    listeners: list[ClientListener] = []
 
-    class Kept(node_run.Entrance):
+    class Kept(ClientListener):
         def __init__(self, *given: Any) -> None:
             super().__init__(*given)
-            entrances.append(self)
+            listeners.append(self)
 
-    monkeypatch.setattr(node_run, "Entrance", Kept)
+    monkeypatch.setattr(node_run, "ClientListener", Kept)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
         port = await started(tasks, upstreams)
-        (entrance,) = entrances
-        entrance.gate(False)
-        await entrance.idle.wait()
+        (listener,) = listeners
+        listener.pause()
+        await listener.idle.wait()
         wait = [raw_client(port, said) for said in [line_of(f"id{n}") for n in range(50)] + [b"", b"half"]]
         assert doors[0].connections == 0
         doors[0].dismiss()
-        await entrance.shut()
+        await listener.close()
         with pytest.raises(ConnectionRefusedError):
             raw_client(port, b"")
         for client in wait:
@@ -597,8 +598,8 @@
         upstreams = await Upstreams("silent").start(tasks)
         port = await started(tasks, upstreams)
         phase = doors[0].phase
-        phase.stop(anyio.current_time())
-        phase.stop_s = 0.3
+        phase.start_stop(anyio.current_time())
+        phase.stop_duration_s = 0.3
         began = anyio.current_time()
         assert await all_of(raw_client(port, line_of("a", wait_ms=3000)))
         assert anyio.current_time() < began + 2.0
@@ -750,7 +751,7 @@
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery is down while they come; when it is back its news are heard, and a sound client is served."""
-    monkeypatch.setattr(node_run, "FIRST_LIST_S", 0.1)
+    monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks, 2)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -25,7 +25,7 @@
 from larchlatch.node import client as node_client
 from larchlatch.node import upstream_actor as upstream_actor
 from larchlatch.node.descriptor_budget import RESERVE
-from larchlatch.node.runtime import node
+from larchlatch.node.runtime import run_node
 from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
 from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.balancer import REST_US, Balancer
@@ -55,7 +55,7 @@
 
 
 async def serving(tasks: TaskGroup, raw: dict[str, Any]) -> int:
-    port: int = await tasks.start(node, plan_from(raw), NO_FILE)
+    port: int = await tasks.start(run_node, plan_from(raw), NO_FILE)
     return port
 
 
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -17,7 +17,7 @@
 from larchlatch.__main__ import cli
 from larchlatch.node import admin_api as control
 from larchlatch.node import lifecycle_state as phases
-from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.wire.stream import Ending, Lines
 from tests.ground import (
     Discovery,
@@ -131,7 +131,7 @@
         raw["control"] = door_address()
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
-        async with process(path, "operators' door") as running:
+        async with process(path, "admin_api_listening") as running:
             assert (await call(raw["control"], READY))[0] == 503
             await running.told("serving")
             assert (await call(raw["control"], READY))[0] == 200
@@ -144,7 +144,7 @@
 ) -> None:
     """Links that stand, that are being set up, and that come meanwhile; a node that drains stays up."""
     monkeypatch.setattr(phases, "DRAIN_S", 2.0)
-    monkeypatch.setattr(phases, "STILL_S", 0.3)
+    monkeypatch.setattr(phases, "NEW_SESSIONS_GRACE_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
@@ -258,41 +258,45 @@
 def test_whatever_order_and_lag_all_links_have_left_when_they_must(
     steps: list[tuple[str, float]], standing: int, passes: bool
 ) -> None:
-    phase, now, began = Phase(3.3, passes), 100.0, None
+    phase, now, began = LifecycleState(3.3, sessions_outlive_node=passes), 100.0, None
     phase.ready = True
     for step, passed in steps:
         now += passed
         if step == "drain":
             began = began if phase.draining else now
-            phase.drain(now)
+            phase.start_drain(now)
         elif step == "end":
             phase.end_drain()
         elif step == "stop":
-            phase.stop(now)
+            phase.start_stop(now)
         elif step in ("cede", "resume"):  # another process serves, or has failed
-            phase.ceded = step == "cede"
-        due = phase.leave(now, standing)
+            phase.successor_serves = step == "cede"
+        due = phase.release_sessions(now, standing)
         assert 0 <= due <= standing
         standing -= due
-        assert phase.welcome is not phase.draining
-        if not phase.leaving or (passes and not phase.hands_over):
+        assert phase.accepts_clients is not phase.draining
+        if not phase.releasing_sessions or (passes and not phase.hands_over_sessions):
             assert due == 0, "sent away for nothing"
-        elif phase.hands_over and phase.stopped_at is not None and now >= phase.stopped_at + phases.PASS_S:
+        elif (
+            phase.hands_over_sessions
+            and phase.stop_started_at is not None
+            and now >= phase.stop_started_at + phases.HANDOVER_S
+        ):
             assert standing == 0, "not handed over in time"
         elif passes:
-            assert phase.hands_over
-        elif phase.draining and began is not None and now >= began + phases.DRAIN_S - phases.CLOSE_S:
+            assert phase.hands_over_sessions
+        elif phase.draining and began is not None and now >= began + phases.DRAIN_S - phases.DISCONNECT_S:
             assert standing == 0, "held longer than a drain grants"
-        elif phase.stopped_at is not None and now >= phase.stopped_at + 3.3:
+        elif phase.stop_started_at is not None and now >= phase.stop_started_at + 3.3:
             assert standing == 0, "held longer than a stop grants"
 
 
 def test_links_leave_evenly() -> None:
-    phase = Phase(3.3, False)
-    phase.drain(0.0)
+    phase = LifecycleState(3.3, sessions_outlive_node=False)
+    phase.start_drain(0.0)
     standing, went = 300, []
     for step in range(1, 61):
-        due = phase.leave(step * 0.05, standing)
+        due = phase.release_sessions(step * 0.05, standing)
         standing -= due
         went.append(due)
     assert standing == 0 and max(went) <= 6, "a crowd at the other nodes"
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -31,6 +31,7 @@
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.metrics import Counters
 from tests.test_cluster import ENTRY, OTHER
 
@@ -299,9 +300,11 @@
 def test_what_is_spent_goes_to_the_next_process_of_a_node_with_all_else_it_learned() -> None:
     def module(fellows: Any) -> BalancerActor:
         reach, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
-        made = BalancerActor(settings_for(Day(), 0), [], [], random.Random(1), reach, room, Counters())
-        made.fellows = fellows
-        return made
+        counters = Counters()
+        mailbox, chance = Mailbox(counters), random.Random(1)
+        return BalancerActor(
+            settings_for(Day(), 0), [], [], chance, reach, room, counters, mailbox, None, fellows
+        )
 
     old, new, alone = module(Told()), module(Told()), module(None)
     learned = old.cede(True)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -28,18 +28,17 @@
 from larchlatch.node.client import Door
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
-from larchlatch.node.hot_restart.handover import Meeting, hello
+from larchlatch.node.hot_restart.channel import Channel, frame
 from larchlatch.node.hot_restart.packets import (
-    Ceded,
-    Channel,
     Hello,
     Packet,
     Serving,
-    Standing,
+    SessionHandover,
+    StateHandover,
     Welcome,
-    encoded,
 )
-from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.hot_restart.rendezvous import Rendezvous, hello_of
+from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.metrics import Counters
 from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.wire.lines import MOVE
@@ -262,9 +261,9 @@
 async def reached(site: Site) -> Channel:
     """The Unix socket of the process that serves, as a new one would find it."""
     os.environ["TMPDIR"] = str(site.path)
-    meeting = Meeting.of(plan_from(site.raw, door_address()))
-    assert meeting is not None
-    while (sock := meeting.connect()) is None:
+    rendezvous = Rendezvous.for_node(plan_from(site.raw, door_address()))
+    assert rendezvous is not None
+    while (sock := rendezvous.connect()) is None:
         await anyio.sleep(0.01)
     return Channel(await UNIXSocketStream.from_socket(sock))
 
@@ -284,18 +283,18 @@
             # Else one may wait in the queue still when the new process says that it serves, and stay there.
             await until(lambda: site.seen["UP"] == 5)
             channel = await reached(site)
-            greeting = Hello(*hello(plan_from(site.raw)))
+            greeting = hello_of(plan_from(site.raw))
             if how == "nonsense":
                 await channel.stream.send(b"GET / HTTP/1.1\r\n\r\n")
                 assert await channel.receive() is None
             elif how == "other version":
-                await channel.stream.send(b"LL\x63" + encoded(greeting, 0)[3:])
+                await channel.stream.send(b"LL\x63" + frame(greeting, 0)[3:])
                 assert await channel.receive() is None
             elif how == "other node":
                 await channel.send(Hello("n9", greeting.listen))
                 assert await channel.receive() is None
             elif how == "after it served":
-                for said, word in ((greeting, Welcome), (Serving(), Ceded)):
+                for said, word in ((greeting, Welcome), (Serving(), StateHandover)):
                     await channel.send(said)
                     came = await channel.receive()
                     assert came is not None and isinstance(came[0], word)
@@ -332,7 +331,7 @@
                 first.signal(signal.SIGTERM)
                 await anyio.sleep(0.6)  # some of the links have been handed over, some not
                 first.signal(signal.SIGKILL)
-                await second.told("the process before this one has ended")
+                await second.told("hot_restart_predecessor_ended")
                 await site.talk_once()
                 await anyio.sleep(0.3)
                 assert 0 < site.seen["broken"] < 30, "those handed over go on, the others ended with it"
@@ -347,8 +346,8 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP echo").start(tasks)
         site = await Site(tasks, tmp_path).start(upstreams)
-        meeting = Meeting(tmp_path, plan_from(site.raw, door_address()))
-        (tmp_path / meeting.name).write_bytes(b"no socket at all")
+        rendezvous = Rendezvous(tmp_path, plan_from(site.raw, door_address()))
+        (tmp_path / rendezvous.name).write_bytes(b"no socket at all")
         async with site.process() as first:
             await site.talk_once()
             first.signal(signal.SIGKILL)
@@ -459,12 +458,14 @@
         reach = UpstreamSettings(250_000, False, True, 50_000)
         module: Any = SimpleNamespace(numbers={"s-0": 0}, enough_us=0, post=post)
         module.upstream_actors = {0: UpstreamActor(0, "s-0", ("127.0.0.1", 1), reach, room, counters, post)}
-        phase = Phase(5.0, False)
+        phase = LifecycleState(5.0, sessions_outlive_node=False)
         door = Door(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND, 0):
             pairs = [connected(), connected()]
-            told = Standing(b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b"")
+            told = SessionHandover(
+                b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
+            )
             tasks.start_soon(door.resume, told, [ours for ours, _ in pairs])
             await until(lambda: bool(door.standing))
             [record] = door.standing.values()
@@ -507,8 +508,8 @@
         EndpointList(7, True, [EndpointEntry("s-0", ("127.0.0.1", 3000), "a", 3, line(0).state, 1.0, 9000)])
     ),
     Serving(),
-    Ceded({"hosts": {}, "asked": [], "noted": 0.0}, ["id1", "idé"], 12, 0.5, 17),
-    Standing(
+    StateHandover({"hosts": {}, "asked": [], "noted": 0.0}, ["id1", "idé"], 12, 0.5, 17),
+    SessionHandover(
         b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, 0, int(Outcome.RESET), b"half a l\xff", b"one\r\ntwo"
     ),
 ]
@@ -517,7 +518,7 @@
 @pytest.mark.parametrize("packet", PACKETS, ids=[type(packet).__name__ for packet in PACKETS])
 def test_a_packet_cut_at_any_byte_is_no_packet_and_leaves_no_descriptor(packet: Packet) -> None:
     async def body(tasks: TaskGroup) -> None:
-        data = encoded(packet, 1)
+        data = frame(packet, 1)
         for cut in range(len(data) + 1):
             ours, theirs = socket.socketpair()
             held = len(os.listdir("/proc/self/fd"))
@@ -539,7 +540,15 @@
 
 @pytest.mark.parametrize(
     "text",
-    [b"", b"{", b"[]", b"{}", b'{"kind":"Nothing"}', b'{"kind":"Ceded"}', b'{"kind":"Welcome","members":{}}'],
+    [
+        b"",
+        b"{",
+        b"[]",
+        b"{}",
+        b'{"kind":"Nothing"}',
+        b'{"kind":"StateHandover"}',
+        b'{"kind":"Welcome","members":{}}',
+    ],
 )
 def test_a_packet_that_is_nonsense_is_told_as_that(text: bytes) -> None:
     async def body(tasks: TaskGroup) -> None:
@@ -635,6 +644,6 @@
     def refused(family: int, kind: int) -> socket.socket:
         raise OSError(97, "Address family not supported by protocol")
 
-    meeting = Meeting(tmp_path, plan_from(configuration([], 1)))
+    rendezvous = Rendezvous(tmp_path, plan_from(configuration([], 1)))
     monkeypatch.setattr(socket, "socket", refused)
-    assert meeting.connect() is None and meeting.listen() is None
+    assert rendezvous.connect() is None and rendezvous.listen() is None
