--- a/larchlatch/load/company.py
+++ b/larchlatch/load/company.py
@@ -30,9 +30,10 @@
 # Of the nodes' logs these lines are read.
 FOLLOWED = (
     b'"member"',
+    b'"member_status"',
     b'"host not reached"',
     b'"host avoided"',
-    b'"budget"',
+    b'"quota_status"',
     b'"order carried out"',
     b'"duty',
 )
@@ -209,7 +210,7 @@
     def said(self, number: int, row: dict[str, Any]) -> None:
         """One line of a node's log."""
         match row:
-            case {"event": "member", "name": name, "state": state}:
+            case {"event": "member" | "member_status", "name": name, "state": state}:
                 self.agreement.said(now_us(), number, self.places[name], state == "present")
             case {"event": "host not reached", "host": upstream}:
                 self.avoidance.found(now_us(), number, number_of(upstream))
@@ -220,7 +221,7 @@
                 self.tenures[duty].carried_out(lease)
             case {"event": "duty held" | "duty ended" as event, "duty": duty}:
                 self.tenures[duty].held(now_us(), number, event == "duty held")
-            case {"event": "budget", "fleet_least": least, "fleet_most": most, "timestamp": at}:
+            case {"event": "quota_status", "fleet_least": least, "fleet_most": most, "timestamp": at}:
                 assert self.spending is not None
                 # By the line's own time: a range that is read later is not one of later links.
                 told_us = datetime.fromisoformat(at).timestamp() * SECOND
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -68,16 +68,16 @@
 
     def _log_status(self) -> None:
         for row in self._components.balancer_actor.told():
-            log.info("host", **row)
+            log.info("upstream_status", **row)
         cluster = self._components.cluster
         if cluster is None:
             return
         for row in cluster.told():
-            log.info("member", **row)
+            log.info("member_status", **row)
         for row in cluster.shares():
-            log.info("budget", **row)
+            log.info("quota_status", **row)
         for row in cluster.tasks():
-            log.info("duty", **row)
+            log.info("role_status", **row)
 
     def _begin_stop(self) -> None:
         lifecycle = self._components.lifecycle
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -182,7 +182,7 @@
             for client in clients:
                 assert await client.line() == b"UP r1\r\n"
             running.signal(signal.SIGUSR1)
-            rows = {row["host"]: row for row in [await running.told("host") for _ in range(2)]}
+            rows = {row["host"]: row for row in [await running.told("upstream_status") for _ in range(2)]}
         assert sum(row["links"] for row in rows.values()) == 3
         for row in rows.values():
             assert row["links"] == row["links_open"] and row["tries"] == row["tries_open"] == 0
