--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -11,7 +11,7 @@
 import structlog
 
 from larchlatch.config.node import NodeConfiguration, read_node_configuration
-from larchlatch.node.runtime import node
+from larchlatch.node.runtime import run_node
 
 if TYPE_CHECKING:
     from larchlatch.node.ports import Join
@@ -38,7 +38,7 @@
     configuration = read_node_configuration(config)
     join = None if cluster is None else prepare_join(configuration, cluster, cluster_key)
     configure_log(verbose=verbose)
-    anyio.run(node, configuration, config, join, backend_options={"use_uvloop": True})
+    anyio.run(run_node, configuration, config, join, backend_options={"use_uvloop": True})
 
 
 def configure_log(*, verbose: bool) -> None:
--- a/larchlatch/load/company.py
+++ b/larchlatch/load/company.py
@@ -32,7 +32,7 @@
     b'"member_state_changed"',
     b'"upstream_unreachable"',
     b'"upstream_ejection_advised"',
-    b'"budget"',
+    b'"quota_status"',
     b'"order_executed"',
     b'"role_acquired"',
     b'"role_ended"',
@@ -221,7 +221,7 @@
                 self.tenures[role].carried_out(lease)
             case {"event": "role_acquired" | "role_ended" as event, "role": role}:
                 self.tenures[role].held(now_us(), number, event == "role_acquired")
-            case {"event": "budget", "fleet_least": least, "fleet_most": most, "timestamp": at}:
+            case {"event": "quota_status", "fleet_least": least, "fleet_most": most, "timestamp": at}:
                 assert self.spending is not None
                 # By the line's own time: a range that is read later is not one of later links.
                 told_us = datetime.fromisoformat(at).timestamp() * SECOND
--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -18,7 +18,7 @@
 
     from anyio.abc import SocketStream, TaskGroup
 
-    from larchlatch.node.lifecycle_state import Phase
+    from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
 BACKLOG = 64  # callers that wait to be accepted
@@ -64,7 +64,7 @@
 
     """
 
-    def __init__(self, phase: Phase, drain: Callable[[], None], counters: Counters) -> None:
+    def __init__(self, phase: LifecycleState, drain: Callable[[], None], counters: Counters) -> None:
         self._phase = phase
         self._drain = drain
         self._counters = counters
@@ -168,7 +168,7 @@
 
     def _start_drain(self) -> Reply:
         log.info("drain_started", repeated=self._phase.draining)
-        self._phase.drain(anyio.current_time())
+        self._phase.start_drain(anyio.current_time())
         self._drain()
         return Reply(200, self._state())
 
@@ -179,7 +179,11 @@
 
     def _state(self) -> dict[str, object]:
         phase = self._phase
-        return {"ready": phase.ready, "draining": phase.draining, "stopping": phase.stopped_at is not None}
+        return {
+            "ready": phase.ready,
+            "draining": phase.draining,
+            "stopping": phase.stop_started_at is not None,
+        }
 
 
 def path_of(request: h11.Request) -> str:
--- a/tests/test_operating.py
+++ b/tests/test_operating.py
@@ -16,7 +16,7 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.node import admin_api, lifecycle_state
-from larchlatch.node.lifecycle_state import Phase
+from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.wire.stream import Ending, Lines
 from tests.ground import (
     Discovery,
@@ -130,7 +130,7 @@
         raw["control"] = door_address()
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
-        async with process(path, "operators' door") as running:
+        async with process(path, "admin_api_listening") as running:
             assert (await call(raw["control"], READY))[0] == 503
             await running.told("serving")
             assert (await call(raw["control"], READY))[0] == 200
@@ -143,7 +143,7 @@
 ) -> None:
     """Sessions established, being established, and new ones; a node that drains stays up."""
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
-    monkeypatch.setattr(lifecycle_state, "STILL_S", 0.3)
+    monkeypatch.setattr(lifecycle_state, "NEW_SESSIONS_GRACE_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
@@ -257,49 +257,49 @@
 def test_all_sessions_have_left_in_time_whatever_the_order_and_lag(
     steps: list[tuple[str, float]], established: int, passes: bool
 ) -> None:
-    phase, now, drained_at = Phase(3.3, passes), 100.0, None
+    phase, now, drained_at = LifecycleState(3.3, sessions_outlive_node=passes), 100.0, None
     phase.ready = True
     for step, passed in steps:
         now += passed
         if step == "drain":
             drained_at = drained_at if phase.draining else now
-            phase.drain(now)
+            phase.start_drain(now)
         elif step == "end":
             phase.end_drain()
         elif step == "stop":
-            phase.stop(now)
+            phase.start_stop(now)
         elif step in ("cede", "resume"):  # another process serves, or has failed
-            phase.ceded = step == "cede"
-        due = phase.leave(now, established)
+            phase.successor_serves = step == "cede"
+        due = phase.release_sessions(now, established)
         assert 0 <= due <= established
         established -= due
-        assert phase.welcome is not phase.draining
-        if not phase.leaving or (passes and not phase.hands_over):
+        assert phase.accepts_clients is not phase.draining
+        if not phase.releasing_sessions or (passes and not phase.hands_over_sessions):
             assert due == 0, "sent away for nothing"
         elif (
-            phase.hands_over
-            and phase.stopped_at is not None
-            and now >= phase.stopped_at + lifecycle_state.PASS_S
+            phase.hands_over_sessions
+            and phase.stop_started_at is not None
+            and now >= phase.stop_started_at + lifecycle_state.HANDOVER_S
         ):
             assert established == 0, "not handed over in time"
         elif passes:
-            assert phase.hands_over
+            assert phase.hands_over_sessions
         elif (
             phase.draining
             and drained_at is not None
-            and now >= drained_at + lifecycle_state.DRAIN_S - lifecycle_state.CLOSE_S
+            and now >= drained_at + lifecycle_state.DRAIN_S - lifecycle_state.DISCONNECT_S
         ):
             assert established == 0, "held longer than a drain grants"
-        elif phase.stopped_at is not None and now >= phase.stopped_at + 3.3:
+        elif phase.stop_started_at is not None and now >= phase.stop_started_at + 3.3:
             assert established == 0, "held longer than a stop grants"
 
 
 def test_sessions_leave_evenly() -> None:
-    phase = Phase(3.3, False)
-    phase.drain(0.0)
+    phase = LifecycleState(3.3, sessions_outlive_node=False)
+    phase.start_drain(0.0)
     established, moved_per_step = 300, []
     for step in range(1, 61):
-        due = phase.leave(step * 0.05, established)
+        due = phase.release_sessions(step * 0.05, established)
         established -= due
         moved_per_step.append(due)
     assert established == 0 and max(moved_per_step) <= 6, "a crowd at the other nodes"
