--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -13,7 +13,7 @@
 from larchlatch import VERSION
 from larchlatch.config.node import Plan, plan_of
 from larchlatch.errors import InvalidInputError
-from larchlatch.node.ports import Join
+from larchlatch.node.ports import ClusterFactory
 from larchlatch.node.runtime import node
 
 WHERE = click.option(
@@ -96,7 +96,7 @@
     anyio.run(node, plan, config, join, backend_options={"use_uvloop": True})
 
 
-def joining(plan: Plan, path: Path, key: Path | None) -> Join:
+def joining(plan: Plan, path: Path, key: Path | None) -> ClusterFactory:
     """How the node joins its cluster; what is wrong with file or key is said now, not when it runs."""
     from larchlatch.cluster.cluster_file import fits_traffic_classes, fleet_of, own_seal, secret_of
     from larchlatch.cluster.service import Cluster  # nodes without a cluster load none of it
@@ -106,8 +106,8 @@
     fleet = fleet_of(path)
     seal = own_seal(fleet, plan.name, secret_of(key))
     fits_traffic_classes(fleet, plan.traffic_classes)
-    return lambda counters, chance, hearing: Cluster(
-        plan.name, plan.traffic_classes, path, fleet, seal, counters, chance, hearing
+    return lambda counters, chance, events: Cluster(
+        plan.name, plan.traffic_classes, path, fleet, seal, counters, chance, events
     )
 
 
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -18,6 +18,7 @@
 from larchlatch.cluster.protocol.signing import Checks, Seal
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import now_us
+from larchlatch.node.messages import EjectionAdvised, SlowStartTokens, UnreachableUpstream
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -26,8 +27,7 @@
 
     from larchlatch.cluster.slow_start.tokens import Told
     from larchlatch.node.metrics import Counters
-    from larchlatch.node.ports import Hearing
-    from larchlatch.policy.types import TokenCandidate
+    from larchlatch.node.ports import ClusterEvents, TokenRequest
 
 ROOM = 1 << 20  # bytes that may lie unread: a node that is stopped for a while must not lose what is newest
 AT_ONCE = 200  # datagrams read before others have their turn: a flood must not keep the node from its links
@@ -51,7 +51,7 @@
         seal: Seal,
         counters: Counters,
         chance: Random,
-        hearing: Hearing,
+        events: ClusterEvents,
     ) -> None:
         """Of this fleet, read from that file; tariffs: that the node has; seal: its own."""
         self.name = name
@@ -59,7 +59,7 @@
         self.path = path
         self.fleet = fleet
         self.counters = counters
-        self.hearing = hearing
+        self.events = events
         wall = time.time_ns() // 1000
         self.members = Members(name, fleet.sites, fleet.beat_us, wall, self.now(), chance)
         shared = Shared.of(
@@ -169,7 +169,10 @@
         self.pace(beat.leaves)
         self.send(beat.datagrams)
         looks = [self.upstreams[upstream] for upstream in beat.advice.looks]
-        failed = [(self.upstreams[upstream], witnesses) for upstream, witnesses in beat.advice.failed]
+        failed = [
+            UnreachableUpstream(self.upstreams[upstream], witnesses)
+            for upstream, witnesses in beat.advice.failed
+        ]
         for upstream, witnesses in failed:
             self.counters.add("cluster: host avoided on others' word")
             log.info("host avoided", upstream=upstream, witnesses=witnesses)
@@ -177,7 +180,7 @@
             log.info("host not reached", upstream=self.upstreams[gone])
         if looks or failed:
             self.counters.add("cluster: look at a host for others' word", len(looks))
-            self.hearing.advise(looks, failed)
+            self.events.advise_ejection(EjectionAdvised(looks, failed))
         other = self.budgets.other
         if other is not self.other_file_told:
             self.other_file_told = other
@@ -199,7 +202,7 @@
         for _ in range(LEAVING_BEATS):
             self.say()
 
-    def retire(self) -> None:
+    def resign(self) -> None:
         """This node is about to end: its duties go to others."""
         self.duties.leaving = True
 
@@ -211,17 +214,17 @@
             self.counters.add("cluster: refused by a budget")
         return back_us
 
-    def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
-        self.upstreams = {hashed(upstream): upstream for upstream in upstreams}
-        self.pacing.listed(self.now(), self.upstreams, slow_start_us, window_us)
+    def update_endpoints(self, ready: Iterable[str], *, slow_start_us: int, overload_window_us: int) -> None:
+        self.upstreams = {hashed(upstream): upstream for upstream in ready}
+        self.pacing.listed(self.now(), self.upstreams, slow_start_us, overload_window_us)
         self.evidence.follow(self.upstreams)
 
-    def saw(self, upstream: str, good: bool | None) -> None:
+    def observe_reachability(self, upstream: str, *, reached: bool | None) -> None:
         if hashed(upstream) in self.upstreams:
-            self.evidence.saw(self.now(), hashed(upstream), good)
+            self.evidence.saw(self.now(), hashed(upstream), reached)
 
-    def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
-        by_hash = [(hashed(name), want) for name, want in wants]
+    def request_token(self, session: int, requests: list[TokenRequest]) -> None:
+        by_hash = [(hashed(name), want) for name, want in requests]
         taken = self.exchange.sought(self.now(), self.wall(), session, by_hash)
         self.send(taken.datagrams)
         self.ordered(taken.orders)
@@ -232,10 +235,11 @@
         ahead = now_us() - self.now()
         for told in leaves:
             upstream = self.upstreams.get(told.upstream, "")
-            if not self.hearing.pace(told.until + ahead, upstream, told.session, told.at + ahead):
+            tokens = SlowStartTokens(told.until + ahead, upstream, told.session, told.at + ahead)
+            if not self.events.receive_tokens(tokens):
                 self.pacing.unheard()
 
-    def cede(self) -> dict[str, int]:
+    def hand_over(self) -> dict[str, int]:
         self.pacing.close()
         return self.budgets.close(self.now())
 
@@ -251,7 +255,7 @@
         self.budgets.take_over(self.now(), used)
         self.opened()
 
-    def reread(self) -> None:
+    def reload(self) -> None:
         """A new file: members that are gone are forgotten at once, those that stay are kept."""
         try:
             fleet = fleet_of(self.path)
@@ -270,11 +274,11 @@
         self.counts.apart_us = fleet.apart_us
         self.exchange.follow(fleet.sites, self.keys(), fleet.dealing, fleet.roster, fleet.beat_us, self.now())
 
-    def tasks(self) -> list[dict[str, Any]]:
+    def role_rows(self) -> list[dict[str, Any]]:
         """Duty by duty; see docs/operating-cluster.md."""
         return [standing._asdict() for standing in self.duties.told(self.now(), self.members.there)]
 
-    def shares(self) -> list[dict[str, Any]]:
+    def quota_rows(self) -> list[dict[str, Any]]:
         """Budget by budget; see docs/operating-cluster.md."""
         ranges = self.counts.told(self.wall())
         return [
@@ -287,7 +291,7 @@
             for account, known in zip(self.budgets.accounts(self.now()), ranges, strict=True)
         ]
 
-    def told(self) -> list[dict[str, Any]]:
+    def member_rows(self) -> list[dict[str, Any]]:
         """Member by member; see docs/operating-cluster.md."""
         return [
             {
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -89,13 +89,13 @@
             company.spending.seen(company.stage.clock.now, str(session))
         return back_us
 
-    def listed(self, upstreams: Sequence[int], started_at: int) -> None:
+    def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
         self.evidence.follow(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
         self.pacing.listed(self.now, upstreams, max(0, slow_start_us), us(cold.tip_s))
 
-    def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
+    def request_token(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
         taken = self.exchange.sought(self.now, wall, session, [(want.upstream, want) for want in wants])
         self.send(taken.datagrams)
@@ -111,7 +111,7 @@
                 told.until + ahead, told.upstream if told.session >= 0 else -1, told.session, told.at + ahead
             )
 
-    def saw(self, upstream: int, good: bool | None) -> None:
+    def observe_reachability(self, upstream: int, good: bool | None) -> None:
         if upstream in self.evidence.upstreams:
             self.evidence.saw(self.now, upstream, good)
 
--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -64,13 +64,13 @@
     def probed(self, node: Node, number: int) -> None: ...
 
 
-class Fellows(Protocol):
+class ClusterPort(Protocol):
     """Other nodes, where this one knows of any."""
 
     def admit(self, session: int, traffic_class: int) -> int: ...
-    def listed(self, upstreams: Sequence[int], started_at: int) -> None: ...
-    def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None: ...
-    def saw(self, upstream: int, good: bool | None) -> None: ...
+    def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None: ...
+    def request_token(self, session: int, wants: Sequence[TokenCandidate]) -> None: ...
+    def observe_reachability(self, upstream: int, good: bool | None) -> None: ...
 
 
 class Lister(Protocol):
@@ -97,7 +97,7 @@
         self.zone = zone
         self.records: dict[int, SessionRecord] = {}
         self.list: dict[int, Endpoint] = {}  # as it was last told
-        self.fellows: Fellows | None = None
+        self.cluster: ClusterPort | None = None
         self.wake_at = 0
         self.alive = True
         self.stops = 0  # that are on
@@ -138,10 +138,10 @@
         for line in lines:
             self.around.checker.told(now, self.number, line.upstream, line.state)
         self.policy.update_endpoints(now, lines, whole=whole, asked=asked)
-        if self.fellows is not None:
+        if self.cluster is not None:
             ready = [line for line in self.list.values() if line.state is EndpointState.READY]
             came = max((line.started_at for line in ready), default=0)
-            self.fellows.listed([line.upstream for line in ready], came)
+            self.cluster.update_endpoints([line.upstream for line in ready], came)
         self.look()
 
     def arrived(self, record: SessionRecord) -> None:
@@ -150,8 +150,8 @@
         now = self.around.clock.now
         self.records[record.session.number] = record
         back_us = 0
-        if self.fellows is not None and not record.session.mid_flow:
-            back_us = self.fellows.admit(record.session.number, record.session.traffic_class)
+        if self.cluster is not None and not record.session.mid_flow:
+            back_us = self.cluster.admit(record.session.number, record.session.traffic_class)
         if back_us:
             self.shed(now, record.session, back_us)
             return
@@ -183,8 +183,8 @@
         self.look()
 
     def saw(self, upstream: int, good: bool | None) -> None:
-        if self.fellows is not None:
-            self.fellows.saw(upstream, good)
+        if self.cluster is not None:
+            self.cluster.observe_reachability(upstream, good)
 
     def advised(self, looks: list[int], failed: list[tuple[int, int]]) -> None:
         """What others say of hosts; as the module's actor takes it."""
@@ -213,8 +213,8 @@
 
     def carry_out(self, now: int, session: Session, answer: Answer) -> None:
         super().carry_out(now, session, answer)
-        if answer.sought and self.fellows is not None:
-            self.fellows.sought(session.number, answer.sought)
+        if answer.sought and self.cluster is not None:
+            self.cluster.request_token(session.number, answer.sought)
 
     def session(self, number: int) -> Session | None:
         record = self.records.get(number)
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -57,7 +57,7 @@
             self.around, place, place % self.day.zones, self.make(settings_for(self.day, place), seed)
         )
         if self.company is not None:
-            node.fellows = self.company.voices[place]
+            node.cluster = self.company.voices[place]
         return node
 
     def play(self) -> dict[str, Any]:
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/load/puppet.py
@@ -33,8 +33,8 @@
 
 
 class Node(actor.Cluster):
-    def listed(self, *listed: Any) -> None:
-        super().listed(*listed)
+    def update_endpoints(self, *given: Any, **named: Any) -> None:
+        super().update_endpoints(*given, **named)
         assert isinstance(self.exchange, Lying)
         self.exchange.upstreams = list(self.upstreams)
 
--- /dev/null
+++ b/larchlatch/node/attempts.py
@@ -0,0 +1,226 @@
+"""Attempts: one try each to establish a session at an upstream."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+
+from larchlatch.node.clock import now_us, seconds_until
+from larchlatch.node.messages import AttemptFinished, LoadReported, Post, SessionAdopted
+from larchlatch.node.session_record import Delivered, Failed
+from larchlatch.node.wire import lines as wire
+from larchlatch.node.wire.stream import Ending, Lines, Unconnected, dial, lines_of, written
+from larchlatch.policy.types import Outcome
+
+if TYPE_CHECKING:
+    import socket
+
+    from larchlatch.config.upstream import UpstreamSettings
+    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.metrics import Counters
+    from larchlatch.node.session_record import SessionRecord
+    from larchlatch.node.upstream_target import UpstreamTarget
+
+TRANSIT_US = 20_000  # a line is under way to another zone for less than this
+DESCRIPTOR_RETRY_S = 0.005  # pause before the next look for a descriptor, while all are held
+
+# Outcomes with which the connection has passed to the client's side.
+CONNECTION_DELIVERED = frozenset({Outcome.ESTABLISHED, Outcome.COMPLETED})
+
+# Counters.
+ATTEMPT_OUTCOME = "attempt_{outcome}"
+NOT_BEGUN_CLIENT_GONE = "attempt_not_begun_client_gone"
+NOT_BEGUN_UPSTREAM_DRAINING = "attempt_not_begun_upstream_draining"
+NOT_BEGUN_TOO_LATE = "attempt_not_begun_too_late"
+NOT_BEGUN_DEDUP_WINDOW_OVER = "attempt_not_begun_dedup_window_over"
+
+log = structlog.get_logger()
+
+
+class Attempts:
+    """Runs the attempts at one upstream.
+
+    It owns each attempt's socket and descriptor until the outcome is one of CONNECTION_DELIVERED; from then
+    on the one who takes the final answer does.
+
+    Attributes:
+        in_flight: how many attempts are under way.
+
+    """
+
+    def __init__(
+        self,
+        target: UpstreamTarget,
+        settings: UpstreamSettings,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+        post: Post,
+    ) -> None:
+        self.in_flight = 0
+        self._target = target
+        self._settings = settings
+        self._descriptors = descriptors
+        self._counters = counters
+        self._post = post
+
+    async def run(self, record: SessionRecord, give_up_at: int) -> None:
+        """Make one attempt and report its outcome.
+
+        Args:
+            record: the session.
+            give_up_at: when the attempt times out, in microseconds of the node's clock.
+
+        """
+        started_at = now_us()
+        outcome = Outcome.NOT_SENT
+        if self._may_send(record, give_up_at):
+            outcome = await self._attempt_cancellable(record, give_up_at)
+        self._counters.add(ATTEMPT_OUTCOME.format(outcome=outcome.name.lower()))
+        log.debug(
+            "attempt_finished",
+            upstream=self._target.name,
+            key=record.opening.key,
+            outcome=outcome.name,
+            us=now_us() - started_at,
+        )
+        await self._report(record, outcome)
+
+    async def _report(self, record: SessionRecord, outcome: Outcome) -> None:
+        if record.opening.standing_at is None:
+            done = record.final_answer is not None
+            await self._post(AttemptFinished(record, outcome, done))
+        elif outcome is Outcome.ESTABLISHED:
+            await self._post(SessionAdopted(record, self._target.number))
+        else:
+            record.set_final_answer(Failed())
+
+    async def _attempt_cancellable(self, record: SessionRecord, give_up_at: int) -> Outcome:
+        """Make one attempt that the record's scope can cancel."""
+        outcome = Outcome.CANCELLED
+        self.in_flight += 1
+        with anyio.CancelScope() as scope:
+            record.attempt_scope = scope
+            try:
+                outcome = await self._attempt(record, give_up_at)
+            except Exception:  # a fault costs this attempt alone, not the node and its sessions
+                outcome = Outcome.ERROR  # how far it had come is not known: it may have run
+                log.exception("attempt_failed")
+        record.attempt_scope = None
+        self.in_flight -= 1
+        return outcome
+
+    async def _attempt(self, record: SessionRecord, give_up_at: int) -> Outcome:
+        # Without a descriptor nothing has left this node: another attempt may follow in any traffic class.
+        if not await self._take_descriptor(self._connect_s(give_up_at)):
+            return Outcome.NOT_SENT
+        delivered = False
+        try:
+            outcome = await self._connect_and_request(record, give_up_at)
+            delivered = outcome in CONNECTION_DELIVERED
+            return outcome
+        finally:
+            if not delivered:
+                self._descriptors.give()
+
+    def _connect_s(self, give_up_at: int) -> float:
+        return min(self._settings.dial_us / 1e6, seconds_until(give_up_at))
+
+    async def _take_descriptor(self, within_s: float) -> bool:
+        """Take a descriptor for one more connection; return whether one could be had in time."""
+        # A connection that makes way takes a moment to close: if this gave up at once, all attempts of a
+        # session would be spent within that moment.
+        with anyio.move_on_after(within_s):
+            # The descriptor budget has no event of a descriptor given back, so this polls.
+            while not self._descriptors.take(anyio.current_time()):  # noqa: ASYNC110
+                await anyio.sleep(DESCRIPTOR_RETRY_S)
+            return True
+        return False
+
+    async def _connect_and_request(self, record: SessionRecord, give_up_at: int) -> Outcome:
+        sock = await dial(self._target.address, self._connect_s(give_up_at))
+        if sock is Unconnected.NO_ROOM:
+            return Outcome.NOT_SENT
+        if isinstance(sock, Unconnected):
+            return Outcome.CONNECT_FAILED
+        with anyio.move_on_after(seconds_until(give_up_at)):
+            return await self._request(sock, record, give_up_at)
+        return Outcome.TIMED_OUT
+
+    async def _request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> Outcome:
+        """Send the session's request over a new connection and read the answer to it."""
+        # What was true at the decision may not be by now: connecting took time, and so did the event loop.
+        if not self._may_send(record, give_up_at):
+            sock.close()
+            return Outcome.NOT_SENT
+        if not await self._send_request(sock, record, give_up_at):
+            return Outcome.CONNECT_FAILED
+        connection = await lines_of(sock)
+        outcome: Outcome | None = None
+        try:
+            outcome = await self._read_answer(record, connection)
+            return outcome
+        finally:
+            # An answer that comes after this finds the connection closed: it can never reach the client.
+            if outcome not in CONNECTION_DELIVERED:
+                await connection.close()
+
+    def _may_send(self, record: SessionRecord, give_up_at: int) -> bool:
+        """Return whether an attempt that was decided on may still be sent; count it if not."""
+        obstacle = self._obstacle(record, give_up_at)
+        if obstacle is not None:
+            self._counters.add(obstacle)
+        return obstacle is None
+
+    def _obstacle(self, record: SessionRecord, give_up_at: int) -> str | None:
+        """Return the counter of what keeps an attempt from being sent now, or None."""
+        now = now_us()
+        if record.check_finished():
+            return NOT_BEGUN_CLIENT_GONE
+        if record.opening.standing_at is None and not self._target.accepts_sessions:
+            return NOT_BEGUN_UPSTREAM_DRAINING
+        if now >= give_up_at:
+            return NOT_BEGUN_TOO_LATE
+        # By its arrival the upstream would no longer recognise it as a repeat.
+        if now + TRANSIT_US >= record.session.repeat_until:
+            return NOT_BEGUN_DEDUP_WINDOW_OVER
+        return None
+
+    async def _send_request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> bool:
+        """Write the request line; return whether it was written whole: if not, it can't have run."""
+        whole = False
+        try:
+            whole = await written(sock, wire.try_line(record.opening, give_up_at - now_us()))
+        finally:
+            if not whole:
+                sock.close()
+        return whole
+
+    async def _read_answer(self, record: SessionRecord, connection: Lines) -> Outcome:
+        """Read lines until one decides what has become of the request."""
+        while True:
+            line = await connection.line()
+            if line is Ending.TOO_LONG:
+                return Outcome.ERROR
+            if isinstance(line, Ending):
+                return Outcome.RESET
+            answer = wire.parse_upstream_line(line)
+            if not isinstance(answer, wire.Load):
+                return self._outcome_of(answer, record, Delivered(connection, line, self._target.number))
+            await self._post(LoadReported(record, answer.load))
+
+    @staticmethod
+    def _outcome_of(answer: wire.Said, record: SessionRecord, delivered: Delivered) -> Outcome:
+        """Return the outcome that an answer means, after giving it to a client that is to have it."""
+        match answer:
+            case wire.Busy():
+                return Outcome.REJECTED
+            case wire.Moved():
+                return Outcome.CANCELLED
+            case wire.Up() | wire.Bye():
+                if not record.set_final_answer(delivered):
+                    return Outcome.CANCELLED
+                return Outcome.ESTABLISHED if isinstance(answer, wire.Up) else Outcome.COMPLETED
+            case _:
+                return Outcome.ERROR
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -1,350 +1,360 @@
-"""The module's actor: the one place that calls Brain. Its mailbox is drained, its answers carried out."""
+"""The balancer actor: the one task that calls the Balancer, and carries out what it decides.
+
+Other tasks put messages into its mailbox. Each message is handled to its end before the next one, so the
+Balancer needs no locks; nothing here waits for an upstream or a client.
+"""
 
 from __future__ import annotations
 
 import heapq
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING, Any, NamedTuple
 
 import anyio
 import structlog
 
-from larchlatch.config.endpoints import EndpointEntry, EndpointList
-from larchlatch.node import messages as messages
+from larchlatch.node import messages
 from larchlatch.node.clock import now_us, seconds_until
+from larchlatch.node.ports import TokenRequest
 from larchlatch.node.session_record import Failed, SessionRecord, Shed
-from larchlatch.node.upstream_actor import Probe, StartAttempt, UpstreamActor
+from larchlatch.node.status import upstream_rows
+from larchlatch.node.upstream_actor import StartAttempt, StartProbe
+from larchlatch.node.upstream_registry import UpstreamRegistry, slow_start_left_us
 from larchlatch.policy import types
-from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.state_export import export_state, restore_state
-from larchlatch.policy.types import Answer, DeploymentSettings, Endpoint, EndpointState, Outcome
+from larchlatch.policy.types import Answer, DueActions, Outcome
 
 if TYPE_CHECKING:
-    from random import Random
-
-    from anyio.abc import TaskGroup
+    from collections.abc import Sequence
 
-    from larchlatch.config.upstream import UpstreamSettings
-    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.config.endpoints import EndpointList
     from larchlatch.node.discovery import DiscoveryClient
+    from larchlatch.node.mailbox import Mailbox
     from larchlatch.node.metrics import Counters
-    from larchlatch.node.ports import Fellows
+    from larchlatch.node.ports import ClusterPort
+    from larchlatch.policy.balancer import Balancer
 
-TICK_US = 4_000  # held links are looked at together once in this: hundreds would each wake the loop by itself
-FAILED_US = 100_000  # before the decisions are asked again how long to wait, after they failed
-MAILBOX = 1024  # words: when it is full, whoever reads from sockets waits
+# Held sessions are looked at together once in this: hundreds would each wake the event loop by themselves.
+TICK_US = 4_000
+RETRY_AFTER_FAULT_US = 100_000  # pause before the Balancer is asked again after it has raised
+UNKNOWN_UPSTREAM = -1  # for the Balancer: an upstream that the endpoint list never named
+QUOTAS_KEY = "budgets"  # in the state that one process hands to the next; never to be renamed
+
+# Counters.
+ATTEMPTS_SENT = "attempts_sent"
+DECISIONS_FAILED = "decisions_failed"
+MIGRATIONS_DUE = "migrations_due"
+RESTORED_STATE_UNREADABLE = "restored_state_unreadable"
+SUPERSEDED_ATTEMPTS_CANCELLED = "superseded_attempts_cancelled"
 
 log = structlog.get_logger()
 
 
+class Hold(NamedTuple):
+    """A session that waits for a place, and when the Balancer is to be asked again."""
+
+    retry_at: int
+    session: int
+
+
 class BalancerActor:
+    """Translates messages into calls of the Balancer, and its decisions into orders.
+
+    Attributes:
+        balancer: the deciding part; nothing else calls it.
+        mailbox: where other tasks put messages.
+        upstreams: the upstreams known here, with their actors.
+        records: the sessions in flight or established at this node, by number.
+        shed_waiting_over_us: a request that lay unread for longer, and has less time left, is shed unread; 0
+            while none has to be.
+
+    """
+
     def __init__(
         self,
-        settings: DeploymentSettings,
-        zones: list[str],
-        traffic_classes: list[str],
-        chance: Random,
-        reach: UpstreamSettings,
-        descriptors: DescriptorBudget,
+        balancer: Balancer,
+        traffic_classes: Sequence[str],
+        mailbox: Mailbox,
+        upstreams: UpstreamRegistry,
         counters: Counters,
+        *,
+        discovery: DiscoveryClient | None = None,
+        cluster: ClusterPort | None = None,
     ) -> None:
-        self.balancer = Balancer(settings, chance)
-        self.traffic_classes = traffic_classes
-        self.fellows: Fellows | None = None  # other nodes, where this one knows of any
-        self.zones = {name: place for place, name in enumerate(zones)}
-        self.reach = reach
-        self.descriptors = descriptors
-        self.counters = counters
-        self.numbers: dict[str, int] = {}  # hosts by name
-        self.upstream_actors: dict[int, UpstreamActor] = {}
-        self.known: dict[str, EndpointEntry] = {}  # what the list last said of each host
-        self.records: dict[int, SessionRecord] = {}  # links in hand by number
-        self.held: list[tuple[int, int]] = []  # when to ask again, link
-        self.enough_us = 0  # the decisions' own word on links that lay unread, for the door
-        self.discovery: DiscoveryClient | None = None
-        self.actor_tasks: TaskGroup | None = None
-        self.sender, self.messages = anyio.create_memory_object_stream[messages.Message](MAILBOX)
-
-    async def post(self, message: messages.Message) -> None:
-        # Shielded: an outcome lost on the way would leave its link without a final answer.
-        with anyio.CancelScope(shield=True):
-            await self.sender.send(message)
-
-    def offer(self, message: messages.Arrived) -> bool:
-        """Whether there was room in the mailbox for a link that is new."""
-        try:
-            self.sender.send_nowait(message)
-        except anyio.WouldBlock:
-            return False
-        return True
-
-    async def submit(self, message: messages.Arrived) -> None:
-        """A link that is new; whoever breaks the waiting off takes it back."""
-        await self.sender.send(message)
+        self.balancer = balancer
+        self.mailbox = mailbox
+        self.upstreams = upstreams
+        self.records: dict[int, SessionRecord] = {}
+        self.shed_waiting_over_us = 0
+        self._traffic_classes = traffic_classes
+        self._counters = counters
+        self._discovery = discovery
+        self._cluster = cluster
+        self._holds: list[Hold] = []  # a heap
 
     async def run(self) -> None:
+        """Handle messages and timers until cancelled."""
         async with anyio.create_task_group() as tasks:
-            self.actor_tasks = tasks
-            for upstream_actor in self.upstream_actors.values():
-                tasks.start_soon(upstream_actor.run)
+            self.upstreams.start(tasks)
             wake_at = now_us()
             while True:
                 with anyio.move_on_after(seconds_until(wake_at)):
-                    self.hear(await self.messages.receive())
-                while self.messages.statistics().current_buffer_used:
-                    self.hear(self.messages.receive_nowait())
-                wake_at = self.looked()
+                    self._handle_safely(await self.mailbox.receive())
+                while (message := self.mailbox.receive_buffered()) is not None:
+                    self._handle_safely(message)
+                wake_at = self._run_timers()
+
+    def handle(self, now: int, message: messages.Message) -> None:
+        """Handle one message; a fault in the Balancer is raised."""
+        if isinstance(message, messages.SessionMessage):
+            self._handle_session_message(now, message)
+        else:
+            self._handle_environment_message(now, message)
+
+    def upstream_rows(self) -> list[dict[str, Any]]:
+        """Return one row an upstream, for operators."""
+        return upstream_rows(self.balancer.upstream_statuses(now_us()), self.upstreams.actors)
 
-    def hear(self, message: messages.Message) -> None:
+    # Messages of sessions.
+
+    def _handle_safely(self, message: messages.Message) -> None:
         try:
-            self.heard(now_us(), message)
+            self.handle(now_us(), message)
         except Exception:
-            # A fault in the decisions is told, never hidden; the link that it struck still gets its answer.
-            log.exception("the decisions failed", message=type(message).__name__)
-            self.counters.add("decisions failed")
-            if isinstance(message, messages.Arrived | messages.HoldExpired | messages.AttemptFinished):
+            # A node that ended by a fault in the decisions would take all its sessions along. The fault is
+            # logged, and the session that it struck still gets its answer.
+            log.exception("decision_failed", message=type(message).__name__)
+            self._counters.add(DECISIONS_FAILED)
+            if isinstance(message, messages.SessionArrived | messages.HoldExpired | messages.AttemptFinished):
                 self.records.pop(message.record.session.number, None)
-                message.record.settle(Failed())
+                message.record.set_final_answer(Failed())
 
-    def heard(self, now: int, message: messages.Message) -> None:
-        balancer = self.balancer
+    def _handle_session_message(self, now: int, message: messages.SessionMessage) -> None:
         match message:
-            case messages.Arrived(record):
-                if not record.abandoned() and not self.over_budget(record):
-                    self.records[record.session.number] = record
-                    self.carry_out(record, balancer.place(now, record.session))
+            case messages.SessionArrived(record):
+                self._place_arrival(now, record)
             case messages.HoldExpired(record):
-                self.carry_out(record, balancer.place(now, record.session))
+                self._carry_out(record, self.balancer.place(now, record.session))
             case messages.AttemptFinished(record, outcome, done):
-                if record.session.number in self.records:
-                    done = done or record.gone  # its client has left: no further try may go out
-                    if outcome in types.REACHED:
-                        self.saw(record.session.upstream, types.REACHED[outcome])
-                    answer = balancer.outcome(now, record.session, outcome, done)
-                    if outcome is not Outcome.ESTABLISHED:
-                        if done:
-                            del self.records[record.session.number]
-                        else:
-                            self.carry_out(record, answer)
-            case messages.Stood(record, upstream):
+                # A client that has left wants no further attempt either.
+                self._finish_attempt(now, record, outcome, done=done or record.client_gone)
+            case messages.SessionAdopted(record, upstream):
                 self.records[record.session.number] = record
-                balancer.standing(now, record.session, upstream)
-            case messages.Left(record):
-                if self.records.pop(record.session.number, None) is not None:
-                    balancer.left(now, record.session)
-            case messages.LoadNote(record, load):
-                if record.session.number in self.records:
-                    balancer.record_load(now, record.session, load)
-            case messages.DelayNote(record, delay):
-                if record.session.number in self.records:
-                    balancer.record_delay(now, record.session, delay)
-            case messages.Quiet(upstream):
-                balancer.quiet(now, upstream)
-                self.saw(upstream, None)
-            case messages.Probed(upstream, answered, utilization, held):
-                self.saw(upstream, answered)
-                balancer.report(now, upstream, answered, utilization, held)
-            case messages.ListTold(members, asked):
-                self.listed(now, members, asked)
-            case messages.ListFailed():
-                balancer.discovery_failed(now)
-            case messages.Advised(looks, failed):
-                for upstream_actor in [
-                    self.upstream_actors[self.numbers[name]] for name in looks if name in self.numbers
-                ]:
-                    upstream_actor.order(Probe())
-                # Each other node's look that failed counts as one of this node's; its own goes on.
-                for name, witnesses in failed:
-                    for _ in range(witnesses if name in self.numbers else 0):
-                        balancer.report(now, self.numbers[name], False, None)
-
-            case messages.Paced(until, upstream, session, at):
-                balancer.paced(now, until, self.numbers.get(upstream, -1), session, at)
-
-    def over_budget(self, record: SessionRecord) -> bool:
-        """Whether a new link does not fit what all nodes together may take: it is shed at once."""
-        # One in mid-flow is not new: it was counted where it came first.
-        if self.fellows is None or record.session.mid_flow:
-            return False
-        back_us = self.fellows.admit(self.traffic_classes[record.session.traffic_class])
-        if back_us:
-            record.settle(Shed(min(back_us, self.balancer.settings.max_retry_after_us)))
-        return bool(back_us)
+                self.balancer.standing(now, record.session, upstream)
+            case messages.ClientLeft(record):
+                self._forget_session(now, record)
+            case messages.LoadReported(record, load):
+                self._record_load(now, record, load)
+            case messages.DelayObserved(record, delay_us):
+                self._record_delay(now, record, delay_us)
 
-    def saw(self, upstream: int, good: bool | None) -> None:
-        if self.fellows is not None and upstream in self.upstream_actors:
-            self.fellows.saw(self.upstream_actors[upstream].name, good)
-
-    def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
-        """What other nodes say of hosts; dropped where there is no time for it: it is said again."""
-        try:
-            self.sender.send_nowait(messages.Advised(looks, failed))
-        except anyio.WouldBlock:
-            self.counters.add("advice dropped")
+    def _place_arrival(self, now: int, record: SessionRecord) -> None:
+        if record.check_finished() or self._shed_by_quota(record):
+            return
+        self.records[record.session.number] = record
+        self._carry_out(record, self.balancer.place(now, record.session))
 
-    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
-        """What the pacer of a cluster says; whether there is time for it."""
-        try:
-            self.sender.send_nowait(messages.Paced(until, upstream, session, at))
-        except anyio.WouldBlock:
-            self.counters.add("advice dropped")
+    def _shed_by_quota(self, record: SessionRecord) -> bool:
+        """Shed a new session that exceeds what all nodes together may take; return whether it was."""
+        # A session in mid-flow is not new: it was charged where it was first requested.
+        if self._cluster is None or record.session.mid_flow:
+            return False
+        retry_after_us = self._cluster.admit(self._traffic_classes[record.session.traffic_class])
+        if not retry_after_us:
             return False
+        record.set_final_answer(Shed(min(retry_after_us, self.balancer.settings.max_retry_after_us)))
         return True
 
-    def carry_out(self, record: SessionRecord, answer: Answer) -> None:
-        # Never waited for: a peer that can't take it has sent nothing, which is an outcome like others.
-        while answer.upstream >= 0 and not self.upstream_actors[answer.upstream].order(
-            StartAttempt(record, answer.at)
-        ):
+    def _finish_attempt(self, now: int, record: SessionRecord, outcome: Outcome, *, done: bool) -> None:
+        if record.session.number not in self.records:
+            return
+        if outcome in types.REACHED:
+            self._observe_reachability(record.session.upstream, reached=types.REACHED[outcome])
+        answer = self.balancer.outcome(now, record.session, outcome, done)
+        if outcome is Outcome.ESTABLISHED:
+            return
+        if done:
+            del self.records[record.session.number]
+        else:
+            self._carry_out(record, answer)
+
+    def _forget_session(self, now: int, record: SessionRecord) -> None:
+        if self.records.pop(record.session.number, None) is not None:
+            self.balancer.left(now, record.session)
+
+    def _record_load(self, now: int, record: SessionRecord, load: float) -> None:
+        if record.session.number in self.records:
+            self.balancer.record_load(now, record.session, load)
+
+    def _record_delay(self, now: int, record: SessionRecord, delay_us: int) -> None:
+        if record.session.number in self.records:
+            self.balancer.record_delay(now, record.session, delay_us)
+
+    # Messages of upstreams, discovery and the cluster.
+
+    def _handle_environment_message(self, now: int, message: messages.EnvironmentMessage) -> None:
+        match message:
+            case messages.UpstreamUnresponsive(upstream):
+                self.balancer.quiet(now, upstream)
+                self._observe_reachability(upstream, reached=None)
+            case messages.ProbeFinished(upstream, answered, utilization, session_count):
+                self._observe_reachability(upstream, reached=answered)
+                self.balancer.report(now, upstream, answered, utilization, session_count)
+            case messages.EndpointsChanged(endpoints, from_discovery):
+                self._update_endpoints(now, endpoints, from_discovery=from_discovery)
+            case messages.DiscoveryFailed():
+                self.balancer.discovery_failed(now)
+            case messages.EjectionAdvised():
+                self._follow_ejection_advice(now, message)
+            case messages.SlowStartTokens(issuer_until, name, session, expires_at):
+                number = self.upstreams.number_of(name)
+                upstream = UNKNOWN_UPSTREAM if number is None else number
+                self.balancer.paced(now, issuer_until, upstream, session, expires_at)
+
+    def _observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
+        if self._cluster is not None and upstream in self.upstreams.actors:
+            name = self.upstreams.actors[upstream].name
+            self._cluster.observe_reachability(name, reached=reached)
+
+    def _follow_ejection_advice(self, now: int, advice: messages.EjectionAdvised) -> None:
+        known = [actor for name in advice.probe if (actor := self.upstreams.actor_named(name)) is not None]
+        for actor in known:
+            actor.offer(StartProbe())
+        # Each other node's failed probe counts as one of this node's; its own probe goes on.
+        for name, witness_count in advice.unreachable:
+            number = self.upstreams.number_of(name)
+            if number is None:
+                continue
+            for _ in range(witness_count):
+                self.balancer.report(now, number, False, None)
+
+    def _update_endpoints(self, now: int, endpoints: EndpointList, *, from_discovery: bool) -> None:
+        changed = self.upstreams.update(endpoints)
+        self.balancer.update_endpoints(now, changed, whole=endpoints.whole, asked=from_discovery)
+        if self._cluster is not None:
+            settings = self.balancer.settings
+            ready = self.upstreams.ready_entries()
+            self._cluster.update_endpoints(
+                [entry.name for entry in ready],
+                slow_start_us=slow_start_left_us(ready, settings.slow_start_us, now),
+                overload_window_us=settings.overload_window_us,
+            )
+
+    # Decisions.
+
+    def _carry_out(self, record: SessionRecord, answer: Answer) -> None:
+        # An upstream's actor is never waited for: if its mailbox is full nothing was sent, which is an
+        # outcome like others.
+        while answer.upstream >= 0 and not self._offer_attempt(record, answer):
             answer = self.balancer.outcome(now_us(), record.session, Outcome.NOT_SENT)
         if answer.upstream >= 0:
-            self.counters.add("try sent")
+            self._counters.add(ATTEMPTS_SENT)
         elif answer.upstream == types.NOT_YET:
-            heapq.heappush(self.held, (answer.at, record.session.number))
-            if answer.sought and self.fellows is not None:
-                wants = [(self.upstream_actors[sought.upstream].name, sought) for sought in answer.sought]
-                self.fellows.sought(record.session.number, wants)
-        elif answer.upstream in (types.SHED, types.FAILED):
-            del self.records[record.session.number]
-            record.settle(Shed(answer.at) if answer.upstream == types.SHED else Failed())
+            self._hold(record, answer)
+        elif answer.upstream == types.SHED:
+            self._finish(record, Shed(answer.at))
+        elif answer.upstream == types.FAILED:
+            self._finish(record, Failed())
+
+    def _offer_attempt(self, record: SessionRecord, answer: Answer) -> bool:
+        return self.upstreams.actors[answer.upstream].offer(StartAttempt(record, answer.at))
 
-    def looked(self) -> int:
-        """Carry out what has fallen due; when to look again."""
+    def _hold(self, record: SessionRecord, answer: Answer) -> None:
+        number = record.session.number
+        heapq.heappush(self._holds, Hold(answer.at, number))
+        if answer.sought and self._cluster is not None:
+            actors = self.upstreams.actors
+            requests = [
+                TokenRequest(actors[candidate.upstream].name, candidate) for candidate in answer.sought
+            ]
+            self._cluster.request_token(number, requests)
+
+    def _finish(self, record: SessionRecord, answer: Shed | Failed) -> None:
+        del self.records[record.session.number]
+        record.set_final_answer(answer)
+
+    # Timers.
+
+    def _run_timers(self) -> int:
+        """Carry out what has fallen due; return when to look again."""
         now = now_us()
-        while self.held and self.held[0][0] <= now:
-            _, number = heapq.heappop(self.held)
-            record = self.records.get(number)
-            if record is not None:
-                self.hear(messages.HoldExpired(record))
+        self._expire_holds(now)
         try:
-            wake_at = now + self.due(now)
+            due = self.balancer.wait(now)
+            self._carry_out_due(now, due)
+            wake_at = now + due.wait_us
         except Exception:
-            log.exception("the decisions failed", message="wait")
-            self.counters.add("decisions failed")
-            wake_at = now + FAILED_US
-        if self.held:
-            wake_at = min(wake_at, self.held[0][0])
+            # As for messages: a fault in the decisions must not end the node.
+            log.exception("decision_failed", message="wait")
+            self._counters.add(DECISIONS_FAILED)
+            wake_at = now + RETRY_AFTER_FAULT_US
+        if self._holds:
+            wake_at = min(wake_at, self._holds[0].retry_at)
         return max(wake_at, now + TICK_US)
 
-    def due(self, now: int) -> int:
-        """Ask once how long to wait, and carry out what comes with the answer."""
-        due = self.balancer.wait(now)
-        self.enough_us = due.enough_us
+    def _expire_holds(self, now: int) -> None:
+        while self._holds and self._holds[0].retry_at <= now:
+            record = self.records.get(heapq.heappop(self._holds).session)
+            if record is not None:
+                self._handle_safely(messages.HoldExpired(record))
+
+    def _carry_out_due(self, now: int, due: DueActions) -> None:
+        self.shed_waiting_over_us = due.enough_us
         for upstream in due.probes:
-            if not self.upstream_actors[upstream].order(Probe()):
+            if not self.upstreams.actors[upstream].offer(StartProbe()):
                 self.balancer.report(now, upstream, False, None)
         for number in due.moves:
-            self.counters.add("move due")
-            if number in self.records:
-                log.debug("moved", key=self.records[number].opening.key)
-                self.records[number].move.set()
+            self._migrate(number)
         for number in due.withdrawn:
-            record = self.records.get(number)
-            if record is not None and record.attempt is not None:
-                self.counters.add("try withdrawn")
-                record.attempt.cancel()
-        if due.ask_list and self.discovery is not None:
-            self.discovery.ask()
-        return due.wait_us
-
-    def cede(self, on: bool) -> dict[str, Any]:
-        """Another process of this node places what is new, or does no more; what it has to know."""
-        self.balancer.cede(on)
-        if self.fellows is None:
+            self._cancel_superseded_attempt(number)
+        if due.ask_list and self._discovery is not None:
+            self._discovery.ask()
+
+    def _migrate(self, number: int) -> None:
+        self._counters.add(MIGRATIONS_DUE)
+        record = self.records.get(number)
+        if record is not None:
+            log.debug("migration_requested", key=record.opening.key)
+            record.migration_requested.set()
+
+    def _cancel_superseded_attempt(self, number: int) -> None:
+        record = self.records.get(number)
+        if record is not None and record.attempt_scope is not None:
+            self._counters.add(SUPERSEDED_ATTEMPTS_CANCELLED)
+            record.attempt_scope.cancel()
+
+    # Hot restart.
+
+    def endpoint_list(self) -> EndpointList:
+        """Return the endpoint list as it is known here, for the process that follows this one."""
+        revision = self._discovery.revision if self._discovery is not None else 0
+        return self.upstreams.endpoint_list(revision)
+
+    def hand_over(self) -> dict[str, Any]:
+        """Place no new sessions, as another process of this node does; return the state it goes on with."""
+        self.balancer.cede(True)
+        if self._cluster is None:
             return export_state(self.balancer)
-        if not on:
-            self.fellows.resume()
-            return {}
-        return {**export_state(self.balancer), "budgets": self.fellows.cede()}
+        return {**export_state(self.balancer), QUOTAS_KEY: self._cluster.hand_over()}
+
+    def resume(self) -> None:
+        """Place new sessions again, as the process that followed this one has gone."""
+        self.balancer.cede(False)
+        if self._cluster is not None:
+            self._cluster.resume()
+
+    def restore(self, state: dict[str, Any], clock_shift_us: int) -> None:
+        """Go on with the state of the process before this one; what can't be read costs knowledge alone.
+
+        Args:
+            state: what its `hand_over` returned.
+            clock_shift_us: this process's clock less the other's, in microseconds.
 
-    def recall(self, learned: dict[str, Any], shift: int) -> None:
-        """What the process before this one learned; what can't be read costs knowledge alone."""
+        """
         try:
-            restore_state(self.balancer, learned, shift)
+            restore_state(self.balancer, state, clock_shift_us)
         except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
-            self.counters.add("learned not understood")
-            log.warning("what the process before this one learned is not understood", why=repr(error))
-        used = learned.get("budgets")
-        if self.fellows is not None and isinstance(used, dict):
-            self.fellows.take_over({name: int(number) for name, number in used.items()})
-
-    def told(self) -> list[dict[str, Any]]:
-        """Host by host what the decisions believe, beside the sockets that are open."""
-        rows = []
-        for status in self.balancer.upstream_statuses(now_us()):
-            upstream_actor = self.upstream_actors.get(status.upstream)
-            rows.append(
-                {
-                    "host": upstream_actor.name if upstream_actor else status.upstream,
-                    "state": status.state.value,
-                    "left_out": status.left_out,
-                    "tries": status.out,
-                    "tries_open": upstream_actor.trying if upstream_actor else 0,
-                    "links": status.open,
-                    "links_open": len(upstream_actor.standing) if upstream_actor else 0,
-                    "load": None if status.load is None else round(status.load, 3),
-                    "load_age_ms": None if status.load is None else status.load_age_us // 1000,
-                }
-            )
-        return rows
-
-    def members(self) -> EndpointList:
-        """The list as it is known here, hosts that are gone included: links may stand there still."""
-        revision = self.discovery.revision if self.discovery is not None else 0
-        return EndpointList(revision, True, list(self.known.values()))
-
-    def number(self, name: str) -> int:
-        return self.numbers.setdefault(name, len(self.numbers))
-
-    def listed(self, now: int, told: EndpointList, asked: bool) -> None:
-        # An entry that can't be read says nothing: a whole list without it would have its host gone.
-        spared = [self.known[name] for name in told.unreadable if name in self.known]
-        members = [*told.members, *spared]
-        for member in members:
-            self.known[member.name] = member
-            number = self.number(member.name)
-            log.debug("listed", upstream=member.name, state=member.state.name, up=member.started_at)
-            upstream_actor = self.upstream_actors.get(number)
-            if upstream_actor is not None:
-                upstream_actor.address = member.address
-                upstream_actor.open_to_new = member.state is EndpointState.READY
-                continue
-            upstream_actor = UpstreamActor(
-                number, member.name, member.address, self.reach, self.descriptors, self.counters, self.post
-            )
-            upstream_actor.open_to_new = member.state is EndpointState.READY
-            self.upstream_actors[number] = upstream_actor
-            if self.actor_tasks is not None:
-                self.actor_tasks.start_soon(upstream_actor.run)
-            log.debug(
-                "listed",
-                upstream=member.name,
-                state=member.state.name,
-                size=member.size,
-                up=member.started_at,
-            )
-        if told.whole:
-            named = {member.name for member in members}
-            for member in self.known.values():
-                if member.name not in named:
-                    self.known[member.name] = member._replace(state=EndpointState.GONE)
-                    self.upstream_actors[self.numbers[member.name]].open_to_new = False
-        lines = [
-            Endpoint(
-                self.numbers[member.name],
-                member.name,
-                self.zones.get(member.zone, -1),
-                member.cell,
-                member.state,
-                member.size,
-                member.started_at,
-            )
-            for member in members
-        ]
-        self.balancer.update_endpoints(now, lines, whole=told.whole, asked=asked)
-        if self.fellows is not None:
-            ready = [m for m in self.known.values() if m.state is EndpointState.READY]
-            settings = self.balancer.settings
-            slow_start_us = max(
-                (m.started_at + settings.slow_start_us - now for m in ready if m.started_at), default=0
-            )
-            self.fellows.listed([m.name for m in ready], max(0, slow_start_us), settings.overload_window_us)
+            self._counters.add(RESTORED_STATE_UNREADABLE)
+            log.warning("restored_state_unreadable", error=repr(error))
+        used = state.get(QUOTAS_KEY)
+        if self._cluster is not None and isinstance(used, dict):
+            self._cluster.take_over({name: int(number) for name, number in used.items()})
--- a/larchlatch/node/client.py
+++ b/larchlatch/node/client.py
@@ -17,7 +17,7 @@
 from larchlatch.node.descriptor_budget import DescriptorBudget, Quiet
 from larchlatch.node.hot_restart import packets as passing
 from larchlatch.node.lifecycle_state import Phase
-from larchlatch.node.messages import Arrived, AttemptFinished, Left, Stood
+from larchlatch.node.messages import AttemptFinished, ClientLeft, SessionAdopted, SessionArrived
 from larchlatch.node.metrics import Counters
 from larchlatch.node.relay import Ended, Relay, Side
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord, Shed
@@ -100,7 +100,7 @@
 
     def heard(self, sock: socket.socket) -> Heard | None:
         """What a connection just accepted has said, where this node is behind; None where it is not."""
-        enough, waited = self.balancer_actor.enough_us, waited_us(sock)
+        enough, waited = self.balancer_actor.shed_waiting_over_us, waited_us(sock)
         # All that is done for a link costs time that the others lack who have waited as long.
         if not 0 < enough < waited:
             return None
@@ -115,7 +115,7 @@
             return False
         # No host has heard of it: a retry is harmless, whatever its tariff.
         if self.unfit(opening) is not None or self.deadline(opening, heard.came_us) > now_us() + (
-            self.balancer_actor.enough_us
+            self.balancer_actor.shed_waiting_over_us
         ):
             return False
         self.counters.add("link shed unread")
@@ -283,10 +283,10 @@
             wait_ms=record.opening.wait_ms,
             mid=record.opening.mid_flow,
         )
-        record.hung_up = client.hung_up
+        record.client_hung_up = client.hung_up
         async with self.held(record):
             await self.settled(client, record)
-            verdict = record.verdict
+            verdict = record.final_answer
             if isinstance(verdict, Delivered):
                 await self.delivered(client, record, verdict)
             elif verdict is None:
@@ -294,7 +294,9 @@
             else:
                 shed = isinstance(verdict, Shed)
                 self.counters.add("link shed" if shed else "link given up")
-                await client.send(say.shed_line(verdict.back_us) if isinstance(verdict, Shed) else say.FAILED)
+                await client.send(
+                    say.shed_line(verdict.retry_after_us) if isinstance(verdict, Shed) else say.FAILED
+                )
                 await client.finish(Ending.END, self.linger_s)
 
     async def settled(self, client: Lines, record: SessionRecord) -> None:
@@ -304,28 +306,28 @@
             tasks.start_soon(self.heed, client, record)
             by = record.session.deadline + lag_us(self.wait_us(record.opening)) // 2
             if not self.begun(record):
-                tasks.start_soon(self.balancer_actor.submit, Arrived(record))
+                tasks.start_soon(self.balancer_actor.mailbox.submit, SessionArrived(record))
             with anyio.move_on_after(seconds_until(by)) as time:
-                await record.settled.wait()
-            if time.cancelled_caught and not record.settled.is_set():
+                await record.finished.wait()
+            if time.cancelled_caught and not record.finished.is_set():
                 # The decisions have not come to it in time. What no host has heard of can't have run.
                 self.counters.add("link answered without a decision")
-                record.settle(Failed() if record.session.attempt_count else Shed(BACK_US))
+                record.set_final_answer(Failed() if record.session.attempt_count else Shed(BACK_US))
             tasks.cancel_scope.cancel()
 
     def begun(self, record: SessionRecord) -> bool:
         """Whether a link is on its way to its answer; False where the module's mailbox is full."""
         at = record.opening.standing_at
         if at is None and (self.phase.turns_away(anyio.current_time()) or self.phase.ending):
-            record.settle(Shed(BACK_US))
+            record.set_final_answer(Shed(BACK_US))
         elif at is None:
-            return self.balancer_actor.offer(Arrived(record))
+            return self.balancer_actor.mailbox.offer(SessionArrived(record))
         else:
-            number = self.balancer_actor.numbers.get(at)
-            if number is None or not self.balancer_actor.upstream_actors[number].order(
+            number = self.balancer_actor.upstreams.number_of(at)
+            if number is None or not self.balancer_actor.upstreams.actors[number].offer(
                 StartAttempt(record, record.session.deadline)
             ):
-                record.settle(Failed())
+                record.set_final_answer(Failed())
         return True
 
     @asynccontextmanager
@@ -348,7 +350,7 @@
                 sides[-1].feed(early)
             client, upstream = sides
             opening = say.parse_opening(told.line)
-            number = self.balancer_actor.numbers.get(told.upstream)
+            number = self.balancer_actor.upstreams.number_of(told.upstream)
             if (
                 isinstance(opening, say.BadLine)
                 or opening.traffic_class not in self.traffic_classes
@@ -362,13 +364,13 @@
             record.session.load = told.load
             # Danger: nobody read its host while the link changed hands. Counted from the line, that pause is
             # the host's, and on a busy machine all hosts are quiet to a process that has just begun.
-            record.asked_at = now_us() if told.asked_at else 0
+            record.awaiting_answer_since = now_us() if told.asked_at else 0
             verdict = Delivered(upstream, b"", number)
-            record.settle(verdict)
+            record.set_final_answer(verdict)
             async with self.held(record):
                 self.elsewhere.discard(opening.ident)
                 self.counters.add("link taken over")
-                await self.balancer_actor.post(Stood(record, number))
+                await self.balancer_actor.mailbox.post(SessionAdopted(record, number))
                 await self.stands(client, record, verdict, Outcome(told.last))
         except Exception:
             self.counters.add("connection failed")
@@ -383,11 +385,11 @@
 
     async def let_go(self, record: SessionRecord) -> None:
         """Nothing of a link outlives its client's connection."""
-        record.gone = True
+        record.client_gone = True
         self.forget(record)
-        if record.attempt is not None:
-            record.attempt.cancel()
-        await self.balancer_actor.post(Left(record))
+        if record.attempt_scope is not None:
+            record.attempt_scope.cancel()
+        await self.balancer_actor.mailbox.post(ClientLeft(record))
 
     def forget(self, record: SessionRecord) -> None:
         """Its id may come again: where packets pass through, at this node too."""
@@ -401,12 +403,12 @@
             while sum(map(len, early)) < MOST_EARLY:
                 some = await client.some()
                 if some is Ending.END or some is Ending.RESET:
-                    record.leave()
+                    record.mark_client_gone()
                     return
                 if isinstance(some, Ending) or not record.opening.goes_on:
                     # A client waits for its answer: what this one says besides no host could read.
                     self.counters.add("refused: more than one line")
-                    record.settle(Failed())
+                    record.set_final_answer(Failed())
                     return
                 early += some  # sent before it came here: it goes to the host once there is one
         finally:
@@ -418,22 +420,22 @@
         try:
             await self.stands(client, record, verdict)
         finally:
-            await verdict.upstream.close(reset=True)
+            await verdict.connection.close(reset=True)
             self.descriptors.give()
 
     async def stands(
         self, client: Lines, record: SessionRecord, verdict: Delivered, last: Outcome = Outcome.RESET
     ) -> None:
         """Pass on all lines until it is over; last: what the end of the host's side would mean."""
-        upstream_actor = self.balancer_actor.upstream_actors[verdict.upstream_actor]
+        upstream_actor = self.balancer_actor.upstreams.actors[verdict.upstream]
         number = record.session.number
-        upstream_actor.standing[number] = self.standing[number] = record
-        upstream = verdict.upstream
+        upstream_actor.session_watch.sessions[number] = self.standing[number] = record
+        upstream = verdict.connection
         ended = Ended(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         try:
             if not verdict.line or await client.send(verdict.line):
                 relay = Relay(record, client, upstream, upstream_actor, last)
-                record.pass_on = relay.pass_on
+                record.request_handover = relay.pass_on
                 ended = await relay.run()
                 if ended.side is Side.SUCCESSOR:
                     if self.successor is not None and await self.successor(
@@ -442,7 +444,7 @@
                         self.counters.add("link passed on")
                         return
                     ended = Ended(Side.NODE, Ending.END, Outcome.CANCELLED)
-            del upstream_actor.standing[number]
+            del upstream_actor.session_watch.sessions[number]
             self.forget(record)
             self.counters.add(f"link ended by {ended.side.value} ({ended.how.value})")
             log.debug(
@@ -453,14 +455,14 @@
                 how=ended.how.name,
             )
             if ended.side is not Side.CLIENT:
-                await self.balancer_actor.post(AttemptFinished(record, ended.outcome, True))
+                await self.balancer_actor.mailbox.post(AttemptFinished(record, ended.outcome, True))
             if ended.side is Side.NODE:
-                self.counters.add("link moved off a silent host" if record.silent else "link moved")
+                self.counters.add("link moved off a silent host" if record.upstream_silent else "link moved")
                 with anyio.move_on_after(MOVE_S):
                     await client.send(say.MOVE)
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(client.finish, ended.how)
                 tasks.start_soon(upstream.finish, ended.how)
         finally:
-            upstream_actor.standing.pop(number, None)
+            upstream_actor.session_watch.sessions.pop(number, None)
             del self.standing[number]
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -9,7 +9,7 @@
 import structlog
 
 from larchlatch.errors import InvalidInputError
-from larchlatch.node.messages import ListFailed, ListTold, Post
+from larchlatch.node.messages import DiscoveryFailed, EndpointsChanged, Post
 from larchlatch.node.wire import discovery_client as catalog
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
             # Broken off by follow alone, also in the middle of a pause: the new address is called at once.
             with anyio.CancelScope() as self.following:
                 await self.called(self.source)
-                await self.post(ListFailed())
+                await self.post(DiscoveryFailed())
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
@@ -124,7 +124,7 @@
         if faults:
             self.counters.add("list entry unreadable", len(faults))
             log.warning("list entries unreadable", count=len(faults), first=faults[0])
-        await self.post(ListTold(told, asked=True))
+        await self.post(EndpointsChanged(told, from_discovery=True))
         self.fresh.set()
 
     async def called(self, source: Source) -> None:
--- a/larchlatch/node/hot_restart/handover.py
+++ b/larchlatch/node/hot_restart/handover.py
@@ -166,7 +166,9 @@
             case _:
                 return
         log.info("another process of this node starts")
-        if not await channel.send(Welcome(self.door.balancer_actor.members()), [self.listener.sock.fileno()]):
+        if not await channel.send(
+            Welcome(self.door.balancer_actor.endpoint_list()), [self.listener.sock.fileno()]
+        ):
             return
         match await message(channel, START_S):
             case Serving(), _:
@@ -182,7 +184,7 @@
         lent = descriptors.free - more
         descriptors.lend(lent)
         ceded = Ceded(
-            self.door.balancer_actor.cede(True),
+            self.door.balancer_actor.hand_over(),
             list(self.door.idents),
             RESERVE + descriptors.held + more,
             None if self.phase.drained_at is None else anyio.current_time() - self.phase.drained_at,
@@ -196,7 +198,7 @@
         finally:
             self.door.successor = None
             self.phase.ceded = False
-            self.door.balancer_actor.cede(False)
+            self.door.balancer_actor.resume()
             descriptors.lend(-lent)
             self.gate(True)
 
@@ -217,9 +219,9 @@
             else:
                 told = Standing(
                     say.first_line(record.opening),
-                    self.door.balancer_actor.upstream_actors[record.session.upstream].name,
+                    self.door.balancer_actor.upstreams.actors[record.session.upstream].name,
                     record.session.load,
-                    record.asked_at,
+                    record.awaiting_answer_since,
                     int(last),
                     fds[0][2],
                     fds[1][2],
@@ -285,7 +287,7 @@
         if ceded.drained_s is not None:
             # Its operator has ended no drain: it goes on, and its links' time runs from its beginning.
             phase.drain(anyio.current_time() - ceded.drained_s)
-        balancer_actor.recall(ceded.learned, BASE_US - ceded.clock_us)
+        balancer_actor.restore(ceded.learned, BASE_US - ceded.clock_us)
 
     async def run(self, door: Door, tasks: TaskGroup) -> None:
         """Take over links until the other process has ended."""
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -1,4 +1,8 @@
-"""What the actors tell the module's actor: plain values in its mailbox."""
+"""Messages in the balancer actor's mailbox: immutable values, one type for each kind of event.
+
+Times are microseconds of the node's clock. An upstream is meant by its number in the node's registry, or, in
+messages from the cluster, by its name.
+"""
 
 from __future__ import annotations
 
@@ -11,100 +15,153 @@
     from larchlatch.policy.types import Outcome
 
 
-class Arrived(NamedTuple):
-    """A client's link to be placed."""
+class SessionArrived(NamedTuple):
+    """A client has requested a session, which is to be placed."""
 
     record: SessionRecord
 
 
 class HoldExpired(NamedTuple):
-    """A link that was held, and is to be asked for again."""
+    """A session was held until now; the balancer is to be asked again where to place it."""
 
     record: SessionRecord
 
 
-class Stood(NamedTuple):
-    """A link that was open at a host before this node started."""
+class SessionAdopted(NamedTuple):
+    """A session was established at an upstream before this process had it."""
 
     record: SessionRecord
     upstream: int
 
 
 class AttemptFinished(NamedTuple):
-    """What became of a setup try, or of the link that it set up; done: the client needs no answer more."""
+    """An attempt has its outcome, or the session that it established has ended.
+
+    Attributes:
+        record: the session.
+        outcome: what became of it.
+        done: the client needs no answer any more, so no further attempt may follow.
+
+    """
 
     record: SessionRecord
     outcome: Outcome
     done: bool
 
 
-class Left(NamedTuple):
-    """The client has ended its link."""
+class ClientLeft(NamedTuple):
+    """The client has closed its connection, or its session has ended at this node."""
 
     record: SessionRecord
 
 
-class LoadNote(NamedTuple):
+class LoadReported(NamedTuple):
+    """An upstream has reported what one session costs, in microseconds of work a second."""
+
     record: SessionRecord
     load: float
 
 
-class DelayNote(NamedTuple):
+class DelayObserved(NamedTuple):
+    """Messages at the upstream of this session take so long now."""
+
     record: SessionRecord
     delay_us: int
 
 
-class Quiet(NamedTuple):
-    """Messages wait on a host's links, and nothing has come back on any of them."""
+class UpstreamUnresponsive(NamedTuple):
+    """Messages wait on sessions of an upstream, and nothing has come back on any of them for a while."""
 
     upstream: int
 
 
-class Probed(NamedTuple):
+class ProbeFinished(NamedTuple):
+    """A probe was answered or failed.
+
+    Attributes:
+        upstream: the probed upstream.
+        answered: whether an answer came.
+        utilization: its load over its capacity, if reported.
+        session_count: the sessions it holds, if reported.
+
+    """
+
     upstream: int
     answered: bool
     utilization: float | None
-    held: float | None
+    session_count: float | None
+
+
+class EndpointsChanged(NamedTuple):
+    """The endpoint list is known, or has changed.
 
+    Attributes:
+        endpoints: the whole list, or the changes to it.
+        from_discovery: whether discovery has sent it now; False for a list kept from before.
 
-class ListTold(NamedTuple):
-    members: EndpointList
-    asked: bool
+    """
 
+    endpoints: EndpointList
+    from_discovery: bool
 
-class ListFailed(NamedTuple):
-    """The watch broke off or could not be had."""
 
+class DiscoveryFailed(NamedTuple):
+    """The watch on the endpoint list has broken off, or a call for it has failed."""
 
-class Advised(NamedTuple):
-    """Hosts to look at, for what other nodes say; those that enough others have found gone, with how many."""
 
-    looks: list[str]
-    failed: list[tuple[str, int]]
+class UnreachableUpstream(NamedTuple):
+    """An upstream that other nodes fail to connect to, and how many of them do."""
 
+    name: str
+    witness_count: int
 
-class Paced(NamedTuple):
-    """Until then turns at cold hosts are another node's; a host to which a link may go until `at`."""
 
-    until: int
-    upstream: str  # none where it is empty
+class EjectionAdvised(NamedTuple):
+    """Advice made of other nodes' health observations.
+
+    Attributes:
+        probe: names of upstreams to probe now.
+        unreachable: upstreams that enough other nodes fail to connect to.
+
+    """
+
+    probe: list[str]
+    unreachable: list[UnreachableUpstream]
+
+
+class SlowStartTokens(NamedTuple):
+    """The token issuer decides on sessions to warming upstreams, and may have issued a token.
+
+    Attributes:
+        issuer_until: until then the issuer decides, and nodes take no turns of their own.
+        upstream: name of the upstream that the token is for; empty if there is no token.
+        session: number of the session that the token is for.
+        expires_at: until when the token holds.
+
+    """
+
+    issuer_until: int
+    upstream: str
     session: int
-    at: int
+    expires_at: int
 
 
-Message = (
-    Arrived
+SessionMessage = (
+    SessionArrived
     | HoldExpired
-    | Stood
+    | SessionAdopted
     | AttemptFinished
-    | Left
-    | LoadNote
-    | DelayNote
-    | Quiet
-    | Probed
-    | ListTold
-    | ListFailed
-    | Advised
-    | Paced
+    | ClientLeft
+    | LoadReported
+    | DelayObserved
+)
+EnvironmentMessage = (
+    UpstreamUnresponsive
+    | ProbeFinished
+    | EndpointsChanged
+    | DiscoveryFailed
+    | EjectionAdvised
+    | SlowStartTokens
 )
+Message = SessionMessage | EnvironmentMessage
 Post = Callable[[Message], Awaitable[None]]
--- a/larchlatch/node/ports.py
+++ b/larchlatch/node/ports.py
@@ -1,72 +1,100 @@
-"""What a node asks of its cluster, which it does not load where there is none."""
+"""Interfaces between a node and its cluster.
+
+The node states them and the cluster implements them, so that a node without a cluster loads none of it.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Mapping
 from random import Random
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
 
 from larchlatch.node.metrics import Counters
 
 if TYPE_CHECKING:
+    from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
     from larchlatch.policy.types import TokenCandidate
 
 
-class Hearing(Protocol):
-    """What a cluster tells the module's actor."""
+class TokenRequest(NamedTuple):
+    """A warming upstream that a session would go to, and what a token for it would permit."""
 
-    def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
-        """Hosts to look at now; and those that others have found gone, each with how many have."""
+    upstream: str
+    candidate: TokenCandidate
 
-    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
-        """Until then turns at cold hosts are another node's; a host, where one is named, to which a link may
-        go until `at`. Whether it is heard.
-        """
 
+class ClusterEvents(Protocol):
+    """What the cluster tells its node. Neither call waits."""
+
+    def advise_ejection(self, advice: EjectionAdvised) -> None:
+        """Pass on advice; it may be dropped, as the cluster repeats it while it holds."""
+
+    def receive_tokens(self, tokens: SlowStartTokens) -> bool:
+        """Pass on the issuer's decision; return whether it was taken."""
 
-class Fellows(Protocol):
-    """What the module's actor asks of it, and tells it."""
+
+class ClusterPort(Protocol):
+    """What the balancer actor asks of the cluster, and reports to it."""
 
     def admit(self, traffic_class: str) -> int:
-        """Whether one more new link fits the shared budgets: 0, or in how many microseconds to come back."""
+        """Charge one new session to its quotas.
+
+        Returns:
+            0 if it fits, otherwise after how many microseconds its client had better come back.
 
-    def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
-        """The hosts that are ready; for how long one may be cold, and in which time its budget counts."""
+        """
 
-    def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
-        """A link would go to one of these cold hosts."""
+    def update_endpoints(self, ready: Iterable[str], *, slow_start_us: int, overload_window_us: int) -> None:
+        """Follow the endpoint list.
 
-    def saw(self, upstream: str, good: bool | None) -> None:
-        """Whether a connection to a host was had; None: links there broke off, or say nothing."""
+        Args:
+            ready: names of the upstreams that are ready.
+            slow_start_us: for how long at most one of them is still warming up.
+            overload_window_us: window in which sessions to a warming upstream are counted.
 
-    def cede(self) -> dict[str, int]:
-        """Another process of this node admits links from now on; what this one spent in the last window."""
+        """
+
+    def request_token(self, session: int, requests: list[TokenRequest]) -> None:
+        """Ask for a token that lets a session go to one of these warming upstreams."""
+
+    def observe_reachability(self, upstream: str, *, reached: bool | None) -> None:
+        """Report whether an upstream could be connected to; None if sessions there broke off or stall."""
+
+    def hand_over(self) -> dict[str, int]:
+        """Stop admitting sessions, as another process of this node does from now on.
+
+        Returns:
+            What this process has spent of each quota in the last window.
+
+        """
 
     def resume(self) -> None:
-        """It does no more."""
+        """Admit sessions again: the other process has gone."""
 
     def take_over(self, used: Mapping[str, int]) -> None:
-        """This process admits links from now on, and the one before it no more."""
+        """Admit sessions in place of the process before this one, which has spent so much of each quota."""
+
 
+class ClusterService(ClusterPort, Protocol):
+    """The cluster's part in a node, as its runtime drives it."""
 
-class Company(Fellows, Protocol):
     async def run(self) -> None:
-        """Until cancelled."""
+        """Take part until cancelled."""
 
-    def reread(self) -> None:
-        """The operator's file may have changed."""
+    def reload(self) -> None:
+        """Read the cluster file again, as it may have changed."""
 
-    def retire(self) -> None:
-        """This node is about to end: its duties go to others."""
+    def resign(self) -> None:
+        """Leave the node's roles to others, as it is about to stop."""
 
-    def tasks(self) -> list[dict[str, Any]]:
-        """Duty by duty."""
+    def role_rows(self) -> list[dict[str, Any]]:
+        """Return one row a role, for operators."""
 
-    def told(self) -> list[dict[str, Any]]:
-        """Member by member."""
+    def member_rows(self) -> list[dict[str, Any]]:
+        """Return one row a member, for operators."""
 
-    def shares(self) -> list[dict[str, Any]]:
-        """Budget by budget."""
+    def quota_rows(self) -> list[dict[str, Any]]:
+        """Return one row a quota, for operators."""
 
 
-Join = Callable[[Counters, Random, Hearing], Company]
+ClusterFactory = Callable[[Counters, Random, ClusterEvents], ClusterService]
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -9,7 +9,7 @@
 import anyio
 
 from larchlatch.node.clock import now_us
-from larchlatch.node.messages import LoadNote
+from larchlatch.node.messages import LoadReported
 from larchlatch.node.session_record import SessionRecord
 from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.wire import lines as say
@@ -61,8 +61,10 @@
                 tasks.cancel_scope.cancel()
 
             async def moved() -> None:
-                await self.record.move.wait()
-                end(Side.NODE, Ending.END, Outcome.RESET if self.record.silent else Outcome.CANCELLED)
+                await self.record.migration_requested.wait()
+                end(
+                    Side.NODE, Ending.END, Outcome.RESET if self.record.upstream_silent else Outcome.CANCELLED
+                )
 
             async def one(side: Side, direction: Callable[[], Awaitable[Ended | None]]) -> None:
                 ended = await direction()
@@ -99,8 +101,8 @@
         while (some := await self.next(Side.CLIENT, self.client)) is not None:
             if isinstance(some, Ending):
                 return Ended(Side.CLIENT, some, Outcome.CANCELLED)
-            if not self.record.asked_at:
-                self.record.asked_at = now_us()
+            if not self.record.awaiting_answer_since:
+                self.record.awaiting_answer_since = now_us()
             if not await self.upstream.send(b"".join(some)):
                 return Ended(Side.UPSTREAM, Ending.RESET, self.last)
         return None
@@ -113,17 +115,17 @@
             for line in some:
                 match say.parse_upstream_line(line):
                     case say.Load(load):
-                        await self.upstream_actor.post(LoadNote(self.record, load))
+                        await self.upstream_actor.post(LoadReported(self.record, load))
                     case say.Bye():
                         self.last = Outcome.COMPLETED
                     case say.Moved():
                         self.last = Outcome.CANCELLED
                     case _:
-                        self.upstream_actor.answered(self.record)
+                        self.upstream_actor.session_watch.line_received(self.record)
             # While a client does not read, its host is not heard: that must not be taken for silence.
-            self.record.stalled_at = now_us()
+            self.record.client_stalled_since = now_us()
             sent = await self.client.send(b"".join(some))
-            self.record.stalled_at = 0
+            self.record.client_stalled_since = 0
             if not sent:
                 return Ended(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         return None
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -20,11 +20,14 @@
 from larchlatch.node.event_loop_lag import Lag
 from larchlatch.node.hot_restart.handover import Giving, Meeting, Taking
 from larchlatch.node.lifecycle_state import Phase
-from larchlatch.node.messages import ListTold
+from larchlatch.node.mailbox import Mailbox
+from larchlatch.node.messages import EndpointsChanged
 from larchlatch.node.metrics import Counters
 from larchlatch.node.reload import reread
 from larchlatch.node.shutdown import GRANTED_S, SPARE_S, Leaving
+from larchlatch.node.upstream_registry import UpstreamRegistry
 from larchlatch.node.wire.listen import Listener, NoAccept
+from larchlatch.policy.balancer import Balancer
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -32,7 +35,7 @@
     from anyio.abc import TaskGroup, TaskStatus
 
     from larchlatch.config.node import Plan
-    from larchlatch.node.ports import Join
+    from larchlatch.node.ports import ClusterFactory
 
 BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
 FIRST_LIST_S = 1.0  # a node waits so long for the present list before it serves with the one it had
@@ -111,19 +114,30 @@
 
 
 async def node(
-    plan: Plan, path: Path, join: Join | None = None, *, task_status: TaskStatus[int] = TASK_STATUS_IGNORED
+    plan: Plan,
+    path: Path,
+    join: ClusterFactory | None = None,
+    *,
+    task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
     """Serve by this plan, read from that file, until told to stop; says on which port once it can."""
     counters = Counters()
     descriptors = DescriptorBudget(plan.sockets)
     chance = random.Random(plan.seed)
-    balancer_actor = BalancerActor(
-        plan.settings, plan.zones, plan.traffic_classes, chance, plan.reach, descriptors, counters
-    )
+    mailbox = Mailbox(counters)
     discovery = DiscoveryClient(
-        plan.discovery, plan.known.revision, plan.pushed, counters, balancer_actor.post, chance.uniform
+        plan.discovery, plan.known.revision, plan.pushed, counters, mailbox.post, chance.uniform
+    )
+    cluster = None if join is None else join(counters, random.Random(chance.getrandbits(64)), mailbox)
+    balancer_actor = BalancerActor(
+        Balancer(plan.settings, chance),
+        plan.traffic_classes,
+        mailbox,
+        UpstreamRegistry(plan.zones, plan.reach, descriptors, counters, mailbox.post),
+        counters,
+        discovery=discovery,
+        cluster=cluster,
     )
-    balancer_actor.discovery = discovery
     lag = Lag()
     ready = anyio.Event()
     phase = Phase(plan.longest_wait_us / 1e6 + GRANTED_S - SPARE_S, plan.passes_through)
@@ -146,11 +160,8 @@
                 log.info("operators' door", listen=operators.address)
                 tasks.start_soon(AdminApi(phase, leaving.drain, counters).run, operators)
             tasks.start_soon(lag.run)
-            company = None
-            if join is not None:
-                company = join(counters, random.Random(chance.getrandbits(64)), balancer_actor)
-                balancer_actor.fellows = company
-                tasks.start_soon(company.run)
+            if cluster is not None:
+                tasks.start_soon(cluster.run)
             meeting = Meeting.of(plan)
             taking = None if meeting is None else await Taking.reached(plan, meeting, counters)
             # The list held from before comes first: old as it may be, links can be placed by it at once.
@@ -158,7 +169,7 @@
             if taking is not None and taking.members.revision >= held.revision:
                 held = taking.members
             discovery.revision = held.revision
-            balancer_actor.heard(now_us(), ListTold(held, asked=False))
+            balancer_actor.handle(now_us(), EndpointsChanged(held, from_discovery=False))
             tasks.start_soon(balancer_actor.run)
             tasks.start_soon(discovery.run)
             if taking is not None:
@@ -189,29 +200,29 @@
                 "serving",
                 node=plan.name,
                 listen=listener.address,
-                upstreams=len(balancer_actor.upstream_actors),
+                upstreams=len(balancer_actor.upstreams.actors),
                 passes_through=plan.passes_through,
             )
             task_status.started(listener.address[1])
             async for told in signals:
                 if told == signal.SIGHUP:
                     plan = reread(plan, path, discovery, counters)
-                    if company is not None:
-                        company.reread()
+                    if cluster is not None:
+                        cluster.reload()
                     continue
                 log.info("counters", **counters.told(), lag_ms=lag.told_ms())
                 if told == signal.SIGUSR1:
-                    for row in balancer_actor.told():
+                    for row in balancer_actor.upstream_rows():
                         log.info("host", **row)
-                    for row in company.told() if company is not None else ():
+                    for row in cluster.member_rows() if cluster is not None else ():
                         log.info("member", **row)
-                    for row in company.shares() if company is not None else ():
+                    for row in cluster.quota_rows() if cluster is not None else ():
                         log.info("budget", **row)
-                    for row in company.tasks() if company is not None else ():
+                    for row in cluster.role_rows() if cluster is not None else ():
                         log.info("duty", **row)
                 if told != signal.SIGUSR1 and phase.stopped_at is None:
                     phase.stop(anyio.current_time())
-                    if company is not None:
-                        company.retire()
+                    if cluster is not None:
+                        cluster.resign()
                     tasks.start_soon(leaving.stop)
     log.info("stopped", **counters.told(), lag_ms=lag.told_ms())
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -72,18 +72,22 @@
         asked: dict[SessionRecord, float] = {}  # links that another process is to go on with, and since when
         while self.phase.leaving:
             now = anyio.current_time()
-            standing = [h for h in self.door.standing.values() if not h.move.is_set() and h not in asked]
+            standing = [
+                h
+                for h in self.door.standing.values()
+                if not h.migration_requested.is_set() and h not in asked
+            ]
             # Where packets pass through none is due: links go on through other nodes.
             for record in standing[: self.phase.leave(now, len(standing))]:
                 if not self.phase.hands_over:
                     self.counters.add("link sent away")
-                    record.move.set()
-                elif record.pass_on is not None:
+                    record.migration_requested.set()
+                elif record.request_handover is not None:
                     asked[record] = now
-                    record.pass_on()
+                    record.request_handover()
             # A side that does not read keeps its link from stopping between two lines: it has to be moved.
             for record in [record for record, at in asked.items() if now >= at + PASSING_S]:
                 del asked[record]
-                record.move.set()
+                record.migration_requested.set()
             await anyio.sleep(STEP_S)
         self.moving = False
--- /dev/null
+++ b/larchlatch/node/status.py
@@ -0,0 +1,34 @@
+"""Rows of a node's state for operators. Their keys are stated in docs/operating.md and stay as they are."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping
+
+    from larchlatch.node.upstream_actor import UpstreamActor
+    from larchlatch.policy.types import UpstreamStatus
+
+
+def upstream_row(status: UpstreamStatus, actor: UpstreamActor | None) -> dict[str, Any]:
+    """Return what the balancer believes of one upstream, beside the sockets that are open there."""
+    has_load = status.load is not None
+    return {
+        "host": actor.name if actor else status.upstream,
+        "state": status.state.value,
+        "left_out": status.left_out,
+        "tries": status.out,
+        "tries_open": actor.attempts.in_flight if actor else 0,
+        "links": status.open,
+        "links_open": len(actor.session_watch.sessions) if actor else 0,
+        "load": round(status.load, 3) if status.load is not None else None,
+        "load_age_ms": status.load_age_us // 1000 if has_load else None,
+    }
+
+
+def upstream_rows(
+    statuses: list[UpstreamStatus], actors: Mapping[int, UpstreamActor]
+) -> list[dict[str, Any]]:
+    """Return one row an upstream, in the balancer's order."""
+    return [upstream_row(status, actors.get(status.upstream)) for status in statuses]
--- /dev/null
+++ b/larchlatch/node/upstream_registry.py
@@ -0,0 +1,141 @@
+"""The upstreams that a node knows: their numbers, their endpoint entries and their actors."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import structlog
+
+from larchlatch.config.endpoints import EndpointEntry, EndpointList
+from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.policy.types import Endpoint, EndpointState
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from anyio.abc import TaskGroup
+
+    from larchlatch.config.upstream import UpstreamSettings
+    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.messages import Post
+    from larchlatch.node.metrics import Counters
+
+UNKNOWN_ZONE = -1  # for the balancer: a zone that the configuration does not name
+
+log = structlog.get_logger()
+
+
+class UpstreamRegistry:
+    """Follows the endpoint list, and has an actor for each upstream that the list ever named.
+
+    An upstream that is gone keeps its number and its actor: sessions may still be established there.
+
+    Attributes:
+        actors: the upstreams' actors by number.
+
+    """
+
+    def __init__(
+        self,
+        zones: Iterable[str],
+        settings: UpstreamSettings,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+        post: Post,
+    ) -> None:
+        self.actors: dict[int, UpstreamActor] = {}
+        self._zones = {name: number for number, name in enumerate(zones)}
+        self._settings = settings
+        self._descriptors = descriptors
+        self._counters = counters
+        self._post = post
+        self._numbers: dict[str, int] = {}
+        self._entries: dict[str, EndpointEntry] = {}  # what the list last said of each
+        self._tasks: TaskGroup | None = None  # where actors run, once they do
+
+    def start(self, tasks: TaskGroup) -> None:
+        """Run the actors in a task group, those that are known now and those that come later."""
+        self._tasks = tasks
+        for actor in self.actors.values():
+            tasks.start_soon(actor.run)
+
+    def number_of(self, name: str) -> int | None:
+        """Return the number of the upstream of this name, or None if the list never named it."""
+        return self._numbers.get(name)
+
+    def actor_named(self, name: str) -> UpstreamActor | None:
+        """Return the actor of the upstream of this name, or None if the list never named it."""
+        number = self.number_of(name)
+        return None if number is None else self.actors[number]
+
+    def endpoint_list(self, revision: int) -> EndpointList:
+        """Return the whole list as it is known here, upstreams that are gone included."""
+        return EndpointList(revision, True, list(self._entries.values()))
+
+    def ready_entries(self) -> list[EndpointEntry]:
+        """Return the entries of the upstreams that are ready for new sessions."""
+        return [entry for entry in self._entries.values() if entry.state is EndpointState.READY]
+
+    def update(self, endpoints: EndpointList) -> list[Endpoint]:
+        """Take over a list, or the changes to one; return what the balancer is to know of it."""
+        # An entry that can't be read says nothing: a whole list without it would have its upstream gone.
+        kept = [self._entries[name] for name in endpoints.unreadable if name in self._entries]
+        entries = [*endpoints.members, *kept]
+        for entry in entries:
+            self._update_entry(entry)
+        if endpoints.whole:
+            self._mark_gone_except({entry.name for entry in entries})
+        return [self._policy_endpoint(entry) for entry in entries]
+
+    def _update_entry(self, entry: EndpointEntry) -> None:
+        log.debug(
+            "endpoint_listed",
+            upstream=entry.name,
+            state=entry.state.name,
+            size=entry.size,
+            started_at=entry.started_at,
+        )
+        self._entries[entry.name] = entry
+        number = self._numbers.setdefault(entry.name, len(self._numbers))
+        actor = self.actors.get(number)
+        if actor is None:
+            actor = self._create_actor(number, entry)
+        actor.follow(entry.address, accepts_sessions=entry.state is EndpointState.READY)
+
+    def _create_actor(self, number: int, entry: EndpointEntry) -> UpstreamActor:
+        actor = UpstreamActor(
+            number,
+            entry.name,
+            entry.address,
+            self._settings,
+            self._descriptors,
+            self._counters,
+            self._post,
+        )
+        self.actors[number] = actor
+        if self._tasks is not None:
+            self._tasks.start_soon(actor.run)
+        return actor
+
+    def _mark_gone_except(self, names: set[str]) -> None:
+        for entry in list(self._entries.values()):
+            if entry.name not in names:
+                self._entries[entry.name] = entry._replace(state=EndpointState.GONE)
+                self.actors[self._numbers[entry.name]].refuse_sessions()
+
+    def _policy_endpoint(self, entry: EndpointEntry) -> Endpoint:
+        return Endpoint(
+            self._numbers[entry.name],
+            entry.name,
+            self._zones.get(entry.zone, UNKNOWN_ZONE),
+            entry.cell,
+            entry.state,
+            entry.size,
+            entry.started_at,
+        )
+
+
+def slow_start_left_us(entries: Sequence[EndpointEntry], slow_start_us: int, now: int) -> int:
+    """Return for how long at most one of these upstreams is still warming up, in microseconds."""
+    ends = [entry.started_at + slow_start_us for entry in entries if entry.started_at]
+    return max(0, max(ends, default=now) - now)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,13 +22,13 @@
 
 from larchlatch.config.endpoints import EndpointList, endpoint_entry_of
 from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.node import attempts as node_attempts
 from larchlatch.node import client as node_client
 from larchlatch.node import runtime as node_run
-from larchlatch.node import upstream_actor as node_peer
-from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import RESERVE, DescriptorBudget
-from larchlatch.node.messages import AttemptFinished, Message
+from larchlatch.node.mailbox import Mailbox
+from larchlatch.node.messages import AttemptFinished, EndpointsChanged, Message
 from larchlatch.node.metrics import Counters
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord
 from larchlatch.node.upstream_actor import UpstreamActor
@@ -77,8 +77,8 @@
             not (door.connections or door.in_hand or door.idents or door.standing or module.records)
             and not (door.resting or door.unheard)
             and all(
-                not upstream_actor.trying and not upstream_actor.standing
-                for upstream_actor in module.upstream_actors.values()
+                not upstream_actor.attempts.in_flight and not upstream_actor.session_watch.sessions
+                for upstream_actor in module.upstreams.actors.values()
             )
             and door.descriptors.free == door.descriptors.most - 1  # for the next one to be accepted
         )
@@ -179,7 +179,7 @@
         client.close()
         with anyio.fail_after(SOON_S):
             await at_rest(doors[0])
-        doors[0].balancer_actor.listed(now_us(), say_members(rows), True)
+        doors[0].balancer_actor.handle(now_us(), EndpointsChanged(say_members(rows), True))
         assert await (await opened(port)).line() == b"UP r1\r\n"
         assert len(upstreams.lines) == 1, "an attempt for a client that had left"
 
@@ -208,12 +208,12 @@
                 clients.pop().close()
             return made
 
-        monkeypatch.setattr(node_peer, "dial", dialled)
+        monkeypatch.setattr(node_attempts, "dial", dialled)
         clients.append(raw_client(port, line_of("a", ",mid=1")))
         await until(lambda: not clients)
         await at_rest(doors[0])
         assert not upstreams.lines
-        assert doors[0].counters.counts["attempt not begun: client gone"] == 1
+        assert doors[0].counters.counts["attempt_not_begun_client_gone"] == 1
 
     on_loopback(body)
 
@@ -222,14 +222,14 @@
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gate = anyio.Event()
-    real = BalancerActor.submit
+    real = Mailbox.submit
 
-    async def submit(module: BalancerActor, word: Any) -> None:
+    async def submit(mailbox: Mailbox, word: Any) -> None:
         await gate.wait()  # as long as its mailbox is full
-        await real(module, word)
+        await real(mailbox, word)
 
-    monkeypatch.setattr(BalancerActor, "offer", lambda module, word: False)
-    monkeypatch.setattr(BalancerActor, "submit", submit)
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
@@ -252,11 +252,11 @@
 def test_a_link_that_the_decisions_never_come_to_is_answered_in_time(
     doors: list[Door], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def submit(module: BalancerActor, word: Any) -> None:
+    async def submit(mailbox: Mailbox, word: Any) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(BalancerActor, "offer", lambda module, word: False)
-    monkeypatch.setattr(BalancerActor, "submit", submit)
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
@@ -290,10 +290,10 @@
         self.words.append(word)
 
     async def attempt(self, record: SessionRecord, within_us: int = 1_000_000) -> Outcome:
-        await self.upstream_actor.attempt(record, now_us() + within_us)
+        await self.upstream_actor.attempts.run(record, now_us() + within_us)
         (word,) = self.words
         assert isinstance(word, AttemptFinished)
-        assert self.upstream_actor.trying == 0 and record.attempt is None
+        assert self.upstream_actor.attempts.in_flight == 0 and record.attempt_scope is None
         return word.outcome
 
 
@@ -304,7 +304,7 @@
 
 
 def drains(alone: Alone, record: SessionRecord) -> None:
-    alone.upstream_actor.open_to_new = False
+    alone.upstream_actor.target.accepts_sessions = False
 
 
 def forgets(alone: Alone, record: SessionRecord) -> None:
@@ -312,11 +312,11 @@
 
 
 def leaves(alone: Alone, record: SessionRecord) -> None:
-    record.leave()
+    record.mark_client_gone()
 
 
 def is_answered(alone: Alone, record: SessionRecord) -> None:
-    record.settle(Failed())
+    record.set_final_answer(Failed())
 
 
 @pytest.mark.parametrize("meanwhile", [drains, forgets, leaves, is_answered])
@@ -332,7 +332,7 @@
             meanwhile(alone, record)
             return made
 
-        monkeypatch.setattr(node_peer, "dial", dialled)
+        monkeypatch.setattr(node_attempts, "dial", dialled)
         assert await alone.attempt(record) is Outcome.NOT_SENT
         assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
 
@@ -352,7 +352,7 @@
             await until(lambda: now_us() > late)
             return made
 
-        monkeypatch.setattr(node_peer, "dial", dialled)
+        monkeypatch.setattr(node_attempts, "dial", dialled)
         assert await alone.attempt(hand_of(), 20_000) is Outcome.NOT_SENT
         assert not upstreams.lines and alone.descriptors.free == alone.descriptors.most
 
@@ -660,15 +660,17 @@
 
         upstream = await Scripted().start(tasks, answer)
         alone, record = Alone(upstream.named), hand_of()
-        await alone.upstream_actor.attempt(record, now_us() + 5_000_000)
+        await alone.upstream_actor.attempts.run(record, now_us() + 5_000_000)
         (told,) = [word for word in alone.words if isinstance(word, AttemptFinished)]
         assert told.outcome is comes
-        if isinstance(record.verdict, Delivered):
-            assert record.verdict.line in (b"UP r1\r\n", b"BYE\r\n")
-            await record.verdict.upstream.close()
+        if isinstance(record.final_answer, Delivered):
+            assert record.final_answer.line in (b"UP r1\r\n", b"BYE\r\n")
+            await record.final_answer.connection.close()
             alone.descriptors.give()
         await until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.most and alone.upstream_actor.trying == 0
+        assert (
+            alone.descriptors.free == alone.descriptors.most and alone.upstream_actor.attempts.in_flight == 0
+        )
 
     on_loopback(body)
 
@@ -690,7 +692,7 @@
         alone, record = Alone(upstream.named), hand_of()
         assert await alone.attempt(record, 100_000) is Outcome.TIMED_OUT
         given_up.set()
-        assert record.verdict is None
+        assert record.final_answer is None
         await until(lambda: upstream.ended == 1)
         assert alone.descriptors.free == alone.descriptors.most
 
@@ -712,15 +714,15 @@
 
         async def line(lines: stream.Lines) -> Any:
             got = await real(lines)
-            assert record.attempt is not None
-            record.attempt.cancel()
+            assert record.attempt_scope is not None
+            record.attempt_scope.cancel()
             return got
 
         monkeypatch.setattr(stream.Lines, "line", line)
         outcome = await alone.attempt(record)
-        assert (outcome is Outcome.ESTABLISHED) == isinstance(record.verdict, Delivered)
-        if isinstance(record.verdict, Delivered):
-            await record.verdict.upstream.close()
+        assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
+        if isinstance(record.final_answer, Delivered):
+            await record.final_answer.connection.close()
             alone.descriptors.give()
         await until(lambda: upstream.ended == 1)
         assert alone.descriptors.free == alone.descriptors.most
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,7 +17,7 @@
 from larchlatch.errors import InvalidInputError
 from larchlatch.node import discovery as node_listing
 from larchlatch.node.discovery import AGAIN_S, AGENT, CYCLE_S, SHARED, SILENCE_S, DiscoveryClient
-from larchlatch.node.messages import ListTold, Message
+from larchlatch.node.messages import EndpointsChanged, Message
 from larchlatch.node.metrics import Counters
 from larchlatch.node.wire import discovery_client as catalog
 from larchlatch.node.wire.discovery_client import UNREAD_S, Framing, Limits
@@ -138,7 +138,7 @@
 
     async def post(self, word: Message) -> None:
         self.words.append(word)
-        if isinstance(word, ListTold):
+        if isinstance(word, EndpointsChanged):
             self.told.set()
         with anyio.CancelScope(shield=True):
             await self.room.wait()
@@ -199,8 +199,8 @@
         async with anyio.create_task_group() as running:
             running.start_soon(followed(service.port, heard, lambda low, high: high).run)
             await heard.told.wait()
-            (told,) = [word for word in heard.words if isinstance(word, ListTold)]
-            assert told.members.members[0].state is EndpointState.DRAINING
+            (told,) = [word for word in heard.words if isinstance(word, EndpointsChanged)]
+            assert told.endpoints.members[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -23,7 +23,7 @@
 from larchlatch.__main__ import cli
 from larchlatch.config.node import plan_from
 from larchlatch.node import client as node_client
-from larchlatch.node import upstream_actor as upstream_actor
+from larchlatch.node import session_watch
 from larchlatch.node.descriptor_budget import RESERVE
 from larchlatch.node.runtime import node
 from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
@@ -155,7 +155,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A vanished host resets nothing; half a line of it must not run into what the node says."""
-    monkeypatch.setattr(upstream_actor, "SILENT_US", 300_000)
+    monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 300_000)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP half").start(tasks)
@@ -175,7 +175,7 @@
     """Only the module can take all its links away; a host that answers another link is not quiet."""
     told: list[int] = []
     monkeypatch.setattr(Balancer, "quiet", lambda balancer, now, upstream: told.append(upstream))
-    monkeypatch.setattr(upstream_actor, "SILENT_US", 10**9)
+    monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 10**9)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP half", "UP echo", "UP half").start(tasks)
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -12,11 +12,12 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.node import upstream_actor as upstream_actor
+from larchlatch.node import session_watch
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
-from larchlatch.node.messages import ListTold, Message, Probed
+from larchlatch.node.messages import EndpointsChanged, Message, ProbeFinished
 from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_actor import UpstreamActor
 from tests.ground import (
     IDENTS,
     Discovery,
@@ -120,8 +121,8 @@
                 await listing.fresh.wait()
                 watching.cancel_scope.cancel()
             (told,) = got
-            assert isinstance(told, ListTold) and told.members.revision == 5
-            assert [entry.name for entry in told.members.members] == ["s-0"]
+            assert isinstance(told, EndpointsChanged) and told.endpoints.revision == 5
+            assert [entry.name for entry in told.endpoints.members] == ["s-0"]
 
     on_loopback(body)
 
@@ -154,7 +155,7 @@
 def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream_actor, "STALLED_US", 500_000)
+    monkeypatch.setattr(session_watch, "CLIENT_STALL_LIMIT_US", 500_000)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP flood").start(tasks)
@@ -209,12 +210,10 @@
             pass
 
         reach = UpstreamSettings(250_000, False, False, 0)
-        upstream = upstream_actor.UpstreamActor(
-            0, "s-0", ("127.0.0.1", port_of(listener)), reach, room, Counters(), post
-        )
+        upstream = UpstreamActor(0, "s-0", ("127.0.0.1", port_of(listener)), reach, room, Counters(), post)
         free = room.free
-        assert await upstream.probed() is not None and room.free == free - 1
-        assert await upstream.probed() is None and room.free == free
+        assert await upstream.prober.query() is not None and room.free == free - 1
+        assert await upstream.prober.query() is None and room.free == free
 
     on_loopback(body)
 
@@ -230,13 +229,13 @@
             told.append(word)
 
         reach = UpstreamSettings(250_000, False, False, 0)
-        upstream = upstream_actor.UpstreamActor(
+        upstream = UpstreamActor(
             0, "s-0", ("127.0.0.1", port_of(listener)), reach, DescriptorBudget(100), Counters(), post
         )
-        await upstream.probe()
+        await upstream.prober.run()
         async with anyio.create_task_group() as both:
-            both.start_soon(upstream.probe)
-            both.start_soon(upstream.probe)
-        assert [word.answered for word in told if isinstance(word, Probed)] == [True, False]
+            both.start_soon(upstream.prober.run)
+            both.start_soon(upstream.prober.run)
+        assert [word.answered for word in told if isinstance(word, ProbeFinished)] == [True, False]
 
     on_loopback(body)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -31,7 +31,10 @@
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_registry import UpstreamRegistry
+from larchlatch.policy.balancer import Balancer
 from tests.test_cluster import ENTRY, OTHER
 
 SECOND = 1_000_000
@@ -289,7 +292,7 @@
     def __init__(self) -> None:
         self.taken: Any = None
 
-    def cede(self) -> dict[str, int]:
+    def hand_over(self) -> dict[str, int]:
         return {"all": 5}
 
     def take_over(self, used: Any) -> None:
@@ -297,19 +300,22 @@
 
 
 def test_what_is_spent_goes_to_the_next_process_of_a_node_with_all_else_it_learned() -> None:
-    def module(fellows: Any) -> BalancerActor:
-        reach, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
-        made = BalancerActor(settings_for(Day(), 0), [], [], random.Random(1), reach, room, Counters())
-        made.fellows = fellows
-        return made
-
-    old, new, alone = module(Told()), module(Told()), module(None)
-    learned = old.cede(True)
-    new.recall(learned, 0)
-    alone.recall(learned, 0)
-    assert isinstance(new.fellows, Told) and new.fellows.taken == {"all": 5}
-    new.recall(alone.cede(True), 0)
-    assert new.fellows.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
+    def actor(cluster: Any) -> BalancerActor:
+        settings, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
+        counters = Counters()
+        mailbox = Mailbox(counters)
+        upstreams = UpstreamRegistry([], settings, room, counters, mailbox.post)
+        balancer = Balancer(settings_for(Day(), 0), random.Random(1))
+        return BalancerActor(balancer, [], mailbox, upstreams, counters, cluster=cluster)
+
+    told = Told()
+    old, new, alone = actor(Told()), actor(told), actor(None)
+    learned = old.hand_over()
+    new.restore(learned, 0)
+    alone.restore(learned, 0)
+    assert told.taken == {"all": 5}
+    new.restore(alone.hand_over(), 0)
+    assert told.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
 
 
 # C3.
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -41,7 +41,7 @@
 )
 from larchlatch.node.lifecycle_state import Phase
 from larchlatch.node.metrics import Counters
-from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.upstream_registry import UpstreamRegistry
 from larchlatch.node.wire.lines import MOVE
 from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.balancer import Balancer
@@ -457,8 +457,11 @@
 
         counters, room = Counters(), DescriptorBudget(64)
         reach = UpstreamSettings(250_000, False, True, 50_000)
-        module: Any = SimpleNamespace(numbers={"s-0": 0}, enough_us=0, post=post)
-        module.upstream_actors = {0: UpstreamActor(0, "s-0", ("127.0.0.1", 1), reach, room, counters, post)}
+        upstreams = UpstreamRegistry([], reach, room, counters, post)
+        entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, line(0).state, 1.0, 9000)
+        upstreams.update(EndpointList(1, True, [entry]))
+        mailbox = SimpleNamespace(post=post)
+        module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
         phase = Phase(5.0, False)
         door = Door(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
         began = now_us()
@@ -468,7 +471,7 @@
             tasks.start_soon(door.resume, told, [ours for ours, _ in pairs])
             await until(lambda: bool(door.standing))
             [record] = door.standing.values()
-            assert record.asked_at >= began if asked_at else record.asked_at == 0
+            assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
             for _, theirs in pairs:
                 theirs.close()
             await until(lambda: not door.standing)
@@ -493,8 +496,8 @@
                 await anyio.sleep(0.3)
             running.signal(signal.SIGUSR1)
             told = await running.told("counters")
-            assert not {"host quiet", "link moved", "link shed"} & set(told), told
-            assert told.get("host not judged: behind", 0) >= 3
+            assert not {"upstream_unresponsive", "link moved", "link shed"} & set(told), told
+            assert told.get("upstream_not_judged_node_lag", 0) >= 3
             assert set(site.seen) == {"UP", "lines"}
             clients.cancel_scope.cancel()
 
