--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -14,7 +14,7 @@
 from larchlatch.node.runtime import run_node
 
 if TYPE_CHECKING:
-    from larchlatch.node.ports import Join
+    from larchlatch.node.ports import ClusterFactory
 
 
 @click.command()
@@ -55,7 +55,7 @@
     )
 
 
-def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> Join:
+def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> ClusterFactory:
     """Return what joins the node to its cluster once it runs.
 
     The cluster file and the key are read now, so that a fault in them stops the start.
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -28,6 +28,7 @@
 from larchlatch.cluster.protocol.signing import Signer, Verifier
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import now_us
+from larchlatch.node.messages import EjectionAdvised, SlowStartTokens, UnreachableUpstream
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
@@ -38,8 +39,7 @@
     from larchlatch.cluster.health.observations import EjectionAdvice
     from larchlatch.cluster.slow_start.notices import TokenNotice
     from larchlatch.node.metrics import Counters
-    from larchlatch.node.ports import Hearing
-    from larchlatch.policy.types import TokenCandidate
+    from larchlatch.node.ports import ClusterEvents, TokenRequest
 
 SHUTDOWN_HEARTBEATS = 3  # so often a node that ends says so: one or two of these datagrams may be lost
 
@@ -75,7 +75,7 @@
         signer: Signer,
         node_counters: Counters,
         random: Random,
-        balancer: Hearing,
+        balancer: ClusterEvents,
     ) -> None:
         """Prepare the service; `run` starts it.
 
@@ -215,24 +215,27 @@
         ahead_us = now_us() - self.now()
         for update in updates:
             upstream = self.upstreams.get(update.upstream, "")
-            heard = self._balancer.pace(
+            tokens = SlowStartTokens(
                 update.handed_over_until + ahead_us, upstream, update.session, update.token_ends_at + ahead_us
             )
-            if not heard:
+            if not self._balancer.receive_tokens(tokens):
                 self.state.tokens.requester.withdraw()
 
     def _pass_on_advice(self, advice: EjectionAdvice) -> None:
         probes = [self.upstreams[upstream] for upstream in advice.probes]
-        ejections = [(self.upstreams[upstream], witnesses) for upstream, witnesses in advice.failures]
+        ejections = [
+            UnreachableUpstream(self.upstreams[upstream], reporters)
+            for upstream, reporters in advice.failures
+        ]
         self._events.ejections_advised(ejections)
         self._events.unreachable(self.upstreams[upstream] for upstream in advice.newly_unreachable)
         if probes or ejections:
             self._counters.add(counters.PROBES_ADVISED, len(probes))
-            self._balancer.advise(probes, ejections)
+            self._balancer.advise_ejection(EjectionAdvised(probes, ejections))
 
     # What the node asks, and tells.
 
-    def retire(self) -> None:
+    def resign(self) -> None:
         """Hand this node's roles over: it is about to end."""
         self.state.election.begin_handover()
 
@@ -248,29 +251,29 @@
             self._counters.add(counters.SESSIONS_OVER_QUOTA)
         return retry_after_us
 
-    def listed(self, upstreams: Iterable[str], slow_start_us: int, window_us: int) -> None:
+    def update_endpoints(self, ready: Iterable[str], *, slow_start_us: int, overload_window_us: int) -> None:
         """Take in a new endpoint list.
 
         Args:
-            upstreams: names of the upstreams that are ready.
+            ready: names of the upstreams that are ready.
             slow_start_us: for how long one of them may still be warming up.
-            window_us: length of the overload window.
+            overload_window_us: length of the overload window.
 
         """
-        self.upstreams = {upstream_hash(upstream): upstream for upstream in upstreams}
+        self.upstreams = {upstream_hash(upstream): upstream for upstream in ready}
         self.state.tokens.update_upstreams(
-            self.now(), self.upstreams, slow_start_us=slow_start_us, window_us=window_us
+            self.now(), self.upstreams, slow_start_us=slow_start_us, window_us=overload_window_us
         )
         self.state.health.set_upstreams(self.upstreams)
 
-    def saw(self, upstream: str, good: bool | None) -> None:  # noqa: FBT001  the port's signature
+    def observe_reachability(self, upstream: str, *, reached: bool | None) -> None:
         """Record whether this node could connect to an upstream; None: a session there broke off."""
         if upstream_hash(upstream) in self.upstreams:
-            self.state.health.observe(self.now(), upstream_hash(upstream), reached=good)
+            self.state.health.observe(self.now(), upstream_hash(upstream), reached=reached)
 
-    def sought(self, session: int, wants: list[tuple[str, TokenCandidate]]) -> None:
+    def request_token(self, session: int, requests: list[TokenRequest]) -> None:
         """Request a slow-start token: the session would go to one of these warming upstreams."""
-        candidates = [(upstream_hash(name), candidate) for name, candidate in wants]
+        candidates = [(upstream_hash(request.upstream), request.candidate) for request in requests]
         result = self.exchange.request_token(session, candidates, now=self.now(), wall=self.wall())
         self._send(result.datagrams)
         self.log_orders(result.orders)
@@ -278,7 +281,7 @@
 
     # Hot restart.
 
-    def cede(self) -> dict[str, int]:
+    def hand_over(self) -> dict[str, int]:
         """Stop admitting sessions: the successor does so from now on.
 
         Returns:
@@ -310,7 +313,7 @@
 
     # Configuration.
 
-    def reread(self) -> None:
+    def reload(self) -> None:
         """Read the cluster file anew; one that is wrong is rejected and changes nothing."""
         try:
             configuration = read_cluster_file(self._path)
@@ -341,15 +344,15 @@
 
     # Rows for operators; see docs/operating-cluster.md.
 
-    def tasks(self) -> list[dict[str, Any]]:
+    def role_rows(self) -> list[dict[str, Any]]:
         """Return one row for each role."""
         return reports.role_rows(self.state, self.membership, self.now())
 
-    def shares(self) -> list[dict[str, Any]]:
+    def quota_rows(self) -> list[dict[str, Any]]:
         """Return one row for each quota."""
         return reports.quota_rows(self.state, now=self.now(), wall=self.wall())
 
-    def told(self) -> list[dict[str, Any]]:
+    def member_rows(self) -> list[dict[str, Any]]:
         """Return one row for each other member."""
         return reports.member_rows(self.membership, self.configuration.sites)
 
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -102,7 +102,7 @@
             company.spending.seen(company.stage.clock.now, str(session))
         return back_us
 
-    def listed(self, upstreams: Sequence[int], started_at: int) -> None:
+    def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
         self.evidence.set_upstreams(upstreams)
         cold = self.company.stage.day.cold
         slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
@@ -110,7 +110,7 @@
             self.now, upstreams, slow_start_us=max(0, slow_start_us), window_us=us(cold.tip_s)
         )
 
-    def sought(self, session: int, wants: Sequence[TokenCandidate]) -> None:
+    def request_token(self, session: int, wants: Sequence[TokenCandidate]) -> None:
         wall = self.company.stage.clock.now
         candidates = [(want.upstream, want) for want in wants]
         taken = self.exchange.request_token(session, candidates, now=self.now, wall=wall)
@@ -130,7 +130,7 @@
                 told.token_ends_at + ahead,
             )
 
-    def saw(self, upstream: int, good: bool | None) -> None:
+    def observe_reachability(self, upstream: int, good: bool | None) -> None:
         if upstream in self.evidence.upstreams:
             self.evidence.observe(self.now, upstream, reached=good)
 
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/load/puppet.py
@@ -33,8 +33,8 @@
 
 
 class Node(actor.ClusterService):
-    def listed(self, *listed: Any) -> None:
-        super().listed(*listed)
+    def update_endpoints(self, *args: Any, **named: Any) -> None:
+        super().update_endpoints(*args, **named)
         assert isinstance(self.exchange, Lying)
         self.exchange.upstreams = list(self.upstreams)
 
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -9,7 +9,7 @@
 import structlog
 
 from larchlatch.errors import InvalidInputError
-from larchlatch.node.messages import ListFailed, ListTold, Post
+from larchlatch.node.messages import DiscoveryFailed, EndpointsChanged, Post
 from larchlatch.node.metrics import CounterName
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import CallTimeouts, DiscoveryRefusedError, EndpointUpdate, Watch
@@ -147,7 +147,7 @@
             # once.
             with anyio.CancelScope() as self._call_scope:
                 await self._call(self.source)
-                await self._post(ListFailed())
+                await self._post(DiscoveryFailed())
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
@@ -224,7 +224,7 @@
         if faults:
             self._counters.add(CounterName.ENDPOINT_ENTRY_INVALID, len(faults))
             log.warning("endpoint_entries_invalid", count=len(faults), first=faults[0])
-        await self._post(ListTold(endpoints, asked=True))
+        await self._post(EndpointsChanged(endpoints, from_discovery=True))
         self.first_update.set()
 
     def _record_progress(self) -> None:
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -106,7 +106,7 @@
         if received is None or received.packet != hello_of(self._configuration):
             return
         log.info("hot_restart_successor_starting")
-        welcome = Welcome(self._balancer_actor.members())
+        welcome = Welcome(self._balancer_actor.endpoint_list())
         if not await channel.send(welcome, [self._client_listener.fileno()]):
             return
         received = await receive_within(channel, START_S)
@@ -134,7 +134,7 @@
         finally:
             self._connections.hand_sessions_to(None)
             self._lifecycle.successor_serves = False
-            self._balancer_actor.cede(False)
+            self._balancer_actor.resume()
             self._descriptors.lend(-lent)
             self._client_listener.open()
 
@@ -145,7 +145,7 @@
     def _state_for_successor(self, reserved_descriptors: int) -> StateHandover:
         draining_since = self._lifecycle.drain_started_at
         return StateHandover(
-            balancer_state=self._balancer_actor.cede(True),
+            balancer_state=self._balancer_actor.hand_over(),
             session_ids=list(self._connections.idents),
             descriptor_count=HEADROOM + self._descriptors.in_use + reserved_descriptors,
             draining_for_s=None if draining_since is None else anyio.current_time() - draining_since,
@@ -193,9 +193,9 @@
     ) -> SessionHandover:
         return SessionHandover(
             request_line=request_lines.first_line(record.opening),
-            upstream=self._balancer_actor.upstream_actors[record.session.upstream].name,
+            upstream=self._balancer_actor.upstreams.actors[record.session.upstream].name,
             load=record.session.load,
-            unanswered_since_us=record.asked_at,
+            unanswered_since_us=record.awaiting_answer_since,
             outcome_at_end=int(last),
             client_unread=client.unread,
             upstream_unread=upstream.unread,
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -91,7 +91,7 @@
         if state.draining_for_s is not None:
             # No operator has ended the drain: it goes on, and the sessions' time runs from its beginning.
             lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
-        balancer_actor.recall(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
+        balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
 
     async def run(self, connections: Door, tasks: TaskGroup) -> None:
         """Take over sessions until the predecessor has ended."""
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -24,11 +24,13 @@
 from larchlatch.node.hot_restart.successor import Successor
 from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.mailbox import Mailbox
-from larchlatch.node.messages import ListTold
+from larchlatch.node.messages import EndpointsChanged
 from larchlatch.node.metrics import Counters
 from larchlatch.node.shutdown import STOP_GRACE_S, STOP_MARGIN_S, GracefulShutdown, SessionDrainer
 from larchlatch.node.signal_handler import SIGNALS, SignalHandler
+from larchlatch.node.upstream_registry import UpstreamRegistry
 from larchlatch.node.wire.listen import Listener
+from larchlatch.policy.balancer import Balancer
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -37,7 +39,7 @@
 
     from larchlatch.config.endpoints import EndpointList
     from larchlatch.config.node import NodeConfiguration
-    from larchlatch.node.ports import Company, Join
+    from larchlatch.node.ports import ClusterFactory, ClusterService
 
 CLIENT_BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
 FIRST_LIST_WAIT_S = 1.0  # a node waits so long for the present list before it serves with the one it had
@@ -70,7 +72,7 @@
     lifecycle: LifecycleState
     ready: anyio.Event
     discovery: DiscoveryClient
-    cluster: Company | None
+    cluster: ClusterService | None
     balancer_actor: BalancerActor
     connections: Door
     drainer: SessionDrainer
@@ -83,7 +85,7 @@
 async def run_node(
     configuration: NodeConfiguration,
     path: Path,
-    join: Join | None = None,
+    join: ClusterFactory | None = None,
     *,
     task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
@@ -127,7 +129,9 @@
     return listener
 
 
-def build_components(configuration: NodeConfiguration, join: Join | None, tasks: TaskGroup) -> NodeComponents:
+def build_components(
+    configuration: NodeConfiguration, join: ClusterFactory | None, tasks: TaskGroup
+) -> NodeComponents:
     """Make the parts, each from those that it needs; nothing runs yet.
 
     The balancer actor calls discovery and cluster, and both send to it: they get its mailbox, made first.
@@ -139,17 +143,17 @@
     mailbox = Mailbox(counters)
     discovery = build_discovery_client(configuration, chance, mailbox, counters)
     cluster = join_cluster(join, counters, chance, mailbox)
+    upstreams = UpstreamRegistry(
+        configuration.zones, configuration.upstream_settings, descriptors, counters, mailbox.post
+    )
     balancer_actor = BalancerActor(
-        configuration.settings,
-        configuration.zones,
+        Balancer(configuration.settings, chance),
         configuration.traffic_class_names,
-        chance,
-        configuration.upstream_settings,
-        descriptors,
-        counters,
         mailbox,
-        discovery,
-        cluster,
+        upstreams,
+        counters,
+        discovery=discovery,
+        cluster=cluster,
     )
     lifecycle = build_lifecycle_state(configuration)
     ready = anyio.Event()
@@ -201,8 +205,8 @@
 
 
 def join_cluster(
-    join: Join | None, counters: Counters, chance: random.Random, mailbox: Mailbox
-) -> Company | None:
+    join: ClusterFactory | None, counters: Counters, chance: random.Random, mailbox: Mailbox
+) -> ClusterService | None:
     """Make this node's side of its cluster; the cluster draws from a stream of its own."""
     if join is None:
         return None
@@ -238,7 +242,7 @@
 def start_balancing(endpoints: EndpointList, components: NodeComponents, tasks: TaskGroup) -> None:
     """Start balancer and discovery client with a list held before, by which sessions can be placed."""
     components.discovery.revision = endpoints.revision
-    components.balancer_actor.heard(now_us(), ListTold(endpoints, asked=False))
+    components.balancer_actor.handle(now_us(), EndpointsChanged(endpoints, from_discovery=False))
     tasks.start_soon(components.balancer_actor.run)
     tasks.start_soon(components.discovery.run)
 
@@ -313,6 +317,6 @@
         "serving",
         node=configuration.name,
         listen=listener.address,
-        upstreams=len(components.balancer_actor.upstream_actors),
+        upstreams=len(components.balancer_actor.upstreams.actors),
         passes_through=configuration.passes_through,
     )
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -61,24 +61,24 @@
         established = [
             record
             for record in self._connections.standing.values()
-            if not record.move.is_set() and record not in handed_over_at
+            if not record.migration_requested.is_set() and record not in handed_over_at
         ]
         # Where packets pass through none is due: sessions go on through other nodes.
         due_count = self._lifecycle.release_sessions(now, len(established))
         for record in established[:due_count]:
             if not self._lifecycle.hands_over_sessions:
                 self._counters.add(SESSIONS_RELEASED)
-                record.move.set()
-            elif record.pass_on is not None:
+                record.migration_requested.set()
+            elif record.request_handover is not None:
                 handed_over_at[record] = now
-                record.pass_on()
+                record.request_handover()
 
     def _migrate_unready(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
         # A side that does not read keeps its session from stopping between two lines: it has to be migrated.
         overdue = [record for record, at in handed_over_at.items() if now >= at + LINE_BOUNDARY_S]
         for record in overdue:
             del handed_over_at[record]
-            record.move.set()
+            record.migration_requested.set()
 
 
 class GracefulShutdown:
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -64,19 +64,19 @@
             self._configuration, self._path, components.discovery, components.counters
         )
         if components.cluster is not None:
-            components.cluster.reread()
+            components.cluster.reload()
 
     def _log_status(self) -> None:
-        for row in self._components.balancer_actor.told():
+        for row in self._components.balancer_actor.upstream_rows():
             log.info("upstream_status", **row)
         cluster = self._components.cluster
         if cluster is None:
             return
-        for row in cluster.told():
+        for row in cluster.member_rows():
             log.info("member_status", **row)
-        for row in cluster.shares():
+        for row in cluster.quota_rows():
             log.info("quota_status", **row)
-        for row in cluster.tasks():
+        for row in cluster.role_rows():
             log.info("role_status", **row)
 
     def _begin_stop(self) -> None:
@@ -85,5 +85,5 @@
             return
         lifecycle.start_stop(anyio.current_time())
         if self._components.cluster is not None:
-            self._components.cluster.retire()
+            self._components.cluster.resign()
         self._tasks.start_soon(self._shutdown.run)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -24,7 +24,7 @@
     WATCH_SILENCE_S,
     DiscoveryClient,
 )
-from larchlatch.node.messages import ListTold, Message
+from larchlatch.node.messages import EndpointsChanged, Message
 from larchlatch.node.metrics import Counters
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import UNREAD_GRACE_S, CallTimeouts
@@ -148,7 +148,7 @@
 
     async def post(self, message: Message) -> None:
         self.messages.append(message)
-        if isinstance(message, ListTold):
+        if isinstance(message, EndpointsChanged):
             self.update_received.set()
         with anyio.CancelScope(shield=True):
             await self.has_space.wait()
@@ -228,8 +228,8 @@
         async with anyio.create_task_group() as running:
             running.start_soon(client_of(service.port, mailbox, lambda low, high: high).run)
             await mailbox.update_received.wait()
-            (update,) = [message for message in mailbox.messages if isinstance(message, ListTold)]
-            assert update.members.endpoints[0].state is EndpointState.DRAINING
+            (update,) = [message for message in mailbox.messages if isinstance(message, EndpointsChanged)]
+            assert update.endpoints.endpoints[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -31,6 +31,7 @@
 from larchlatch.load.play import LoadTest, Place
 from larchlatch.load.sites import Watch
 from larchlatch.load.ways import Ways
+from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
 from larchlatch.node.metrics import Counters
 from larchlatch.policy.types import Idempotency
 
@@ -220,10 +221,10 @@
 class Heard:
     """A balancer that takes all that its cluster tells it."""
 
-    def advise(self, looks: list[str], failed: list[tuple[str, int]]) -> None:
+    def advise_ejection(self, advice: EjectionAdvised) -> None:
         pass
 
-    def pace(self, until: int, upstream: str, session: int, at: int) -> bool:
+    def receive_tokens(self, tokens: SlowStartTokens) -> bool:
         return True
 
 
@@ -236,7 +237,7 @@
     signer = own_signer(configuration, "n0", read_secret(tmp_path / "n0.key"))
     path, chance = tmp_path / "cluster.toml", random.Random(1)
     service = ClusterService("n0", [], path, configuration, signer, Counters(), chance, Heard())
-    service.listed(["h-3"], 0, 0)
+    service.update_endpoints(["h-3"], slow_start_us=0, overload_window_us=0)
     [upstream] = service.upstreams
     with service._socket, capture_logs() as lines:
         service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
--- a/tests/test_pieces.py
+++ b/tests/test_pieces.py
@@ -12,10 +12,10 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.node import upstream_actor
+from larchlatch.node import session_watch, upstream_actor
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
-from larchlatch.node.messages import ListTold, Message, Probed
+from larchlatch.node.messages import EndpointsChanged, Message, ProbeFinished
 from larchlatch.node.metrics import Counters
 from tests.ground import (
     IDENTS,
@@ -125,8 +125,8 @@
                 await client.first_update.wait()
                 watching.cancel_scope.cancel()
             (update,) = got
-            assert isinstance(update, ListTold) and update.members.revision == 5
-            assert [entry.name for entry in update.members.endpoints] == ["s-0"]
+            assert isinstance(update, EndpointsChanged) and update.endpoints.revision == 5
+            assert [entry.name for entry in update.endpoints.endpoints] == ["s-0"]
 
     on_loopback(body)
 
@@ -159,7 +159,7 @@
 def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(upstream_actor, "STALLED_US", 500_000)
+    monkeypatch.setattr(session_watch, "CLIENT_STALL_LIMIT_US", 500_000)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP flood").start(tasks)
@@ -218,8 +218,8 @@
             0, "s-0", ("127.0.0.1", port_of(listener)), upstream_settings, descriptors, Counters(), post
         )
         free = descriptors.free
-        assert await upstream.probed() is not None and descriptors.free == free - 1
-        assert await upstream.probed() is None and descriptors.free == free
+        assert await upstream.prober.query() is not None and descriptors.free == free - 1
+        assert await upstream.prober.query() is None and descriptors.free == free
 
     on_loopback(body)
 
@@ -244,10 +244,10 @@
             Counters(),
             post,
         )
-        await upstream.probe()
+        await upstream.prober.run()
         async with anyio.create_task_group() as both:
-            both.start_soon(upstream.probe)
-            both.start_soon(upstream.probe)
-        assert [message.answered for message in posted if isinstance(message, Probed)] == [True, False]
+            both.start_soon(upstream.prober.run)
+            both.start_soon(upstream.prober.run)
+        assert [message.answered for message in posted if isinstance(message, ProbeFinished)] == [True, False]
 
     on_loopback(body)
--- a/tests/test_shared.py
+++ b/tests/test_shared.py
@@ -38,6 +38,8 @@
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_registry import UpstreamRegistry
+from larchlatch.policy.balancer import Balancer
 from tests.test_cluster import ENTRY, OTHER
 
 SECOND = 1_000_000
@@ -307,13 +309,13 @@
     assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
 
 
-class TokenNotice:
-    """Other nodes, as a module sees them."""
+class RecordingCluster:
+    """A cluster that keeps what it is told of quotas."""
 
     def __init__(self) -> None:
         self.taken: Any = None
 
-    def cede(self) -> dict[str, int]:
+    def hand_over(self) -> dict[str, int]:
         return {"all": 5}
 
     def take_over(self, used: Any) -> None:
@@ -321,21 +323,22 @@
 
 
 def test_what_is_spent_goes_to_the_next_process_of_a_node_with_all_else_it_learned() -> None:
-    def module(fellows: Any) -> BalancerActor:
-        reach, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
+    def actor(cluster: Any) -> BalancerActor:
+        settings, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
         counters = Counters()
-        mailbox, chance = Mailbox(counters), random.Random(1)
-        return BalancerActor(
-            settings_for(Day(), 0), [], [], chance, reach, room, counters, mailbox, None, fellows
-        )
-
-    old, new, alone = module(TokenNotice()), module(TokenNotice()), module(None)
-    learned = old.cede(True)
-    new.recall(learned, 0)
-    alone.recall(learned, 0)
-    assert isinstance(new.fellows, TokenNotice) and new.fellows.taken == {"all": 5}
-    new.recall(alone.cede(True), 0)
-    assert new.fellows.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
+        mailbox = Mailbox(counters)
+        upstreams = UpstreamRegistry([], settings, room, counters, mailbox.post)
+        balancer = Balancer(settings_for(Day(), 0), random.Random(1))
+        return BalancerActor(balancer, [], mailbox, upstreams, counters, cluster=cluster)
+
+    told = RecordingCluster()
+    old, new, alone = actor(RecordingCluster()), actor(told), actor(None)
+    learned = old.hand_over()
+    new.restore(learned, 0)
+    alone.restore(learned, 0)
+    assert told.taken == {"all": 5}
+    new.restore(alone.hand_over(), 0)
+    assert told.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
 
 
 # Health observations.
