--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -9,7 +9,6 @@
 import orjson
 import structlog
 
-from larchlatch.node.metrics import CounterName
 from larchlatch.node.wire.listen import AcceptError, Listener, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
 
@@ -29,6 +28,12 @@
 READ_BYTES = 4096  # bytes read at a time
 ACCEPT_RETRY_S = 0.02  # seconds before the next try after a connection could not be accepted
 
+# Counters.
+CALLER_EVICTED = "admin_caller_evicted"  # the oldest caller made way for a new one
+CALL_UNFINISHED = "admin_call_unfinished"  # evicted, or not complete within its time
+CALL_ERROR = "admin_call_error"  # a fault of the node while it answered
+RESPONSE = "admin_response_{status}"  # responses by HTTP status
+
 log = structlog.get_logger()
 
 
@@ -58,14 +63,14 @@
     """Serves operators' calls: readiness, and the start and stop of a drain.
 
     Args:
-        phase: the node's lifecycle state.
+        lifecycle: the node's lifecycle state.
         drain: begins to send clients away, once the state says so.
         counters: where calls are counted.
 
     """
 
-    def __init__(self, phase: Phase, drain: Callable[[], None], counters: Counters) -> None:
-        self._phase = phase
+    def __init__(self, lifecycle: Phase, drain: Callable[[], None], counters: Counters) -> None:
+        self._lifecycle = lifecycle
         self._drain = drain
         self._counters = counters
         self._routes = {
@@ -99,7 +104,7 @@
         oldest = next(iter(self._callers))
         del self._callers[oldest]
         oldest.cancel()
-        self._counters.add(CounterName.ADMIN_CALLER_EVICTED)
+        self._counters.add(CALLER_EVICTED)
 
     async def _serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
         """Serve one connection, until its call is answered or its scope is cancelled."""
@@ -109,9 +114,9 @@
                 scope.deadline = anyio.current_time() + CALL_TIMEOUT_S
                 await self._answer(connection)
             if scope.cancelled_caught:
-                self._counters.add(CounterName.ADMIN_CALL_UNFINISHED)
+                self._counters.add(CALL_UNFINISHED)
         except Exception:  # a fault in one call must not end the node, which holds clients' sessions
-            self._counters.add(CounterName.ADMIN_CALL_ERROR)
+            self._counters.add(CALL_ERROR)
             log.exception("admin_call_error")
         finally:
             self._callers.pop(scope, None)
@@ -126,7 +131,7 @@
             reply = Reply(error.error_status_hint, {"error": str(error)})
         if reply is None:
             return
-        self._counters.add(f"{CounterName.ADMIN_RESPONSE}_{reply.status}")
+        self._counters.add(RESPONSE.format(status=reply.status))
         if await connection.send(encode_response(http, reply)):
             await connection.finish(Ending.END)
 
@@ -164,22 +169,22 @@
 
     def _readiness(self) -> Reply:
         # Readiness is of the process. A drained node is in order and only wants no clients.
-        return Reply(200 if self._phase.ready else 503, self._state())
+        return Reply(200 if self._lifecycle.ready else 503, self._state())
 
     def _start_drain(self) -> Reply:
-        log.info("drain_started", repeated=self._phase.draining)
-        self._phase.drain(anyio.current_time())
+        log.info("drain_started", repeated=self._lifecycle.draining)
+        self._lifecycle.drain(anyio.current_time())
         self._drain()
         return Reply(200, self._state())
 
     def _stop_drain(self) -> Reply:
-        log.info("drain_stopped", repeated=not self._phase.draining)
-        self._phase.end_drain()
+        log.info("drain_stopped", repeated=not self._lifecycle.draining)
+        self._lifecycle.end_drain()
         return Reply(200, self._state())
 
     def _state(self) -> dict[str, object]:
-        phase = self._phase
-        return {"ready": phase.ready, "draining": phase.draining, "stopping": phase.stopped_at is not None}
+        state = self._lifecycle
+        return {"ready": state.ready, "draining": state.draining, "stopping": state.stopped_at is not None}
 
 
 def path_of(request: h11.Request) -> str:
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -10,7 +10,6 @@
 
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.messages import ListFailed, ListTold, Post
-from larchlatch.node.metrics import CounterName
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import CallTimeouts, DiscoveryRefusedError, EndpointUpdate, Watch
 
@@ -24,6 +23,7 @@
 # A change counts as known to this node 6 s after discovery had it and could be reached. In the worst case it
 # comes right after a call has begun that fails: the next call follows MAX_CYCLE_S after that beginning at the
 # latest and takes connect_s to connect. What remains of the 6 s is for this node's own lateness.
+#
 # A sound watch sends something complete every 2 s and may be a little late; a watch that is silent for longer
 # counts as broken.
 WATCH_SILENCE_S = 2.6  # seconds
@@ -45,6 +45,14 @@
 # What a call ends with when discovery is out of reach, or stops in the middle of its answer.
 CONNECTION_FAILURES = (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.RemoteProtocolError)
 
+# Counters.
+ENDPOINT_LIST_FULL = "endpoint_list_full"  # whole lists that were received
+ENDPOINT_LIST_CHANGE = "endpoint_list_change"  # changes to the list that were received
+ENDPOINT_LIST_INVALID = "endpoint_list_invalid"  # answers that were no endpoint list
+ENDPOINT_LIST_WENT_BACK = "endpoint_list_went_back"  # changes with a lower revision than the one before
+ENDPOINT_ENTRY_INVALID = "endpoint_entry_invalid"  # entries of lists that could not be read
+DISCOVERY_CALL_FAILED = "discovery_call_failed"  # no connection or answer, a refusal, a watch that ended
+
 log = structlog.get_logger()
 
 
@@ -177,12 +185,12 @@
             # The node goes on with the list that it has. Discovery was there and answered: the next answer
             # is no better for being asked for at once.
             self.refused = True
-            self._counters.add(CounterName.ENDPOINT_LIST_INVALID)
+            self._counters.add(ENDPOINT_LIST_INVALID)
             log.warning("endpoint_list_invalid", reason=str(error))
         except CONNECTION_FAILURES as error:
             self._record_failure(error)
         except Exception:  # a fault in this code must not end the node, which serves by the list it has
-            self._counters.add(CounterName.DISCOVERY_CALL_FAILED)
+            self._counters.add(DISCOVERY_CALL_FAILED)
             log.exception("discovery_call_error")
 
     async def _follow(self, source: EndpointSource) -> None:
@@ -210,7 +218,7 @@
                 # Revisions have been reset. This node would never learn which of its endpoints the new
                 # count does not have.
                 source.needs_full_list = True
-                self._counters.add(CounterName.ENDPOINT_LIST_WENT_BACK)
+                self._counters.add(ENDPOINT_LIST_WENT_BACK)
                 return
             await self._publish(source, update)
 
@@ -218,11 +226,9 @@
         """Send an update to the balancer actor and reset the backoff."""
         endpoints, faults = update
         source.revision, self.max_pause_s = endpoints.revision, FIRST_SERVICE_PAUSE_S
-        self._counters.add(
-            CounterName.ENDPOINT_LIST_FULL if endpoints.whole else CounterName.ENDPOINT_LIST_CHANGE
-        )
+        self._counters.add(ENDPOINT_LIST_FULL if endpoints.whole else ENDPOINT_LIST_CHANGE)
         if faults:
-            self._counters.add(CounterName.ENDPOINT_ENTRY_INVALID, len(faults))
+            self._counters.add(ENDPOINT_ENTRY_INVALID, len(faults))
             log.warning("endpoint_entries_invalid", count=len(faults), first=faults[0])
         await self._post(ListTold(endpoints, asked=True))
         self.first_update.set()
@@ -236,7 +242,7 @@
 
     def _record_failure(self, error: Exception) -> None:
         """Count a failed call; only the first of a row is logged."""
-        self._counters.add(CounterName.DISCOVERY_CALL_FAILED)
+        self._counters.add(DISCOVERY_CALL_FAILED)
         # An agent that is silent is called several times a second.
         if not self._failed_calls:
             log.info("discovery_call_failed", reason=repr(error))
--- a/larchlatch/node/wire/json_framing.py
+++ b/larchlatch/node/wire/json_framing.py
@@ -57,8 +57,8 @@
 
     def _check_not_cut_short(self, text: bytes) -> None:
         """Raise ProtocolError where this line can't belong to the object that is open."""
-        # An empty line is only sent between objects, and within an object no line at its outermost level
-        # begins with a bracket. The open object was cut short and would otherwise swallow all that follows.
+        # An empty line is only sent between objects, and directly within an object a line begins with a key,
+        # not with another object. The open object was cut short and would swallow all that follows.
         if not text or (self._depth <= 1 and text.startswith(b"{")):
             raise ProtocolError("list", "broken off within an object")
 
