--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -9,7 +9,7 @@
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
 from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import Stage
-from larchlatch.policy.types import Outcome
+from larchlatch.policy.types import Outcome, ProbeResult
 
 
 class Network:
@@ -118,5 +118,7 @@
         if node.alive and not node.waits(self.report, node, number, figures):
             utilization, held = figures if figures is not None else (None, None)
             node.saw(number, figures is not None)
-            node.policy.report(self.clock.now, number, figures is not None, utilization, held)
+            node.policy.record_probe(
+                self.clock.now, number, ProbeResult(figures is not None, utilization, held)
+            )
             node.look()
--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -18,7 +18,9 @@
     Endpoint,
     EndpointState,
     Outcome,
+    ProbeResult,
     Session,
+    Token,
     TokenCandidate,
 )
 
@@ -170,9 +172,9 @@
             return
         if what in REACHED:
             self.saw(attempt.upstream, REACHED[what])
-        stood = record.session.open
+        stood = record.session.established
         record.attempt = attempt if attempt.live or stood else None
-        answer = self.policy.outcome(now, record.session, what, done=stood)
+        answer = self.policy.outcome(now, record.session, what, answered=stood)
         if what is Outcome.ESTABLISHED:
             self.around.clients.stands(record, attempt)
         elif stood:
@@ -192,12 +194,12 @@
             self.probe(self.around.clock.now, upstream)
         for upstream, witnesses in failed:
             for _ in range(witnesses):
-                self.policy.report(self.around.clock.now, upstream, False, None, None)
+                self.policy.record_probe(self.around.clock.now, upstream, ProbeResult(False))
         self.look()
 
     def paced(self, until: int, upstream: int, session: int, at: int) -> None:
         if not self.waits(self.paced, until, upstream, session, at) and self.alive:
-            self.policy.paced(self.around.clock.now, until, upstream, session, at)
+            self.policy.record_token(self.around.clock.now, until, Token(upstream, session, at))
 
     def left(self, session: int) -> None:
         """The client has ended its link."""
@@ -205,7 +207,7 @@
         if record is not None:
             if record.attempt is not None:
                 record.attempt.live = False
-            self.policy.left(self.around.clock.now, record.session)
+            self.policy.remove_session(record.session)
             if self.backlog is None:
                 self.look()
 
@@ -213,8 +215,8 @@
 
     def carry_out(self, now: int, session: Session, answer: Answer) -> None:
         super().carry_out(now, session, answer)
-        if answer.sought and self.fellows is not None:
-            self.fellows.sought(session.number, answer.sought)
+        if answer.token_candidates and self.fellows is not None:
+            self.fellows.sought(session.number, answer.token_candidates)
 
     def session(self, number: int) -> Session | None:
         record = self.records.get(number)
@@ -239,7 +241,7 @@
         if record is not None and record.attempt is not None:
             record.attempt.live = False
             # Told before it is moved: the decisions have taken it off its host already.
-            self.policy.left(now, record.session)
+            self.policy.remove_session(record.session)
             self.around.clients.moved(record)
 
     def withdraw(self, now: int, session: int) -> None:
--- a/larchlatch/emulator/plain.py
+++ b/larchlatch/emulator/plain.py
@@ -6,7 +6,8 @@
 from random import Random
 from typing import Protocol
 
-from larchlatch.policy.balancer import Balancer, Upstream
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.selection import UpstreamSelector
 from larchlatch.policy.types import (
     DONE,
     FAILED,
@@ -20,8 +21,11 @@
     EndpointState,
     Idempotency,
     Outcome,
+    ProbeResult,
     Session,
+    Token,
 )
+from larchlatch.policy.upstream import Candidates, Upstream
 
 AGAIN_US = 50_000  # between two looks for a host
 WATCH_US = 1_000_000  # between two probes of every host
@@ -33,17 +37,17 @@
     """What a node's driver asks and tells."""
 
     def place(self, now: int, session: Session) -> Answer: ...
-    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer: ...
+    def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer: ...
     def wait(self, now: int) -> DueActions: ...
-    def update_endpoints(self, now: int, lines: Iterable[Endpoint], whole: bool, asked: bool) -> None: ...
-    def report(
-        self, now: int, number: int, answered: bool, utilization: float | None, held: float | None = None
+    def update_endpoints(
+        self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool
     ) -> None: ...
+    def record_probe(self, now: int, number: int, probe: ProbeResult) -> None: ...
     def record_load(self, now: int, session: Session, load: float) -> None: ...
     def record_delay(self, now: int, session: Session, delay_us: int) -> None: ...
-    def quiet(self, now: int, number: int) -> None: ...
-    def paced(self, now: int, until: int, number: int = -1, session: int = -1, at: int = 0) -> None: ...
-    def left(self, now: int, session: Session) -> None: ...
+    def record_unresponsive(self, now: int, number: int) -> None: ...
+    def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None: ...
+    def remove_session(self, session: Session) -> None: ...
 
 
 class Plain:
@@ -63,7 +67,7 @@
         raise NotImplementedError
 
     def place(self, now: int, session: Session) -> Answer:
-        if session.out or session.open:
+        if session.attempt_in_flight or session.established:
             return Answer(DONE)
         idempotency = self.settings.traffic_classes[session.traffic_class].idempotency
         if now + AGAIN_US >= session.deadline or session.attempt_count >= self.settings.max_attempts:
@@ -74,19 +78,19 @@
         if not self.ready:
             return Answer(NOT_YET, min(now + AGAIN_US, session.deadline - AGAIN_US))
         session.upstream = self.choose(session, list(self.ready))
-        session.out, session.sent_at = True, now
+        session.attempt_in_flight, session.sent_at = True, now
         session.attempt_count += 1
         self.own[session.upstream] = self.own.get(session.upstream, 0) + 1
         return Answer(session.upstream, session.deadline)
 
-    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
-        if what is Outcome.ESTABLISHED:
-            session.out, session.open = False, True
+    def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
+        if outcome is Outcome.ESTABLISHED:
+            session.attempt_in_flight, session.established = False, True
             return Answer(DONE)
-        if what not in NEVER_RAN and session.maybe_executed_at < 0:
+        if outcome not in NEVER_RAN and session.maybe_executed_at < 0:
             session.maybe_executed_at = session.sent_at
-        session.out = session.open = False
-        return Answer(DONE) if done else self.place(now, session)
+        session.attempt_in_flight = session.established = False
+        return Answer(DONE) if answered else self.place(now, session)
 
     def wait(self, now: int) -> DueActions:
         probes: list[int] = []
@@ -95,32 +99,30 @@
             probes = list(self.ready)
         return DueActions(self.probe_at - now if self.watches else NEVER_US, probes, False, [], [], 0)
 
-    def update_endpoints(self, now: int, lines: Iterable[Endpoint], whole: bool, asked: bool) -> None:
+    def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
         if whole:
             self.ready.clear()
-        for line in lines:
+        for line in endpoints:
             if line.state is EndpointState.READY:
                 self.ready[line.upstream] = line
             else:
                 self.ready.pop(line.upstream, None)
 
-    def report(
-        self, now: int, number: int, answered: bool, utilization: float | None, held: float | None = None
-    ) -> None:
+    def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
         self.own[number] = 0
-        if utilization is not None:
-            self.loads[number] = utilization
+        if probe.utilization is not None:
+            self.loads[number] = probe.utilization
 
     def record_load(self, now: int, session: Session, load: float) -> None:
         session.load = load
 
     def record_delay(self, now: int, session: Session, delay_us: int) -> None: ...
 
-    def quiet(self, now: int, number: int) -> None: ...
+    def record_unresponsive(self, now: int, number: int) -> None: ...
 
-    def paced(self, now: int, until: int, number: int = -1, session: int = -1, at: int = 0) -> None: ...
+    def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None: ...
 
-    def left(self, now: int, session: Session) -> None: ...
+    def remove_session(self, session: Session) -> None: ...
 
 
 class Chosen(Plain):
@@ -142,19 +144,21 @@
         )
 
 
+class MasterSelector(UpstreamSelector):
+    """Chooses the ring's master alone."""
+
+    def choose(self, now: int, session: Session, candidates: Candidates) -> Upstream | None:
+        """Return the master, if it may take the session."""
+        first = candidates.pair[0] if candidates.pair else None
+        return first if first is not None and self.slow_start.may_take(now, first, session) else None
+
+
 class Master(Balancer):
-    """The ring's master alone, by the decisions' own ring."""
-
-    def choose(
-        self,
-        now: int,
-        session: Session,
-        pair: list[Upstream],
-        others: list[Upstream],
-        beyond: Iterable[Upstream],
-    ) -> Upstream | None:
-        first = pair[0] if pair else None
-        return first if first is not None and self.in_budget(now, first, session) else None
+    """The ring's master alone, by the balancer's own ring."""
+
+    def __init__(self, settings: DeploymentSettings, chance: Random) -> None:
+        super().__init__(settings, chance)
+        self.selector = MasterSelector(self.fleet, self.ring, self.load, self.slow_start, chance)
 
 
 POLICIES: dict[str, Callable[[DeploymentSettings, Random], Policy]] = {
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -181,7 +181,7 @@
         """Its process is stopped: what comes to it waits."""
         node.stall()
         for record in node.records.values():
-            if not record.session.open:
+            if not record.session.established:
                 self.crowd.doubt(record, node)
         if self.company is not None:
             self.company.stall(node.number)
--- a/larchlatch/emulator/yard.py
+++ b/larchlatch/emulator/yard.py
@@ -60,7 +60,7 @@
     def delay(self, node: Node, record: SessionRecord, took: int) -> None:
         if node.waits(self.delay, node, record, took):
             return
-        if node.alive and record.session.number in node.records and record.session.open:
+        if node.alive and record.session.number in node.records and record.session.established:
             node.policy.record_delay(self.stage.clock.now, record.session, took)
             node.look()
 
@@ -87,7 +87,7 @@
         if node.waits(self.quiet, node, upstream):
             return
         if node.alive and not self.stage.reach(node, self.stage.upstreams[upstream]):
-            node.policy.quiet(self.stage.clock.now, upstream)
+            node.policy.record_unresponsive(self.stage.clock.now, upstream)
             node.saw(upstream, None)
             node.look()
 
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -16,7 +16,16 @@
 from larchlatch.policy import types
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.state_export import export_state, restore_state
-from larchlatch.policy.types import Answer, DeploymentSettings, Endpoint, EndpointState, Outcome
+from larchlatch.policy.status import upstream_statuses
+from larchlatch.policy.types import (
+    Answer,
+    DeploymentSettings,
+    Endpoint,
+    EndpointState,
+    Outcome,
+    ProbeResult,
+    Token,
+)
 
 if TYPE_CHECKING:
     from random import Random
@@ -119,7 +128,7 @@
                     done = done or record.gone  # its client has left: no further try may go out
                     if outcome in types.REACHED:
                         self.saw(record.session.upstream, types.REACHED[outcome])
-                    answer = balancer.outcome(now, record.session, outcome, done)
+                    answer = balancer.outcome(now, record.session, outcome, answered=done)
                     if outcome is not Outcome.ESTABLISHED:
                         if done:
                             del self.records[record.session.number]
@@ -127,10 +136,10 @@
                             self.carry_out(record, answer)
             case messages.Stood(record, upstream):
                 self.records[record.session.number] = record
-                balancer.standing(now, record.session, upstream)
+                balancer.add_established(record.session, upstream)
             case messages.Left(record):
                 if self.records.pop(record.session.number, None) is not None:
-                    balancer.left(now, record.session)
+                    balancer.remove_session(record.session)
             case messages.LoadNote(record, load):
                 if record.session.number in self.records:
                     balancer.record_load(now, record.session, load)
@@ -138,11 +147,11 @@
                 if record.session.number in self.records:
                     balancer.record_delay(now, record.session, delay)
             case messages.Quiet(upstream):
-                balancer.quiet(now, upstream)
+                balancer.record_unresponsive(now, upstream)
                 self.saw(upstream, None)
             case messages.Probed(upstream, answered, utilization, held):
                 self.saw(upstream, answered)
-                balancer.report(now, upstream, answered, utilization, held)
+                balancer.record_probe(now, upstream, ProbeResult(answered, utilization, held))
             case messages.ListTold(members, asked):
                 self.listed(now, members, asked)
             case messages.ListFailed():
@@ -155,10 +164,10 @@
                 # Each other node's look that failed counts as one of this node's; its own goes on.
                 for name, witnesses in failed:
                     for _ in range(witnesses if name in self.numbers else 0):
-                        balancer.report(now, self.numbers[name], False, None)
+                        balancer.record_probe(now, self.numbers[name], ProbeResult(False))
 
             case messages.Paced(until, upstream, session, at):
-                balancer.paced(now, until, self.numbers.get(upstream, -1), session, at)
+                balancer.record_token(now, until, Token(self.numbers.get(upstream, -1), session, at))
 
     def over_budget(self, record: SessionRecord) -> bool:
         """Whether a new link does not fit what all nodes together may take: it is shed at once."""
@@ -200,8 +209,10 @@
             self.counters.add("try sent")
         elif answer.upstream == types.NOT_YET:
             heapq.heappush(self.held, (answer.at, record.session.number))
-            if answer.sought and self.fellows is not None:
-                wants = [(self.upstream_actors[sought.upstream].name, sought) for sought in answer.sought]
+            if answer.token_candidates and self.fellows is not None:
+                wants = [
+                    (self.upstream_actors[sought.upstream].name, sought) for sought in answer.token_candidates
+                ]
                 self.fellows.sought(record.session.number, wants)
         elif answer.upstream in (types.SHED, types.FAILED):
             del self.records[record.session.number]
@@ -228,27 +239,27 @@
     def due(self, now: int) -> int:
         """Ask once how long to wait, and carry out what comes with the answer."""
         due = self.balancer.wait(now)
-        self.enough_us = due.enough_us
+        self.enough_us = due.setup_us
         for upstream in due.probes:
             if not self.upstream_actors[upstream].order(Probe()):
-                self.balancer.report(now, upstream, False, None)
-        for number in due.moves:
+                self.balancer.record_probe(now, upstream, ProbeResult(False))
+        for number in due.migrations:
             self.counters.add("move due")
             if number in self.records:
                 log.debug("moved", key=self.records[number].opening.key)
                 self.records[number].move.set()
-        for number in due.withdrawn:
+        for number in due.superseded:
             record = self.records.get(number)
             if record is not None and record.attempt is not None:
                 self.counters.add("try withdrawn")
                 record.attempt.cancel()
-        if due.ask_list and self.discovery is not None:
+        if due.poll_list and self.discovery is not None:
             self.discovery.ask()
         return due.wait_us
 
     def cede(self, on: bool) -> dict[str, Any]:
         """Another process of this node places what is new, or does no more; what it has to know."""
-        self.balancer.cede(on)
+        self.balancer.release_slow_start_budget(released=on)
         if self.fellows is None:
             return export_state(self.balancer)
         if not on:
@@ -270,19 +281,19 @@
     def told(self) -> list[dict[str, Any]]:
         """Host by host what the decisions believe, beside the sockets that are open."""
         rows = []
-        for status in self.balancer.upstream_statuses(now_us()):
+        for status in upstream_statuses(self.balancer, now_us()):
             upstream_actor = self.upstream_actors.get(status.upstream)
             rows.append(
                 {
                     "host": upstream_actor.name if upstream_actor else status.upstream,
                     "state": status.state.value,
                     "left_out": status.left_out,
-                    "tries": status.out,
+                    "tries": status.attempts,
                     "tries_open": upstream_actor.trying if upstream_actor else 0,
-                    "links": status.open,
+                    "links": status.established,
                     "links_open": len(upstream_actor.standing) if upstream_actor else 0,
-                    "load": None if status.load is None else round(status.load, 3),
-                    "load_age_ms": None if status.load is None else status.load_age_us // 1000,
+                    "load": None if status.utilization is None else round(status.utilization, 3),
+                    "load_age_ms": None if status.utilization is None else status.utilization_age_us // 1000,
                 }
             )
         return rows
--- a/larchlatch/policy/types.py
+++ b/larchlatch/policy/types.py
@@ -1,4 +1,4 @@
-"""The plain types that larchlatch.policy.balancer is called with."""
+"""The plain types that the balancer is called with, and those of its answers. They decide nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a link's set-up would do."""
+    """What a second run of a session's request would do."""
 
     IDEMPOTENT = "rerunnable"
     KEYED = "ticketed"
@@ -18,7 +18,7 @@
 
 
 class DedupScope(Enum):
-    """Which hosts discard the repeats of a ticketed link."""
+    """Which upstreams discard the repeats of a keyed session."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class EndpointState(Enum):
-    """What the list says of a host."""
+    """What the endpoint list says of an upstream."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -34,11 +34,11 @@
 
 
 class Outcome(IntEnum):
-    """What became of a setup try."""
+    """What became of an attempt, or of the session that it established."""
 
-    ESTABLISHED = 0  # the connection is up; its end is told later
-    COMPLETED = 1  # delivered, and over
-    REJECTED = 2  # turned away unseen
+    ESTABLISHED = 0  # the connection is up; its end is another outcome
+    COMPLETED = 1  # answered, and over
+    REJECTED = 2  # turned away before anything ran
     CONNECT_FAILED = 3  # no connection in time
     NOT_SENT = 4  # never left the node
     ERROR = 5
@@ -47,7 +47,7 @@
     CANCELLED = 8
 
 
-# What an outcome says of whether its host can be reached; None: it makes one doubt. The others say nothing.
+# What an outcome says of whether its upstream can be reached; None: it casts doubt. Others say nothing.
 REACHED = {
     Outcome.ESTABLISHED: True,
     Outcome.COMPLETED: True,
@@ -60,45 +60,106 @@
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
+    """Settings shared by the sessions of a kind.
+
+    Attributes:
+        latency_objective_us: The time within which a session should be established.
+        message_objective_us: The same for a message on an established session; 0 if unknown.
+        idempotency: What a second run would do.
+        dedup_scope: Which upstreams discard the repeats of a keyed session.
+        dedup_window_us: How long these remember it.
+    """
+
     latency_objective_us: int
-    message_objective_us: int  # a message on an open link is wanted within this; 0 where unknown
+    message_objective_us: int
     idempotency: Idempotency
     dedup_scope: DedupScope
-    dedup_window_us: int  # how long a ticketed link's group remembers it
+    dedup_window_us: int
 
     def repeat_until(self, maybe_executed_at: int) -> int:
-        """Before when a further attempt has to be sent, if the first that may have run was sent then."""
-        return (
-            NO_END if self.idempotency is Idempotency.IDEMPOTENT else maybe_executed_at + self.dedup_window_us
-        )
+        """Return before when further attempts have to be sent, if one that may have run was sent then."""
+        if self.idempotency is Idempotency.IDEMPOTENT:
+            return NO_END
+        return maybe_executed_at + self.dedup_window_us
 
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What the operators have agreed for a deployment, as far as decisions read it."""
+    """What the operators have agreed for a deployment, as far as decisions read it.
+
+    Attributes:
+        me: This node's number, from 0.
+        nodes: How many nodes there are.
+        traffic_classes: The traffic classes, by number.
+        uses_groups: Whether sessions of one group share work on an upstream.
+        weighted: Whether a listed size stays the same from list to list.
+        polls_discovery: Whether the endpoint list has to be polled before it is pushed.
+        probes: Whether upstreams can be probed.
+        can_cancel: Whether an attempt may be cancelled.
+        probes_report_load: Whether probes report load.
+        reports_delay: Whether an upstream that is late by its load shows in the delay of messages.
+        max_attempts: The most attempts for a session.
+        max_retry_after_us: The longest wait that shed clients honour; 0 if they take no advice.
+        poll_within_us: The time within which the endpoint list should be polled again.
+        slow_start_min_share: The share of its work that an upstream can do when it has just started.
+        slow_start_us: How long until it can do all of it.
+        overload_multiple: The multiple of what it can do that overloads an upstream in slow start.
+        overload_window_us: In how long a time that counts.
+    """
 
     me: int
     nodes: int
     traffic_classes: tuple[TrafficClass, ...]
-    uses_groups: bool  # links of one group share work on a host
-    weighted: bool  # a listed size stays the same from list to list
+    uses_groups: bool
+    weighted: bool
     polls_discovery: bool
     probes: bool
-    can_cancel: bool  # a try may be given up before its time
+    can_cancel: bool
     probes_report_load: bool
-    reports_delay: bool  # a host that is late by its load shows in the delay of messages
+    reports_delay: bool
     max_attempts: int
-    max_retry_after_us: int  # 0: clients take no advice
+    max_retry_after_us: int
     poll_within_us: int
     slow_start_min_share: float
     slow_start_us: int
     overload_multiple: float
     overload_window_us: int
 
+    @property
+    def message_objective_us(self) -> int:
+        """The strictest of the traffic classes' message objectives; 0 if none is known."""
+        objectives = [traffic_class.message_objective_us for traffic_class in self.traffic_classes]
+        return min(filter(None, objectives), default=0)
+
+    def class_of(self, session: Session) -> TrafficClass:
+        """Return a session's traffic class."""
+        return self.traffic_classes[session.traffic_class]
+
 
 @dataclass(slots=True)
 class Session:
-    """One link in hand: what the client said of it, and what its setup tries have come to."""
+    """One session in hand: what its client said of it, and what its attempts have come to.
+
+    Attributes:
+        number: Its number at this node.
+        traffic_class: The number of its traffic class.
+        key: The client's key, if any.
+        group: The group that it shares work with, if any.
+        deadline: When its client must have its final answer, in microseconds.
+        mid_flow: Whether another node has handed it over after it was established.
+        load: Work a second in microseconds; 0 if unknown.
+        attempt_count: How many attempts have been sent.
+        upstream: Where the last attempt went, or where it is established; -1 before.
+        attempt_in_flight: Whether an attempt is without an outcome.
+        established: Whether it is established at its upstream.
+        token_requested: Whether the token issuer has been asked for it since its last attempt.
+        counted_at: When it was last counted among arrivals.
+        sent_at: When its last attempt was sent.
+        established_at: When it was established.
+        maybe_executed_at: When the first attempt that may have run was sent; -1 if none may have.
+        maybe_executed_upstream: Where that was.
+        repeat_until: Before when a further attempt has to be sent; then its effect is forgotten.
+    """
 
     number: int
     traffic_class: int
@@ -106,22 +167,55 @@
     group: int | None
     deadline: int
     mid_flow: bool = False
-    load: float = 0.0  # work a second in microseconds; 0: not known
+    load: float = 0.0
     attempt_count: int = 0
-    upstream: int = -1  # where the last setup try went, or where the link stands
-    out: bool = False  # a setup try is out
-    open: bool = False  # the link stands on its host
-    sought: bool = False  # a pacer has been asked for a place
-    asked_at: int = -NO_END  # when it was last counted among those asked for
+    upstream: int = -1
+    attempt_in_flight: bool = False
+    established: bool = False
+    token_requested: bool = False
+    counted_at: int = -NO_END
     sent_at: int = 0
-    established_at: int = 0  # when it came to stand
-    maybe_executed_at: int = -1  # when the first try that may have run was sent; -1: none may have
+    established_at: int = 0
+    maybe_executed_at: int = -1
     maybe_executed_upstream: int = -1
-    repeat_until: int = NO_END  # a further attempt has to be sent before: its effect is remembered no longer
+    repeat_until: int = NO_END
+
+    def attempt_sent(self, now: int, upstream: int) -> None:
+        """Record that an attempt is sent to an upstream."""
+        self.upstream = upstream
+        self.sent_at = now
+        self.attempt_in_flight = True
+        self.attempt_count += 1
+        self.token_requested = False
+
+    def attempt_established(self, now: int) -> None:
+        """Record that the attempt has established the session."""
+        self.attempt_in_flight = False
+        self.established = True
+        self.established_at = now
+
+    def attempt_ended(self, outcome: Outcome, traffic_class: TrafficClass) -> None:
+        """Record that the attempt, or the established session, has ended."""
+        self.attempt_in_flight = False
+        self.established = False
+        if outcome not in NEVER_RAN and self.maybe_executed_at < 0:
+            self.maybe_executed_at = self.sent_at
+            self.maybe_executed_upstream = self.upstream
+            self.repeat_until = traffic_class.repeat_until(self.sent_at)
 
 
 class Endpoint(NamedTuple):
-    """One line of the host list."""
+    """An upstream's entry in the endpoint list.
+
+    Attributes:
+        upstream: The upstream's number at this node.
+        name: Its name.
+        zone: The number of its zone; -1 if unknown.
+        cell: The number of its cell; -1 if unknown.
+        state: Its state.
+        size: Its capacity in units of the usual upstream's.
+        started_at: When it started, in microseconds; 0 if it is long past slow start.
+    """
 
     upstream: int
     name: str
@@ -131,49 +225,114 @@
     size: float
     started_at: int
 
+    @classmethod
+    def unlisted(cls, upstream: int) -> Endpoint:
+        """Return the endpoint of an upstream that no list has named."""
+        return cls(upstream, "", -1, -1, EndpointState.GONE, 1.0, 0)
+
+
+class ProbeResult(NamedTuple):
+    """What a probe of an upstream came to.
+
+    Attributes:
+        answered: Whether it was answered in time.
+        utilization: The load over the capacity that it reports, if it does.
+        sessions: How many sessions it reports, if it does.
+    """
+
+    answered: bool
+    utilization: float | None = None
+    sessions: float | None = None
+
 
 class TokenCandidate(NamedTuple):
-    """A cold host to which a link would go, with a pacer's leave."""
+    """An upstream in slow start to which a session would go with a token.
+
+    Attributes:
+        upstream: The upstream's number.
+        budget: Sessions that all nodes together may send there in an overload window.
+        weight: What this session counts, in such sessions.
+    """
 
     upstream: int
-    budget: float  # links that all nodes together may send there in a window
-    weight: float  # of this one, in such links
+    budget: float
+    weight: float
 
 
-class Answer(NamedTuple):
-    """host >= 0: send there, and give the try up at `at`. Else one of the four below."""
+TokenCandidates = tuple[TokenCandidate, ...]
+
+
+class Token(NamedTuple):
+    """A slow-start token: permission to send one session to an upstream in slow start.
+
+    Attributes:
+        upstream: The upstream's number.
+        session: The session's number.
+        until: When it ends, in microseconds.
+    """
 
     upstream: int
-    at: int = 0
-    sought: tuple[
-        TokenCandidate, ...
-    ] = ()  # with NOT_YET: what a pacer, where there is one, had better be asked for
+    session: int
+    until: int
 
 
-class UpstreamStatus(NamedTuple):
-    """What the node takes a host to be, for whoever has to compare it with the sockets."""
+class Answer(NamedTuple):
+    """What to do with a session.
+
+    Attributes:
+        upstream: The upstream to send an attempt to; if below 0, NOT_YET, SHED, FAILED or DONE.
+        at: Until when the attempt may last; see the constants for the others.
+        token_candidates: With NOT_YET, what to ask a token issuer for, if there is one.
+    """
 
     upstream: int
-    state: EndpointState
-    out: int  # setup tries
-    open: int  # links that stand there
-    load: float | None  # over what it can do, as last probed
-    load_age_us: int
-    left_out: str  # why no new link goes there first; empty: it has its share
+    at: int = 0
+    token_candidates: TokenCandidates = ()
 
 
-NOT_YET = -1  # ask again at `at`, or sooner if something changes
+NOT_YET = -1  # place again at `at`, or sooner if something changes
 SHED = -2  # the final answer: safe to retry; `at` is how long the client had better wait, 0 for no advice
 FAILED = -3  # the final answer: no promise
 DONE = -4  # nothing to do
 
 
+class UpstreamStatus(NamedTuple):
+    """What the node takes an upstream to be, for operators to compare with the sockets.
+
+    Attributes:
+        upstream: The upstream's number.
+        state: Its state by the endpoint list.
+        attempts: Own attempts in flight there.
+        established: Own sessions established there.
+        utilization: Load over capacity by its last report, if it has made one.
+        utilization_age_us: How old that is.
+        left_out: Why no new session goes there in the first place; empty if it has its share.
+    """
+
+    upstream: int
+    state: EndpointState
+    attempts: int
+    established: int
+    utilization: float | None
+    utilization_age_us: int
+    left_out: str
+
+
 class DueActions(NamedTuple):
-    """What falls due now, and how long until the next thing does."""
+    """What falls due now, and how long until the next thing does.
+
+    Attributes:
+        wait_us: How long until the next thing falls due.
+        probes: Upstreams to be probed.
+        poll_list: Whether to poll the endpoint list.
+        migrations: Sessions to be migrated; they no longer count at their upstreams.
+        superseded: Sessions whose attempts are cancelled now; their outcome is handed in like others.
+        setup_us: How long a setup takes: a session that lay unread for longer, and has less left, is shed.
+    """
 
     wait_us: int
     probes: list[int]
-    ask_list: bool
-    moves: list[int]
-    withdrawn: list[int]  # links whose tries are given up now; the outcome is told as of any other
-    enough_us: int  # a link that lay unread for longer than this, and has less left, is shed at once
+    poll_list: bool
+    migrations: list[int]
+    superseded: list[int]
+    setup_us: int
--- /dev/null
+++ b/larchlatch/policy/upstream.py
@@ -0,0 +1,233 @@
+"""The one record of an upstream, and the fleet of all upstreams; both decide nothing.
+
+The deciding parts keep their figures of an upstream in its record. Thresholds and choices stand in those
+parts; here are fields, counts and lists by state.
+"""
+
+from __future__ import annotations
+
+from dataclasses import InitVar, dataclass, field
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.policy.backoff import BACKOFF_US, JUDGED_OUTCOMES, LONGEST_BACKOFF_US, Backoff
+from larchlatch.policy.types import Endpoint, EndpointState, Session, Token
+
+if TYPE_CHECKING:
+    from collections.abc import Collection, Iterator
+
+NEVER = -10_000_000  # microseconds: before all times of a node
+
+
+@dataclass(slots=True, eq=False)
+class Upstream:
+    """All that this node knows of one upstream; times are in microseconds.
+
+    Attributes:
+        endpoint: What the endpoint list says of it; its fields stand here one by one.
+        ring_points: How many points it holds on the ring.
+        sessions: Own sessions by number, established there or with an attempt in flight.
+        known_load: Sum of the loads of those sessions, as far as known.
+        unknown_loads: How many of them have no known load.
+        backoff: Its backoff; while it lasts the upstream is ejected.
+        overload_penalty: Above 1 if it was short of capacity lately.
+        penalized_at: When that was last raised.
+        unreachable: Whether the last attempt or probe got no connection.
+        slow_until: Until when its messages count as late.
+        latency_ratio: Last message latency over the strictest objective.
+        unresponsive_until: Until when it counts as answering no message on any session.
+        migrate_at: When the next sessions may migrate off it, if it is slow.
+        utilization: Load over capacity by its last load report.
+        utilization_at: When that was reported.
+        capacity: Sessions that fill it, by its last probe; 0 if unknown.
+        warm_capacity: The same if it was not in slow start then.
+        probe_requested: Whether a session waits to know its load.
+        probed_at: When it was last probed.
+        sessions_at_probe: Own sessions there then.
+        turn: The overload window in which the node last spent of its slow-start budget.
+        spent_in_turn: What it spent in that window, in usual sessions.
+        tokens: Slow-start tokens by session number: until when each holds.
+    """
+
+    endpoint: InitVar[Endpoint]
+    number: int = field(init=False)
+    name: str = field(init=False)
+    zone: int = field(init=False)
+    cell: int = field(init=False)
+    state: EndpointState = field(init=False)
+    size: float = field(init=False)
+    started_at: int = field(init=False, default=0)
+    ring_points: int = 0
+    sessions: dict[int, Session] = field(default_factory=dict)
+    known_load: float = 0.0
+    unknown_loads: int = 0
+    backoff: Backoff = field(default_factory=lambda: Backoff(JUDGED_OUTCOMES, BACKOFF_US, LONGEST_BACKOFF_US))
+    overload_penalty: float = 1.0
+    penalized_at: int = 0
+    unreachable: bool = False
+    slow_until: int = 0
+    latency_ratio: float = 1.0
+    unresponsive_until: int = 0
+    migrate_at: int = 0
+    utilization: float = 0.0
+    utilization_at: int = NEVER
+    capacity: float = 0.0
+    warm_capacity: float = 0.0
+    probe_requested: bool = False
+    probed_at: int = NEVER
+    sessions_at_probe: int = 0
+    turn: int = -1
+    spent_in_turn: float = 0.0
+    tokens: dict[int, int] = field(default_factory=dict)
+
+    def __post_init__(self, endpoint: Endpoint) -> None:
+        self.follow(endpoint)
+
+    def follow(self, endpoint: Endpoint) -> None:
+        """Take over the fields of its endpoint, and forget what a former process of it did."""
+        if endpoint.started_at > self.started_at and endpoint.state is EndpointState.READY:
+            self.backoff.recent.clear()
+            self.backoff.delay_us = self.backoff.until = 0
+            self.slow_until = self.unresponsive_until = 0
+            self.capacity = self.warm_capacity = 0.0
+        self.number = endpoint.upstream
+        self.name = endpoint.name
+        self.zone = endpoint.zone
+        self.cell = endpoint.cell
+        self.state = endpoint.state
+        self.size = endpoint.size
+        self.started_at = endpoint.started_at
+
+    def add(self, session: Session) -> None:
+        """Count a session as placed here."""
+        if session.number not in self.sessions:
+            self.sessions[session.number] = session
+            self.known_load += session.load
+            self.unknown_loads += not session.load
+
+    def remove(self, session: Session) -> None:
+        """Count a session as placed here no longer."""
+        if self.sessions.pop(session.number, None) is not None:
+            self.known_load -= session.load
+            self.unknown_loads -= not session.load
+
+    def established(self) -> list[Session]:
+        """Return the sessions that are established here."""
+        return [session for session in self.sessions.values() if session.established]
+
+    def probe_sent(self, now: int) -> None:
+        """Record that a probe is sent."""
+        self.probed_at = now
+        self.probe_requested = False
+        self.sessions_at_probe = len(self.sessions)
+
+    def add_token(self, now: int, token: Token) -> None:
+        """Keep a token for its session, and drop those that have ended."""
+        held = {session: until for session, until in self.tokens.items() if now < until}
+        self.tokens = {**held, token.session: token.until}
+
+    def is_fit(self, now: int) -> bool:
+        """Return whether it is neither slow nor ejected."""
+        return now >= self.slow_until and now >= self.backoff.until
+
+    def is_down(self, now: int) -> bool:
+        """Return whether no connection can be had: it is as good as gone until its next trial."""
+        return self.unreachable and now < self.backoff.until
+
+
+class Candidates(NamedTuple):
+    """The upstreams that a session may go to, in order of preference.
+
+    Attributes:
+        pair: The master and the second.
+        spread: Further upstreams that a large group spreads to.
+        beyond: The rest of the ring walk.
+    """
+
+    pair: list[Upstream]
+    spread: list[Upstream]
+    beyond: Iterator[Upstream]
+
+
+def mean_utilization(upstreams: Collection[Upstream]) -> float:
+    """Return the mean of reported utilizations, each counted once; 0 for none."""
+    return sum(other.utilization for other in upstreams) / len(upstreams) if upstreams else 0.0
+
+
+def joint_utilization(upstreams: Collection[Upstream]) -> float | None:
+    """Return the reported load of all over their capacity, by their sizes; None for none."""
+    size = sum(other.size for other in upstreams)
+    return sum(other.utilization * other.size for other in upstreams) / size if size else None
+
+
+class Fleet:
+    """The upstreams that the endpoint list has named; owns their records and the list of ready ones.
+
+    Attributes:
+        upstreams: The records by number, those of upstreams that are gone included.
+        ready: The records of the ready upstreams, in the order in which they were first named.
+        mean_session_load: Running mean, in microseconds of work a second; 0 if no load is known.
+        look_at: When an upstream may next have a probe or migrations due, in microseconds.
+    """
+
+    def __init__(self) -> None:
+        self.upstreams: dict[int, Upstream] = {}
+        self.ready: list[Upstream] = []
+        self.mean_session_load = 0.0
+        self.look_at = 0
+
+    def weight(self, session: Session) -> float:
+        """Return a session's load in usual sessions."""
+        return session.load / self.mean_session_load if session.load and self.mean_session_load else 1.0
+
+    def add_established(self, session: Session, number: int) -> None:
+        """Count a session as established at an upstream, which no list need have named."""
+        session.upstream = number
+        session.established = True
+        self.find(Endpoint.unlisted(number)).add(session)
+
+    def remove(self, session: Session) -> None:
+        """Count a session nowhere."""
+        if session.upstream >= 0:
+            self.upstreams[session.upstream].remove(session)
+
+    def change_load(self, session: Session, load: float) -> None:
+        """Set a session's load if it is counted at an upstream."""
+        upstream = self.upstreams.get(session.upstream)
+        if upstream is not None and session.number in upstream.sessions:
+            upstream.remove(session)
+            session.load = load
+            upstream.add(session)
+
+    def mean_sessions(self) -> float:
+        """Return the own sessions, in usual ones, per unit of size over all ready upstreams."""
+        size = sum(upstream.size for upstream in self.ready)
+        used = [upstream for upstream in self.ready if upstream.sessions]
+        return sum(map(self.sessions_at, used)) / size if size else 0.0
+
+    def sessions_at(self, upstream: Upstream) -> float:
+        """Return the own sessions at an upstream, in usual sessions."""
+        known = upstream.known_load / self.mean_session_load if self.mean_session_load else 0.0
+        return known + upstream.unknown_loads
+
+    def find(self, endpoint: Endpoint) -> Upstream:
+        """Return the record of an endpoint, a new one if it has none."""
+        if endpoint.upstream not in self.upstreams:
+            self.upstreams[endpoint.upstream] = Upstream(endpoint)
+        return self.upstreams[endpoint.upstream]
+
+    def update(self, endpoints: Collection[Endpoint], *, whole: bool) -> list[Upstream]:
+        """Take over an endpoint list, or changes to it; return the records of its endpoints.
+
+        An upstream that a whole list does not name is gone.
+        """
+        updated = [self.find(endpoint) for endpoint in endpoints]
+        for upstream, endpoint in zip(updated, endpoints, strict=True):
+            upstream.follow(endpoint)
+        named = {upstream.number for upstream in updated}
+        for number, upstream in self.upstreams.items():
+            if whole and number not in named:
+                upstream.state = EndpointState.GONE
+        self.ready = [
+            upstream for upstream in self.upstreams.values() if upstream.state is EndpointState.READY
+        ]
+        return updated
--- a/larchlatch/wirehost/loop.py
+++ b/larchlatch/wirehost/loop.py
@@ -14,7 +14,7 @@
 from larchlatch.errors import InvalidInputError, ProtocolError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.driver import Driver
-from larchlatch.policy.types import Endpoint, Outcome, Session
+from larchlatch.policy.types import Endpoint, Outcome, ProbeResult, Session
 from larchlatch.wirehost import codec
 
 log = logging.getLogger("larchlatch")
@@ -113,7 +113,7 @@
             outcome = known(code, codec.OUTCOMES, "ATTEMPT_END: state_code")
             found = self.in_hand.get(handle)
             if found is not None:
-                answer = balancer.outcome(now, found, outcome, done)
+                answer = balancer.outcome(now, found, outcome, answered=done)
                 if done:
                     self.drop(handle)
                 else:
@@ -130,16 +130,16 @@
             answered = known(code, codec.OUTCOMES, "ECHO: state_code") == Outcome.COMPLETED
             figures = ((report or {}).get(name) for name in ("x0", "inflight"))
             utilization, held = (None if figure is None else float(figure) for figure in figures)
-            balancer.report(now, self.upstream(upstream), answered, utilization, held)
+            balancer.record_probe(now, self.upstream(upstream), ProbeResult(answered, utilization, held))
         elif name == "CLIENT_GONE":
             found = self.in_hand.get(values[0])
             if found is not None:
-                balancer.left(now, found)
+                balancer.remove_session(found)
                 self.drop(values[0])
         elif name == "EXISTING":
             handle, grade, _, key, deadline, hint, room, bits, upstream = values
-            balancer.standing(
-                now, self.take(handle, grade, key, room, deadline, hint, bits), self.upstream(upstream)
+            balancer.add_established(
+                self.take(handle, grade, key, room, deadline, hint, bits), self.upstream(upstream)
             )
         elif name == "TOPOLOGY":
             self.listed(now, values, lists)
--- a/tests/ground.py
+++ b/tests/ground.py
@@ -168,7 +168,7 @@
             self.up.add(number)
         elif done:
             self.sessions.pop(number, None)
-        self.answer(session, self.balancer.outcome(self.now, session, what, done))
+        self.answer(session, self.balancer.outcome(self.now, session, what, answered=done))
         if what is Outcome.ESTABLISHED:
             self.out.pop(number, None)
 
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -73,18 +73,18 @@
 @pytest.mark.parametrize("took", [20_000, 400_000])
 def test_what_a_setup_takes_is_a_running_mean_of_those_that_came_to_stand(took: int) -> None:
     ground = Ground()
-    assert ground.balancer.wait(ground.now).enough_us == 0, "nobody is turned away by a guess"
+    assert ground.balancer.wait(ground.now).setup_us == 0, "nobody is turned away by a guess"
     for _ in range(30):
         session = ground.arrive()
         ground.now += took
         ground.end(session, Outcome.ESTABLISHED)
-    assert ground.balancer.wait(ground.now).enough_us == took
+    assert ground.balancer.wait(ground.now).setup_us == took
     failing = ground.arrive()
     ground.now += SECOND
     ground.end(failing, Outcome.REJECTED)
-    assert ground.balancer.wait(ground.now).enough_us == took
+    assert ground.balancer.wait(ground.now).setup_us == took
     for _ in range(40):
         session = ground.arrive()
         ground.now += 2 * took
         ground.end(session, Outcome.ESTABLISHED)
-    assert 1.9 * took < ground.balancer.wait(ground.now).enough_us <= 2 * took
+    assert 1.9 * took < ground.balancer.wait(ground.now).setup_us <= 2 * took
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from larchlatch.policy.types import Outcome
+from larchlatch.policy.types import Outcome, ProbeResult
 from tests.ground import SECOND, Ground, line
 
 FULL = 100.0  # links that fill a warm host of this size
@@ -25,7 +25,9 @@
 def asked(node: Ground, key: int) -> None:
     """One link comes, and its candidates are probed."""
     for upstream in node.lines:
-        node.balancer.report(node.now, upstream, True, 0.05 if upstream == COLD else 0.5, held=FULL / 2)
+        node.balancer.record_probe(
+            node.now, upstream, ProbeResult(True, 0.05 if upstream == COLD else 0.5, FULL / 2)
+        )
     session = node.arrive(key=key)
     node.run(SECOND // 100)
     if session.number in node.out:
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -40,6 +40,7 @@
     EndpointState,
     Idempotency,
     Outcome,
+    ProbeResult,
     Session,
     TokenCandidate,
 )
@@ -96,12 +97,12 @@
     if observed:
         session = Session(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
         answer = balancer.place(NOW, session)
-        balancer.report(NOW, answer.upstream, True, 0.5, 10.0)
+        balancer.record_probe(NOW, answer.upstream, ProbeResult(True, 0.5, 10.0))
         balancer.record_load(NOW, session, 2000.0)
-        balancer.outcome(NOW + 1000, session, Outcome.RESET, done=True)
-        balancer.quiet(NOW + 2000, answer.upstream)
-        balancer.report(NOW + 3000, 1 - answer.upstream, False, None)
-        balancer.report(NOW + 4000, 1 - answer.upstream, False, None)
+        balancer.outcome(NOW + 1000, session, Outcome.RESET, answered=True)
+        balancer.record_unresponsive(NOW + 2000, answer.upstream)
+        balancer.record_probe(NOW + 3000, 1 - answer.upstream, ProbeResult(False))
+        balancer.record_probe(NOW + 4000, 1 - answer.upstream, ProbeResult(False))
     return balancer
 
 
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -149,8 +149,9 @@
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.chance.choice(upstreams)
 
-    def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
-        return super().outcome(now, session, Outcome.REJECTED if what is Outcome.RESET else what, done)
+    def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
+        told = Outcome.REJECTED if outcome is Outcome.RESET else outcome
+        return super().outcome(now, session, told, answered=answered)
 
 
 class Deaf(Plain):
@@ -159,10 +160,9 @@
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.chance.choice(upstreams)
 
-    def update_endpoints(self, now: int, lines: Any, whole: bool, asked: bool) -> None:
-        super().update_endpoints(
-            now, [line._replace(state=EndpointState.READY) for line in lines], whole, asked
-        )
+    def update_endpoints(self, now: int, endpoints: Any, *, whole: bool, asked: bool) -> None:
+        ready = [endpoint._replace(state=EndpointState.READY) for endpoint in endpoints]
+        super().update_endpoints(now, ready, whole=whole, asked=asked)
 
 
 class Pusher(Plain):
@@ -271,7 +271,7 @@
         out.extend(
             record
             for record in node.records.values()
-            if record.attempt is not None and not record.session.open
+            if record.attempt is not None and not record.session.established
         )
         real(node)
 
@@ -287,10 +287,10 @@
     seen = []
 
     class Watcher(Balancer):
-        def outcome(self, now: int, session: Session, what: Outcome, done: bool = False) -> Answer:
-            if not session.open and what is Outcome.RESET:
+        def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
+            if not session.established and outcome is Outcome.RESET:
                 seen.append(session)
-            return super().outcome(now, session, what, done)
+            return super().outcome(now, session, outcome, answered=answered)
 
     sessions = {**SMALL["links"], "setup_ms": 300.0, "effects": ["exclusive"]}
     crashes = [{"kind": "crash", "at_s": at, "hosts": 3} for at in (2.0, 5.0, 8.0)]
@@ -352,10 +352,10 @@
     for size in (1.0, 4.0):
         balancer = Balancer(settings_for(checked({}, "day"), 0), random.Random(1))
         upstreams = [Endpoint(n, name.format(n), 0, 0, EndpointState.READY, size, 0) for n in range(40)]
-        balancer.update_endpoints(0, upstreams, True, True)
+        balancer.update_endpoints(0, upstreams, whole=True, asked=True)
         arcs = dict.fromkeys(range(40), 0)
-        before = balancer.ring[-1] - 2**64
-        for spot in balancer.ring:
+        before = balancer.ring.hash_ring.points[-1] - 2**64
+        for spot in balancer.ring.hash_ring.points:
             arcs[spot & 0xFFFFFF] += spot - before
             before = spot
         shares = [arc / 2**64 * 40 for arc in arcs.values()]
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -28,7 +28,8 @@
 from larchlatch.node.runtime import node
 from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
 from larchlatch.node.wire.stream import Ending, Lines
-from larchlatch.policy.balancer import REST_US, Balancer
+from larchlatch.policy.backoff import BACKOFF_US
+from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.types import Answer, Session
 from tests.ground import (
     Discovery,
@@ -174,7 +175,9 @@
 ) -> None:
     """Only the module can take all its links away; a host that answers another link is not quiet."""
     told: list[int] = []
-    monkeypatch.setattr(Balancer, "quiet", lambda balancer, now, upstream: told.append(upstream))
+    monkeypatch.setattr(
+        Balancer, "record_unresponsive", lambda balancer, now, upstream: told.append(upstream)
+    )
     monkeypatch.setattr(upstream_actor, "SILENT_US", 10**9)
 
     async def body(tasks: TaskGroup) -> None:
@@ -473,7 +476,7 @@
         # Each gone host is tried once, and again when its rest is over, which doubles: a slow machine meets
         # more of them. Six such tries cost a link its answer.
         took_us = (time.monotonic() - began) * 1e6
-        refused = sum(1 + int(math.log2(took_us / REST_US + 1)) for _ in upstreams.addresses[:-1])
+        refused = sum(1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1])
         assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
         assert answers.count(b"BUSY\r\n") <= refused // 6, (answers, took_us)
         assert upstreams.most_out == 1
--- a/tests/test_pacing.py
+++ b/tests/test_pacing.py
@@ -22,7 +22,7 @@
 from larchlatch.days.puppets import Drift
 from larchlatch.days.warming import Warming
 from larchlatch.emulator.world import World
-from larchlatch.policy.types import NOT_YET, TokenCandidate
+from larchlatch.policy.types import NOT_YET, Token, TokenCandidate
 from tests.ground import Ground, line
 
 SECOND = 1_000_000
@@ -331,21 +331,23 @@
     ground = Ground(upstreams=0, nodes=40, probes=False)
     ground.relist(line(0, started_at=ground.now), line(1, started_at=ground.now))
     balancer, now = ground.balancer, ground.now
-    balancer.paced(now, now + 10 * SECOND)
+    balancer.record_token(now, now + 10 * SECOND)
     one, other = (ground.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
     assert not ground.out, "all hosts are cold, and turns are handed over"
     sought = {
-        want.upstream for session in (one, other) for want in (balancer.place(now, session).sought or ())
+        want.upstream
+        for session in (one, other)
+        for want in (balancer.place(now, session).token_candidates or ())
     }
     assert sought <= {0, 1}
-    balancer.paced(now, now + 10 * SECOND, 1, one.number, now + 100_000)
+    balancer.record_token(now, now + 10 * SECOND, Token(1, one.number, now + 100_000))
     assert balancer.place(now, other).upstream == NOT_YET
     late = balancer.place(now + 200_000, one)
     assert late.upstream == NOT_YET, "it has run out"
-    balancer.paced(now + 200_000, now + 10 * SECOND, 1, one.number, now + 300_000)
+    balancer.record_token(now + 200_000, now + 10 * SECOND, Token(1, one.number, now + 300_000))
     assert balancer.place(now + 210_000, one).upstream == 1
     again = ground.arrive(key=3)
-    assert again.number in ground.held and not ground.balancer.upstreams[1].leaves, "it was used"
+    assert again.number in ground.held and not ground.balancer.fleet.upstreams[1].tokens, "it was used"
 
 
 PACE = Path(__file__).parent.parent / "days" / "pace.toml"
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -10,8 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.policy.balancer import LOOK_US, Balancer
-from larchlatch.policy.types import DONE, SHED, EndpointState, Outcome, Session
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.retries import SUPERSEDED_CHECK_US
+from larchlatch.policy.types import DONE, SHED, EndpointState, Outcome, ProbeResult, Session
 from tests.ground import SECOND, SETTINGS, Ground, line
 
 FAILURES = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET]
@@ -91,8 +92,8 @@
         ground.run(10 * SECOND // sessions * me // nodes if calm else 0)
         for number in range(sessions):
             for upstream in ground.lines:
-                ground.balancer.report(
-                    ground.now, upstream, True, 0.05 if upstream == 9 else 0.5, held=full / 2
+                ground.balancer.record_probe(
+                    ground.now, upstream, ProbeResult(True, 0.05 if upstream == 9 else 0.5, full / 2)
                 )
             session = ground.arrive(key=1 + 1000 * me + number)
             ground.run(SECOND // 100)  # its candidates are probed
@@ -125,11 +126,13 @@
             1, 5
         ):  # the fifth has its turn at the fresh host, and about half of all links a chance
             ground = Ground(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
-            ground.balancer.report(ground.now, 0, True, 0.5, held=50)
+            ground.balancer.record_probe(ground.now, 0, ProbeResult(True, 0.5, 50))
             ground.relist(line(9, started_at=ground.now - 10 * SECOND))
             session = ground.arrive(key=key)
-            upstream = ground.balancer.upstreams[9]
-            taken.append([ground.balancer.in_budget(ground.now, upstream, session) for _ in range(100)])
+            upstream = ground.balancer.fleet.upstreams[9]
+            taken.append(
+                [ground.balancer.slow_start.may_take(ground.now, upstream, session) for _ in range(100)]
+            )
         assert len({tuple(row) for row in taken}) == 1 and len(set(taken[0])) == 1
         rows.append(taken[0][0])
     assert 4 <= sum(rows) <= 16
@@ -141,19 +144,19 @@
     ground = Ground(nodes=40, upstreams=4, probes=True, probes_report_load=True)
     balancer, start = ground.balancer, ground.now
     for number in range(4):
-        balancer.report(start, number, True, 0.5, held=50)
+        balancer.record_probe(start, number, ProbeResult(True, 0.5, 50))
     ground.relist(line(9, started_at=start))
-    upstream = balancer.upstreams[9]
+    upstream = balancer.fleet.upstreams[9]
 
     def budget(now: int) -> float:
-        return balancer.turn_budget(now, upstream, balancer.warmth(now, upstream), balancer.fills(upstream))
+        return balancer.slow_start.turn_budget(now, upstream, balancer.slow_start.reported_capacity(upstream))
 
     stated = budget(start)
-    balancer.report(start, 9, True, 0.05, held=40)  # too few to tell by
+    balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))  # too few to tell by
     assert budget(start) == stated
-    balancer.report(start, 9, True, 0.5, held=20)
+    balancer.record_probe(start, 9, ProbeResult(True, 0.5, 20))
     assert budget(start) == pytest.approx(2 * stated)
-    balancer.report(start, 9, True, 0.5, held=500)
+    balancer.record_probe(start, 9, ProbeResult(True, 0.5, 500))
     assert budget(start) == pytest.approx(5 * stated)
     ground.relist(line(9, started_at=start + SECOND))
     assert budget(start + SECOND) == stated
@@ -169,7 +172,7 @@
     ground.relist(line(9, started_at=ground.now - 3 * SECOND), line(8, EndpointState.DRAINING))
     for _ in range(4):  # half of these seconds are the other node's turn at the fresh host
         ground.balancer.record_delay(ground.now, sessions[0], 400_000)
-        moves = ground.balancer.wait(ground.now).moves
+        moves = ground.balancer.wait(ground.now).migrations
         in_turn = (ground.now - ground.lines[9].started_at) // SECOND % 2 == 0
         assert bool(moves) == in_turn
         ground.now += SECOND
@@ -181,7 +184,7 @@
     for number in range(200):
         ground.end(ground.arrive(key=number), Outcome.COMPLETED)
         ground.run(SECOND // 10)
-    assert len(ground.balancer.asked) <= 11
+    assert len(ground.balancer.slow_start.arrivals.times) <= 11
 
 
 def test_same_ring_on_every_node_and_local_remapping() -> None:
@@ -242,7 +245,7 @@
 def test_shed_advice_stays_within_what_clients_honour() -> None:
     ground = Ground(max_retry_after_us=1000)
     session = ground.arrive(deadline=1000)
-    answer = ground.balancer.final(ground.now, session)
+    answer = ground.balancer.retries.final_answer(ground.now, session)
     assert answer.upstream == SHED and 0 < answer.at <= 1000
 
 
@@ -253,7 +256,7 @@
     at = [ground.now]
     for _ in range(6000):
         ground.now += SECOND // 10
-        if ground.balancer.wait(ground.now).ask_list:
+        if ground.balancer.wait(ground.now).poll_list:
             at.append(ground.now)
             ground.balancer.discovery_failed(ground.now)
     within = ground.balancer.settings.poll_within_us
@@ -276,7 +279,7 @@
             answer[1].balancer.discovery_failed(now)
         for ground in grounds:
             ground.now = now
-            if not ground.balancer.listening and ground.balancer.wait(now).ask_list:
+            if not ground.balancer.polling.subscribed and ground.balancer.wait(now).poll_list:
                 free_at = max(free_at, now) + 7 * SECOND / nodes
                 if free_at > now + 2 * SECOND:
                     waiting.append((now + 2 * SECOND, ground))
@@ -296,7 +299,7 @@
     moved = []
     for _ in range(20):
         ground.balancer.record_delay(ground.now, sessions[0], 400_000)
-        moved += ground.balancer.wait(ground.now).moves
+        moved += ground.balancer.wait(ground.now).migrations
         ground.now += SECOND
     # A tenth of the host's links a round and all nodes: one from each node with few would empty it at once.
     assert 1 <= len(moved) <= 12 and all(
@@ -305,7 +308,7 @@
     ground.run(SECOND)
     for session in sessions:
         ground.balancer.record_delay(ground.now, session, 400_000)
-    assert not ground.balancer.wait(ground.now).moves
+    assert not ground.balancer.wait(ground.now).migrations
 
 
 def test_a_new_link_waits_briefly_for_its_candidates_load() -> None:
@@ -354,9 +357,9 @@
     """A node that restarts with an old list is handed links on hosts that the list has never named."""
     ground = Ground()
     session = Session(500, 0, 1, 1, 0)
-    ground.balancer.standing(ground.now, session, 77)
+    ground.balancer.add_established(session, 77)
     assert ground.arrive(key=1).upstream != 77
-    assert ground.balancer.outcome(ground.now, session, Outcome.RESET, done=True).upstream == DONE
+    assert ground.balancer.outcome(ground.now, session, Outcome.RESET, answered=True).upstream == DONE
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
@@ -371,8 +374,8 @@
     fresh.relist(*ground.lines.values())
     for key in range(1, 30):
         session = Session(1000, 0, key, key, ground.now + SECOND)
-        there = [upstream.number for upstream in ground.balancer.walk(session)]
-        assert there == [upstream.number for upstream in fresh.balancer.walk(session)]
+        there = [upstream.number for upstream in ground.balancer.ring.successors(session)]
+        assert there == [upstream.number for upstream in fresh.balancer.ring.successors(session)]
 
 
 def test_a_node_with_hardly_a_link_goes_by_probed_load() -> None:
@@ -380,9 +383,9 @@
     ground = Ground(nodes=200, probes=True, probes_report_load=True)
     session = ground.arrive(key=3)
     master, second = ground.balancer.wait(ground.now).probes
-    first = next(ground.balancer.walk(session)).number
+    first = next(ground.balancer.ring.successors(session)).number
     for number in (master, second):
-        ground.balancer.report(ground.now, number, True, 0.9 if number == first else 0.3)
+        ground.balancer.record_probe(ground.now, number, ProbeResult(True, 0.9 if number == first else 0.3))
     ground.run(SECOND // 10)
     assert ground.out[session.number] not in (-1, first)
 
@@ -435,7 +438,7 @@
         for session in sessions:
             ground.end(session, Outcome.ESTABLISHED)
         ground.balancer.record_delay(ground.now, sessions[0], delay)
-        moved.append(len(ground.balancer.wait(ground.now).moves))
+        moved.append(len(ground.balancer.wait(ground.now).migrations))
     assert 2 * moved[0] < moved[1] <= 30
 
 
@@ -459,7 +462,7 @@
     session = ground.arrive(key=3)
     full = ground.balancer.wait(ground.now).probes
     for number in full:
-        ground.balancer.report(ground.now, number, True, 1.1)
+        ground.balancer.record_probe(ground.now, number, ProbeResult(True, 1.1))
     ground.run(SECOND // 10)
     assert ground.out[session.number] not in full
 
@@ -485,7 +488,7 @@
     for key in range(1, 60):
         session = ground.arrive(key=key)
         for number in ground.balancer.wait(ground.now).probes:
-            ground.balancer.report(ground.now, number, True, 0.4)
+            ground.balancer.record_probe(ground.now, number, ProbeResult(True, 0.4))
         ground.run(SECOND // 5)
         ground.end(session, Outcome.ESTABLISHED)
         sessions.append(session)
@@ -496,8 +499,10 @@
         ground.now += SECOND // 10
         due = ground.balancer.wait(ground.now)
         for number in due.probes:
-            ground.balancer.report(ground.now, number, True, 1.05 if number == full else 0.4)
-        moved += due.moves
+            ground.balancer.record_probe(
+                ground.now, number, ProbeResult(True, 1.05 if number == full else 0.4)
+            )
+        moved += due.migrations
     assert len(moved) > len(there) // 3
     assert {sessions[number].upstream for number in moved} == {full}
 
@@ -508,7 +513,7 @@
     for key in range(1, 40):
         session = ground.arrive(key=key)
         for number in ground.balancer.wait(ground.now).probes:
-            ground.balancer.report(ground.now, number, True, 0.8)
+            ground.balancer.record_probe(ground.now, number, ProbeResult(True, 0.8))
         ground.run(SECOND // 10)
         if session.number in ground.out:
             ground.end(session, Outcome.ESTABLISHED)
@@ -516,8 +521,8 @@
         ground.now += SECOND // 10
         due = ground.balancer.wait(ground.now)
         for number in due.probes:
-            ground.balancer.report(ground.now, number, True, 0.8 + 0.02 * (step % 10))
-        assert not due.moves
+            ground.balancer.record_probe(ground.now, number, ProbeResult(True, 0.8 + 0.02 * (step % 10)))
+        assert not due.migrations
 
 
 def test_all_links_leave_a_host_that_is_quiet_and_out_of_reach_at_once() -> None:
@@ -526,15 +531,15 @@
         ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
         sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
         for session in sessions:
-            ground.balancer.standing(ground.now, session, session.number % 2)
-        ground.balancer.quiet(ground.now, 0)
+            ground.balancer.add_established(session, session.number % 2)
+        ground.balancer.record_unresponsive(ground.now, 0)
         due = ground.balancer.wait(ground.now)
-        assert 0 in due.probes and 0 < len(due.moves) < 20
+        assert 0 in due.probes and 0 < len(due.migrations) < 20
         ground.now += SECOND // 2
-        ground.balancer.report(ground.now, 0, answered, 0.5 if answered else None)
-        moved = due.moves + ground.balancer.wait(ground.now).moves
+        ground.balancer.record_probe(ground.now, 0, ProbeResult(answered, 0.5 if answered else None))
+        moved = due.migrations + ground.balancer.wait(ground.now).migrations
         assert answered or sorted(moved) == [session.number for session in sessions if session.upstream == 0]
-        assert not answered or moved == due.moves
+        assert not answered or moved == due.migrations
 
 
 def test_a_host_that_may_have_filled_up_is_probed_again_before_the_next_link() -> None:
@@ -545,7 +550,7 @@
         for key in range(1, 40):
             session = ground.arrive(key=key)
             for number in ground.balancer.wait(ground.now).probes:
-                ground.balancer.report(ground.now, number, True, load)
+                ground.balancer.record_probe(ground.now, number, ProbeResult(True, load))
                 probed[number] += 1
             ground.run(SECOND // 20)
             ground.end(session, Outcome.ESTABLISHED)
@@ -557,19 +562,19 @@
     """Its links fill others: were it counted as slow with these, most would be, and none be relieved."""
     ground = Ground(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
-        ground.balancer.standing(ground.now, Session(number, 0, number + 1, None, 0), number % 5)
+        ground.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 5)
     ground.balancer.wait(ground.now)
-    ground.balancer.quiet(ground.now, 0)
-    ground.balancer.report(ground.now, 0, False, None)
+    ground.balancer.record_unresponsive(ground.now, 0)
+    ground.balancer.record_probe(ground.now, 0, ProbeResult(False))
     for number in (4, 3, 2, 1):
-        ground.balancer.report(ground.now, number, True, 1.5 if number < 3 else 0.2)
-    moved = ground.balancer.wait(ground.now).moves
+        ground.balancer.record_probe(ground.now, number, ProbeResult(True, 1.5 if number < 3 else 0.2))
+    moved = ground.balancer.wait(ground.now).migrations
     assert {number % 5 for number in moved} == {0, 1, 2}
     for step in range(8):
         ground.now += SECOND // 2
         session = ground.arrive(key=step + 1)
         for number in ground.balancer.wait(ground.now).probes:
-            ground.balancer.report(ground.now, number, number != 0, 0.2)
+            ground.balancer.record_probe(ground.now, number, ProbeResult(number != 0, 0.2))
         ground.run(SECOND // 20)
         assert ground.out.get(session.number) != 0
         if session.number in ground.out:
@@ -583,19 +588,19 @@
         stuck = ground.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND)
         first = ground.out[stuck.number]
         for wait in (SECOND // 10, SECOND // 2):
-            assert not ground.balancer.wait(ground.now).withdrawn, "a little later is no sign"
+            assert not ground.balancer.wait(ground.now).superseded, "a little later is no sign"
             ground.run(wait)
             later = ground.arrive(key=2, deadline=3 * SECOND)
             if overtaken:
                 ground.end(later, Outcome.ESTABLISHED)
-        ground.now += LOOK_US
+        ground.now += SUPERSEDED_CHECK_US
         due = ground.balancer.wait(ground.now)
-        assert (stuck.number in due.withdrawn) is withdrawn
+        assert (stuck.number in due.superseded) is withdrawn
         if withdrawn:
             ground.end(stuck, Outcome.CANCELLED)
             assert ground.out[stuck.number] != first
-            ground.now += LOOK_US
-            assert not ground.balancer.wait(ground.now).withdrawn
+            ground.now += SUPERSEDED_CHECK_US
+            assert not ground.balancer.wait(ground.now).superseded
 
 
 def test_a_small_host_over_its_capacity_is_relieved_where_a_large_one_has_room() -> None:
@@ -604,10 +609,10 @@
         ground = Ground(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         ground.relist(line(0, size=1.5), line(1, size=1.5), line(2, size=6.0))
         for number in range(60):
-            ground.balancer.standing(ground.now, Session(number, 0, number + 1, None, 0), number % 3)
+            ground.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 3)
         for number, load in ((2, large), (1, 1.0), (0, 1.15)):
-            ground.balancer.report(ground.now, number, True, load)
-        assert bool(ground.balancer.wait(ground.now).moves) is relieved
+            ground.balancer.record_probe(ground.now, number, ProbeResult(True, load))
+        assert bool(ground.balancer.wait(ground.now).migrations) is relieved
 
 
 def guess(balancer: Balancer, now: int, number: int, key: int) -> int:
@@ -652,13 +657,13 @@
         balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
         balancer.update_endpoints(now, [line(number) for number in range(8)], whole=True, asked=True)
         session = Session(key, 0, key, key, now + 2 * SECOND)
-        pair, _ = balancer.pair(now, session, balancer.walk(session))
+        pair = balancer.selector.candidates(now, session).pair
         bad = [upstream.number for upstream in pair] + [
-            n for n in range(8) if balancer.upstreams[n] not in pair
+            n for n in range(8) if balancer.fleet.upstreams[n] not in pair
         ][:1]
-        for upstream in balancer.upstreams.values():
+        for upstream in balancer.fleet.upstreams.values():
             upstream.probed_at = now
-            balancer.report(now, upstream.number, True, load)
+            balancer.record_probe(now, upstream.number, ProbeResult(True, load))
             if upstream.number in bad:
                 upstream.slow_until = now + 2 * SECOND
         went.append(balancer.place(now, session).upstream)
@@ -673,12 +678,18 @@
     chosen = []
     for me in range(nodes):
         ground = Ground(seed=me, upstreams=8, nodes=nodes, me=me, probes=True, probes_report_load=True)
-        pair = [upstream.number for upstream in islice(ground.balancer.walk(Session(0, 0, 1, 1, 0)), 2)]
+        pair = [
+            upstream.number for upstream in islice(ground.balancer.ring.successors(Session(0, 0, 1, 1, 0)), 2)
+        ]
         for number in range(8):
-            ground.balancer.upstreams[number].probed_at = ground.now
-            ground.balancer.report(ground.now, number, True, figure if number in pair else room, 20.0)
+            ground.balancer.fleet.upstreams[number].probed_at = ground.now
+            ground.balancer.record_probe(
+                ground.now, number, ProbeResult(True, figure if number in pair else room, 20.0)
+            )
         if cold:
-            ground.balancer.upstreams[next(n for n in range(8) if n not in pair)].started_at = ground.now
+            ground.balancer.fleet.upstreams[
+                next(n for n in range(8) if n not in pair)
+            ].started_at = ground.now
         chosen.append(ground.arrive().upstream)
         assert chosen[-1] >= 0
     return [chosen.count(number) for number in pair]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -46,7 +46,7 @@
 from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.state_export import export_state, restore_state
-from larchlatch.policy.types import Outcome, Session
+from larchlatch.policy.types import Outcome, ProbeResult, Session
 from tests.ground import (
     SECOND,
     SETTINGS,
@@ -573,9 +573,13 @@
     went = 0
     for number in range(first, first + times):
         session = Session(number, 0, number, number, now + 2 * SECOND)
-        for upstream in made.upstreams.values():
+        for upstream in made.fleet.upstreams.values():
             upstream.probed_at = now
-            made.report(now, upstream.number, True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0)))
+            made.record_probe(
+                now,
+                upstream.number,
+                ProbeResult(True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0))),
+            )
         answer = made.place(now, session)
         if answer.upstream >= 0:
             went += answer.upstream == 2
@@ -591,14 +595,14 @@
         whole = filled(alone, now, 1000 * seed, 400)
         assert whole > 0
         idle = balancer(started_at, nodes=1)
-        idle.cede(True)
+        idle.release_slow_start_budget(released=True)
         assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
         spent = filled(old, now, 1000 * seed, 200)
-        old.cede(True)
+        old.release_slow_start_budget(released=True)
         restore_state(new, export_state(old), 0)
         assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
-        old.cede(False)  # the new one failed: the window is spent all the same
+        old.release_slow_start_budget(released=False)  # the new one failed: the window is spent all the same
         assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
 
 
@@ -606,14 +610,14 @@
     now, shift = 100 * SECOND, 7 * SECOND
     old, new = balancer(0), balancer(now - SECOND)
     for upstream in (0, 1, 2):
-        old.report(now, upstream, True, 0.9, 90.0)
-        old.quiet(now, upstream)
+        old.record_probe(now, upstream, ProbeResult(True, 0.9, 90.0))
+        old.record_unresponsive(now, upstream)
     plain = orjson.loads(orjson.dumps(export_state(old)))
     restore_state(new, plain, shift)
     for number in (0, 1):
-        assert new.upstreams[number].utilization == 0.9
-        assert new.upstreams[number].slow_until == old.upstreams[number].slow_until + shift
-    assert new.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
+        assert new.fleet.upstreams[number].utilization == 0.9
+        assert new.fleet.upstreams[number].slow_until == old.fleet.upstreams[number].slow_until + shift
+    assert new.fleet.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
 
 
 @pytest.mark.parametrize(
@@ -621,7 +625,7 @@
 )
 def test_what_can_not_be_read_leaves_no_half_of_it_behind(change: dict[str, Any]) -> None:
     old, new = balancer(0), balancer(0)
-    old.report(100 * SECOND, 1, True, 0.9, 90.0)
+    old.record_probe(100 * SECOND, 1, ProbeResult(True, 0.9, 90.0))
     before = export_state(new)
     with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
         restore_state(new, {**export_state(old), **change}, 0)
