--- a/tests/ground.py
+++ b/tests/ground.py
@@ -1,4 +1,4 @@
-"""One node on made-up ground: drives a Brain by hand and checks the four rules after every step."""
+"""One node on made-up ground: drives a Balancer by hand and checks the four rules after every step."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 
 
 class Ground:
-    """What the rules say of each link is kept here, apart from what the brain believes."""
+    """What the rules say of each session is kept here, apart from what the balancer believes."""
 
     def __init__(self, seed: int = 1, upstreams: int = 6, **deployment_settings: object) -> None:
         self.settings = replace(SETTINGS, **deployment_settings)  # type: ignore[arg-type]
@@ -87,9 +87,9 @@
         self.lines = {number: line(number) for number in range(upstreams)}
         self.sessions: dict[int, Session] = {}  # without a final answer yet
         self.held: dict[int, int] = {}
-        self.out: dict[int, int] = {}  # a try out, and its host
+        self.out: dict[int, int] = {}  # an attempt out, and its upstream
         self.ends: dict[int, int] = {}
-        self.sent: dict[int, list[tuple[int, int]]] = {}  # tries that may have run: when, where
+        self.sent: dict[int, list[tuple[int, int]]] = {}  # attempts that may have run: when, where
         self.up: set[int] = set()
         self.cold_sends: list[tuple[int, int]] = []
         self.count = 0
@@ -116,10 +116,10 @@
         if answer.upstream == DONE:
             return
         assert number in self.sessions, "an answer after the final one"
-        assert number not in self.out, "two tries out at once"
+        assert number not in self.out, "two attempts out at once"
         assert self.now <= session.deadline
         if answer.upstream == NOT_YET:
-            assert self.now < answer.at <= session.deadline, "held past its cut-off"
+            assert self.now < answer.at <= session.deadline, "held past its deadline"
             self.held[number] = answer.at
         elif answer.upstream in (SHED, FAILED):
             if answer.upstream == SHED and ran:
@@ -138,10 +138,10 @@
         self, session: Session, answer: Answer, ran: list[tuple[int, int]], traffic_class: TrafficClass
     ) -> None:
         entry = self.lines[answer.upstream]
-        assert entry.state is EndpointState.READY, "sent to a draining or gone host"
+        assert entry.state is EndpointState.READY, "sent to a draining or gone upstream"
         assert self.now < answer.at <= session.deadline
         if ran and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
-            assert traffic_class.idempotency is Idempotency.KEYED, "a second run of an exclusive link"
+            assert traffic_class.idempotency is Idempotency.KEYED, "a second run of a non-idempotent session"
             assert self.now < ran[0][0] + traffic_class.dedup_window_us, "resent after its group forgot it"
             first = self.lines[ran[0][1]]
             assert traffic_class.dedup_scope is not DedupScope.ZONE or entry.zone == first.zone
@@ -150,7 +150,9 @@
             self.cold_sends.append((self.now, answer.upstream))
             turn = (self.now - entry.started_at) // self.settings.overload_window_us
             in_turn = turn % self.settings.nodes == self.settings.me
-            assert in_turn or self.settings.probes_report_load, "sent to a fresh host out of turn"
+            assert in_turn or self.settings.probes_report_load, (
+                "sent to an upstream in slow start out of turn"
+            )
         self.out[session.number], self.ends[session.number] = answer.upstream, answer.at
         session_sent = self.now
         self.sent[session.number] = [*ran, (session_sent, answer.upstream)]
@@ -173,7 +175,8 @@
             self.out.pop(number, None)
 
     def run(self, span: int) -> None:
-        """Let time pass: held links are asked for again, tries that have had their time end as silent."""
+        """Let time pass: held sessions are asked for again, attempts that have had their time end as
+        silent."""
         stop = self.now + span
         while True:
             due = [(at, n) for n, at in self.held.items()] + [(self.ends[n], n) for n in self.out]
@@ -188,7 +191,7 @@
         self.now = stop
         self.balancer.wait(self.now)
         late = [n for n, session in self.sessions.items() if n not in self.up and self.now > session.deadline]
-        assert not late, "a link without its final answer at its cut-off"
+        assert not late, "a session without its final answer at its deadline"
 
 
 # Stand-ins on loopback, for the real node.
@@ -198,7 +201,7 @@
 
 
 def configuration(upstreams: list[str], discovery: int, **changes: Any) -> dict[str, Any]:
-    """A node's configuration for hosts at these addresses."""
+    """A node's configuration for upstreams at these addresses."""
     traffic_class = {"expected_time_us": 500_000, "cut_off_us": 3_000_000, "repeat_window_us": 5_000_000}
     settings: dict[str, Any] = {
         "areas": ["a", "b"],
@@ -253,11 +256,11 @@
 
 
 class Upstreams:
-    """Hosts on loopback that answer the tries in their order as told, and watch the second rule."""
+    """Upstreams on loopback that answer the attempts in their order as told, and watch the second rule."""
 
     def __init__(self, *answers: str) -> None:
-        self.answers = list(answers)  # the last one goes on for all further tries
-        self.lines: list[tuple[int, str]] = []  # host and line of each try
+        self.answers = list(answers)  # the last one goes on for all further attempts
+        self.lines: list[tuple[int, str]] = []  # upstream and line of each attempt
         self.out = 0
         self.most_out = 0
         self.ended = 0  # connections that the node has ended
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -1,4 +1,5 @@
-"""A cold host under a whole fleet: what all nodes together send it stays within what it bears."""
+"""An upstream in slow start under a whole fleet: what all nodes together send it stays within what it
+bears."""
 
 from __future__ import annotations
 
@@ -9,13 +10,13 @@
 from larchlatch.policy.types import Outcome, ProbeResult
 from tests.ground import SECOND, Ground, line
 
-FULL = 100.0  # links that fill a warm host of this size
-COLD = 9  # the host that has just come up
+FULL = 100.0  # sessions that fill a warm upstream of this size
+COLD = 9  # the upstream that has just come up
 LASTS = 10 * SECOND
 
 
 def node_of(fleet: int, me: int, seed: int, now: int, started_at: int) -> Ground:
-    """A node that has just started, before a host that came up then."""
+    """A node that has just started, before an upstream that came up then."""
     node = Ground(nodes=fleet, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True)
     node.now = now
     node.relist(line(COLD, started_at=started_at))
@@ -23,7 +24,7 @@
 
 
 def asked(node: Ground, key: int) -> None:
-    """One link comes, and its candidates are probed."""
+    """One session comes, and its candidates are probed."""
     for upstream in node.lines:
         node.balancer.record_probe(
             node.now, upstream, ProbeResult(True, 0.05 if upstream == COLD else 0.5, FULL / 2)
@@ -37,7 +38,7 @@
 @pytest.mark.parametrize("restarts", [False, True])
 @pytest.mark.parametrize("told", [0.9, 1.0, 1.1])
 @pytest.mark.parametrize(("nodes", "sessions"), [(2, 120), (7, 40), (30, 10), (200, 3)])
-def test_a_fleet_keeps_a_cold_hosts_budget(nodes: int, sessions: int, told: float, restarts: bool) -> None:
+def test_a_fleet_keeps_a_slow_start_budget(nodes: int, sessions: int, told: float, restarts: bool) -> None:
     """Bursts at every node at once, and again later; nodes restart and forget what they have spent; the
     number of nodes that each is told is wrong by a tenth."""
     fleet = max(1, round(nodes * told))
@@ -72,6 +73,6 @@
         )
         return able + 2 * math.sqrt(able) + 2
 
-    assert sends, "a host that nobody fills shows nothing"
+    assert sends, "an upstream that nobody fills shows nothing"
     for at in sends:
         assert sum(at <= other < at + deployment_settings.overload_window_us for other in sends) <= borne(at)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -59,8 +59,9 @@
 
 @settings(derandomize=True, max_examples=30, deadline=None)
 @given(st.integers(2, 6), st.lists(st.integers(0, 200), min_size=20, max_size=200))
-def test_nodes_together_keep_a_cold_hosts_budget(nodes: int, gaps: list[int]) -> None:
-    """A crowd at every node at once: a fresh host gets at most the turn's budget in any window."""
+def test_nodes_together_keep_a_slow_start_budget(nodes: int, gaps: list[int]) -> None:
+    """A crowd at every node at once: an upstream in slow start gets at most the turn's budget in any
+    window."""
     sends = []
     for me in range(nodes):
         ground = Ground(nodes=nodes, me=me, upstreams=4)
@@ -73,16 +74,16 @@
             if session.number in ground.out:
                 ground.end(session, Outcome.ESTABLISHED)
         sends += [at for at, upstream in ground.cold_sends if upstream == 9 and at < 102 * SECOND]
-    # Early on a turn's budget is one link; a window touches two turns at most.
+    # Early on a turn's budget is one session; a window touches two turns at most.
     assert all(sum(at <= other < at + SECOND for other in sends) <= 2 for at in sends)
 
 
 @pytest.mark.parametrize("calm", [True, False])
 @pytest.mark.parametrize(("nodes", "sessions", "least"), [(10, 30, 8), (40, 8, 8), (200, 2, 2), (200, 8, 8)])
-def test_a_fresh_host_is_filled_where_each_node_sees_few_links_but_never_over(
+def test_an_upstream_in_slow_start_is_filled_where_each_node_sees_few_sessions_but_never_over(
     nodes: int, sessions: int, least: int, calm: bool
 ) -> None:
-    """By turns alone it stays empty beside full ones; were each node's own links all that counted, a crowd
+    """By turns alone it stays empty beside full ones; were each node's own sessions all that counted, a crowd
     at all nodes at once would push it over."""
     full, sends = 100.0, []
     for me in range(nodes):
@@ -102,7 +103,8 @@
                 ground.end(session, Outcome.ESTABLISHED)
         sends += [at - start for at, upstream in ground.cold_sends if upstream == 9]
     deployment_settings = ground.settings
-    # What a host may be sent in a second, as it warms evenly: the stated multiple of what fills it meanwhile.
+    # What an upstream may be sent in a second, as it warms evenly: the stated multiple of what fills it
+    # meanwhile.
     rate = deployment_settings.overload_multiple * full * SECOND / deployment_settings.slow_start_us
 
     def allowed(at: int) -> float:
@@ -112,19 +114,19 @@
         )
 
     assert all(sum(at <= other < at + SECOND for other in sends) <= allowed(at) for at in sends)
-    # Ten seconds hold ten turns, most of them of nodes that have no link then.
+    # Ten seconds hold ten turns, most of them of nodes that have no session then.
     assert not calm or len(sends) >= least
 
 
-def test_a_client_that_comes_again_draws_no_second_time_for_a_fresh_host() -> None:
-    """Held links are asked again many times a second, and a shed client comes to the next node: were it a
+def test_a_client_that_comes_again_draws_no_second_time_for_an_upstream_in_slow_start() -> None:
+    """Held sessions are asked again many times a second, and a shed client comes to the next node: were it a
     new chance each time, the crowd that waits would all get in."""
     rows = []
     for key in range(1, 21):
         taken = []
         for me in range(
             1, 5
-        ):  # the fifth has its turn at the fresh host, and about half of all links a chance
+        ):  # the fifth has its turn at the upstream in slow start, and about half of all sessions a chance
             ground = Ground(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
             ground.balancer.record_probe(ground.now, 0, ProbeResult(True, 0.5, 50))
             ground.relist(line(9, started_at=ground.now - 10 * SECOND))
@@ -138,8 +140,9 @@
     assert 4 <= sum(rows) <= 16
 
 
-def test_what_a_probe_shows_of_a_cold_host_counts_where_it_warms_faster_than_stated() -> None:
-    """The stated warm-up is the slowest: a fleet half of whose hosts are new can't wait for it. A host is
+def test_what_a_probe_shows_of_an_upstream_in_slow_start_counts_where_it_warms_faster_than_stated() -> None:
+    """The stated warm-up is the slowest: a fleet half of whose upstreams are new can't wait for it. An
+    upstream is
     never held to be able to do more than a warm one of its size, nor what it could before a new start."""
     ground = Ground(nodes=40, upstreams=4, probes=True, probes_report_load=True)
     balancer, start = ground.balancer, ground.now
@@ -162,15 +165,15 @@
     assert budget(start + SECOND) == stated
 
 
-def test_links_are_not_moved_towards_a_fresh_host_that_can_not_take_them() -> None:
-    """They would come back to the host that they were moved off, and cost a set-up each time."""
+def test_sessions_are_not_moved_towards_an_upstream_in_slow_start_that_can_not_take_them() -> None:
+    """They would come back to the upstream that they were moved off, and cost a setup each time."""
     ground = Ground(upstreams=1, nodes=2, me=0)
     sessions = [ground.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
         ground.end(session, Outcome.ESTABLISHED)
     ground.now += SECOND
     ground.relist(line(9, started_at=ground.now - 3 * SECOND), line(8, EndpointState.DRAINING))
-    for _ in range(4):  # half of these seconds are the other node's turn at the fresh host
+    for _ in range(4):  # half of these seconds are the other node's turn at the upstream in slow start
         ground.balancer.record_delay(ground.now, sessions[0], 400_000)
         moves = ground.balancer.wait(ground.now).migrations
         in_turn = (ground.now - ground.lines[9].started_at) // SECOND % 2 == 0
@@ -178,8 +181,9 @@
         ground.now += SECOND
 
 
-def test_what_counts_links_asked_for_forgets_those_of_earlier_windows() -> None:
-    """It would grow with every link for as long as the node lives, on a fleet that has no cold host."""
+def test_what_counts_sessions_asked_for_forgets_those_of_earlier_windows() -> None:
+    """It would grow with every session for as long as the node lives, on a fleet that has no upstream in
+    slow start."""
     ground = Ground()
     for number in range(200):
         ground.end(ground.arrive(key=number), Outcome.COMPLETED)
@@ -207,8 +211,8 @@
     assert 1 <= len(set(upstreams)) <= 2
 
 
-def test_silent_host_is_passed_over_and_tried_again_with_care() -> None:
-    """A silent host must not take every link of its keys, nor a crowd when it may be back."""
+def test_silent_upstream_is_passed_over_and_tried_again_with_care() -> None:
+    """A silent upstream must not take every session of its keys, nor a crowd when it may be back."""
     ground = Ground()
     bad = ground.arrive(key=5).upstream
     ground.end(ground.sessions[0], Outcome.CONNECT_FAILED)
@@ -220,7 +224,7 @@
     assert attempt_count <= 1
 
 
-def test_a_host_that_drops_links_is_not_given_them_back_at_once() -> None:
+def test_an_upstream_that_drops_sessions_is_not_given_them_back_at_once() -> None:
     """Dropped clients return at once: placed where they were dropped, they would be dropped again."""
     ground = Ground()
     sessions = [ground.arrive(key=5) for _ in range(6)]
@@ -234,7 +238,7 @@
     assert all(ground.arrive(key=5).upstream != worst for _ in range(6))
 
 
-def test_no_host_at_all_is_answered_in_time() -> None:
+def test_no_upstream_at_all_is_answered_in_time() -> None:
     ground = Ground(upstreams=1)
     ground.relist(line(0, EndpointState.GONE))
     session = ground.arrive()
@@ -289,8 +293,9 @@
     assert through >= 0.9 * nodes
 
 
-def test_links_are_moved_off_a_slow_host_but_not_when_all_are_slow() -> None:
-    """A host with late messages earns nothing; a slowdown of everything must not set all links moving."""
+def test_sessions_are_moved_off_a_slow_upstream_but_not_when_all_are_slow() -> None:
+    """An upstream with late messages earns nothing; a slowdown of everything must not set all sessions
+    moving."""
     ground = Ground()
     sessions = [ground.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -301,7 +306,8 @@
         ground.balancer.record_delay(ground.now, sessions[0], 400_000)
         moved += ground.balancer.wait(ground.now).migrations
         ground.now += SECOND
-    # A tenth of the host's links a round and all nodes: one from each node with few would empty it at once.
+    # A tenth of the upstream's sessions a round and all nodes: one from each node with few would empty it
+    # at once.
     assert 1 <= len(moved) <= 12 and all(
         sessions[number].upstream == sessions[0].upstream for number in moved
     )
@@ -311,8 +317,8 @@
     assert not ground.balancer.wait(ground.now).migrations
 
 
-def test_a_new_link_waits_briefly_for_its_candidates_load() -> None:
-    """Probes that never answer must not hold a link: it waits once, then is placed."""
+def test_a_new_session_waits_briefly_for_its_candidates_load() -> None:
+    """Probes that never answer must not hold a session: it waits once, then is placed."""
     ground = Ground(probes=True, probes_report_load=True)
     session = ground.arrive(key=3)
     assert session.number in ground.held and len(ground.balancer.wait(ground.now).probes) == 2
@@ -320,8 +326,9 @@
     assert session.number in ground.out
 
 
-def test_slow_hosts_take_no_new_link_even_when_all_are_slow() -> None:
-    """Links added to hosts that are late for everybody keep all of them late: the fleet never recovers."""
+def test_slow_upstreams_take_no_new_session_even_when_all_are_slow() -> None:
+    """Sessions added to upstreams that are late for everybody keep all of them late: the fleet never
+    recovers."""
     ground = Ground()
     sessions = [ground.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -330,7 +337,7 @@
     late = ground.arrive(key=50)
     assert late.number not in ground.out
     hopeless = ground.arrive(key=50, deadline=SECOND)
-    assert hopeless.number not in ground.sessions, "held though no host can be had before its cut-off"
+    assert hopeless.number not in ground.sessions, "held though no upstream can be had before its deadline"
     for session in sessions:
         ground.balancer.record_delay(ground.now, session, 10_000)
     soon = ground.arrive(key=50, deadline=4 * SECOND)
@@ -338,7 +345,7 @@
     assert soon.number in ground.out
 
 
-def test_a_link_whose_try_is_out_gets_no_second_one() -> None:
+def test_a_session_whose_attempt_is_in_flight_gets_no_second_one() -> None:
     ground = Ground()
     session = ground.arrive()
     assert ground.balancer.place(ground.now, session).upstream == DONE
@@ -353,8 +360,8 @@
     assert ground.ends[session.number] == session.deadline
 
 
-def test_a_link_standing_on_a_host_that_no_list_names() -> None:
-    """A node that restarts with an old list is handed links on hosts that the list has never named."""
+def test_a_session_standing_on_an_upstream_that_no_list_names() -> None:
+    """A node that restarts with an old list is handed sessions on upstreams that the list has never named."""
     ground = Ground()
     session = Session(500, 0, 1, 1, 0)
     ground.balancer.add_established(session, 77)
@@ -378,8 +385,9 @@
         assert there == [upstream.number for upstream in fresh.balancer.ring.successors(session)]
 
 
-def test_a_node_with_hardly_a_link_goes_by_probed_load() -> None:
-    """One node of hundreds holds a link or two a host: counted alone, these say nothing of its load."""
+def test_a_node_with_hardly_a_session_goes_by_probed_load() -> None:
+    """One node of hundreds holds a session or two an upstream: counted alone, these say nothing of its
+    load."""
     ground = Ground(nodes=200, probes=True, probes_report_load=True)
     session = ground.arrive(key=3)
     master, second = ground.balancer.wait(ground.now).probes
@@ -390,8 +398,9 @@
     assert ground.out[session.number] not in (-1, first)
 
 
-def test_a_group_too_large_for_two_hosts_spreads_and_a_small_one_does_not() -> None:
-    """Two hosts of a large fleet drop the links of a group that makes up a tenth of all, over and over."""
+def test_a_group_too_large_for_two_upstreams_spreads_and_a_small_one_does_not() -> None:
+    """Two upstreams of a large fleet drop the sessions of a group that makes up a tenth of all, over and
+    over."""
     ground = Ground(upstreams=60)
     placed = {}
     for number in range(120):
@@ -407,8 +416,9 @@
     assert len({session.upstream for session in map(small.arrive, keys) if session.key == 7}) <= 3
 
 
-def test_links_that_stand_only_to_be_dropped_or_to_stand_late_are_no_success() -> None:
-    """Hosts over capacity let links stand: credited for that, nodes would feed the storm at full speed."""
+def test_sessions_that_stand_only_to_be_dropped_or_to_stand_late_are_no_success() -> None:
+    """Upstreams over capacity let sessions stand: credited for that, nodes would feed the storm at full
+    speed."""
     for late in (False, True):
         ground = Ground(upstreams=40)
         tried = 0
@@ -429,8 +439,8 @@
         assert tried < 40
 
 
-def test_more_links_are_moved_the_later_a_host_is() -> None:
-    """A host with seconds of work piled up keeps all its links late while a tenth of them leaves."""
+def test_more_sessions_are_moved_the_later_an_upstream_is() -> None:
+    """An upstream with seconds of work piled up keeps all its sessions late while a tenth of them leaves."""
     moved = []
     for delay in (51_000, 900_000):
         ground = Ground(upstreams=6)
@@ -442,8 +452,8 @@
     assert 2 * moved[0] < moved[1] <= 30
 
 
-def test_setups_are_paced_while_most_hosts_that_bear_links_are_slow() -> None:
-    """Let in as fast as they are moved off, links only go round between hosts that are all late."""
+def test_setups_are_spaced_out_while_most_upstreams_that_bear_sessions_are_slow() -> None:
+    """Let in as fast as they are moved off, sessions only go round between upstreams that are all late."""
     ground = Ground(upstreams=40)
     sessions = [ground.arrive(key=key) for key in range(1, 9)]
     for session in sessions:
@@ -456,7 +466,7 @@
     assert sent <= 1
 
 
-def test_a_link_passes_over_candidates_whose_probes_say_that_they_are_full() -> None:
+def test_a_session_passes_over_candidates_whose_probes_say_that_they_are_full() -> None:
     """Both candidates full, the less loaded of them would only be late a little less."""
     ground = Ground(nodes=200, probes=True, probes_report_load=True)
     session = ground.arrive(key=3)
@@ -467,7 +477,7 @@
     assert ground.out[session.number] not in full
 
 
-def test_odd_fleets_and_numbers_leave_every_link_with_its_answer() -> None:
+def test_odd_fleets_and_numbers_leave_every_session_with_its_answer() -> None:
     """A list that empties and comes back, names hundreds at once, a node beyond the stated number."""
     for upstreams, me in ((0, 0), (1, 7), (300, 500)):
         ground = Ground(upstreams=upstreams, me=me)
@@ -481,8 +491,8 @@
         assert ground.arrive(key=4).number in ground.out
 
 
-def test_links_leave_a_host_that_only_probes_show_to_be_full() -> None:
-    """It answers at once and serves nobody in time: without a look now and then its links would stay."""
+def test_sessions_leave_an_upstream_that_only_probes_show_to_be_full() -> None:
+    """It answers at once and serves nobody in time: without a look now and then its sessions would stay."""
     ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
     sessions = []
     for key in range(1, 60):
@@ -507,8 +517,8 @@
     assert {sessions[number].upstream for number in moved} == {full}
 
 
-def test_no_link_is_moved_where_probes_show_all_hosts_to_be_as_full() -> None:
-    """Links would be handed round, each move costing its client, and no host be better off."""
+def test_no_session_is_moved_where_probes_show_all_upstreams_to_be_as_full() -> None:
+    """Sessions would be handed round, each move costing its client, and no upstream be better off."""
     ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
         session = ground.arrive(key=key)
@@ -525,8 +535,9 @@
         assert not due.migrations
 
 
-def test_all_links_leave_a_host_that_is_quiet_and_out_of_reach_at_once() -> None:
-    """A vanished host resets nothing: moved off bit by bit, its links would earn nothing for seconds."""
+def test_all_sessions_leave_an_upstream_that_is_unresponsive_and_out_of_reach_at_once() -> None:
+    """A vanished upstream resets nothing: moved off bit by bit, its sessions would earn nothing for
+    seconds."""
     for answered in (True, False):
         ground = Ground(probes=True, probes_report_load=True, reports_delay=False)
         sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
@@ -542,8 +553,8 @@
         assert not answered or moved == due.migrations
 
 
-def test_a_host_that_may_have_filled_up_is_probed_again_before_the_next_link() -> None:
-    """A crowd comes within the time that a probe serves: the figure is from before, and the host full."""
+def test_an_upstream_that_may_have_filled_up_is_probed_again_before_the_next_session() -> None:
+    """A crowd comes within the time that a probe serves: the figure is from before, and the upstream full."""
     for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
         ground = Ground(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
         probed = {0: 0, 1: 0}
@@ -554,12 +565,12 @@
                 probed[number] += 1
             ground.run(SECOND // 20)
             ground.end(session, Outcome.ESTABLISHED)
-        # Where there is much room a probe serves its time: looks at every few links would scatter groups.
+        # Where there is much room a probe serves its time: looks at every few sessions would scatter groups.
         assert all(least <= number <= most for number in probed.values())
 
 
-def test_a_vanished_host_neither_holds_up_relief_of_others_nor_costs_links_their_tries() -> None:
-    """Its links fill others: were it counted as slow with these, most would be, and none be relieved."""
+def test_a_vanished_upstream_neither_holds_up_relief_of_others_nor_costs_sessions_their_attempts() -> None:
+    """Its sessions fill others: were it counted as slow with these, most would be, and none be relieved."""
     ground = Ground(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
         ground.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 5)
@@ -581,8 +592,9 @@
             ground.end(session, Outcome.ESTABLISHED)
 
 
-def test_a_try_that_later_ones_have_overtaken_is_given_up_for_another_host() -> None:
-    """A host that has lost a setup never answers it: its client would wait till the cut-off, and fail."""
+def test_an_attempt_that_later_ones_have_overtaken_is_cancelled_for_another_upstream() -> None:
+    """An upstream that has lost a setup never answers it: its client would wait till the deadline, and
+    fail."""
     for traffic_class, overtaken, withdrawn in ((0, True, True), (0, False, False), (4, True, False)):
         ground = Ground(can_cancel=True)
         stuck = ground.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND)
@@ -603,8 +615,8 @@
             assert not ground.balancer.wait(ground.now).superseded
 
 
-def test_a_small_host_over_its_capacity_is_relieved_where_a_large_one_has_room() -> None:
-    """Among a few hosts its own figure lifts the mean: held against that it would stay full for good."""
+def test_a_small_upstream_over_its_capacity_is_relieved_where_a_large_one_has_room() -> None:
+    """Among a few upstreams its own figure lifts the mean: held against that it would stay full for good."""
     for large, relieved in ((0.4, True), (0.9, False)):
         ground = Ground(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         ground.relist(line(0, size=1.5), line(1, size=1.5), line(2, size=6.0))
@@ -616,11 +628,11 @@
 
 
 def guess(balancer: Balancer, now: int, number: int, key: int) -> int:
-    """Where a link in mid-flow is taken."""
+    """Where a session in mid-flow is taken."""
     return balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND, mid_flow=True)).upstream
 
 
-def test_a_link_in_mid_flow_is_not_looked_for_at_a_host_that_came_after_it() -> None:
+def test_a_session_in_mid_flow_is_not_looked_for_at_an_upstream_that_came_after_it() -> None:
     now = 100 * SECOND
     for fresh_up, holds in ((now - 4 * SECOND, True), (now - 30 * SECOND, False)):
         before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
@@ -631,7 +643,7 @@
         assert all(was == now_at for was, now_at in pairs) == holds
 
 
-def test_links_in_mid_flow_are_not_all_looked_for_at_the_few_hosts_that_are_warm() -> None:
+def test_sessions_in_mid_flow_are_not_all_looked_for_at_the_few_upstreams_past_slow_start() -> None:
     now = 100 * SECOND
     balancer = Balancer(replace(SETTINGS, nodes=1, overload_multiple=100.0), random.Random(1))
     cold = [line(number, started_at=now - 4 * SECOND) for number in range(1, 6)]
@@ -640,7 +652,9 @@
     assert places.count(0) < len(places) / 2
 
 
-def test_a_link_in_mid_flow_finds_a_cold_host_where_all_are_cold_and_none_that_drains() -> None:
+def test_a_session_in_mid_flow_finds_an_upstream_in_slow_start_where_all_are_cold_and_none_that_drains() -> (
+    None
+):
     now = 100 * SECOND
     balancer = Balancer(replace(SETTINGS, nodes=1, me=0), random.Random(1))
     cold = [line(number, started_at=now - SECOND) for number in range(3)]
@@ -649,7 +663,7 @@
 
 
 @pytest.mark.parametrize(("load", "strays"), [(0.3, True), (0.8, False), (None, False)])
-def test_links_stray_in_wide_trouble_only_where_the_hosts_that_are_well_show_room(
+def test_sessions_stray_in_wide_trouble_only_where_the_upstreams_that_are_well_show_room(
     load: float | None, strays: bool
 ) -> None:
     now, went = 100 * SECOND, []
@@ -674,7 +688,8 @@
 
 
 def placed_by_many(figure: float, room: float, nodes: int = 60, cold: bool = False) -> list[int]:
-    """Where so many nodes put a link, all having read the same figures of its pair and of the others."""
+    """Where so many nodes put a session, all having read the same figures of its candidates and of the
+    others."""
     chosen = []
     for me in range(nodes):
         ground = Ground(seed=me, upstreams=8, nodes=nodes, me=me, probes=True, probes_report_load=True)
@@ -696,8 +711,8 @@
 
 
 def test_nodes_that_read_one_figure_do_not_all_act_on_it() -> None:
-    # Danger: a host just relieved reads as fit at every node at once, gets all back, and is full again.
-    assert sum(placed_by_many(0.8, 0.2)) < 40, "its pair stands at the edge, and others have room"
+    # An upstream just relieved reads as fit at every node at once, gets all back, and is full again.
+    assert sum(placed_by_many(0.8, 0.2)) < 40, "its candidates stand at the edge, and others have room"
     assert sum(placed_by_many(0.3, 0.2)) == 60, "it has room: the ordinary path"
     assert sum(placed_by_many(0.8, 0.85)) == 60, "nobody has room: straying would gain nothing"
     assert sum(placed_by_many(0.8, 0.2, cold=True)) == 60, (
