--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -50,7 +50,7 @@
 log = structlog.get_logger()
 
 
-class Hold(NamedTuple):
+class HeldSession(NamedTuple):
     """A session that waits for a place, and when the Balancer is to be asked again."""
 
     retry_at: int
@@ -90,7 +90,7 @@
         self._counters = counters
         self._discovery = discovery
         self._cluster = cluster
-        self._holds: list[Hold] = []  # a heap
+        self._holds: list[HeldSession] = []  # a heap
 
     async def run(self) -> None:
         """Handle messages and timers until cancelled."""
@@ -245,23 +245,24 @@
     def _carry_out(self, record: SessionRecord, answer: Answer) -> None:
         # An upstream's actor is never waited for: if its mailbox is full nothing was sent, which is an
         # outcome like others.
-        while answer.upstream >= 0 and not self._offer_attempt(record, answer):
+        while isinstance(answer, types.Forward) and not self._offer_attempt(record, answer):
             answer = self.balancer.outcome(now_us(), record.session, Outcome.NOT_SENT)
-        if answer.upstream >= 0:
-            self._counters.add(ATTEMPTS_SENT)
-        elif answer.upstream == types.NOT_YET:
-            self._hold(record, answer)
-        elif answer.upstream == types.SHED:
-            self._finish(record, Shed(answer.at))
-        elif answer.upstream == types.FAILED:
-            self._finish(record, Failed())
-
-    def _offer_attempt(self, record: SessionRecord, answer: Answer) -> bool:
-        return self.upstreams.actors[answer.upstream].offer(StartAttempt(record, answer.at))
-
-    def _hold(self, record: SessionRecord, answer: Answer) -> None:
+        match answer:
+            case types.Forward():
+                self._counters.add(ATTEMPTS_SENT)
+            case types.Hold():
+                self._hold(record, answer)
+            case types.Shed(retry_after_us):
+                self._finish(record, Shed(retry_after_us))
+            case types.Fail():
+                self._finish(record, Failed())
+
+    def _offer_attempt(self, record: SessionRecord, answer: types.Forward) -> bool:
+        return self.upstreams.actors[answer.upstream].offer(StartAttempt(record, answer.give_up_at))
+
+    def _hold(self, record: SessionRecord, answer: types.Hold) -> None:
         number = record.session.number
-        heapq.heappush(self._holds, Hold(answer.at, number))
+        heapq.heappush(self._holds, HeldSession(answer.until, number))
         if answer.token_candidates and self._cluster is not None:
             actors = self.upstreams.actors
             requests = [
--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -5,7 +5,7 @@
 
 from larchlatch.policy.backoff import Backoff
 from larchlatch.policy.load import NEARLY_FULL
-from larchlatch.policy.selection import UpstreamSelector
+from larchlatch.policy.selection import UpstreamSelector, is_fit
 from larchlatch.policy.types import DeploymentSettings, Session
 from larchlatch.policy.upstream import Fleet, Upstream, joint_utilization, mean_utilization
 
@@ -87,8 +87,7 @@
         return [session.number for session in migrated]
 
     def _round(self, now: int, upstream: Upstream, *, strayed_only: bool) -> list[Session]:
-        # Whole groups go, on every node the same first: one left in part still costs the upstream the group's
-        # own work. Groups strayed from both their candidates, of rank -1, go before all.
+        # Whole groups go, the same first on every node; those strayed from both candidates, rank -1, first.
         groups: dict[tuple[int, int], list[Session]] = {}
         for session in upstream.established():
             pair = self.selector.candidates(now, session).pair
@@ -107,4 +106,4 @@
 
     def _has_capacity(self, now: int, session: Session) -> bool:
         pair, may_take = self.selector.candidates(now, session).pair, self.selector.slow_start.may_take
-        return any(upstream.is_fit(now) and may_take(now, upstream, session) for upstream in pair)
+        return any(is_fit(now, upstream) and may_take(now, upstream, session) for upstream in pair)
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -18,6 +18,16 @@
 ROOMY_UTILIZATION = 0.6  # mean of the upstreams that are well, below which they can take others' sessions
 
 
+def is_fit(now: int, upstream: Upstream) -> bool:
+    """Return whether an upstream is neither slow nor ejected."""
+    return now >= upstream.slow_until and now >= upstream.backoff.until
+
+
+def is_down(now: int, upstream: Upstream) -> bool:
+    """Return whether no connection can be had: it is as good as gone until its next trial."""
+    return upstream.unreachable and now < upstream.backoff.until
+
+
 @dataclass(eq=False)
 class UpstreamSelector:
     """Chooses an upstream for a session; owns no state."""
@@ -30,11 +40,10 @@
 
     def candidates(self, now: int, session: Session, among: Iterator[Upstream] | None = None) -> Candidates:
         """Return the reachable candidates among these successors, by default all of the session's."""
-        # Two cannot bear a tenth of a large fleet's sessions: a group of so many spreads until none gets more
-        # of it than a mean upstream bears in all, each session with a pair of its own among these.
+        # A large group spreads until none bears more of it than a mean upstream does in all.
         among = among or self.ring.successors(session)
         spread = max(2, int(self.ring.share(session) * len(self.fleet.ready)))
-        near = list(islice((upstream for upstream in among if not upstream.is_down(now)), spread))
+        near = list(islice((upstream for upstream in among if not is_down(now, upstream)), spread))
         if spread > 2:
             key = (session.key or 0) % 2**64
             near.sort(key=lambda upstream: xxh3_64_intdigest(upstream.name.encode(), key))
@@ -56,7 +65,7 @@
             usable = [upstream for upstream in usable if upstream.number != session.upstream]
         mean = self.fleet.mean_sessions()
         threshold = self._crowded_threshold(now)
-        fit = [upstream for upstream in usable if upstream.is_fit(now)]
+        fit = [upstream for upstream in usable if is_fit(now, upstream)]
         best = [upstream for upstream in fit if not self.load.is_crowded(now, upstream, mean, threshold)]
         if len(best) == 2:
             master, second = (self.load.estimate(now, upstream, mean) for upstream in best)
@@ -64,7 +73,7 @@
         if best:
             return best[0]
         for upstream in self.reachable(now, candidates.spread, candidates.beyond):
-            is_well = upstream.is_fit(now) and not upstream.is_down(now)
+            is_well = is_fit(now, upstream) and not is_down(now, upstream)
             if is_well and self.slow_start.may_take(now, upstream, session, candidate=False):
                 if not self.load.is_crowded(now, upstream, mean, threshold):
                     return upstream
@@ -75,8 +84,7 @@
         return min(fit, key=lambda other: (rank[other], self.load.estimate(now, other, mean)), default=None)
 
     def _crowded_threshold(self, now: int) -> float:
-        # Many nodes read one report and would all act on it at once: so each placement draws. Not if others
-        # have no room, or small slow-start budgets: straying costs the group's work once more.
+        # Many nodes would act on one report at once: each placement draws, unless others have no room.
         reports = [upstream.utilization for upstream in self.load.reporting(now)]
         has_capacity = sum(reports) < NEARLY_FULL * len(reports)
         if has_capacity and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
@@ -86,8 +94,8 @@
     def reachable(self, now: int, near: list[Upstream], beyond: Iterator[Upstream]) -> Iterable[Upstream]:
         """Return where a session may stray to: only near if many upstreams are unfit and others lack room."""
         # There it would add its group's own work to one more, until all drown in it.
-        present = [upstream for upstream in self.fleet.ready if not upstream.is_down(now)]
-        fit = [upstream for upstream in present if upstream.is_fit(now)]
+        present = [upstream for upstream in self.fleet.ready if not is_down(now, upstream)]
+        fit = [upstream for upstream in present if is_fit(now, upstream)]
         reports = [other.utilization for other in fit if now < other.utilization_at + REPORT_EXPIRES_US]
         has_capacity = bool(reports) and sum(reports) < ROOMY_UTILIZATION * len(reports)
         return near if 4 * len(fit) <= 3 * len(present) and not has_capacity else chain(near, beyond)
--- a/larchlatch/policy/status.py
+++ b/larchlatch/policy/status.py
@@ -5,6 +5,7 @@
 from typing import TYPE_CHECKING
 
 from larchlatch.policy.load import CROWDED_UTILIZATION
+from larchlatch.policy.selection import is_down
 from larchlatch.policy.types import EndpointState, UpstreamStatus
 
 if TYPE_CHECKING:
@@ -40,7 +41,7 @@
     """
     reasons = (
         (upstream.state is not EndpointState.READY, upstream.state.value),
-        (upstream.is_down(now), "no connection"),
+        (is_down(now, upstream), "no connection"),
         (now < upstream.unresponsive_until, "quiet"),
         (now < upstream.slow_until, "slow"),
         (now < upstream.backoff.until, "rests"),
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -125,14 +125,6 @@
         held = {session: until for session, until in self.tokens.items() if now < until}
         self.tokens = {**held, token.session: token.until}
 
-    def is_fit(self, now: int) -> bool:
-        """Return whether it is neither slow nor ejected."""
-        return now >= self.slow_until and now >= self.backoff.until
-
-    def is_down(self, now: int) -> bool:
-        """Return whether no connection can be had: it is as good as gone until its next trial."""
-        return self.unreachable and now < self.backoff.until
-
 
 class Candidates(NamedTuple):
     """The upstreams that a session may go to, in order of preference.
