--- a/larchlatch/policy/load.py
+++ b/larchlatch/policy/load.py
@@ -35,7 +35,7 @@
 
     def reporting(self, now: int) -> list[Upstream]:
         """Return the ready upstreams that have a recent load report."""
-        return [u for u in self.fleet.ready if now < u.utilization_at + REPORT_EXPIRES_US]
+        return [other for other in self.fleet.ready if now < other.utilization_at + REPORT_EXPIRES_US]
 
     def estimate(self, now: int, upstream: Upstream, mean: float) -> float:
         """Return an upstream's load over the mean one's, with load reports in the same unit if known."""
