--- a/larchlatch/broker/sliding_window.py
+++ b/larchlatch/broker/sliding_window.py
@@ -42,9 +42,9 @@
     def slots_until_free(self, slot: int, amount: int) -> int:
         """Return in how many slots `amount` will have left the window."""
         self.advance(slot)
-        leaving = 0
+        expiring = 0
         for ahead in range(1, SLOTS + 2):
-            leaving += self.slots[(self.newest + ahead) % (SLOTS + 1)]
-            if leaving >= amount:
+            expiring += self.slots[(self.newest + ahead) % (SLOTS + 1)]
+            if expiring >= amount:
                 return ahead
         return SLOTS + 1
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -82,25 +82,25 @@
 
     """
 
-    def __init__(self, dealing: QuotaSettings, *, clock_difference_us: int) -> None:
+    def __init__(self, quota_settings: QuotaSettings, *, clock_difference_us: int) -> None:
         """Start without samples, for the quotas of one cluster file."""
         self.clock_difference_us = clock_difference_us
-        self.set_quotas(dealing)
+        self.set_quotas(quota_settings)
 
-    def set_quotas(self, dealing: QuotaSettings) -> None:
+    def set_quotas(self, quota_settings: QuotaSettings) -> None:
         """Follow another cluster file: what was told by the one before counts other quotas."""
-        self._dealing = dealing
-        self._samples: dict[str, deque[Sample]] = {name: deque() for name in dealing.names}
+        self._quota_settings = quota_settings
+        self._samples: dict[str, deque[Sample]] = {name: deque() for name in quota_settings.names}
 
     @property
     def span_us(self) -> int:
         """Return the length of the stretch that ranges cover."""
-        return WINDOWS * self._dealing.loan_terms.window_us
+        return WINDOWS * self._quota_settings.loan_terms.window_us
 
     def receive(self, record: NodeRecord) -> None:
         """Keep what a node's record tells, this node's own included."""
         samples = self._samples.get(record.name)
-        if samples is None or record.config_digest != self._dealing.digest:
+        if samples is None or record.config_digest != self._quota_settings.digest:
             return
         admitted = tuple(share.spent for share in record.quota_reports)
         _append_thinned(samples, Sample(record.created_us, record.incarnation, admitted))
@@ -110,7 +110,7 @@
 
     def ranges(self, wall_us: int) -> list[UsageRange]:
         """Return the range of each quota, in the file's order."""
-        return [self._range(index, wall_us) for index in range(len(self._dealing.quotas))]
+        return [self._range(index, wall_us) for index in range(len(self._quota_settings.quotas))]
 
     def _range(self, quota_index: int, wall_us: int) -> UsageRange:
         usages = {
@@ -118,11 +118,11 @@
         }
         gaps = {name: usage.gaps for name, usage in usages.items()}
         least = sum(usage.least for usage in usages.values())
-        told = sum(usage.most for usage in usages.values())
-        most = told + self._most_untold(gaps, quota_index, wall_us)
-        heard_until_us = min((own[-1].begin_us for own in gaps.values()), default=wall_us)
-        limit = self._dealing.quotas[quota_index].sessions
-        return UsageRange(least, min(most, limit * WINDOWS), wall_us - heard_until_us)
+        reported = sum(usage.most for usage in usages.values())
+        most = reported + self._most_untold(gaps, quota_index, wall_us)
+        reported_until_us = min((own[-1].begin_us for own in gaps.values()), default=wall_us)
+        limit = self._quota_settings.quotas[quota_index].sessions
+        return UsageRange(least, min(most, limit * WINDOWS), wall_us - reported_until_us)
 
     def _origin_usage(self, samples: Iterable[Sample], quota_index: int, wall_us: int) -> OriginUsage:
         """Add up what lies between each two samples of one origin."""
@@ -165,9 +165,9 @@
 
         In one window, the origins of which nothing is known can have used all but the others' floors.
         """
-        quota = self._dealing.quotas[quota_index]
-        window_us = self._dealing.loan_terms.window_us
-        floors = {name: self._dealing.share(quota, name).floor for name in gaps}
+        quota = self._quota_settings.quotas[quota_index]
+        window_us = self._quota_settings.loan_terms.window_us
+        floors = {name: self._quota_settings.share(quota, name).floor for name in gaps}
         earliest_us = wall_us - self.span_us - self.clock_difference_us
         end_us = wall_us + self.clock_difference_us
         most = 0
--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -88,7 +88,7 @@
         await self._report(record, outcome)
 
     async def _report(self, record: SessionRecord, outcome: Outcome) -> None:
-        if record.opening.standing_at is None:
+        if record.opening.established_upstream is None:
             done = record.final_answer is not None
             await self._post(AttemptFinished(record, outcome, done))
         elif outcome is Outcome.ESTABLISHED:
@@ -140,7 +140,7 @@
 
     async def _connect_and_request(self, record: SessionRecord, give_up_at: int) -> Outcome:
         sock = await dial(self._target.address, self._connect_s(give_up_at))
-        if sock is Unconnected.NO_ROOM:
+        if sock is Unconnected.NO_DESCRIPTOR:
             return Outcome.NOT_SENT
         if isinstance(sock, Unconnected):
             return Outcome.CONNECT_FAILED
@@ -178,7 +178,7 @@
         now = now_us()
         if record.check_finished():
             return NOT_BEGUN_CLIENT_GONE
-        if record.opening.standing_at is None and not self._target.accepts_sessions:
+        if record.opening.established_upstream is None and not self._target.accepts_sessions:
             return NOT_BEGUN_UPSTREAM_DRAINING
         if now >= give_up_at:
             return NOT_BEGUN_TOO_LATE
@@ -191,7 +191,7 @@
         """Write the request line; return whether it was written whole: if not, it can't have run."""
         whole = False
         try:
-            whole = await written(sock, wire.try_line(record.opening, give_up_at - now_us()))
+            whole = await written(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
         finally:
             if not whole:
                 sock.close()
@@ -211,7 +211,7 @@
             await self._post(LoadReported(record, answer.load))
 
     @staticmethod
-    def _outcome_of(answer: wire.Said, record: SessionRecord, delivered: Delivered) -> Outcome:
+    def _outcome_of(answer: wire.UpstreamLine, record: SessionRecord, delivered: Delivered) -> Outcome:
         """Return the outcome that an answer means, after giving it to a client that is to have it."""
         match answer:
             case wire.Busy():
--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -14,7 +14,7 @@
 
     from anyio.abc import TaskGroup
 
-    from larchlatch.node.client import Door
+    from larchlatch.node.clients.connections import ClientConnections
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.wire.listen import Listener
 
@@ -33,7 +33,11 @@
     """
 
     def __init__(
-        self, listener: Listener, connections: Door, descriptors: DescriptorBudget, tasks: TaskGroup
+        self,
+        listener: Listener,
+        connections: ClientConnections,
+        descriptors: DescriptorBudget,
+        tasks: TaskGroup,
     ) -> None:
         self.idle = anyio.Event()
         self.idle.set()
@@ -110,8 +114,8 @@
         return sock
 
     def _start(self, sock: socket.socket) -> None:
-        request = self._connections.heard(sock)
-        if request is not None and self._connections.turned_away(sock, request):
-            self._tasks.start_soon(self._connections.seen_off, sock)
+        request = self._connections.read_overdue(sock)
+        if request is not None and self._connections.shed_overdue(sock, request):
+            self._tasks.start_soon(self._connections.close_answered, sock)
         else:
             self._tasks.start_soon(self._connections.serve, sock, request)
--- /dev/null
+++ b/larchlatch/node/clients/__init__.py
@@ -0,0 +1,1 @@
+"""The client side of a node: connections, their requests, and sessions from request to end."""
--- /dev/null
+++ b/larchlatch/node/clients/requests.py
@@ -0,0 +1,145 @@
+"""Checks clients' requests, and makes the record of a session that is accepted."""
+
+from __future__ import annotations
+
+from itertools import count
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+from xxhash import xxh3_64_intdigest
+
+from larchlatch.node.clock import now_us
+from larchlatch.node.session_record import SessionRecord
+from larchlatch.policy.types import Session
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Sequence
+
+    from larchlatch.node.lifecycle_state import LifecycleState
+    from larchlatch.node.wire.lines import BadLine, Opening
+
+# An answer leaves so long before the deadline: a node in a crowd took 0.1 s to pass one on.
+ANSWER_MARGIN_US = 150_000
+ANSWER_MARGIN_SHARE = 10  # but no more than a tenth of a short deadline
+
+
+def answer_margin_us(wait_us: int) -> int:
+    """Return what is kept back of a client's time for the way of its answer."""
+    return min(ANSWER_MARGIN_US, wait_us // ANSWER_MARGIN_SHARE)
+
+
+class UnreadRequest(NamedTuple):
+    """What a client had sent before its connection was read.
+
+    Attributes:
+        data: the bytes.
+        opening: the request, where they are one complete line.
+        received_us: when they came, in microseconds of the node's clock.
+
+    """
+
+    data: bytes
+    opening: Opening | BadLine | None
+    received_us: int
+
+
+class SessionIds:
+    """Ids of sessions, which must not be in use twice.
+
+    Attributes:
+        records: the sessions in flight or established here by their clients' ids.
+
+    """
+
+    def __init__(self) -> None:
+        self.records: dict[str, SessionRecord] = {}
+        self._reserved: set[str] = set()  # of sessions that the predecessor has in flight
+
+    def is_used(self, session_id: str) -> bool:
+        """Return whether a session with this id is open here or at the predecessor."""
+        return session_id in self.records or session_id in self._reserved
+
+    def reserve(self, session_ids: Iterable[str]) -> None:
+        """Reject new sessions with these ids: the predecessor has sessions of these ids in flight."""
+        self._reserved.update(session_ids)
+
+    def release_reserved(self) -> None:
+        """Free the predecessor's ids: it has ended."""
+        self._reserved.clear()
+
+    def adopt(self, session_id: str) -> None:
+        """Take over one of the predecessor's sessions."""
+        self._reserved.discard(session_id)
+
+    def add(self, record: SessionRecord) -> None:
+        """Note that a session is open here."""
+        self.records[record.opening.ident] = record
+
+    def remove(self, record: SessionRecord) -> None:
+        """Free a session's id: where packets pass through, it may come again at this node too."""
+        if self.records.get(record.opening.ident) is record:
+            del self.records[record.opening.ident]
+
+
+class RequestChecker:
+    """Decides nothing about placement: it rejects requests that no upstream could serve.
+
+    Attributes:
+        ids: the ids in use.
+
+    """
+
+    def __init__(
+        self,
+        traffic_classes: Sequence[str],
+        tenants: Iterable[str],
+        max_deadline_us: int,
+        lifecycle: LifecycleState,
+    ) -> None:
+        self.ids = SessionIds()
+        self._traffic_classes = {name: index for index, name in enumerate(traffic_classes)}
+        self._tenants = frozenset(tenants)
+        self._max_deadline_us = max_deadline_us
+        self._lifecycle = lifecycle
+        self._numbers = count()
+
+    def knows_class(self, opening: Opening) -> bool:
+        """Return whether the deployment has the request's traffic class."""
+        return opening.traffic_class in self._traffic_classes
+
+    def rejection_reason(self, opening: Opening) -> str | None:
+        """Return why a request can't be served, or None."""
+        if not self.knows_class(opening):
+            return "unknown_traffic_class"
+        if opening.tenant is not None and self._tenants and opening.tenant not in self._tenants:
+            return "unknown_tenant"
+        # Upstreams answer a second use of an id with an error: passed on, it would count as their failure.
+        if self.ids.is_used(opening.ident):
+            return "id_in_use"
+        return None
+
+    def wait_us(self, opening: Opening) -> int:
+        """Return how long a client is held at the most, whatever its request says."""
+        return min(opening.wait_ms * 1000, self._max_deadline_us)
+
+    def deadline(self, opening: Opening, received_us: int) -> int:
+        """Return when a request that came at this time is to have its answer."""
+        wait_us = self.wait_us(opening)
+        deadline = received_us + wait_us - answer_margin_us(wait_us)
+        time_left_s = self._lifecycle.time_left_s(anyio.current_time())
+        if time_left_s is None:
+            return deadline
+        return min(deadline, now_us() + int(time_left_s * 1e6))
+
+    def make_record(self, opening: Opening, received_us: int) -> SessionRecord:
+        """Make the record of an accepted request."""
+        session = Session(
+            number=next(self._numbers),
+            traffic_class=self._traffic_classes[opening.traffic_class],
+            key=xxh3_64_intdigest(opening.key.encode()),
+            group=xxh3_64_intdigest(opening.group.encode()) if opening.group else None,
+            deadline=self.deadline(opening, received_us),
+            mid_flow=opening.mid_flow,
+            load=opening.load,
+        )
+        return SessionRecord(session, opening)
--- /dev/null
+++ b/larchlatch/node/clients/session_handler.py
@@ -0,0 +1,283 @@
+"""Takes a session from its accepted request to its end."""
+
+from __future__ import annotations
+
+from collections.abc import Awaitable, Callable
+from contextlib import asynccontextmanager
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+
+from larchlatch.node.clients.requests import answer_margin_us
+from larchlatch.node.clock import now_us, seconds_until
+from larchlatch.node.messages import AttemptFinished, ClientLeft, SessionAdopted, SessionArrived
+from larchlatch.node.relay import Relay, RelayEnd, Side
+from larchlatch.node.session_record import Delivered, Failed, SessionRecord, Shed
+from larchlatch.node.upstream_actor import StartAttempt
+from larchlatch.node.wire import lines
+from larchlatch.node.wire.stream import LINGER_S, Ending, Lines
+from larchlatch.policy.types import Outcome
+
+if TYPE_CHECKING:
+    from collections.abc import AsyncIterator
+
+    from larchlatch.node.balancer_actor import BalancerActor
+    from larchlatch.node.clients.requests import RequestChecker
+    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.hot_restart.packets import SessionHandover
+    from larchlatch.node.lifecycle_state import LifecycleState
+    from larchlatch.node.metrics import Counters
+
+MOVE_S = 0.5  # a client that does not read for so long is cut off: it can't be told to move
+# A client that this node sheds comes back through a front that knows by then that this node drains.
+RETRY_AFTER_US = 200_000
+MAX_EARLY_BYTES = 65536  # taken from a client before it has an upstream: nobody reads them until then
+SHORT_LINGER_S = 0.02  # for a client's end after its answer, where sessions need its descriptor
+
+SESSIONS_ACCEPTED = "sessions_accepted"
+SESSIONS_ESTABLISHED = "sessions_established"
+SESSIONS_SHED = "sessions_shed"
+SESSIONS_FAILED = "sessions_failed"
+SESSIONS_ABANDONED = "sessions_abandoned_by_client"
+SESSIONS_WITHOUT_DECISION = "sessions_answered_without_decision"
+SESSIONS_ADOPTED = "sessions_adopted"
+SESSIONS_HANDED_OVER = "sessions_handed_over"
+SESSIONS_MIGRATED = "sessions_migrated"
+SESSIONS_MIGRATED_SILENT = "sessions_migrated_off_silent_upstream"
+SESSION_HANDOVER_INVALID = "session_handover_invalid"
+REJECTED_SECOND_LINE = "request_rejected_more_than_one_line"
+
+# Hands an established session over to the successor; False where that failed and the session is still here.
+SendSession = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
+
+log = structlog.get_logger()
+
+
+class SessionHandler:
+    """Runs sessions; each owns its client's and its upstream's connection until both have ended.
+
+    Attributes:
+        established: the sessions that are established here, by number.
+        open_count: sessions that were accepted and are not over.
+
+    """
+
+    def __init__(
+        self,
+        balancer_actor: BalancerActor,
+        requests: RequestChecker,
+        descriptors: DescriptorBudget,
+        counters: Counters,
+        lifecycle: LifecycleState,
+    ) -> None:
+        self.established: dict[int, SessionRecord] = {}
+        self.open_count = 0
+        self._balancer_actor = balancer_actor
+        self._requests = requests
+        self._descriptors = descriptors
+        self._counters = counters
+        self._lifecycle = lifecycle
+        self._send_to_successor: SendSession | None = None
+
+    def hand_sessions_to(self, send: SendSession | None) -> None:
+        """Hand the sessions that are to leave to the successor; None: there is none any more."""
+        self._send_to_successor = send
+
+    @property
+    def linger_s(self) -> float:
+        """How long a connection that has had its answer may wait for its client's end, in seconds."""
+        return SHORT_LINGER_S if self._descriptors.scarce else LINGER_S
+
+    async def run(self, client: Lines, record: SessionRecord, received_us: int) -> None:
+        """Run a session whose request was accepted, until it is over."""
+        self._counters.add(SESSIONS_ACCEPTED)
+        opening = record.opening
+        log.debug(
+            "session_accepted",
+            key=opening.key,
+            group=opening.group,
+            late_us=now_us() - received_us,
+            wait_ms=opening.wait_ms,
+            mid_flow=opening.mid_flow,
+        )
+        record.client_hung_up = client.hung_up
+        async with self._open(record):
+            await self._wait_for_answer(client, record)
+            await self._carry_out(client, record)
+
+    async def adopt(self, packet: SessionHandover, client: Lines, upstream: Lines) -> None:
+        """Go on with an established session of the predecessor: both of its sides go on unbroken."""
+        opening = lines.parse_opening(packet.request_line)
+        number = self._balancer_actor.upstreams.number_of(packet.upstream)
+        known = not isinstance(opening, lines.BadLine) and self._requests.knows_class(opening)
+        if isinstance(opening, lines.BadLine) or not known or number is None:
+            self._counters.add(SESSION_HANDOVER_INVALID)
+            await client.send(lines.MOVE)
+            await client.finish(Ending.END)
+            return
+        record = self._requests.make_record(opening, now_us())
+        record.session.load = packet.load
+        # Nobody read its upstream while the session changed hands. If that pause counted as the upstream's,
+        # all would be unresponsive on a busy machine to a process that has just begun.
+        record.awaiting_answer_since = now_us() if packet.unanswered_since_us else 0
+        delivered = Delivered(upstream, b"", number)
+        record.set_final_answer(delivered)
+        async with self._open(record):
+            self._requests.ids.adopt(opening.ident)
+            self._counters.add(SESSIONS_ADOPTED)
+            await self._balancer_actor.mailbox.post(SessionAdopted(record, number))
+            await self._relay(client, record, delivered, Outcome(packet.outcome_at_end))
+
+    # Until the final answer.
+
+    @asynccontextmanager
+    async def _open(self, record: SessionRecord) -> AsyncIterator[None]:
+        """Count a session as open for as long as this lasts; nothing of it outlives its connection."""
+        self.open_count += 1
+        self._requests.ids.add(record)
+        try:
+            yield
+        finally:
+            self.open_count -= 1
+            record.client_gone = True
+            self._requests.ids.remove(record)
+            if record.attempt_scope is not None:
+                record.attempt_scope.cancel()
+            await self._balancer_actor.mailbox.post(ClientLeft(record))
+
+    async def _wait_for_answer(self, client: Lines, record: SessionRecord) -> None:
+        """Wait until the session has its final answer, or its client has left."""
+        wait_us = self._requests.wait_us(record.opening)
+        answer_by = record.session.deadline + answer_margin_us(wait_us) // 2
+        async with anyio.create_task_group() as tasks:
+            # From the beginning: its client may leave while the balancer actor's mailbox is full.
+            tasks.start_soon(self._watch_client, client, record)
+            if not self._start(record):
+                tasks.start_soon(self._balancer_actor.mailbox.submit, SessionArrived(record))
+            with anyio.move_on_after(seconds_until(answer_by)) as timeout:
+                await record.finished.wait()
+            if timeout.cancelled_caught and not record.finished.is_set():
+                # The balancer has not come to it in time. What was sent to no upstream can't have run.
+                self._counters.add(SESSIONS_WITHOUT_DECISION)
+                record.set_final_answer(Failed() if record.session.attempt_count else Shed(RETRY_AFTER_US))
+            tasks.cancel_scope.cancel()
+
+    def _start(self, record: SessionRecord) -> bool:
+        """Send a session on its way to its answer; False where the balancer actor's mailbox is full."""
+        upstream = record.opening.established_upstream
+        if upstream is not None:
+            self._rejoin(record, upstream)
+            return True
+        if self._lifecycle.sheds_new_sessions(anyio.current_time()) or self._lifecycle.rejects_all:
+            record.set_final_answer(Shed(RETRY_AFTER_US))
+            return True
+        return self._balancer_actor.mailbox.offer(SessionArrived(record))
+
+    def _rejoin(self, record: SessionRecord, upstream: str) -> None:
+        """Send a session to the upstream where it was established before, whatever the balancer says."""
+        upstreams = self._balancer_actor.upstreams
+        number = upstreams.number_of(upstream)
+        attempt = StartAttempt(record, record.session.deadline)
+        if number is None or not upstreams.actors[number].offer(attempt):
+            record.set_final_answer(Failed())
+
+    async def _watch_client(self, client: Lines, record: SessionRecord) -> None:
+        """Read what a client sends while it waits for its answer."""
+        early: list[bytes] = []
+        try:
+            while sum(map(len, early)) < MAX_EARLY_BYTES:
+                received = await client.some()
+                if received is Ending.END or received is Ending.RESET:
+                    record.mark_client_gone()
+                    return
+                if isinstance(received, Ending) or not record.opening.may_continue:
+                    # A client has to wait for its answer: no upstream could make sense of what comes before.
+                    self._counters.add(REJECTED_SECOND_LINE)
+                    record.set_final_answer(Failed())
+                    return
+                early += received  # sent before it came here: for its upstream, once there is one
+        finally:
+            client.ready = early + client.ready
+
+    # From the final answer on.
+
+    async def _carry_out(self, client: Lines, record: SessionRecord) -> None:
+        """Pass the final answer on, and run the session where it is established."""
+        match record.final_answer:
+            case Delivered() as delivered:
+                self._counters.add(SESSIONS_ESTABLISHED)
+                try:
+                    await self._relay(client, record, delivered, Outcome.RESET)
+                finally:
+                    await delivered.connection.close(reset=True)
+                    self._descriptors.release()
+            case None:
+                self._counters.add(SESSIONS_ABANDONED)
+            case Shed(retry_after_us):
+                self._counters.add(SESSIONS_SHED)
+                await self._answer(client, lines.shed_line(retry_after_us))
+            case Failed():
+                self._counters.add(SESSIONS_FAILED)
+                await self._answer(client, lines.FAILED)
+
+    async def _answer(self, client: Lines, line: bytes) -> None:
+        await client.send(line)
+        await client.finish(Ending.END, self.linger_s)
+
+    async def _relay(
+        self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
+    ) -> None:
+        """Pass lines on until the session is over; `outcome_at_end`: what its upstream's end would mean."""
+        actor = self._balancer_actor.upstreams.actors[delivered.upstream]
+        number = record.session.number
+        watched = actor.session_watch.sessions
+        watched[number] = self.established[number] = record
+        try:
+            end = await self._relay_until_end(client, record, delivered, outcome_at_end)
+            if end is None:
+                return
+            del watched[number]
+            self._requests.ids.remove(record)
+            await self._end(client, record, delivered, end)
+        finally:
+            watched.pop(number, None)
+            del self.established[number]
+
+    async def _relay_until_end(
+        self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
+    ) -> RelayEnd | None:
+        """Return how the session ended here; None where the successor goes on with it."""
+        if delivered.line and not await client.send(delivered.line):
+            return RelayEnd(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
+        actor = self._balancer_actor.upstreams.actors[delivered.upstream]
+        relay = Relay(record, client, delivered.connection, actor, outcome_at_end)
+        record.request_handover = relay.stop_between_lines
+        end = await relay.run()
+        if end.side is not Side.SUCCESSOR:
+            return end
+        send = self._send_to_successor
+        if send is not None and await send(record, client, delivered.connection, relay.outcome_at_end):
+            self._counters.add(SESSIONS_HANDED_OVER)
+            return None
+        return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
+
+    async def _end(self, client: Lines, record: SessionRecord, delivered: Delivered, end: RelayEnd) -> None:
+        """End both sides of a session in the way in which one of them ended."""
+        self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}".replace(" ", "_"))
+        log.debug(
+            "session_ended",
+            upstream=self._balancer_actor.upstreams.actors[delivered.upstream].name,
+            key=record.opening.key,
+            side=end.side.name,
+            ending=end.ending.name,
+        )
+        if end.side is not Side.CLIENT:
+            await self._balancer_actor.mailbox.post(AttemptFinished(record, end.outcome, True))
+        if end.side is Side.NODE:
+            self._counters.add(SESSIONS_MIGRATED_SILENT if record.upstream_silent else SESSIONS_MIGRATED)
+            with anyio.move_on_after(MOVE_S):
+                await client.send(lines.MOVE)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(client.finish, end.ending)
+            tasks.start_soon(delivered.connection.finish, end.ending)
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -23,8 +23,8 @@
 
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.balancer_actor import BalancerActor
-    from larchlatch.node.client import Door
     from larchlatch.node.client_listener import ClientListener
+    from larchlatch.node.clients.connections import ClientConnections
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.lifecycle_state import LifecycleState
@@ -68,7 +68,7 @@
         rendezvous: Rendezvous,
         lifecycle: LifecycleState,
         balancer_actor: BalancerActor,
-        connections: Door,
+        connections: ClientConnections,
         client_listener: ClientListener,
         descriptors: DescriptorBudget,
         counters: Counters,
@@ -121,18 +121,18 @@
         """Take nothing new for as long as this lasts, and give the state that the successor goes on from."""
         self._lifecycle.successor_serves = True
         self._client_listener.pause()
-        self._connections.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
+        self._connections.sessions.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
         # One descriptor more for each session that may yet need its upstream; all others are the successor's.
         reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
         lent = self._descriptors.free - reserved
         self._descriptors.lend(lent)
         state = self._state_for_successor(reserved)
         self._counters.add(STATE_HANDED_OVER)
-        log.info("hot_restart_successor_serving", sessions=len(self._connections.standing))
+        log.info("hot_restart_successor_serving", sessions=len(self._connections.sessions.established))
         try:
             yield state
         finally:
-            self._connections.hand_sessions_to(None)
+            self._connections.sessions.hand_sessions_to(None)
             self._lifecycle.successor_serves = False
             self._balancer_actor.resume()
             self._descriptors.lend(-lent)
@@ -140,13 +140,17 @@
 
     def _sessions_without_upstream(self) -> int:
         connections = self._connections
-        return connections.in_hand - len(connections.standing) + connections.unheard
+        return (
+            connections.sessions.open_count
+            - len(connections.sessions.established)
+            + connections.reader.without_line
+        )
 
     def _state_for_successor(self, reserved_descriptors: int) -> StateHandover:
         draining_since = self._lifecycle.drain_started_at
         return StateHandover(
             balancer_state=self._balancer_actor.hand_over(),
-            session_ids=list(self._connections.idents),
+            session_ids=list(self._connections.requests.ids.records),
             descriptor_count=HEADROOM + self._descriptors.in_use + reserved_descriptors,
             draining_for_s=None if draining_since is None else anyio.current_time() - draining_since,
             clock_offset_us=UNIX_OFFSET_US,
@@ -178,7 +182,7 @@
                         return True
                 # It stays here, to be migrated: neither side is to notice but by that.
                 for side in detached:
-                    await side.lines.take_back(os.dup(side.descriptor), side.unread)
+                    await side.lines.reattach(os.dup(side.descriptor), side.unread)
                 return False
             finally:
                 for side in detached:
@@ -192,7 +196,7 @@
         upstream: DetachedConnection,
     ) -> SessionHandover:
         return SessionHandover(
-            request_line=request_lines.first_line(record.opening),
+            request_line=request_lines.request_line(record.opening),
             upstream=self._balancer_actor.upstreams.actors[record.session.upstream].name,
             load=record.session.load,
             unanswered_since_us=record.awaiting_answer_since,
@@ -213,7 +217,7 @@
 
 def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
     """Take a connection from its transport; False where something waits to be sent, or it has ended."""
-    released = lines.hand_out()
+    released = lines.detach()
     if released is None:
         return False
     detached.append(DetachedConnection(lines, *released))
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -21,7 +21,7 @@
     from larchlatch.config.endpoints import EndpointList
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.balancer_actor import BalancerActor
-    from larchlatch.node.client import Door
+    from larchlatch.node.clients.connections import ClientConnections
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.lifecycle_state import LifecycleState
@@ -76,7 +76,7 @@
         descriptors: DescriptorBudget,
         lifecycle: LifecycleState,
         balancer_actor: BalancerActor,
-        connections: Door,
+        connections: ClientConnections,
     ) -> None:
         """Say that this process serves, and restore what the predecessor knows."""
         await self._channel.send(Serving())
@@ -87,23 +87,23 @@
         state = received.packet
         self._predecessor_descriptors = state.descriptor_count
         descriptors.lend(state.descriptor_count)
-        connections.reserve_ids(state.session_ids)
+        connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
             # No operator has ended the drain: it goes on, and the sessions' time runs from its beginning.
             lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
         balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
 
-    async def run(self, connections: Door, tasks: TaskGroup) -> None:
+    async def run(self, connections: ClientConnections, tasks: TaskGroup) -> None:
         """Take over sessions until the predecessor has ended."""
         session_count = await self._take_over_sessions(connections, tasks)
         await self._channel.close()
-        connections.release_ids()
+        connections.requests.ids.release_reserved()
         # The sessions' own descriptors are given back as they end.
         taken_descriptors = session_count * CONNECTIONS_OF_SESSION
         connections.descriptors.lend(taken_descriptors - self._predecessor_descriptors)
         log.info("hot_restart_predecessor_ended", sessions=session_count)
 
-    async def _take_over_sessions(self, connections: Door, tasks: TaskGroup) -> int:
+    async def _take_over_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
         """Return how many were taken over."""
         session_count = 0
         try:
@@ -111,7 +111,7 @@
                 packet, sockets = received
                 if isinstance(packet, SessionHandover) and len(sockets) == CONNECTIONS_OF_SESSION:
                     session_count += 1
-                    tasks.start_soon(connections.resume, packet, sockets)
+                    tasks.start_soon(connections.adopt, packet, sockets)
         except InvalidInputError as error:
             log.warning("hot_restart_packet_invalid", reason=str(error))
         return session_count
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -114,7 +114,7 @@
         await connection.close()
         return answer if isinstance(answer, Ending) else None
 
-    async def _send_and_receive(self, connection: Lines) -> wire.Said | Ending | None:
+    async def _send_and_receive(self, connection: Lines) -> wire.UpstreamLine | Ending | None:
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             request = wire.STATS if self._settings.probes_report_load else wire.PING
             if not await connection.send(request):
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -1,131 +1,152 @@
-"""A standing link: lines pass both ways until one side ends it, its host falls silent, or it is moved."""
+"""Relays an established session: lines pass both ways until one side ends it or it has to leave."""
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
 from enum import Enum
-from typing import NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 
 from larchlatch.node.clock import now_us
 from larchlatch.node.messages import LoadReported
-from larchlatch.node.session_record import SessionRecord
-from larchlatch.node.upstream_actor import UpstreamActor
-from larchlatch.node.wire import lines as say
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire import lines
+from larchlatch.node.wire.stream import Ending
 from larchlatch.policy.types import Outcome
 
+if TYPE_CHECKING:
+    from collections.abc import Awaitable, Callable
+
+    from larchlatch.node.session_record import SessionRecord
+    from larchlatch.node.upstream_actor import UpstreamActor
+    from larchlatch.node.wire.stream import Lines
+
 
 class Side(Enum):
+    """Who ended a session here; the values go into names of counters."""
+
     CLIENT = "client"
-    UPSTREAM = "host"
+    UPSTREAM = "upstream"
     NODE = "node"
-    SUCCESSOR = "successor"  # another process of this node goes on with it
+    SUCCESSOR = "successor"  # the next process of this node goes on with it
+
+
+class RelayEnd(NamedTuple):
+    """How a session ended here.
 
+    Attributes:
+        side: which side ended it.
+        ending: in which way.
+        outcome: what that means for the balancer.
 
-class Ended(NamedTuple):
-    """Which side ended the link, in which way, and what the host had said of it last."""
+    """
 
     side: Side
-    how: Ending
+    ending: Ending
     outcome: Outcome
 
 
 class Relay:
+    """Passes lines between a client and its upstream; it leaves both connections open.
+
+    Attributes:
+        outcome_at_end: what the end of the upstream's side would mean.
+
+    """
+
     def __init__(
         self,
         record: SessionRecord,
         client: Lines,
         upstream: Lines,
         upstream_actor: UpstreamActor,
-        last: Outcome,
+        outcome_at_end: Outcome,
     ) -> None:
-        self.record = record
-        self.client = client
-        self.upstream = upstream
-        self.upstream_actor = upstream_actor
-        self.last = last  # what the end of the host's side means
-        self.ended: Ended | None = None
-        self.reading: dict[Side, anyio.CancelScope] = {}
-        self.passing = False  # both directions are to stop at the end of a line
-        self.stopped: set[Side] = set()
-
-    async def run(self) -> Ended:
-        """Pass lines on until it ends; both sides are still open then, as far as they were."""
-        async with anyio.create_task_group() as tasks:
-
-            def end(side: Side, how: Ending, outcome: Outcome) -> None:
-                if self.ended is None:
-                    self.ended = Ended(side, how, outcome)
-                tasks.cancel_scope.cancel()
-
-            async def moved() -> None:
-                await self.record.migration_requested.wait()
-                end(
-                    Side.NODE, Ending.END, Outcome.RESET if self.record.upstream_silent else Outcome.CANCELLED
-                )
-
-            async def one(side: Side, direction: Callable[[], Awaitable[Ended | None]]) -> None:
-                ended = await direction()
-                if ended is not None:
-                    end(*ended)
-                    return
-                self.stopped.add(side)
-                if len(self.stopped) == 2:
-                    end(Side.SUCCESSOR, Ending.END, Outcome.CANCELLED)
-
-            tasks.start_soon(moved)
-            tasks.start_soon(one, Side.CLIENT, self.pass_up)
-            tasks.start_soon(one, Side.UPSTREAM, self.pass_down)
-        assert self.ended is not None
-        return self.ended
-
-    def pass_on(self) -> None:
-        """Stop between two lines, so that another process can go on."""
-        # Only the waiting is broken off: a line that has been read is sent before its direction stops.
-        self.passing = True
-        for scope in self.reading.values():
+        self.outcome_at_end = outcome_at_end
+        self._record = record
+        self._client = client
+        self._upstream = upstream
+        self._upstream_actor = upstream_actor
+        self._end: RelayEnd | None = None
+        self._tasks = anyio.create_task_group()
+        self._reading: dict[Side, anyio.CancelScope] = {}
+        self._stopping = False  # both directions are to stop at the end of a line
+        self._stopped: set[Side] = set()
+
+    async def run(self) -> RelayEnd:
+        """Pass lines on until the session ends here; both sides are open then as far as they were."""
+        async with self._tasks:
+            self._tasks.start_soon(self._wait_for_migration)
+            self._tasks.start_soon(self._run_direction, Side.CLIENT, self._relay_to_upstream)
+            self._tasks.start_soon(self._run_direction, Side.UPSTREAM, self._relay_to_client)
+        assert self._end is not None
+        return self._end
+
+    def stop_between_lines(self) -> None:
+        """Stop both directions between two lines, so that the successor can go on."""
+        # Only waiting is cancelled: a line that has been read is sent before its direction stops.
+        self._stopping = True
+        for scope in self._reading.values():
             scope.cancel()
 
-    async def next(self, side: Side, lines: Lines) -> list[bytes] | Ending | None:
-        """The next lines of a side; None where another process is to read them."""
-        if self.passing:
+    def _finish(self, end: RelayEnd) -> None:
+        if self._end is None:
+            self._end = end
+        self._tasks.cancel_scope.cancel()
+
+    async def _wait_for_migration(self) -> None:
+        await self._record.migration_requested.wait()
+        outcome = Outcome.RESET if self._record.upstream_silent else Outcome.CANCELLED
+        self._finish(RelayEnd(Side.NODE, Ending.END, outcome))
+
+    async def _run_direction(self, side: Side, relay: Callable[[], Awaitable[RelayEnd | None]]) -> None:
+        end = await relay()
+        if end is not None:
+            self._finish(end)
+            return
+        self._stopped.add(side)
+        if self._stopped == {Side.CLIENT, Side.UPSTREAM}:
+            self._finish(RelayEnd(Side.SUCCESSOR, Ending.END, Outcome.CANCELLED))
+
+    async def _next_lines(self, side: Side, source: Lines) -> list[bytes] | Ending | None:
+        """Return the next lines of a side, or how it ended; None where the successor is to read them."""
+        if self._stopping:
             return None
-        with anyio.CancelScope() as self.reading[side]:
-            return await lines.some()
+        with anyio.CancelScope() as self._reading[side]:
+            return await source.some()
         return None
 
-    async def pass_up(self) -> Ended | None:
-        """From the client to the host."""
-        while (some := await self.next(Side.CLIENT, self.client)) is not None:
-            if isinstance(some, Ending):
-                return Ended(Side.CLIENT, some, Outcome.CANCELLED)
-            if not self.record.awaiting_answer_since:
-                self.record.awaiting_answer_since = now_us()
-            if not await self.upstream.send(b"".join(some)):
-                return Ended(Side.UPSTREAM, Ending.RESET, self.last)
+    async def _relay_to_upstream(self) -> RelayEnd | None:
+        while (received := await self._next_lines(Side.CLIENT, self._client)) is not None:
+            if isinstance(received, Ending):
+                return RelayEnd(Side.CLIENT, received, Outcome.CANCELLED)
+            if not self._record.awaiting_answer_since:
+                self._record.awaiting_answer_since = now_us()
+            if not await self._upstream.send(b"".join(received)):
+                return RelayEnd(Side.UPSTREAM, Ending.RESET, self.outcome_at_end)
         return None
 
-    async def pass_down(self) -> Ended | None:
-        """From the host to the client."""
-        while (some := await self.next(Side.UPSTREAM, self.upstream)) is not None:
-            if isinstance(some, Ending):
-                return Ended(Side.UPSTREAM, some, self.last)
-            for line in some:
-                match say.parse_upstream_line(line):
-                    case say.Load(load):
-                        await self.upstream_actor.post(LoadReported(self.record, load))
-                    case say.Bye():
-                        self.last = Outcome.COMPLETED
-                    case say.Moved():
-                        self.last = Outcome.CANCELLED
-                    case _:
-                        self.upstream_actor.session_watch.line_received(self.record)
-            # While a client does not read, its host is not heard: that must not be taken for silence.
-            self.record.client_stalled_since = now_us()
-            sent = await self.client.send(b"".join(some))
-            self.record.client_stalled_since = 0
+    async def _relay_to_client(self) -> RelayEnd | None:
+        while (received := await self._next_lines(Side.UPSTREAM, self._upstream)) is not None:
+            if isinstance(received, Ending):
+                return RelayEnd(Side.UPSTREAM, received, self.outcome_at_end)
+            for line in received:
+                await self._observe(line)
+            # While a client does not read, its upstream is not read: that must not be taken for silence.
+            self._record.client_stalled_since = now_us()
+            sent = await self._client.send(b"".join(received))
+            self._record.client_stalled_since = 0
             if not sent:
-                return Ended(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
+                return RelayEnd(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         return None
+
+    async def _observe(self, line: bytes) -> None:
+        """Note what a line of the upstream says of the session."""
+        match lines.parse_upstream_line(line):
+            case lines.Load(load):
+                await self._upstream_actor.post(LoadReported(self._record, load))
+            case lines.Bye():
+                self.outcome_at_end = Outcome.COMPLETED
+            case lines.Moved():
+                self.outcome_at_end = Outcome.CANCELLED
+            case _:
+                self._upstream_actor.session_watch.line_received(self._record)
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -13,8 +13,8 @@
 from larchlatch.node.admin_api import BACKLOG as ADMIN_BACKLOG
 from larchlatch.node.admin_api import AdminApi
 from larchlatch.node.balancer_actor import BalancerActor
-from larchlatch.node.client import Door
 from larchlatch.node.client_listener import ClientListener
+from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
@@ -74,7 +74,7 @@
     discovery: DiscoveryClient
     cluster: ClusterService | None
     balancer_actor: BalancerActor
-    connections: Door
+    connections: ClientConnections
     drainer: SessionDrainer
 
     def figures(self) -> dict[str, int]:
@@ -157,7 +157,7 @@
     )
     lifecycle = build_lifecycle_state(configuration)
     ready = anyio.Event()
-    connections = Door(
+    connections = ClientConnections(
         balancer_actor,
         configuration.traffic_class_names,
         configuration.tenants,
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from larchlatch.node.client import Door
     from larchlatch.node.client_listener import ClientListener
+    from larchlatch.node.clients.connections import ClientConnections
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
@@ -34,7 +34,7 @@
     """Makes established sessions leave at the rate of the lifecycle state, for a drain and a stop alike."""
 
     def __init__(
-        self, lifecycle: LifecycleState, connections: Door, counters: Counters, tasks: TaskGroup
+        self, lifecycle: LifecycleState, connections: ClientConnections, counters: Counters, tasks: TaskGroup
     ) -> None:
         self._lifecycle = lifecycle
         self._connections = connections
@@ -60,7 +60,7 @@
     def _release_due(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
         established = [
             record
-            for record in self._connections.standing.values()
+            for record in self._connections.sessions.established.values()
             if not record.migration_requested.is_set() and record not in handed_over_at
         ]
         # Where packets pass through none is due: sessions go on through other nodes.
@@ -87,7 +87,7 @@
     def __init__(
         self,
         lifecycle: LifecycleState,
-        connections: Door,
+        connections: ClientConnections,
         drainer: SessionDrainer,
         listener: ClientListener,
         tasks: TaskGroup,
@@ -100,17 +100,17 @@
 
     async def run(self) -> None:
         """Release the sessions, answer all clients, close the listener, and cancel the node's tasks."""
-        log.info("stopping", sessions=len(self._connections.standing))
+        log.info("stopping", sessions=len(self._connections.sessions.established))
         self._drainer.start()
         await self._finish_requests()
         # Cut off as it is, a connection whose request has just come would be reset: each gets an answer
         # first, also those that the system has accepted for this node and that it has not taken yet.
-        self._connections.dismiss()
+        self._connections.reject_all()
         # Where a successor goes on, what waits to be accepted is its own.
         if not self._lifecycle.hands_over_sessions:
             await self._listener.close()
         with anyio.move_on_after(LAST_ANSWERS_S):
-            while self._connections.connections > 0:  # noqa: ASYNC110 - a count, which sets no event
+            while self._connections.connection_count > 0:  # noqa: ASYNC110 - a count, which sets no event
                 await anyio.sleep(ROUND_INTERVAL_S)
         self._tasks.cancel_scope.cancel()
 
@@ -118,12 +118,12 @@
         reject_at = anyio.current_time() + self._lifecycle.stop_duration_s - EARLY_REJECTION_S
         # Until the time is up new sessions may come through a front that has not noticed, unless a successor
         # takes them; those that have connected here get their answer here.
-        while self._connections.in_hand > 0 or (
+        while self._connections.sessions.open_count > 0 or (
             anyio.current_time() < reject_at and not self._nothing_more_comes()
         ):
             if anyio.current_time() >= reject_at:
-                self._connections.dismiss()
+                self._connections.reject_all()
             await anyio.sleep(ROUND_INTERVAL_S)
 
     def _nothing_more_comes(self) -> bool:
-        return self._lifecycle.hands_over_sessions and not self._connections.unheard
+        return self._lifecycle.hands_over_sessions and not self._connections.reader.without_line
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -1,11 +1,11 @@
-"""Lines of text, as clients and hosts speak them: each decoded once, encoded once."""
+"""Lines of text, as clients and upstreams speak them: each is decoded once and encoded once. No I/O."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-LONGEST = 4096  # bytes a line may have, its end included
+MAX_LINE_BYTES = 4096  # its end included
 PING = b"PING\r\n"
 PONG = b"PONG\r\n"
 NO = b"NO\r\n"
@@ -13,19 +13,40 @@
 MOVE = b"MOVE\r\n"
 FAILED = b"ERR\r\n"
 
+REQUEST_WORDS = 4  # OPEN, the id, the key, the list of values
+REQUIRED_VALUES = ("c", "d")
+FLAGS = ("r", "again", "mid")
+MAX_WAIT_DIGITS = 9
+MAX_FIGURE = 1e15  # figures of a report beyond all reason are passed over
+
 
 class BadLine(NamedTuple):
-    """A line that is not as the page says, and why."""
+    """A line that is not in the required form, and why; the reason goes into the name of a counter."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A client's first line."""
+    """A client's request, its first line.
+
+    Attributes:
+        ident: the session's id, new with every connection.
+        before: the line up to the figure of `d`.
+        behind: the line from behind the figure of `d`.
+        key: the client's key.
+        traffic_class: name of the traffic class.
+        tenant: name of the tenant, if one is named.
+        wait_ms: how long the client waits for its answer.
+        group: the affinity group, if one is named.
+        mid_flow: whether its packets passed through another node before.
+        established_upstream: name of the upstream where it was established before, if it was.
+        load: its expected load in microseconds of work a second; 0 for unknown.
+
+    """
 
     ident: str
-    before: str  # the line up to the figure of d, and from behind it
+    before: str
     behind: str
     key: str
     traffic_class: str
@@ -33,114 +54,136 @@
     wait_ms: int
     group: str | None
     mid_flow: bool
-    standing_at: str | None  # the host at which it was open before
+    established_upstream: str | None
     load: float
 
     @property
-    def goes_on(self) -> bool:
-        """Whether its client has been served before and may be in the middle of what it says."""
-        return self.mid_flow or self.standing_at is not None
+    def may_continue(self) -> bool:
+        """Whether its client was served before, and may be in the middle of what it sends."""
+        return self.mid_flow or self.established_upstream is not None
 
 
 def parse_opening(line: bytes) -> Opening | BadLine:
+    """Parse a client's first line."""
+    text = _printable_text(line)
+    if isinstance(text, BadLine):
+        return text
+    words = text.split(" ")
+    if len(words) != REQUEST_WORDS or words[0] != "OPEN" or not words[1] or not words[2]:
+        return BadLine("not_an_open_line_of_four_words")
+    values = _values(words[3])
+    if isinstance(values, BadLine):
+        return values
+    load = parse_figure(values.get("h", "0"))
+    if load is None:
+        return BadLine("h_is_no_number")
+    # The line is passed on unchanged but for d, which says how long this node will wait.
+    wait_at = text.index(",d=") + 3 if ",d=" in text else text.index(" d=") + 3
+    return Opening(
+        ident=words[1],
+        before=text[:wait_at],
+        behind=text[wait_at + len(values["d"]) :],
+        key=words[2],
+        traffic_class=values["c"],
+        tenant=values.get("t"),
+        wait_ms=int(values["d"]),
+        group=values.get("g"),
+        mid_flow=values.get("mid") == "1",
+        established_upstream=values.get("at"),
+        load=load,
+    )
+
+
+def _printable_text(line: bytes) -> str | BadLine:
     try:
         text = line.decode("utf-8").rstrip("\r\n")
     except UnicodeDecodeError:
-        return BadLine("not UTF-8")
-    if not text.isprintable():
-        return BadLine("not printable")
-    messages = text.split(" ")
-    if len(messages) != 4 or messages[0] != "OPEN" or not messages[1] or not messages[2]:
-        return BadLine("not an OPEN line of four words")
+        return BadLine("not_utf8")
+    return text if text.isprintable() else BadLine("not_printable")
+
+
+def _values(word: str) -> dict[str, str] | BadLine:
+    """Return the names and values of a request."""
     values: dict[str, str] = {}
-    for item in messages[3].split(","):
+    for item in word.split(","):
         name, equals, value = item.partition("=")
         if not equals or not name or not value:
-            return BadLine("a name without a value")
+            return BadLine("name_without_value")
         if name in values:
-            return BadLine("a name that stands twice")
+            return BadLine("name_twice")
         values[name] = value
-    for name in ("c", "d"):
+    for name in REQUIRED_VALUES:
         if name not in values:
-            return BadLine(f"{name} is missing")
-    if not (values["d"].isascii() and values["d"].isdigit() and 0 < len(values["d"]) <= 9):
-        return BadLine("d is no number of milliseconds")
-    for name in ("r", "again", "mid"):
+            return BadLine(f"{name}_missing")
+    wait = values["d"]
+    if not (wait.isascii() and wait.isdigit() and len(wait) <= MAX_WAIT_DIGITS):
+        return BadLine("d_is_no_number")
+    for name in FLAGS:
         if values.get(name, "1") not in ("0", "1"):
-            return BadLine(f"{name} is neither 0 nor 1")
-    load = number_of(values.get("h", "0"))
-    if load is None:
-        return BadLine("h is no number")
-    # The line goes on as it came but for d, which says how long this node will wait.
-    found = text.index(",d=") + 3 if ",d=" in text else text.index(" d=") + 3
-    return Opening(
-        ident=messages[1],
-        before=text[:found],
-        behind=text[found + len(values["d"]) :],
-        key=messages[2],
-        traffic_class=values["c"],
-        tenant=values.get("t"),
-        wait_ms=int(values["d"]),
-        group=values.get("g"),
-        mid_flow=values.get("mid") == "1",
-        standing_at=values.get("at"),
-        load=load,
-    )
+            return BadLine(f"{name}_is_no_flag")
+    return values
 
 
-def try_line(opening: Opening, wait_us: int) -> bytes:
-    """The line that a setup try sends to its host."""
+def attempt_line(opening: Opening, wait_us: int) -> bytes:
+    """Return the line that an attempt sends to its upstream, with the time that this node will wait."""
     return f"{opening.before}{max(1, wait_us // 1000)}{opening.behind}\r\n".encode()
 
 
-def first_line(opening: Opening) -> bytes:
-    """The line as the client sent it."""
-    return try_line(opening, opening.wait_ms * 1000)
+def request_line(opening: Opening) -> bytes:
+    """Return the line as the client sent it."""
+    return attempt_line(opening, opening.wait_ms * 1000)
 
 
-def shed_line(back_us: int) -> bytes:
-    return f"BUSY {-(-back_us // 1000)}\r\n".encode() if back_us > 0 else b"BUSY\r\n"
+def shed_line(retry_after_us: int) -> bytes:
+    """Return the answer that trying again is harmless; the wait is in whole milliseconds, rounded up."""
+    return f"BUSY {-(-retry_after_us // 1000)}\r\n".encode() if retry_after_us > 0 else b"BUSY\r\n"
 
 
 class Up(NamedTuple):
-    """The link stands."""
+    """The session is established."""
 
 
 class Bye(NamedTuple):
-    """Delivered to its end."""
+    """Served to its end."""
 
 
 class Moved(NamedTuple):
-    """A draining host sends the client away."""
+    """A draining upstream sends the client away."""
 
 
 class Fault(NamedTuple):
-    """The host failed at it."""
+    """The upstream failed at it."""
 
 
 class Busy(NamedTuple):
-    """Turned away unseen."""
+    """Rejected: nothing has run."""
 
 
 class Load(NamedTuple):
-    """The link's load as it is now, in microseconds of work a second."""
+    """The session's load as it is now, in microseconds of work a second."""
 
     load: float
 
 
 class Pong(NamedTuple):
-    """A probe's answer, with the load over capacity where the host told it."""
+    """Answer to a probe.
+
+    Attributes:
+        utilization: load over capacity, if the upstream reported it.
+        held: the sessions that it holds, if it reported them.
+
+    """
 
     utilization: float | None
-    held: float | None  # the links that it holds, where it told
+    held: float | None
 
 
 class Other(NamedTuple):
     """Any other line."""
 
 
-Said = Up | Bye | Moved | Fault | Busy | Load | Pong | Other
-PLAIN: dict[bytes, Said] = {
+UpstreamLine = Up | Bye | Moved | Fault | Busy | Load | Pong | Other
+LINES_BY_WORD: dict[bytes, UpstreamLine] = {
     b"UP": Up(),
     b"BYE": Bye(),
     b"MOVE": Moved(),
@@ -149,32 +192,33 @@
 }
 
 
-def parse_upstream_line(line: bytes) -> Said:
-    message, _, rest = line.rstrip(b"\r\n").partition(b" ")
-    if message == b"LOAD":
-        load = number_of(rest.decode("latin-1"))
+def parse_upstream_line(line: bytes) -> UpstreamLine:
+    """Parse a line of an upstream; any line has a meaning, if only `Other`."""
+    word, _, rest = line.rstrip(b"\r\n").partition(b" ")
+    if word == b"LOAD":
+        load = parse_figure(rest.decode("latin-1"))
         return Other() if load is None else Load(load)
-    if message == b"PONG":
-        report = report_of(rest.decode("latin-1"))
+    if word == b"PONG":
+        report = parse_load_report(rest.decode("latin-1"))
         return Pong(report.get("x0"), report.get("inflight"))
-    return PLAIN.get(message, Other())
+    return LINES_BY_WORD.get(word, Other())
 
 
-def report_of(text: str) -> dict[str, float]:
-    """A load report's figures; what is no figure is passed over."""
+def parse_load_report(text: str) -> dict[str, float]:
+    """Return the figures of a load report; what is no figure is passed over."""
     report = {}
     for item in text.split(","):
         name, _, value = item.partition("=")
-        figure = number_of(value)
+        figure = parse_figure(value)
         if figure is not None:
             report[name] = figure
     return report
 
 
-def number_of(text: str) -> float | None:
-    """A figure of at least 0; not nan, not endless."""
+def parse_figure(text: str) -> float | None:
+    """Return a finite figure of at least 0, or None."""
     try:
         figure = float(text)
     except ValueError:
         return None
-    return figure if 0 <= figure < 1e15 else None
+    return figure if 0 <= figure < MAX_FIGURE else None
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -1,4 +1,4 @@
-"""A connection that is read and written by whole lines; how it ends is a value, never an exception."""
+"""Connections that are read and written by whole lines; how one ends is a value, never an exception."""
 
 from __future__ import annotations
 
@@ -8,33 +8,35 @@
 import select
 import socket
 import struct
-from collections.abc import Callable
 from contextlib import suppress
 from enum import Enum
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import anyio
 from anyio.abc import SocketAttribute, SocketStream
 
-from larchlatch.node.wire.lines import LONGEST
+from larchlatch.node.wire.lines import MAX_LINE_BYTES
 from larchlatch.node.wire.listen import stream_of
 
-CHUNK = 16384  # bytes read at a time: many lines, and little memory for each of hundreds of links
-LAST_RECEIVED = 52  # bytes into Linux's tcp_info: milliseconds since the last data came
-# Seconds: the system's own two hours would keep two descriptors for each client that has walked away with its
-# machine. Sound ones answer within a round trip.
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+CHUNK_BYTES = 16384  # read at a time: many lines, and little memory for each of hundreds of sessions
+LAST_RECEIVED_OFFSET = 52  # bytes into Linux's tcp_info: milliseconds since the last data came
+# Seconds and probes: by the system's own two hours each client whose machine has vanished would keep two
+# descriptors. Reachable ones answer within a round trip.
 KEEPALIVE = {socket.TCP_KEEPIDLE: 30, socket.TCP_KEEPINTVL: 10, socket.TCP_KEEPCNT: 3}
-LINGER_S = 0.5  # how long the other side may take to end its half after this side has ended
-LINGER_BYTES = 32 * CHUNK  # and how much it may still send: what a flood sends is not worth reading
-HUNG_UP = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+LINGER_S = 0.5  # the other side may take so long to end its half after this side has ended
+LINGER_BYTES = 32 * CHUNK_BYTES  # and send so much: what a flood sends is not worth reading
+HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
-# What a connection that has ended raises, also when only asked for its socket.
+# Raised by a connection that has ended, also when it is only asked for its socket.
 GONE = (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, ValueError)
 
 
 class Ending(Enum):
-    """How a connection ended, or why it can't go on."""
+    """How a connection ended, or why it can't continue; the values go into names of counters."""
 
     END = "end"
     RESET = "reset"
@@ -44,44 +46,54 @@
 class Unconnected(Enum):
     """Why there is no connection."""
 
-    UNREACHED = "unreached"
-    NO_ROOM = "no descriptor"
+    CONNECT_FAILED = "connect failed"
+    NO_DESCRIPTOR = "no descriptor"
 
 
 class Lines:
-    """Both directions of one connection."""
+    """Both directions of one connection, by whole lines.
+
+    Attributes:
+        stream: the stream below.
+        tail: the fragment of a line that has been received so far.
+        ready: complete lines that were received with one that was asked for.
+        begun: called when bytes were received that complete no line.
+        closed: whether it was closed here, or handed to another process.
+        spoken_to: whether anything has been sent.
+
+    """
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
-        # A client whose machine has vanished says nothing more: without this its link would hold two
-        # descriptors for good.
+        # A client whose machine has vanished sends nothing more: without keep-alive its session would hold
+        # two descriptors for good.
         with suppress(*GONE):
             raw = stream.extra(SocketAttribute.raw_socket)
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             for option, value in KEEPALIVE.items():
                 raw.setsockopt(socket.IPPROTO_TCP, option, value)
-        self.tail = b""  # what has come of a line that is still open
-        self.ready: list[bytes] = []  # whole lines that came with one asked for
-        self.begun: Callable[[], None] | None = None  # told when bytes have come that make no line yet
+        self.tail = b""
+        self.ready: list[bytes] = []
+        self.begun: Callable[[], None] | None = None
         self.closed = False
-        self.spoken_to = False  # something has been sent
+        self.spoken_to = False
 
     async def some(self) -> list[bytes] | Ending:
-        """The lines that are there, one at least."""
+        """Return the complete lines that have been received, at least one, or how the connection ended."""
         if self.ready:
             lines, self.ready = self.ready, []
             return lines
         while True:
             try:
-                chunk = await self.stream.receive(CHUNK)
+                chunk = await self.stream.receive(CHUNK_BYTES)
             except anyio.EndOfStream:
                 return Ending.END
             except GONE:
                 return Ending.RESET
-            # A line passes on only when it is whole: so what this node says itself falls between two lines.
+            # Lines are passed on only when complete: so what this node sends itself falls between two lines.
             lines = (self.tail + chunk).split(b"\n")
             self.tail = lines.pop()
-            if len(self.tail) > LONGEST or any(len(line) >= LONGEST for line in lines):
+            if len(self.tail) > MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
                 return Ending.TOO_LONG
             if lines:
                 return [line + b"\n" for line in lines]
@@ -89,33 +101,39 @@
                 self.begun()
 
     def feed(self, early: bytes) -> None:
-        """What another process of this node has read of this connection and not passed on."""
+        """Take in bytes that were received before, here or by the predecessor, and not passed on."""
         lines = early.split(b"\n")
         self.tail = lines.pop()
         self.ready = [line + b"\n" for line in lines]
 
-    def hand_out(self) -> tuple[int, bytes] | None:
-        """Its descriptor for another process, and what was read of it and not passed on; it is this one's no
-        more then. None where something still waits to be sent, or it has ended."""
-        # Nothing in anyio's interface tells of what it has read ahead: left behind, a line would be lost.
-        transport: Any = getattr(self.stream, "_transport")
-        protocol: Any = getattr(self.stream, "_protocol")
+    def detach(self) -> tuple[int, bytes] | None:
+        """Give the connection up for another process, without a word to the other side.
+
+        Returns:
+            Its descriptor, and what was received and not passed on; None where something still waits to be
+            sent, or it has ended.
+
+        """
+        # anyio's interface does not tell what it has read ahead, and left behind a line would be lost. So its
+        # private attributes are read here, and nowhere else; the pinned version and tests guard that.
+        transport: Any = getattr(self.stream, "_transport")  # noqa: B009 - private, see above
+        protocol: Any = getattr(self.stream, "_protocol")  # noqa: B009 - private, see above
         if self.closed or transport.is_closing() or protocol.exception or transport.get_write_buffer_size():
             return None
         fd = os.dup(self.stream.extra(SocketAttribute.raw_socket).fileno())
         early = b"".join(self.ready) + self.tail + b"".join(protocol.read_queue)
-        # Closed without a word to the other side, which goes on with the process that has the copy.
         self.closed = True
         transport.abort()
         return fd, early
 
-    async def take_back(self, fd: int, early: bytes) -> None:
-        """After all it is this process's own."""
+    async def reattach(self, fd: int, early: bytes) -> None:
+        """Take a connection back that was given up: no other process has taken it."""
         self.stream = await stream_of(socket.socket(fileno=fd))
         self.closed = False
         self.feed(early)
 
     async def line(self) -> bytes | Ending:
+        """Return the next line, or how the connection ended."""
         lines = await self.some()
         if isinstance(lines, Ending):
             return lines
@@ -123,14 +141,14 @@
         return lines[0]
 
     def waited_us(self) -> int:
-        """How long ago the last bytes came to this machine: they may have waited long to be read."""
+        """Return how long ago the last bytes came to this machine: they may have waited to be read."""
         try:
             return waited_us(self.stream.extra(SocketAttribute.raw_socket))
         except GONE:
             return 0
 
     async def send(self, data: bytes) -> bool:
-        """Whether all of it was written."""
+        """Send all of it; return whether that was possible."""
         self.spoken_to = True
         try:
             await self.stream.send(data)
@@ -139,25 +157,26 @@
         return True
 
     def hung_up(self) -> bool:
-        """Whether the other side has ended or reset it, though bytes may lie before its end unread."""
+        """Return whether the other side has ended or reset it, though bytes may lie before its end unread."""
         try:
             return self.closed or hung_up(self.stream.extra(SocketAttribute.raw_socket))
         except GONE:
             return True
 
     async def finish(self, how: Ending, linger_s: float = LINGER_S) -> None:
-        """End it in this way."""
+        """End it in this way, waiting a moment for the other side's end."""
         with anyio.CancelScope(shield=True):
             if how is Ending.END:
-                # Closing with bytes unread would reset the other side, and what was just sent be lost to it.
+                # Closed with bytes unread it would be reset, and what was just sent be lost.
                 with anyio.move_on_after(linger_s):
                     with suppress(anyio.EndOfStream, *GONE):
                         await self.stream.send_eof()
-                        for _ in range(LINGER_BYTES // CHUNK):
-                            await self.stream.receive(CHUNK)
+                        for _ in range(LINGER_BYTES // CHUNK_BYTES):
+                            await self.stream.receive(CHUNK_BYTES)
             await self.close(reset=how is not Ending.END)
 
-    async def close(self, reset: bool = False) -> None:
+    async def close(self, *, reset: bool = False) -> None:
+        """Close it; a second call changes nothing."""
         # Once closed its descriptor may be another connection's, and under uvloop it can't be asked for.
         if self.closed:
             return
@@ -170,58 +189,58 @@
 
 
 def waited_us(sock: socket.socket) -> int:
-    """How long ago the last bytes came to this machine on a connection."""
+    """Return how long ago the last bytes came to this machine on a connection; 0 where that is unknown."""
     if not hasattr(socket, "TCP_INFO"):
         return 0
     try:
-        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED + 4)
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_RECEIVED_OFFSET + 4)
     except OSError:
         return 0
-    if len(info) < LAST_RECEIVED + 4:
+    if len(info) < LAST_RECEIVED_OFFSET + 4:
         return 0
-    return int(struct.unpack_from("=I", info, LAST_RECEIVED)[0]) * 1000
+    return int(struct.unpack_from("=I", info, LAST_RECEIVED_OFFSET)[0]) * 1000
 
 
-def overheard(sock: socket.socket) -> bytes:
-    """What has come on a connection that nobody reads from yet; nothing where that can't be told."""
+def receive_available(sock: socket.socket) -> bytes:
+    """Return what has been received on a connection that has no task yet; nothing where it has ended."""
     try:
-        return sock.recv(LONGEST)
+        return sock.recv(MAX_LINE_BYTES)
     except OSError:
         return b""
 
 
-def answer_at_once(sock: socket.socket, line: bytes) -> None:
-    """Say a line on a connection that nobody reads from yet, and that nothing more will be said."""
+def send_last_line(sock: socket.socket, line: bytes) -> None:
+    """Send a line on a connection that has no task yet, and end this side of it."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.send(line)
         sock.shutdown(socket.SHUT_WR)
 
 
-async def see_off(sock: socket.socket, linger_s: float) -> None:
-    """Close a connection on which all has been said; what still comes on it goes unread."""
-    # Closed over unread bytes it would be reset, and the answer be lost with it.
+async def discard_and_close(sock: socket.socket, linger_s: float) -> None:
+    """Close a connection that has had its answer, once its client has ended it or the time is over."""
+    # Closed with bytes unread it would be reset, and the answer be lost.
     with sock, suppress(OSError, ValueError), anyio.move_on_after(linger_s):
-        for _ in range(LINGER_BYTES // CHUNK):
+        for _ in range(LINGER_BYTES // CHUNK_BYTES):
             try:
-                if not sock.recv(CHUNK):
+                if not sock.recv(CHUNK_BYTES):
                     return
             except BlockingIOError:
                 await anyio.wait_readable(sock)
 
 
 def hung_up(sock: Any) -> bool:
-    """Whether the other side has ended or reset a connection, though bytes may lie before its end unread."""
+    """Return whether the other side has ended or reset a connection; bytes may lie before its end."""
     poll = select.poll()
     try:
-        poll.register(sock.fileno(), HUNG_UP)
+        poll.register(sock.fileno(), HANGUP_EVENTS)
         return bool(poll.poll(0))
     except (OSError, ValueError):
         return True
 
 
 async def resolved(address: tuple[str, int]) -> tuple[socket.AddressFamily, tuple[str, int]]:
-    """The family and the numeric form of an address; OSError where its name is not known."""
+    """Return the family and the numeric form of an address; OSError where its name is not known."""
     try:
         numeric = ipaddress.ip_address(address[0])
     except ValueError:
@@ -231,7 +250,7 @@
 
 
 async def dial(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-    """A connection, or why there is none; whoever breaks the waiting off leaves none behind."""
+    """Return a connection, or why there is none; a cancelled call leaves none behind."""
     sock: socket.socket | None = None
     try:
         with anyio.fail_after(within_s):
@@ -247,9 +266,9 @@
             made, sock = sock, None
             return made
     except TimeoutError:
-        # Where this node's own loop was late it has come up, and nobody looked: that is no host's fault.
+        # Where this node's event loop was late it may have come up unseen: that is no upstream's fault.
         if sock is None or not is_up(sock):
-            return Unconnected.UNREACHED
+            return Unconnected.CONNECT_FAILED
         made, sock = sock, None
         return made
     except OSError as failed:
@@ -257,11 +276,11 @@
     finally:
         if sock is not None:
             sock.close()
-    return Unconnected.NO_ROOM if error in (errno.EMFILE, errno.ENFILE) else Unconnected.UNREACHED
+    return Unconnected.NO_DESCRIPTOR if error in (errno.EMFILE, errno.ENFILE) else Unconnected.CONNECT_FAILED
 
 
 def is_up(sock: socket.socket) -> bool:
-    """Whether a socket that was to be connected is."""
+    """Return whether a socket is connected."""
     try:
         sock.getpeername()
     except OSError:
@@ -270,9 +289,9 @@
 
 
 async def written(sock: socket.socket, data: bytes) -> bool:
-    """Whether the system has taken all of it: only then can the other side ever have it whole."""
-    # Not by a transport, which keeps what the system does not take at once: a connection that breaks leaves
-    # it unknown how much of that went out, and an attempt is made anew only where its line can't be whole.
+    """Return whether the system has taken all of it: only then can the other side ever have it whole."""
+    # Not by a transport, which keeps what the system does not take at once: if the connection breaks it is
+    # unknown how much went out, and an attempt is repeated only where its line can't have arrived whole.
     try:
         while data:
             try:
@@ -285,13 +304,13 @@
 
 
 async def connect(address: tuple[str, int], within_s: float) -> Lines | Unconnected:
-    """The same, to be read and written by lines."""
+    """Return a connection by lines, or why there is none."""
     sock = await dial(address, within_s)
     return sock if isinstance(sock, Unconnected) else await lines_of(sock)
 
 
 async def lines_of(sock: socket.socket) -> Lines:
-    """A connected socket, to be read and written by lines; closed where it can't be."""
+    """Wrap a connected socket; it is closed where that fails."""
     try:
         return Lines(await stream_of(sock))
     except BaseException:
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -43,7 +43,7 @@
             return self.is_warm(now, upstream)
         if now < self.issuer_until:
             return now < upstream.tokens.get(session.number, 0)
-        # No node sees what others send: they take turns by number, with the whole budget of a window each.
+        # No node sees what others send: they take turns by number, a window each with its whole budget.
         capacity = self.reported_capacity(upstream)
         budget = self.turn_budget(now, upstream, capacity)
         turn, spent = self.turn_and_spent(now, upstream)
@@ -51,8 +51,8 @@
             return True
         if not capacity or spent >= budget - 1:
             return False
-        # Turns pass unused where nodes see few sessions: others get in by chance, within budget if all have as
-        # many arrivals, less a root as room for chance. A session placed again draws no second time.
+        # Turns pass unused where nodes see few sessions: others get in by chance, within budget if all have
+        # as many arrivals, less a root as room for chance. A session placed again draws no second time.
         own_demand = 2 / max(1, len(self.fleet.ready)) + self.ring.share(session) if candidate else 1.0
         arrivals = self.settings.nodes * max(1, len(self.arrivals.times))
         wanted = arrivals * min(1.0, own_demand) * self.fleet.weight(session)
--- a/tests/test_behind.py
+++ b/tests/test_behind.py
@@ -65,7 +65,7 @@
                 await client.send(b"go\r\n")
                 assert await client.line() == b"go\r\n"
             node.signal(signal.SIGUSR1)
-            assert (await node.told("counters"))["link shed unread"] == 3
+            assert (await node.told("counters"))["requests_shed_unread"] == 3
 
     on_loopback(body)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,9 +23,10 @@
 from larchlatch.config.endpoints import EndpointList, parse_endpoint
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node import attempts as node_attempts
-from larchlatch.node import client as node_client
 from larchlatch.node import runtime as node_run
 from larchlatch.node.client_listener import ClientListener
+from larchlatch.node.clients import request_reader
+from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import HEADROOM, DescriptorBudget
 from larchlatch.node.mailbox import Mailbox
@@ -52,31 +53,36 @@
 )
 from tests.test_node import serving, started
 
-Door = node_client.Door
 FLOOD = b"more and more\r\n" * 27_000  # more than is read at once, less than is read at all
 
 
 @pytest.fixture
-def doors(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[Door]]:
+def doors(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[ClientConnections]]:
     """The doors of the nodes that a test starts in this process."""
-    made: list[Door] = []
+    made: list[ClientConnections] = []
 
-    class Kept(Door):
+    class Kept(ClientConnections):
         def __init__(self, *given: Any) -> None:
             super().__init__(*given)
             made.append(self)
 
-    monkeypatch.setattr(node_run, "Door", Kept)
+    monkeypatch.setattr(node_run, "ClientConnections", Kept)
     yield made
 
 
-async def at_rest(door: Door) -> None:
+async def at_rest(door: ClientConnections) -> None:
     """Nothing is left of what went through it: no connection, id, attempt or descriptor."""
-    module = door.balancer_actor
+    module = door._balancer_actor
     await until(
         lambda: (
-            not (door.connections or door.in_hand or door.idents or door.standing or module.records)
-            and not (door.resting or door.unheard)
+            not (
+                door.connection_count
+                or door.sessions.open_count
+                or door.requests.ids.records
+                or door.sessions.established
+                or module.records
+            )
+            and not (door.reader.waiting or door.reader.without_line)
             and all(
                 not upstream_actor.attempts.in_flight and not upstream_actor.session_watch.sessions
                 for upstream_actor in module.upstreams.actors.values()
@@ -121,10 +127,10 @@
 
 @pytest.mark.parametrize("first", [b"nonsense\r\n", b"OPEN a\r\n", b"x" * 5000, b"OPEN half"])
 def test_an_answer_arrives_though_bytes_follow_that_nobody_reads(
-    first: bytes, doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    first: bytes, doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They come between the reading of the line and its answer."""
-    monkeypatch.setattr(node_client, "FIRST_LINE_S", 0.2)
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
     real = stream.Lines.send
 
@@ -151,8 +157,8 @@
             node, _ = server.accept()
         assert node.recv(100) == line_of("a")
         node.setblocking(False)
-        stream.answer_at_once(node, b"BUSY 7\r\n")
-        tasks.start_soon(stream.see_off, node, 1.0)
+        stream.send_last_line(node, b"BUSY 7\r\n")
+        tasks.start_soon(stream.discard_and_close, node, 1.0)
         assert await all_of(client, FLOOD) == b"BUSY 7\r\n"
         await until(lambda: node.fileno() < 0)
 
@@ -162,7 +168,7 @@
 # Clients that leave.
 
 
-def test_a_client_whose_end_lies_behind_other_bytes_is_gone(doors: list[Door]) -> None:
+def test_a_client_whose_end_lies_behind_other_bytes_is_gone(doors: list[ClientConnections]) -> None:
     """It goes on from elsewhere, says more, and leaves while its link waits for a place."""
 
     async def body(tasks: TaskGroup) -> None:
@@ -174,13 +180,13 @@
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
         port = await serving(tasks, raw)
         client = raw_client(port, line_of("a", ",mid=1", PATIENT_US // 1000))
-        await until(lambda: doors[0].in_hand == 1)
+        await until(lambda: doors[0].sessions.open_count == 1)
         client.sendall(b"one\r\n")
         client.sendall(b"two\r\n")
         client.close()
         with anyio.fail_after(SOON_S):
             await at_rest(doors[0])
-        doors[0].balancer_actor.handle(now_us(), EndpointsChanged(say_members(rows), True))
+        doors[0]._balancer_actor.handle(now_us(), EndpointsChanged(say_members(rows), True))
         assert await (await opened(port)).line() == b"UP r1\r\n"
         assert len(upstreams.lines) == 1, "an attempt for a client that had left"
 
@@ -193,7 +199,7 @@
 
 @pytest.mark.parametrize("behind", [b"", b"unread\r\n" * 100])
 def test_no_attempt_goes_out_for_a_client_that_left_since_the_decision(
-    behind: bytes, doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    behind: bytes, doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end lies in this machine when the connection to the host comes up; nobody has read it yet."""
 
@@ -220,7 +226,7 @@
 
 
 def test_a_client_that_leaves_before_the_decisions_come_to_it_costs_no_attempt(
-    doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     gate = anyio.Event()
     real = Mailbox.submit
@@ -239,10 +245,10 @@
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
         port = await serving(tasks, raw)
         client = raw_client(port, line_of("a", wait_ms=PATIENT_US // 1000))
-        await until(lambda: doors[0].in_hand == 1)
+        await until(lambda: doors[0].sessions.open_count == 1)
         client.close()
         with anyio.fail_after(SOON_S):
-            await until(lambda: doors[0].in_hand == 0)
+            await until(lambda: doors[0].sessions.open_count == 0)
         gate.set()
         await at_rest(doors[0])
         assert not upstreams.lines
@@ -251,7 +257,7 @@
 
 
 def test_a_link_that_the_decisions_never_come_to_is_answered_in_time(
-    doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def submit(mailbox: Mailbox, word: Any) -> None:
         await anyio.sleep_forever()
@@ -409,7 +415,7 @@
                 with anyio.move_on_after(0.05):
                     await stream.dial(address, 1000.0)
             else:
-                assert await stream.dial(address, 0.05) is Unconnected.UNREACHED
+                assert await stream.dial(address, 0.05) is Unconnected.CONNECT_FAILED
             assert descriptors() == before
             for sock in filler:
                 sock.close()
@@ -443,8 +449,8 @@
 
 def test_an_unknown_name_and_a_refusal_are_no_connection() -> None:
     async def body(tasks: TaskGroup) -> None:
-        assert await stream.dial(("127.0.0.1", 1), 1.0) is Unconnected.UNREACHED
-        assert await stream.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.UNREACHED
+        assert await stream.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
+        assert await stream.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
 
     on_loopback(body)
 
@@ -517,7 +523,9 @@
     on_loopback(body)
 
 
-def test_a_host_that_resets_a_standing_link_long_after_resets_its_client(doors: list[Door]) -> None:
+def test_a_host_that_resets_a_standing_link_long_after_resets_its_client(
+    doors: list[ClientConnections],
+) -> None:
     async def body(tasks: TaskGroup) -> None:
         stood = anyio.Event()
 
@@ -540,7 +548,7 @@
 
 
 def test_what_waits_to_be_accepted_at_the_end_is_answered_and_what_comes_later_refused(
-    doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The system has accepted them, and holds their requests, when the node shuts its entrance."""
     listeners: list[ClientListener] = []
@@ -559,8 +567,8 @@
         listener.pause()
         await listener.idle.wait()
         wait = [raw_client(port, said) for said in [line_of(f"id{n}") for n in range(50)] + [b"", b"half"]]
-        assert doors[0].connections == 0
-        doors[0].dismiss()
+        assert doors[0].connection_count == 0
+        doors[0].reject_all()
         await listener.close()
         with pytest.raises(ConnectionRefusedError):
             raw_client(port, b"")
@@ -572,16 +580,16 @@
 
 
 def test_a_node_that_ends_turns_away_what_the_system_accepted_for_it(
-    doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(node_client, "FIRST_LINE_S", 1000.0)
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks)
         port = await started(tasks, upstreams)
         rests = raw_client(port, b"")
-        await until(lambda: doors[0].unheard == 1)
-        doors[0].dismiss()
+        await until(lambda: doors[0].reader.without_line == 1)
+        doors[0].reject_all()
         came = [raw_client(port, said) for said in (line_of("a"), b"", b"half a li")]
         for client in (rests, *came):
             assert (await all_of(client)).startswith(b"BUSY ")
@@ -591,13 +599,13 @@
     on_loopback(body)
 
 
-def test_links_at_the_end_are_answered_before_it(doors: list[Door]) -> None:
+def test_links_at_the_end_are_answered_before_it(doors: list[ClientConnections]) -> None:
     """However long a client would wait: what is still out when the process is killed has no answer."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("silent").start(tasks)
         port = await started(tasks, upstreams)
-        phase = doors[0].phase
+        phase = doors[0]._lifecycle
         phase.start_stop(anyio.current_time())
         phase.stop_duration_s = 0.3
         began = anyio.current_time()
@@ -732,7 +740,7 @@
     on_loopback(body)
 
 
-def test_a_second_line_ends_the_attempt_that_is_out_and_none_follows(doors: list[Door]) -> None:
+def test_a_second_line_ends_the_attempt_that_is_out_and_none_follows(doors: list[ClientConnections]) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("silent", "UP r1").start(tasks, 3)
         port = await started(tasks, upstreams)
@@ -751,7 +759,7 @@
 
 
 def test_idle_clients_that_hold_all_descriptors_keep_neither_discovery_nor_operators_out(
-    doors: list[Door], monkeypatch: pytest.MonkeyPatch
+    doors: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Discovery is down while they come; when it is back its news are heard, and a sound client is served."""
     monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
@@ -766,7 +774,7 @@
         raw["control"] = door_address()
         at = await serving(tasks, raw)
         idle = [raw_client(at, b"") for _ in range(60)]
-        await until(lambda: doors[0].counters.counts["made room (silent)"] > 0)
+        await until(lambda: doors[0].counters.counts["idle_connection_evicted_silent"] > 0)
         assert (await call(raw["control"], "GET /ops/readiness"))[0] == 200
         rows = [member(0, upstreams.addresses[0], "terminating"), member(1, upstreams.addresses[1])]
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
--- a/tests/test_descriptor_budget.py
+++ b/tests/test_descriptor_budget.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.node import client as node_client
+from larchlatch.node.clients import request_reader
 from larchlatch.node.descriptor_budget import (
     HEADROOM,
     MAX_FRAGMENTS,
@@ -89,8 +89,8 @@
 
 def test_a_thousand_idle_and_half_written_beside_sound_slow_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     """Few descriptors, and a crowd that would fill them twenty times over."""
-    monkeypatch.setattr(node_client, "FIRST_LINE_S", 2.0)
-    monkeypatch.setattr(node_client, "PINGED_S", 2.0)
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 2.0)
+    monkeypatch.setattr(request_reader, "PINGED_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP r1").start(tasks, 2)
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -22,11 +22,11 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.config.node import parse_node_configuration
-from larchlatch.node import client as node_client
 from larchlatch.node import session_watch
+from larchlatch.node.clients import request_reader
 from larchlatch.node.descriptor_budget import HEADROOM
 from larchlatch.node.runtime import run_node
-from larchlatch.node.wire.lines import BadLine, Opening, Up, parse_opening, parse_upstream_line, try_line
+from larchlatch.node.wire.lines import BadLine, Opening, Up, attempt_line, parse_opening, parse_upstream_line
 from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.backoff import BACKOFF_US
 from larchlatch.policy.balancer import Balancer
@@ -276,7 +276,7 @@
 
 def test_a_silent_crowd_does_not_shut_out_a_sound_client(monkeypatch: pytest.MonkeyPatch) -> None:
     """Whoever only connects, or sends half a line, holds a descriptor that a link needs."""
-    monkeypatch.setattr(node_client, "FIRST_LINE_S", 0.6)
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.6)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await Upstreams("UP echo").start(tasks)
@@ -513,7 +513,7 @@
                     waits.start_soon(wait_for, client)
             assert moved[-1] - moved[0] > 0.5, "all at once"
             await front.close()
-            assert (await running.told("stopped"))["link delivered"] == 9
+            assert (await running.told("stopped"))["sessions_established"] == 9
             assert await running.ended() == 0
 
     on_loopback(body)
@@ -580,7 +580,7 @@
     line = (b"OPEN a b c=x,d=5," if opens else b"") + noise
     opening = parse_opening(line)
     if isinstance(opening, Opening):
-        again = parse_opening(try_line(opening, 7_000))
+        again = parse_opening(attempt_line(opening, 7_000))
         assert isinstance(again, Opening) and again.wait_ms == 7 and again.key == opening.key
     else:
         assert isinstance(opening, BadLine) or line.rstrip(b"\r\n") == b"PING"
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -25,7 +25,7 @@
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.days.spending import Spending
 from larchlatch.errors import InvalidInputError
-from larchlatch.node.client import Door
+from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.hot_restart.channel import Channel, frame
@@ -462,20 +462,20 @@
         mailbox = SimpleNamespace(post=post)
         module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
         phase = LifecycleState(5.0, sessions_outlive_node=False)
-        door = Door(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
+        door = ClientConnections(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND, 0):
             pairs = [connected(), connected()]
             told = SessionHandover(
                 b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
             )
-            tasks.start_soon(door.resume, told, [ours for ours, _ in pairs])
-            await until(lambda: bool(door.standing))
-            [record] = door.standing.values()
+            tasks.start_soon(door.adopt, told, [ours for ours, _ in pairs])
+            await until(lambda: bool(door.sessions.established))
+            [record] = door.sessions.established.values()
             assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
             for _, theirs in pairs:
                 theirs.close()
-            await until(lambda: not door.standing)
+            await until(lambda: not door.sessions.established)
 
     on_loopback(body)
 
@@ -497,7 +497,7 @@
                 await anyio.sleep(0.3)
             running.signal(signal.SIGUSR1)
             told = await running.told("counters")
-            assert not {"upstream_unresponsive", "link moved", "link shed"} & set(told), told
+            assert not {"upstream_unresponsive", "sessions_migrated", "sessions_shed"} & set(told), told
             assert told.get("upstream_not_judged_node_lag", 0) >= 3
             assert set(site.seen) == {"UP", "lines"}
             clients.cancel_scope.cancel()
