--- a/tests/test_cluster.py
+++ b/tests/test_cluster.py
@@ -20,7 +20,8 @@
 from larchlatch.cluster.cluster_file import fleet_from, new_secret, own_seal, secret_of
 from larchlatch.cluster.election.election import Roster
 from larchlatch.cluster.exchange import Exchange, Shared
-from larchlatch.cluster.membership.clock import FAN_OUT
+from larchlatch.cluster.membership.bitmap import has_bit, pack_bits
+from larchlatch.cluster.membership.clock import FAN_OUT, ListeningClock
 from larchlatch.cluster.membership.member import MemberState
 from larchlatch.cluster.membership.membership import MAX_CLOCK_DIFFERENCE_US, Membership
 from larchlatch.cluster.membership.watchers import WATCHERS, assign_watchers
@@ -309,6 +310,26 @@
     assert newest is not None and newest.name == names[-1], "the newest is forwarded first"
 
 
+@settings(derandomize=True, deadline=None)
+@given(st.lists(st.booleans(), max_size=40))
+def test_packed_bits_are_read_back_and_none_is_set_beyond_the_end(flags: list[bool]) -> None:
+    bits = pack_bits(flags)
+    assert len(bits) == (len(flags) + 7) // 8
+    assert [has_bit(bits, index) for index in range(len(flags))] == flags
+    assert not any(has_bit(bits, index) for index in range(len(flags), len(flags) + 20))
+
+
+def test_the_listening_clock_counts_a_stop_as_three_heartbeats_and_never_runs_back() -> None:
+    clock = ListeningClock(heartbeat_us=HEARTBEAT_US, now_us=0)
+    for now_us, listened_us in ((100_000, 100_000), (9_000_000, 700_000), (5, 700_000), (9_000_001, 700_001)):
+        clock.advance(now_us)
+        assert clock.listened_us == listened_us
+    clock.member_count = 17
+    assert not clock.needs_watchers
+    clock.member_count = 18
+    assert clock.needs_watchers and clock.silence_us == 1_620_000
+
+
 # Datagrams.
 
 
