--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -92,8 +92,10 @@
     def permit(self, now: int, role: str) -> OrderPermit:
         """Return by which lease this node may give an order of this role now."""
         candidate = self.candidates.get(role)
-        left_us = candidate.order_left_us(now) if candidate is not None else 0
-        return OrderPermit(candidate.lease, left_us) if candidate is not None and left_us > 0 else NO_PERMIT
+        if candidate is None:
+            return NO_PERMIT
+        left_us = candidate.order_left_us(now)
+        return OrderPermit(candidate.lease, left_us) if left_us > 0 else NO_PERMIT
 
     def note_release(self, role: str, ballot: Ballot) -> None:
         """Remember a release that goes out now, to repeat it with the next heartbeat."""
--- a/larchlatch/cluster/election/electorate.py
+++ b/larchlatch/cluster/election/electorate.py
@@ -6,10 +6,9 @@
 
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 
-QUOTA_ALLOCATOR = (
-    "allotter"  # role that lends what quotas hold above all floors; the value is in files and logs
-)
-TOKEN_ISSUER = "pacer"  # role that issues slow-start tokens; the value is in files and logs
+# Roles; the values are in files and logs.
+QUOTA_ALLOCATOR = "allotter"  # lends what quotas hold above all floors
+TOKEN_ISSUER = "pacer"  # issues slow-start tokens
 
 
 class Electorate(NamedTuple):
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -7,6 +7,7 @@
 import structlog
 
 from larchlatch.cluster import counters
+from larchlatch.cluster.election.candidate_side import RoleChange
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 
 if TYPE_CHECKING:
@@ -17,7 +18,7 @@
     from larchlatch.cluster.membership.member import MemberChange
     from larchlatch.node.metrics import Counters
 
-ROLE_EVENTS = {"held": "role_acquired", "ended": "role_ended"}  # what became of a role, and its log event
+ROLE_EVENTS = {RoleChange.HELD: "role_acquired", RoleChange.ENDED: "role_ended"}  # the log event of each
 
 log = structlog.get_logger()
 
--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -7,6 +7,7 @@
 from larchlatch.cluster.exchange.heartbeat import HeartbeatSender
 from larchlatch.cluster.exchange.loans import LoanExchange
 from larchlatch.cluster.exchange.receiver import DatagramReceiver, SignatureVerifier
+from larchlatch.cluster.exchange.results import OutgoingDatagram
 from larchlatch.cluster.exchange.tokens import TokenExchange
 from larchlatch.cluster.protocol.codec import encode_body, encode_datagram
 from larchlatch.cluster.protocol.messages import DirectMessage, NodeRecord, SignedMessage
@@ -65,13 +66,13 @@
         self.membership = membership
         self.state = state
         self._signer = signer
-        self._loans = LoanExchange(membership, state, self.encode_message, count)
-        self._tokens = TokenExchange(membership, state, self.encode_message, count)
+        self._loans = LoanExchange(membership, state, self.pack, count)
+        self._tokens = TokenExchange(membership, state, self.pack, count)
         self._receiver = DatagramReceiver(
-            membership, state, keys, verifier, self._loans, self._tokens, self.encode_message, count
+            membership, state, keys, verifier, self._loans, self._tokens, self.pack, count
         )
         self._heartbeats = HeartbeatSender(
-            membership, state, sites, self._loans, self._tokens, self.sign, self.encode_message
+            membership, state, sites, self._loans, self._tokens, self.sign, self.pack
         )
 
     @property
@@ -141,6 +142,6 @@
         body = encode_body(message)
         return SignedMessage(body, self._signer.sign(body))
 
-    def encode_message(self, message: DirectMessage) -> bytes:
-        """Return the datagram that holds this message alone."""
-        return encode_datagram([], [self.sign(message)])
+    def pack(self, message: DirectMessage) -> OutgoingDatagram:
+        """Return the datagram that brings this message alone to its recipient."""
+        return OutgoingDatagram(message.recipient, encode_datagram([], [self.sign(message)]))
--- a/larchlatch/cluster/exchange/heartbeat.py
+++ b/larchlatch/cluster/exchange/heartbeat.py
@@ -16,7 +16,6 @@
     from larchlatch.cluster.health.observations import EjectionAdvice
     from larchlatch.cluster.membership.membership import Membership
     from larchlatch.cluster.protocol.messages import (
-        BallotRequest,
         DirectMessage,
         NodeRecord,
         SignedMessage,
@@ -39,7 +38,7 @@
         loans: LoanExchange,
         tokens: TokenExchange,
         sign: Callable[[NodeRecord], SignedMessage],
-        encode_message: Callable[[DirectMessage], bytes],
+        pack: Callable[[DirectMessage], OutgoingDatagram],
     ) -> None:
         self.sites = sites
         self._membership = membership
@@ -47,7 +46,7 @@
         self._loans = loans
         self._tokens = tokens
         self._sign = sign
-        self._encode_message = encode_message
+        self._pack = pack
 
     def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
         """Do what falls due with one heartbeat.
@@ -70,7 +69,7 @@
         tokens = self._tokens.heartbeat(now, wall=wall)
         datagrams = self._record_datagrams(now=now, wall=wall)
         datagrams += self._loans.heartbeat(now, wall=wall, present=present)
-        datagrams += self._ballot_datagrams(ballots)
+        datagrams += map(self._pack, ballots)
         datagrams += tokens.datagrams
         advice = self._weigh_observations(now, reporting, ages, present)
         return HeartbeatResult(changes, datagrams, advice, tokens.token_updates)
@@ -106,9 +105,6 @@
         ]
         return datagrams
 
-    def _ballot_datagrams(self, ballots: list[BallotRequest]) -> list[OutgoingDatagram]:
-        return [OutgoingDatagram(ballot.recipient, self._encode_message(ballot)) for ballot in ballots]
-
     def _weigh_observations(
         self,
         now: int,
--- a/larchlatch/cluster/exchange/loans.py
+++ b/larchlatch/cluster/exchange/loans.py
@@ -24,13 +24,13 @@
         self,
         membership: Membership,
         state: SharedState,
-        encode_message: Callable[[DirectMessage], bytes],
+        pack: Callable[[DirectMessage], OutgoingDatagram],
         count: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._quotas = state.quotas
         self._election = state.election
-        self._encode_message = encode_message
+        self._pack = pack
         self._count = count
 
     def handle_request(self, request: LoanRequest, now: int, result: ExchangeResult) -> None:
@@ -40,7 +40,7 @@
             self._count(counters.LOANS_DECLINED)
             return
         self._count(counters.LOANS_GRANTED)
-        result.datagrams.append(OutgoingDatagram(request.sender, self._encode_message(grant)))
+        result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: LoanGrant, now: int, result: ExchangeResult) -> None:
         """Take up a loan; where a quota allocator lends, it is an order that needs a valid fencing token."""
@@ -77,11 +77,7 @@
         }
         requests = self._quotas.loan_requests(now, wall, self._membership.incarnation, spare)
         own_name = self._membership.own_name
-        datagrams = [
-            OutgoingDatagram(request.recipient, self._encode_message(request))
-            for request in requests
-            if request.recipient != own_name
-        ]
+        datagrams = [self._pack(request) for request in requests if request.recipient != own_name]
         for request in requests:
             if request.recipient == own_name:
                 self._borrow_from_itself(request, now)
--- a/larchlatch/cluster/exchange/receiver.py
+++ b/larchlatch/cluster/exchange/receiver.py
@@ -54,7 +54,7 @@
         verifier: SignatureVerifier,
         loans: LoanExchange,
         tokens: TokenExchange,
-        encode_message: Callable[[DirectMessage], bytes],
+        pack: Callable[[DirectMessage], OutgoingDatagram],
         count: Callable[[str], None],
     ) -> None:
         self.keys = keys
@@ -64,7 +64,7 @@
         self._verifier = verifier
         self._loans = loans
         self._tokens = tokens
-        self._encode_message = encode_message
+        self._pack = pack
         self._count = count
 
     def receive(self, data: bytes, *, now: int, wall: int) -> ExchangeResult:
@@ -186,11 +186,10 @@
     def _handle_ballot(self, ballot: BallotRequest, now: int, result: ExchangeResult) -> None:
         vote = self._state.election.answer_bid(now, ballot)
         if vote is not None:
-            result.datagrams.append(OutgoingDatagram(ballot.sender, self._encode_message(vote)))
+            result.datagrams.append(self._pack(vote))
 
     def _handle_vote(self, vote: Vote, *, now: int, wall: int, result: ExchangeResult) -> None:
-        for ballot in self._state.election.count_vote(now, wall, vote):
-            result.datagrams.append(OutgoingDatagram(ballot.recipient, self._encode_message(ballot)))
+        result.datagrams += map(self._pack, self._state.election.count_vote(now, wall, vote))
 
     def _is_signed_by(self, name: str, signed: SignedMessage) -> bool:
         return self._verifier.verify(self.keys[name], signed.body, signed.signature)
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -24,13 +24,13 @@
         self,
         membership: Membership,
         state: SharedState,
-        encode_message: Callable[[DirectMessage], bytes],
+        pack: Callable[[DirectMessage], OutgoingDatagram],
         count: Callable[[str], None],
     ) -> None:
         self._membership = membership
         self._tokens = state.tokens
         self._election = state.election
-        self._encode_message = encode_message
+        self._pack = pack
         self._count = count
 
     def request(
@@ -57,7 +57,7 @@
         """Answer another node, where this one is the token issuer."""
         grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
         if grant is not None:
-            result.datagrams.append(OutgoingDatagram(request.sender, self._encode_message(grant)))
+            result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: TokenGrant, now: int, result: ExchangeResult) -> None:
         """Take up the token issuer's answer, unless a later holder of the role is known."""
@@ -90,7 +90,7 @@
     def _send_request(self, request: TokenRequest, now: int, result: ExchangeResult) -> None:
         """Send a request, or answer it at once where this node is the token issuer itself."""
         if request.recipient != self._membership.own_name:
-            result.datagrams.append(OutgoingDatagram(request.recipient, self._encode_message(request)))
+            result.datagrams.append(self._pack(request))
             return
         grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
         if grant is not None:
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -53,7 +53,7 @@
         own_name: this node's name.
         incarnation: the time of this node's start, or more where an earlier life's clock was ahead.
         record_number: of this node's newest record in this incarnation.
-        is_leaving: this node says in its records that it leaves.
+        is_departing: this node says in its records that it leaves.
 
     """
 
--- a/larchlatch/cluster/quota/account.py
+++ b/larchlatch/cluster/quota/account.py
@@ -14,6 +14,7 @@
 from larchlatch.cluster.quota.settings import QuotaShare
 
 if TYPE_CHECKING:
+    from larchlatch.cluster.protocol.messages import LoanRequest
     from larchlatch.cluster.quota.loan_terms import LoanTerms
 
 
@@ -24,6 +25,11 @@
     incarnation: int
     request: int
 
+    @classmethod
+    def of(cls, request: LoanRequest) -> LoanId:
+        """Return the loan that a request asks for anew, or renews."""
+        return cls(request.sender, request.incarnation, request.renews or request.request_id)
+
 
 @dataclass(slots=True)
 class Borrowed:
@@ -47,14 +53,20 @@
     """What a node may spend of one quota.
 
     Attributes:
-        share: the node's share. loan_terms: how long loans last, and how use is counted. now: the latest time
-        that the account was asked at; time never runs back. spent: sessions admitted since the start.
-        refused: sessions refused since the start. borrowed: loans from others, by the number of the request.
-        lent: loans to others. closed: whether another process of this node may be spending. opens_at: time
-        before which nothing may be spent. whole_at: time before which only the floor may be spent, and
-        nothing lent. next_share: a larger share by a new file, once no node goes by the former one.
+        share: the node's share.
+        loan_terms: how long loans last, and how use is counted.
+        now: the latest time that the account was asked at; time never runs back.
+        spent: sessions admitted since the start.
+        refused: sessions refused since the start.
+        borrowed: loans from others, by the number of the request.
+        lent: loans to others.
+        closed: whether another process of this node may be spending.
+        opens_at: time before which nothing may be spent.
+        whole_at: time before which only the floor may be spent, and nothing lent.
+        next_share: a larger share by a new file, once no node goes by the former one.
         next_share_at: when that share takes effect; None while some node has not told that it goes by the
-        file.
+            file.
+        demand: what was used and asked for of late.
 
     """
 
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -17,9 +17,8 @@
 MAX_REQUESTS = 8  # in a heartbeat, over all quotas: bounds what a node sends, whatever is wanted
 MAX_LENDERS = 3  # asked for one quota in a heartbeat: more would lend a little each, and each loan is renewed
 MAX_LOANS = 24  # of one quota at a time: each has to be renewed once in half a term
-ANSWER_HEARTBEATS = (
-    3  # heartbeats after which a request without an answer is taken for lost, and others are asked
-)
+# Heartbeats after which a request without an answer is taken for lost, and others are asked.
+ANSWER_HEARTBEATS = 3
 
 
 class Caller(NamedTuple):
--- a/larchlatch/cluster/quota/lender.py
+++ b/larchlatch/cluster/quota/lender.py
@@ -6,7 +6,7 @@
 
 from larchlatch.cluster.protocol.messages import LoanGrant
 from larchlatch.cluster.quota.account import LoanId
-from larchlatch.cluster.replay_guard import ReplayGuard, RequestAge
+from larchlatch.cluster.replay_guard import ReplayGuard
 
 if TYPE_CHECKING:
     from collections.abc import Mapping
@@ -39,47 +39,47 @@
         self.settings = settings
         self._replay_guard.keep_only(settings.names)
 
-    def is_new(self, ask: LoanRequest) -> bool:
+    def is_new(self, request: LoanRequest) -> bool:
         """Return whether a request is newer than all before of its sender."""
         # One that comes twice, or late, is not answered: what could be lent by it would have been lent
         # already.
-        return self._replay_guard.is_new(ask.sender, RequestAge(ask.incarnation, ask.request_id))
+        return self._replay_guard.is_new(request)
 
-    def answer(self, now: int, ask: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
+    def answer(self, now: int, request: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
         """Lend what is asked for, taken off here before it is told; None where nothing is lent.
 
         Args:
             now: present time.
-            ask: the request.
+            request: the request.
             permit: lease by which this node may lend from the pools now.
 
         """
-        self._replay_guard.record(ask.sender, RequestAge(ask.incarnation, ask.request_id))
+        self._replay_guard.record(request)
         if self.settings.pooled and permit.lease != self._pools.lease:
             return None
         # A node that goes by another file counts by another term, and would have the loan after it is back
         # here.
-        if ask.amount <= 0 or ask.config_digest != self.settings.digest:
+        if request.amount <= 0 or request.config_digest != self.settings.digest:
             return None
-        amount = self._pools.lend(now, ask) if self.settings.pooled else self._lend_own(now, ask)
+        amount = self._pools.lend(now, request) if self.settings.pooled else self._lend_own(now, request)
         if not amount:
             return None
         return LoanGrant(
             sender=self.own_name,
-            recipient=ask.sender,
-            incarnation=ask.incarnation,
-            request_id=ask.request_id,
-            quota=ask.quota,
+            recipient=request.sender,
+            incarnation=request.incarnation,
+            request_id=request.request_id,
+            quota=request.quota,
             amount=amount,
             lease=permit.lease,
             remaining_us=permit.left_us,
         )
 
-    def _lend_own(self, now: int, ask: LoanRequest) -> int:
+    def _lend_own(self, now: int, request: LoanRequest) -> int:
         """Lend from this node's own share, or renew a loan; return how much is lent."""
-        account = self._accounts.get(ask.quota)
+        account = self._accounts.get(request.quota)
         if account is None:
             return 0
-        if ask.renews:
-            return account.renew(now, LoanId(ask.sender, ask.incarnation, ask.renews), ask.amount)
-        return account.lend(now, LoanId(ask.sender, ask.incarnation, ask.request_id), ask.amount)
+        if request.renews:
+            return account.renew(now, LoanId.of(request), request.amount)
+        return account.lend(now, LoanId.of(request), request.amount)
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -62,17 +62,17 @@
             pool.open(now)
             self._pools[quota.name] = pool
 
-    def lend(self, now: int, ask: LoanRequest) -> int:
+    def lend(self, now: int, request: LoanRequest) -> int:
         """Lend from a pool, or renew a loan; return how much is lent."""
-        pool = self._pools.get(ask.quota)
+        pool = self._pools.get(request.quota)
         if pool is None:
             return 0
-        if not ask.renews:
-            amount = self._allocate(now, pool, ask)
-            return pool.lend(now, LoanId(ask.sender, ask.incarnation, ask.request_id), amount)
-        if self._due_back(now, pool, ask):
+        if not request.renews:
+            amount = self._allocate(now, pool, request)
+            return pool.lend(now, LoanId.of(request), amount)
+        if self._due_back(now, pool, request):
             return 0
-        return pool.renew(now, LoanId(ask.sender, ask.incarnation, ask.renews), ask.amount)
+        return pool.renew(now, LoanId.of(request), request.amount)
 
     def _divide(self, now: int, pool: QuotaAccount, sender: str) -> Division:
         """Return how a pool is divided, with the sender among those that want some of it."""
@@ -84,26 +84,28 @@
             lent[loan_id.borrower] += loan.amount
         return Division(pool.share.own // len(self._asked_at), lent)
 
-    def _allocate(self, now: int, pool: QuotaAccount, ask: LoanRequest) -> int:
+    def _allocate(self, now: int, pool: QuotaAccount, request: LoanRequest) -> int:
         """Return what a request gets of a pool: max-min by what is asked, a part at a time."""
-        equal, lent = self._divide(now, pool, ask.sender)
+        equal, lent = self._divide(now, pool, request.sender)
         spare = pool.spare(now)
         # What others may have yet is kept for them: the first to come must not have all.
-        others = [name for name in self._asked_at if name != ask.sender]
+        others = [name for name in self._asked_at if name != request.sender]
         kept = sum(max(0, equal - lent[name]) for name in others)
         part = max(1, -(-equal // PARTS))
-        amount = max(0, min(ask.amount, part, spare, max(equal - lent[ask.sender], spare - kept)))
-        if amount < min(ask.amount, part):
-            self._short_at[ask.sender] = now
+        amount = max(0, min(request.amount, part, spare, max(equal - lent[request.sender], spare - kept)))
+        if amount < min(request.amount, part):
+            self._short_at[request.sender] = now
         else:
-            self._short_at.pop(ask.sender, None)
+            self._short_at.pop(request.sender, None)
         return amount
 
-    def _due_back(self, now: int, pool: QuotaAccount, ask: LoanRequest) -> bool:
+    def _due_back(self, now: int, pool: QuotaAccount, request: LoanRequest) -> bool:
         """Return whether a loan is not renewed, as others with less than their equal share ask in vain."""
-        equal, lent = self._divide(now, pool, ask.sender)
+        equal, lent = self._divide(now, pool, request.sender)
         oldest = now - self.settings.loan_terms.term_us
         others_short = any(
-            at > oldest and lent[name] < equal for name, at in self._short_at.items() if name != ask.sender
+            at > oldest and lent[name] < equal
+            for name, at in self._short_at.items()
+            if name != request.sender
         )
-        return others_short and lent[ask.sender] - ask.amount >= equal
+        return others_short and lent[request.sender] - request.amount >= equal
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -274,10 +274,7 @@
     def request_token(self, session: int, requests: list[TokenRequest]) -> None:
         """Request a slow-start token: the session would go to one of these warming upstreams."""
         candidates = [(upstream_hash(request.upstream), request.candidate) for request in requests]
-        result = self.exchange.request_token(session, candidates, now=self.now(), wall=self.wall())
-        self._send(result.datagrams)
-        self.log_orders(result.orders)
-        self._update_tokens(result.token_updates)
+        self._apply(self.exchange.request_token(session, candidates, now=self.now(), wall=self.wall()))
 
     # Hot restart.
 
--- a/larchlatch/cluster/slow_start/issuer.py
+++ b/larchlatch/cluster/slow_start/issuer.py
@@ -15,7 +15,7 @@
 
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
-from larchlatch.cluster.replay_guard import ReplayGuard, RequestAge
+from larchlatch.cluster.replay_guard import ReplayGuard
 from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
 
 if TYPE_CHECKING:
@@ -113,8 +113,7 @@
 
     def is_new(self, request: TokenRequest) -> bool:
         """Return whether a request, not yet trusted, is newer than all before of its sender."""
-        age = RequestAge(request.incarnation, request.request_id)
-        return self.enabled and self._replay_guard.is_new(request.sender, age)
+        return self.enabled and self._replay_guard.is_new(request)
 
     def answer(self, now: int, request: TokenRequest, permit: OrderPermit) -> TokenGrant | None:
         """Answer a request; None where this node can't issue, or has no room for the session.
@@ -125,7 +124,7 @@
             permit: lease by which this node may issue tokens now.
 
         """
-        self._replay_guard.record(request.sender, RequestAge(request.incarnation, request.request_id))
+        self._replay_guard.record(request)
         if not permit.lease or permit.lease != self.lease:
             return None
         if request.config_digest != self._digest or request.sender not in self.names:
@@ -154,33 +153,33 @@
         until = request.issued_us + int(self._term_us * (1 - self._skew) / (1 + self._skew))
         self.promised_until[request.sender] = max(until, self.promised_until.get(request.sender, 0))
 
-    def _issue_first(self, now: int, wants: Sequence[TokenDemand]) -> int:
+    def _issue_first(self, now: int, demands: Sequence[TokenDemand]) -> int:
         """Issue a token for the first upstream that has room; return the hash of its name, or 0 for none."""
         handed_over = sum(now < until for until in self.promised_until.values())
         share = handed_over / len(self.names)
-        for want in wants[:MAX_CANDIDATES]:
-            if want.upstream in self._upstreams and self._issue(now, want, share):
-                return want.upstream
+        for demand in demands[:MAX_CANDIDATES]:
+            if demand.upstream in self._upstreams and self._issue(now, demand, share):
+                return demand.upstream
         return 0
 
-    def _issue(self, now: int, want: TokenDemand, share: float) -> bool:
+    def _issue(self, now: int, demand: TokenDemand, share: float) -> bool:
         """Issue a token if there is room for it; return whether there was.
 
         Args:
             now: present time.
-            want: the upstream, its budget in a window, and the session's weight.
+            demand: the upstream, its budget in a window, and the session's weight.
             share: part of all nodes that have handed their turns over.
 
         """
         # Nodes that still go by turns, as they hear no issuer, use their part of the budget and no more.
-        limit = share * want.budget_milli / MILLI
+        limit = share * demand.budget_milli / MILLI
         span_us = self.counting_span_us
         if limit < 1:
             if not share:
                 return False
             limit, span_us = 1.0, int(span_us / share)
-        issued = self.issued.setdefault(want.upstream, IssuedTokens())
-        weight = max(1, want.weight_milli) / MILLI
+        issued = self.issued.setdefault(demand.upstream, IssuedTokens())
+        weight = max(1, demand.weight_milli) / MILLI
         used = issued.used(now - span_us)
         # A session that is too heavy for the budget may go to an upstream whose window is empty.
         if used and used + weight > limit:
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -145,7 +145,7 @@
         return not self.promises(now) or now >= self._asked_at + self._term_us // renewals
 
     def _request(
-        self, now: int, wall: int, incarnation: int, session: int = -1, wants: Sequence[TokenDemand] = ()
+        self, now: int, wall: int, incarnation: int, session: int = -1, demands: Sequence[TokenDemand] = ()
     ) -> TokenRequest:
         self._last_number += 1
         self._pending[self._last_number] = PendingRequest(self.issuer, now, session)
@@ -162,7 +162,7 @@
             config_digest=self._digest,
             lease=self._issuer_lease if promises else 0,
             issued_us=self._issuer_stamp if promises else 0,
-            demands=list(wants),
+            demands=list(demands),
         )
 
     def request_token(
@@ -187,7 +187,7 @@
         if not reachable or self._allowance < 1:
             return None
         self._allowance -= 1
-        wants = [
+        demands = [
             TokenDemand(
                 upstream=upstream,
                 budget_milli=int(candidate.budget * MILLI),
@@ -195,26 +195,26 @@
             )
             for upstream, candidate in candidates[:MAX_CANDIDATES]
         ]
-        return self._request(now, wall, incarnation, session, wants)
+        return self._request(now, wall, incarnation, session, demands)
 
-    def expects(self, leave: TokenGrant) -> bool:
+    def expects(self, grant: TokenGrant) -> bool:
         """Return whether an answer, not yet trusted, is worth a check of its signature."""
-        request = self._pending.get(leave.request_id)
-        return request is not None and request.issuer == leave.sender
+        request = self._pending.get(grant.request_id)
+        return request is not None and request.issuer == grant.sender
 
-    def accept(self, now: int, leave: TokenGrant) -> TokenNotice | None:
+    def accept(self, now: int, grant: TokenGrant) -> TokenNotice | None:
         """Take an expected answer of the issuer; return the token in it, if there is one that can be used."""
-        request = self._pending.pop(leave.request_id)
-        ends_at = order_ends_at(request.asked_at, leave.remaining_us)
+        request = self._pending.pop(grant.request_id)
+        ends_at = order_ends_at(request.asked_at, grant.remaining_us)
         if now >= ends_at:
             return None
-        self._issuer_stamp = leave.issued_us
-        self._issuer_lease = leave.lease
+        self._issuer_stamp = grant.issued_us
+        self._issuer_lease = grant.lease
         self.answered_at = request.asked_at
         token_ends_at = min(ends_at, request.asked_at + token_hold_us(self._window_us))
-        if not leave.upstream or self._promising_since is None or now >= token_ends_at:
+        if not grant.upstream or self._promising_since is None or now >= token_ends_at:
             return None
-        return TokenNotice(self.handed_over_until, leave.upstream, request.session, token_ends_at)
+        return TokenNotice(self.handed_over_until, grant.upstream, request.session, token_ends_at)
 
     def withdraw(self) -> None:
         """Promise nothing until the next heartbeat, as the balancer could not be told."""
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -184,12 +184,11 @@
     """Return what upstream actors work by; a timeout of 0 stands for the default."""
     caps = raw_settings["caps"]
     timeout_us = non_negative_int(caps, "dial_timeout_us", "settings.caps", DEFAULT_CONNECT_TIMEOUT_US)
-    objectives = [each.message_objective_us for each in settings.traffic_classes]
     return UpstreamSettings(
         connect_timeout_us=timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
         probes_report_load=settings.probes_report_load,
         reports_delay=settings.reports_delay,
-        strictest_message_objective_us=min((each for each in objectives if each), default=0),
+        strictest_message_objective_us=settings.message_objective_us,
     )
 
 
--- a/larchlatch/days/puppets.py
+++ b/larchlatch/days/puppets.py
@@ -81,4 +81,4 @@
                 ask = self.state.quotas.request_loan(
                     now, wall, incarnation, lender=other, quota=limit.name, amount=FAR
                 )
-                yield OutgoingDatagram(other, self.encode_message(ask))
+                yield self.pack(ask)
--- a/larchlatch/errors.py
+++ b/larchlatch/errors.py
@@ -33,7 +33,3 @@
 
 class ProtocolError(InvalidInputError):
     """A message from another process is wrong: a node, an upstream, discovery or the simulator."""
-
-
-class StateError(LarchlatchError):
-    """An operation was called that the present state does not allow."""
--- a/larchlatch/node/__init__.py
+++ b/larchlatch/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: sockets round the module. It carries decisions out and makes none."""
+"""The real node: sockets around the balancer. It carries decisions out and makes none."""
--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -9,6 +9,7 @@
 import orjson
 import structlog
 
+from larchlatch.node.wire.http import next_event
 from larchlatch.node.wire.listen import AcceptError, Listener, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
 
@@ -199,14 +200,10 @@
         h11.RemoteProtocolError: the caller does not keep to HTTP/1.1.
 
     """
-    while (event := http.next_event()) is h11.NEED_DATA:
-        try:
-            http.receive_data(await connection.stream.receive(READ_BYTES))
-        except anyio.EndOfStream:
-            http.receive_data(b"")
-        except GONE:
-            return None
-    return event
+    try:
+        return await next_event(http, connection.stream, READ_BYTES)
+    except GONE:
+        return None
 
 
 def encode_response(http: h11.Connection, reply: Reply) -> bytes:
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -142,7 +142,7 @@
                 self.records[record.session.number] = record
                 self.balancer.add_established(record.session, upstream)
             case messages.ClientLeft(record):
-                self._forget_session(now, record)
+                self._forget_session(record)
             case messages.LoadReported(record, load):
                 self._record_load(now, record, load)
             case messages.DelayObserved(record, delay_us):
@@ -178,7 +178,7 @@
         else:
             self._carry_out(record, answer)
 
-    def _forget_session(self, now: int, record: SessionRecord) -> None:
+    def _forget_session(self, record: SessionRecord) -> None:
         if self.records.pop(record.session.number, None) is not None:
             self.balancer.remove_session(record.session)
 
--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -8,9 +8,8 @@
 DRAIN_S = 4.0  # after so long no client's connection may be held that was not told to move
 DISCONNECT_S = 1.0  # part of DRAIN_S for a client that does not read, an event loop that lags included
 HANDOVER_S = 1.5  # established sessions are handed to the successor within this: each costs both some work
-NEW_SESSIONS_GRACE_S = (
-    1.0  # a front sends new sessions for a moment after the drain began; later ones are shed
-)
+# A front sends new sessions for a moment after the drain began; later ones are shed.
+NEW_SESSIONS_GRACE_S = 1.0
 
 
 class LifecycleState:
@@ -97,9 +96,8 @@
             deadlines.append(self.drain_started_at + DRAIN_S - DISCONNECT_S)
         if self.stop_started_at is not None:
             deadlines.append(self.stop_started_at + self.stop_duration_s)
-        if (
-            self.hands_over_sessions and self.stop_started_at is not None
-        ):  # the successor goes on with a drain
+        if self.hands_over_sessions and self.stop_started_at is not None:
+            # The successor goes on with a drain.
             return min([*deadlines, self.stop_started_at + HANDOVER_S])
         return min(deadlines) if deadlines and not self.sessions_outlive_node else None
 
--- a/larchlatch/node/mailbox.py
+++ b/larchlatch/node/mailbox.py
@@ -42,12 +42,14 @@
 
     def advise_ejection(self, advice: messages.EjectionAdvised) -> None:
         """Send advice of the cluster, or drop it if there is no room: the cluster repeats it."""
-        if not self.offer(advice):
-            self._counters.add(CLUSTER_MESSAGES_DROPPED)
+        self._offer_counted(advice)
 
     def receive_tokens(self, tokens: messages.SlowStartTokens) -> bool:
         """Send the token issuer's decision if there is room now; return whether there was."""
-        taken = self.offer(tokens)
+        return self._offer_counted(tokens)
+
+    def _offer_counted(self, message: messages.Message) -> bool:
+        taken = self.offer(message)
         if not taken:
             self._counters.add(CLUSTER_MESSAGES_DROPPED)
         return taken
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -20,9 +20,8 @@
 STOP_MARGIN_S = 0.4  # all is over this long before that: a migrated session takes a moment to close
 LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines: well under the second that one may be held
 ROUND_INTERVAL_S = 0.05  # between two rounds of migrations
-EARLY_REJECTION_S = (
-    0.1  # waiting clients without a request are rejected so long before the last answers are due
-)
+# Waiting clients without a request are rejected so long before the last answers are due.
+EARLY_REJECTION_S = 0.1
 LAST_ANSWERS_S = 0.4  # for the last answers and connection ends: within EARLY_REJECTION_S and STOP_MARGIN_S
 
 SESSIONS_RELEASED = "session_released"
--- a/larchlatch/node/wire/__init__.py
+++ b/larchlatch/node/wire/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: lines with clients and hosts, the catalog over HTTP."""
+"""Protocols: lines with clients and upstreams, discovery and the admin API over HTTP."""
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -11,6 +11,7 @@
 
 from larchlatch.config.endpoints import EndpointList, decode_endpoint_list
 from larchlatch.errors import LarchlatchError, ProtocolError
+from larchlatch.node.wire.http import next_event
 from larchlatch.node.wire.json_framing import MAX_LIST_BYTES, JsonObjectFramer
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.stream import Unconnected, dial
@@ -102,12 +103,7 @@
                 return None
 
     async def _next_event(self) -> Any:
-        while (event := self._http.next_event()) is h11.NEED_DATA:
-            try:
-                self._http.receive_data(await self._stream.receive(READ_BYTES))
-            except anyio.EndOfStream:
-                self._http.receive_data(b"")
-        return event
+        return await next_event(self._http, self._stream, READ_BYTES)
 
 
 @asynccontextmanager
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from larchlatch.config.endpoints import decode_endpoint_list, parse_address
-from larchlatch.config.node import parse_node_configuration, read_node_configuration
+from larchlatch.config.node import NodeConfiguration, parse_node_configuration, read_node_configuration
 from larchlatch.config.reading import EXACT_INTEGER_LIMIT, non_negative_int, one_of, optional, required
 from larchlatch.errors import ConfigurationError, InvalidInputError, ProtocolError
 from larchlatch.node.discovery import DiscoveryClient
@@ -64,12 +64,12 @@
         assert any(name in str(error) for name in names), f"names none of {names}: {error}"
 
 
-@pytest.mark.parametrize("key", ["settings", "listen", "discovery", "name", "seed"])
-def test_a_faulty_configuration_is_rejected_at_reload(key: str, tmp_path: Path) -> None:
+def discovery_client(current: NodeConfiguration) -> DiscoveryClient:
+    """Return a client that is told of a new address and calls nobody."""
+
     async def post(word: object) -> None: ...
 
-    current = parse_node_configuration(GOOD)
-    discovery = DiscoveryClient(
+    return DiscoveryClient(
         current.discovery_address,
         revision=1,
         pushed=True,
@@ -77,6 +77,12 @@
         post=post,
         uniform=lambda low, high: high,
     )
+
+
+@pytest.mark.parametrize("key", ["settings", "listen", "discovery", "name", "seed"])
+def test_a_faulty_configuration_is_rejected_at_reload(key: str, tmp_path: Path) -> None:
+    current = parse_node_configuration(GOOD)
+    discovery = discovery_client(current)
     counters = Counters()
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
@@ -101,17 +107,8 @@
 def test_changes_that_need_a_restart_are_named_and_not_followed(
     changes: dict[str, Any], keys: list[str] | None, tmp_path: Path
 ) -> None:
-    async def post(word: object) -> None: ...
-
     current = parse_node_configuration(GOOD)
-    discovery = DiscoveryClient(
-        current.discovery_address,
-        revision=1,
-        pushed=True,
-        counters=Counters(),
-        post=post,
-        uniform=lambda low, high: high,
-    )
+    discovery = discovery_client(current)
     path = tmp_path / "node.json"
     path.write_bytes(orjson.dumps({**GOOD, **changes}))
     with structlog.testing.capture_logs() as events:
