--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -230,13 +230,13 @@
     def shed(self, now: int, session: Session, back_us: int) -> None:
         self.around.clients.refused(self.records.pop(session.number), back_us, shed=True)
 
-    def give_up(self, now: int, session: Session) -> None:
+    def fail(self, now: int, session: Session) -> None:
         self.around.clients.refused(self.records.pop(session.number), 0, shed=False)
 
     def probe(self, now: int, upstream: int) -> None:
         self.around.network.probed(self, upstream)
 
-    def move(self, now: int, session: int) -> None:
+    def migrate(self, now: int, session: int) -> None:
         record = self.records.pop(session, None)
         if record is not None and record.attempt is not None:
             record.attempt.live = False
@@ -244,13 +244,13 @@
             self.policy.remove_session(record.session)
             self.around.clients.moved(record)
 
-    def withdraw(self, now: int, session: int) -> None:
+    def cancel_attempt(self, now: int, session: int) -> None:
         record = self.records.get(session)
         if record is not None and record.attempt is not None:
             attempt = record.attempt
             self.around.clock.at(now, TIMER, self.around.network.given_up, attempt)
 
-    def ask_list(self, now: int) -> None:
+    def poll_endpoints(self, now: int) -> None:
         self.around.listing.tell_whole(self)
 
     # Its one timer.
--- a/larchlatch/wirehost/loop.py
+++ b/larchlatch/wirehost/loop.py
@@ -81,7 +81,7 @@
         self.actions.append(["PUSH_BACK", handle, back_us])
         self.drop(handle)
 
-    def give_up(self, now: int, session: Session) -> None:
+    def fail(self, now: int, session: Session) -> None:
         handle = self.handles[session.number]
         self.actions.append(["DROP_REQUEST", handle])
         self.drop(handle)
@@ -89,14 +89,14 @@
     def probe(self, now: int, upstream: int) -> None:
         self.actions.append(["POLL", self.names[upstream]])
 
-    def move(self, now: int, session: int) -> None:
+    def migrate(self, now: int, session: int) -> None:
         self.actions.append(["REASSIGN", self.handles[session]])
 
-    def withdraw(self, now: int, session: int) -> None:
+    def cancel_attempt(self, now: int, session: int) -> None:
         handle = self.handles[session]
         self.actions.append(["REVOKE", handle, self.in_hand[handle].attempt_count - 1])
 
-    def ask_list(self, now: int) -> None:
+    def poll_endpoints(self, now: int) -> None:
         self.actions.append(["TAIL", True])
 
     def hear(self, now: int, name: str, values: list[Any], lists: dict[int, list[Any]]) -> None:
