--- a/larchlatch/cli/emulator.py
+++ b/larchlatch/cli/emulator.py
@@ -21,11 +21,11 @@
     result_line,
 )
 from larchlatch.emulator import sweep as sweeps
-from larchlatch.emulator.plain import POLICIES
+from larchlatch.emulator.baselines import POLICIES
 from larchlatch.emulator.world import World
 
 if TYPE_CHECKING:
-    from larchlatch.days.day import Day
+    from larchlatch.scenario.scenario import Day
 
 MAX_SEEDS = 10_000
 MAX_JOBS = 1024
@@ -137,7 +137,7 @@
     The same where a planted fault is not found.
     """
     # The other commands need none of it.
-    from larchlatch.emulator.search import DEEP, PLANTED, PLANTED_DEEP, SOUND, Search
+    from larchlatch.model_checker.search import DEEP, PLANTED, PLANTED_DEEP, SOUND, Search
 
     sound = (*SOUND, *(DEEP if deep else ()))
     planted = (*PLANTED, *(PLANTED_DEEP if deep else ()))
--- a/larchlatch/cli/load.py
+++ b/larchlatch/cli/load.py
@@ -32,8 +32,8 @@
 def load(*, day: Path, changes: tuple[str, ...], seed: int | None, draw: int, address: str) -> None:
     """Play a day on sockets: nodes as processes; exit code 3 if a rule was broken, 4 if void."""
     # The list of commands in `--help` needs none of it.
-    from larchlatch.load.bounds import address_of, playable
-    from larchlatch.load.play import played
+    from larchlatch.loadtest.bounds import address_of, playable
+    from larchlatch.loadtest.play import played
 
     scenario = playable(read_scenario(day, changes, seed, draw))
     result, violations = played(scenario, address_of(address))
--- a/larchlatch/cli/scenario_options.py
+++ b/larchlatch/cli/scenario_options.py
@@ -8,9 +8,9 @@
 
 import click
 
-from larchlatch.days.day import Day, day_of
-from larchlatch.days.drawing import with_drawn
 from larchlatch.emulator.sweep import varied
+from larchlatch.scenario.drawing import with_drawn
+from larchlatch.scenario.scenario import Day, day_of
 
 EXIT_RULE_BROKEN = 3
 EXIT_VOID = 4  # the tool itself was late: its figures can't be trusted
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -16,18 +16,18 @@
 from larchlatch.cluster.quota.loan_terms import LoanTerms
 from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.cluster.slow_start.notices import TokenNotice
-from larchlatch.days.agreement import Agreement
-from larchlatch.days.amounts import us
-from larchlatch.days.avoidance import Avoidance
-from larchlatch.days.day import Day
-from larchlatch.days.paths import Manner, Part, Paths
-from larchlatch.days.puppets import Drift, Lying
-from larchlatch.days.spending import spending_of
-from larchlatch.days.tenures import row_of, tenures_of
 from larchlatch.emulator.clock import CHECK, TIMER, TOLD
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.stage import START_US, Stage
+from larchlatch.invariants.membership_agreement import Agreement
+from larchlatch.invariants.quota_safety import spending_of
+from larchlatch.invariants.single_leader import row_of, tenures_of
+from larchlatch.invariants.upstream_avoidance import Avoidance
 from larchlatch.policy.types import TokenCandidate
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.puppets import Drift, Lying
+from larchlatch.scenario.scenario import Day
 
 ROOM = 1000  # datagrams that lie unread at a node that is stopped; the system's buffer holds about so many
 APART_US = 200_000  # by which the wall clocks of nodes may differ, as they are told
--- a/larchlatch/emulator/crowd.py
+++ b/larchlatch/emulator/crowd.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Iterator
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.clients import RETURN_US, Client, front_of
 from larchlatch.emulator.checker import SLACK_US
 from larchlatch.emulator.clock import CHECK, WORLD
 from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import START_US, Parked, Stage
 from larchlatch.policy.types import Session
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.clients import RETURN_US, Client, front_of
 
 PARKED_US = SECOND  # a link in mid-flow that finds no node looks for one again after this
 
--- a/larchlatch/emulator/listing.py
+++ b/larchlatch/emulator/listing.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from larchlatch.days.amounts import us
-from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TOLD
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.stage import Stage
 from larchlatch.policy.types import Endpoint, EndpointState
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 
 class Listing:
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Callable
 
-from larchlatch.days.amounts import us
-from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
 from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import Stage
 from larchlatch.policy.types import Outcome, ProbeResult
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 
 class Network:
--- a/larchlatch/emulator/nodes.py
+++ b/larchlatch/emulator/nodes.py
@@ -6,10 +6,9 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from larchlatch.days.clients import Client
+from larchlatch.emulator.baselines import Policy
 from larchlatch.emulator.checker import Checker
 from larchlatch.emulator.clock import TIMER, Clock
-from larchlatch.emulator.plain import Policy
 from larchlatch.policy.driver import Driver
 from larchlatch.policy.types import (
     REACHED,
@@ -23,6 +22,7 @@
     Token,
     TokenCandidate,
 )
+from larchlatch.scenario.clients import Client
 
 
 @dataclass(slots=True)
--- a/larchlatch/emulator/stage.py
+++ b/larchlatch/emulator/stage.py
@@ -7,17 +7,17 @@
 
 from xxhash import xxh3_64
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.chance import Chance
-from larchlatch.days.clients import Client
-from larchlatch.days.day import Day, settings_for
-from larchlatch.days.hosts import Condition, Upstream, upstreams_of
-from larchlatch.days.tally import Tally
-from larchlatch.days.warming import Warming
 from larchlatch.emulator.checker import Checker
 from larchlatch.emulator.clock import Clock
 from larchlatch.emulator.nodes import Node, SessionRecord
+from larchlatch.invariants.slow_start_safety import Warming
+from larchlatch.invariants.tally import Tally
 from larchlatch.policy.types import Endpoint, EndpointState
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.clients import Client
+from larchlatch.scenario.scenario import Day, settings_for
+from larchlatch.scenario.upstreams import Condition, Upstream, upstreams_of
 
 START_US = 1_000 * SECOND  # a day begins then: a time of 0 means long before it
 
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from larchlatch.days.day import day_of
-from larchlatch.days.drawing import with_drawn
 from larchlatch.emulator.world import World
 from larchlatch.errors import ConfigurationError
+from larchlatch.scenario.drawing import with_drawn
+from larchlatch.scenario.scenario import day_of
 
 # Student's t for a two-sided interval of 95%, by the runs less one; beyond the table it is near enough 1.96.
 T95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12)
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -6,23 +6,23 @@
 from random import Random
 from typing import Any
 
-from larchlatch.days.amounts import us
-from larchlatch.days.clients import demand
-from larchlatch.days.day import Day, settings_for
-from larchlatch.days.faults import AnyFault, strike, trace_name
-from larchlatch.days.hosts import Condition, Upstream
-from larchlatch.days.paths import Manner
-from larchlatch.days.tenures import holders_of
+from larchlatch.emulator.baselines import POLICIES, Policy
 from larchlatch.emulator.clock import WORLD
 from larchlatch.emulator.company import Company
 from larchlatch.emulator.crowd import Crowd
 from larchlatch.emulator.listing import Listing
 from larchlatch.emulator.network import Network
 from larchlatch.emulator.nodes import Around, Node
-from larchlatch.emulator.plain import POLICIES, Policy
 from larchlatch.emulator.stage import START_US, Parked, Stage
 from larchlatch.emulator.yard import TICK_US, Yard
+from larchlatch.invariants.single_leader import holders_of
 from larchlatch.policy.types import DeploymentSettings, Endpoint
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.clients import demand
+from larchlatch.scenario.faults import AnyFault, strike, trace_name
+from larchlatch.scenario.paths import Manner
+from larchlatch.scenario.scenario import Day, settings_for
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 FALLEN_S = 5.0  # a host that was pushed over while cold is down for so long
 
@@ -30,7 +30,7 @@
 
 
 class World:
-    """The parts of a day put together, and what each fault does to them (days/faults.py)."""
+    """The parts of a day put together, and what each fault does to them (scenario/faults.py)."""
 
     def __init__(
         self, day: Day, policy: str | Make = "larchlatch", trace: Callable[[bytes], None] | None = None
--- a/larchlatch/emulator/yard.py
+++ b/larchlatch/emulator/yard.py
@@ -4,13 +4,13 @@
 
 from collections.abc import Callable
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.hosts import Condition, Upstream
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
 from larchlatch.emulator.listing import Listing
 from larchlatch.emulator.nodes import Node, SessionRecord
 from larchlatch.emulator.stage import Stage
 from larchlatch.policy.types import EndpointState, Outcome
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 TICK_US = SECOND  # hosts are looked at for lateness, and drop links, once in this
 QUIET_US = 500_000  # as real nodes do: a host that has answered nothing for so long is told of as quiet
--- /dev/null
+++ b/larchlatch/invariants/__init__.py
@@ -0,0 +1,1 @@
+"""Checkers that judge a played scenario from outside."""
--- a/larchlatch/days/spending.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -9,8 +9,8 @@
 from bisect import bisect_left, bisect_right
 from collections.abc import Iterator
 
-from larchlatch.days.amounts import us
-from larchlatch.days.day import Day
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.scenario import Day
 
 TICK_US = 1_000_000  # use is reckoned second by second
 
--- a/larchlatch/days/tenures.py
+++ b/larchlatch/invariants/single_leader.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
 
-from larchlatch.days.day import Day
+from larchlatch.scenario.scenario import Day
 
 
 class Tenures:
--- a/larchlatch/days/warming.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -10,9 +10,9 @@
 from dataclasses import dataclass, field
 from math import sqrt
 
-from larchlatch.days.amounts import us
-from larchlatch.days.day import Day
-from larchlatch.days.hosts import Condition, Upstream
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 SHARE = 0.9  # of what warm hosts bear by their sizes: then a host bears its share
 
--- a/larchlatch/load/bounds.py
+++ b/larchlatch/loadtest/bounds.py
@@ -5,8 +5,8 @@
 import ipaddress
 import resource
 
-from larchlatch.days.day import Day
 from larchlatch.errors import ConfigurationError
+from larchlatch.scenario.scenario import Day
 
 MOST_NODES = 16
 MOST_STANDING = 4000  # links at once: each has two descriptors here and two at a node
--- a/larchlatch/load/company.py
+++ b/larchlatch/loadtest/company.py
@@ -14,18 +14,18 @@
 
 from larchlatch.cluster.keys import create_secret
 from larchlatch.cluster.quota.counts import WINDOWS
-from larchlatch.days.agreement import Agreement
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.avoidance import Avoidance
-from larchlatch.days.day import Day
-from larchlatch.days.faults import PUPPETS
-from larchlatch.days.paths import Manner, Part, Paths
-from larchlatch.days.puppets import ORDERS
-from larchlatch.days.spending import spending_of
-from larchlatch.days.tenures import row_of, tenures_of
-from larchlatch.load.board import Board
-from larchlatch.load.sites import number_of
+from larchlatch.invariants.membership_agreement import Agreement
+from larchlatch.invariants.quota_safety import spending_of
+from larchlatch.invariants.single_leader import row_of, tenures_of
+from larchlatch.invariants.upstream_avoidance import Avoidance
+from larchlatch.loadtest.board import Board
+from larchlatch.loadtest.sites import number_of
 from larchlatch.node.clock import now_us
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.faults import PUPPETS
+from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.puppets import ORDERS
+from larchlatch.scenario.scenario import Day
 
 # Of the nodes' logs these lines are read.
 FOLLOWED = (
@@ -57,7 +57,7 @@
         self.reach = reach
         self.names = [f"n{number}" for number in range(len(nodes))]
         self.places = {name: number for number, name in enumerate(self.names)}
-        self.board = Board("larchlatch.load.switchboard")
+        self.board = Board("larchlatch.loadtest.switchboard")
         self.paths = Paths(None)  # as ordered: what the switchboard does by now
         self.running = [False] * len(nodes)
         self.agreement = Agreement(len(nodes), now_us())
@@ -135,7 +135,7 @@
     def module(self) -> str:
         """What is run as a node: where the day wants it, one that can be made to do wrong, and tells more."""
         puppets = self.day.cluster.pace or any(isinstance(fault, PUPPETS) for fault in self.day.faults)
-        return "larchlatch.load.puppet" if puppets else "larchlatch"
+        return "larchlatch.loadtest.puppet" if puppets else "larchlatch"
 
     def environment(self, number: int) -> dict[str, str]:
         return {ORDERS: str(self.orders_of(number))}
--- a/larchlatch/load/play.py
+++ b/larchlatch/loadtest/play.py
@@ -16,22 +16,22 @@
 
 import orjson
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.chance import Chance
-from larchlatch.days.clients import RETURN_US, Client, demand, front_of
-from larchlatch.days.day import Day
-from larchlatch.days.faults import AnyFault, Cut, strike
-from larchlatch.days.hosts import Condition, upstreams_of
-from larchlatch.days.paths import Manner
-from larchlatch.days.tally import Tally, histogram
-from larchlatch.days.tenures import holders_of
-from larchlatch.days.warming import Warming
-from larchlatch.load.board import Board
-from larchlatch.load.bounds import MOST_NODES
-from larchlatch.load.company import Company
-from larchlatch.load.sites import SOCKETS_US, Directory, Site, Watch
+from larchlatch.invariants.single_leader import holders_of
+from larchlatch.invariants.slow_start_safety import Warming
+from larchlatch.invariants.tally import Tally, histogram
+from larchlatch.loadtest.board import Board
+from larchlatch.loadtest.bounds import MOST_NODES
+from larchlatch.loadtest.company import Company
+from larchlatch.loadtest.sites import SOCKETS_US, Directory, Site, Watch
 from larchlatch.node.clock import now_us
 from larchlatch.policy.types import EndpointState, Idempotency
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.clients import RETURN_US, Client, demand, front_of
+from larchlatch.scenario.faults import AnyFault, Cut, strike
+from larchlatch.scenario.paths import Manner
+from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.upstreams import Condition, upstreams_of
 
 START_S = 20.0  # for all nodes to serve
 LATE_US = 50_000  # clients that this tool has started so late, at the 99th percentile, make a result void
@@ -204,7 +204,7 @@
 
     async def between(self) -> None:
         """Relays between nodes and hosts, on a day that cuts them apart."""
-        self.ways = Board("larchlatch.load.ways")
+        self.ways = Board("larchlatch.loadtest.ways")
         first = {
             "address": self.address,
             "zones": self.day.zones,
--- a/larchlatch/load/puppet.py
+++ b/larchlatch/loadtest/puppet.py
@@ -19,7 +19,7 @@
 from larchlatch.cluster import service as actor
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.exchange.results import ExecutedOrder
-from larchlatch.days.puppets import ORDERS, Drift, Lying
+from larchlatch.scenario.puppets import ORDERS, Drift, Lying
 
 true_us = actor.steady_us
 drift = Drift(true_us())
--- a/larchlatch/load/sites.py
+++ b/larchlatch/loadtest/sites.py
@@ -10,15 +10,15 @@
 
 import orjson
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.clients import Client
-from larchlatch.days.day import Day
-from larchlatch.days.hosts import Condition, Upstream
-from larchlatch.days.spending import Spending
-from larchlatch.days.warming import Warming
+from larchlatch.invariants.quota_safety import Spending
+from larchlatch.invariants.slow_start_safety import Warming
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire.lines import PING, PONG, STATS, Opening, parse_opening
 from larchlatch.policy.types import EndpointState, Idempotency
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.clients import Client
+from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.upstreams import Condition, Upstream
 
 TICK_S = 1.0
 MOST_TOLD = 20  # breaks of rules that are told in words; all are counted
--- a/larchlatch/load/switchboard.py
+++ b/larchlatch/loadtest/switchboard.py
@@ -8,9 +8,9 @@
 import asyncio
 from typing import Any, cast
 
-from larchlatch.days.chance import Chance
-from larchlatch.days.paths import Manner, Part, Paths
-from larchlatch.load.board import serve
+from larchlatch.loadtest.board import serve
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.paths import Manner, Part, Paths
 
 
 class Relay(asyncio.DatagramProtocol):
--- a/larchlatch/load/ways.py
+++ b/larchlatch/loadtest/ways.py
@@ -11,7 +11,7 @@
 from contextlib import suppress
 from typing import Any
 
-from larchlatch.load.board import serve
+from larchlatch.loadtest.board import serve
 
 BACKLOG = 1024
 PIECE = 1 << 16
--- /dev/null
+++ b/larchlatch/model_checker/__init__.py
@@ -0,0 +1,1 @@
+"""Searches every order of events in a small electorate for a lease held twice."""
--- a/larchlatch/days/clients.py
+++ b/larchlatch/scenario/clients.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from larchlatch.days.amounts import us
-from larchlatch.days.chance import Chance
-from larchlatch.days.day import Day
+from larchlatch.scenario.amounts import us
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.scenario import Day
 
 RETURN_US = (50_000, 250_000)  # a client whose link broke or was moved is back between these
 
--- a/larchlatch/days/drawing.py
+++ b/larchlatch/scenario/drawing.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from larchlatch.days.chance import Chance
-from larchlatch.days.day import Day
-from larchlatch.days.faults import AnyFault, Crash, Kill, Part, Stall
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.faults import AnyFault, Crash, Kill, Part, Stall
+from larchlatch.scenario.scenario import Day
 
 MARGIN_S = 8.0  # at both ends of a day: until all have begun, and until all is over
 LONGEST_S = 8.0  # that a fault lasts
--- a/larchlatch/days/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -9,8 +9,8 @@
 from msgspec import Meta
 
 from larchlatch.config.toml_file import Strict
-from larchlatch.days.amounts import Amount, Count, Few, Positive, Share, us
-from larchlatch.days.paths import Manner
+from larchlatch.scenario.amounts import Amount, Count, Few, Positive, Share, us
+from larchlatch.scenario.paths import Manner
 
 REFILED_S = 1.0  # within which all nodes have read a new cluster file
 
--- a/larchlatch/days/paths.py
+++ b/larchlatch/scenario/paths.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from larchlatch.days.chance import Chance
+from larchlatch.scenario.chance import Chance
 
 LATE_US = 50_000  # a datagram that is overtaken comes so much later than one that is not
 
--- a/larchlatch/days/day.py
+++ b/larchlatch/scenario/scenario.py
@@ -9,10 +9,10 @@
 from msgspec import Meta, field
 
 from larchlatch.config.toml_file import Strict, convert_table, read_toml
-from larchlatch.days.amounts import SECOND, Amount, Count, Few, Positive, Share, us
-from larchlatch.days.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
 from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
+from larchlatch.scenario.amounts import SECOND, Amount, Count, Few, Positive, Share, us
+from larchlatch.scenario.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
 
 
 class Nodes(Strict, frozen=True):
--- a/larchlatch/days/hosts.py
+++ b/larchlatch/scenario/upstreams.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterator
 from enum import Enum
 
-from larchlatch.days.amounts import SECOND, us
-from larchlatch.days.day import Cold, Day
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.scenario import Cold, Day
 
 QUEUE_US = 2 * SECOND  # a setup that would wait longer for its turn is refused
 FAIR = 0.9  # load over capacity up to which messages are answered at once
--- /dev/null
+++ b/larchlatch/simulator_adapter/__main__.py
@@ -0,0 +1,3 @@
+from larchlatch.simulator_adapter.loop import main
+
+main()
--- a/larchlatch/wirehost/loop.py
+++ b/larchlatch/simulator_adapter/loop.py
@@ -16,7 +16,7 @@
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.driver import Driver
 from larchlatch.policy.types import Endpoint, Outcome, ProbeResult, Session
-from larchlatch.wirehost import codec
+from larchlatch.simulator_adapter import codec
 
 log = logging.getLogger("larchlatch")
 
--- a/larchlatch/wirehost/__main__.py
+++ /dev/null
@@ -1,3 +0,0 @@
-from larchlatch.wirehost.loop import main
-
-main()
--- a/tests/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -21,7 +21,7 @@
 SECOND = 1_000_000
 START = 1_000 * SECOND
 LATER = START + 2 * SECOND  # the window before the start has passed
-EXAMPLE = Path(__file__).parent.parent / "deploy" / "contracts.example.toml"
+EXAMPLE = Path(__file__).parents[2] / "deploy" / "contracts.example.toml"
 ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
 
--- a/tests/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -37,7 +37,7 @@
     assert result.stderr.count("\n") == 1 and result.stdout == ""
 
 
-@pytest.mark.parametrize("missing", ["numpy", "larchlatch.days"])
+@pytest.mark.parametrize("missing", ["numpy", "larchlatch.scenario"])
 def test_a_package_that_the_tools_lack_is_named(missing: str, monkeypatch: pytest.MonkeyPatch) -> None:
     def import_module(name: str) -> ModuleType:
         raise ModuleNotFoundError(f"No module named {missing!r}", name=missing)
--- a/tests/test_duties.py
+++ b/tests/cluster/test_election.py
@@ -26,12 +26,12 @@
 from larchlatch.cluster.election.known_holders import Holder
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.messages import BallotRequest, NodeRecord, Promise, Vote
-from larchlatch.days.day import checked, day_of
-from larchlatch.days.drawing import with_drawn
-from larchlatch.days.tenures import Tenures
-from larchlatch.emulator.search import PLANTED, SOUND, Case, Search
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
+from larchlatch.invariants.single_leader import Tenures
+from larchlatch.model_checker.search import PLANTED, SOUND, Case, Search
+from larchlatch.scenario.drawing import with_drawn
+from larchlatch.scenario.scenario import checked, day_of
 
 SECOND = 1_000_000
 LEASE_TERMS = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
@@ -204,7 +204,7 @@
     assert look + ends <= promised + 2
 
 
-DUTIES = Path(__file__).parent.parent / "days" / "duties.toml"
+DUTIES = Path(__file__).parents[2] / "scenarios" / "duties.toml"
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 50, 131, 190])
--- a/tests/test_cluster.py
+++ b/tests/cluster/test_membership.py
@@ -40,12 +40,12 @@
 from larchlatch.cluster.protocol.signing import Signer, Verifier, parse_signer
 from larchlatch.cluster.quota.loan_terms import LoanTerms
 from larchlatch.cluster.quota.settings import QuotaSettings
-from larchlatch.days.agreement import SETTLED_US, Agreement
-from larchlatch.days.chance import Chance
-from larchlatch.days.day import checked
-from larchlatch.days.paths import Manner, Part, Paths
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
+from larchlatch.invariants.membership_agreement import SETTLED_US, Agreement
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.scenario import checked
 
 HEARTBEAT_US = 200_000
 SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
@@ -461,7 +461,7 @@
 
 
 def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
-    example = Path(__file__).parent.parent / "deploy" / "cluster.example.toml"
+    example = Path(__file__).parents[2] / "deploy" / "cluster.example.toml"
     result = CliRunner().invoke(cli, ["check", "--cluster", str(example)])
     assert result.exit_code == 0 and "3 nodes" in result.stdout
     result = CliRunner().invoke(cli, ["cluster-key", "--out", str(tmp_path / "k")])
--- a/tests/test_shared.py
+++ b/tests/cluster/test_quota.py
@@ -28,19 +28,19 @@
 from larchlatch.cluster.quota.settings import Quota, QuotaSettings, QuotaShare, share_at
 from larchlatch.cluster.quota.shared_quotas import SharedQuotas
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.days.day import Day, checked, day_of, settings_for
-from larchlatch.days.puppets import Drift
-from larchlatch.days.spending import Spending
 from larchlatch.emulator.company import Plain, key_of
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
+from larchlatch.invariants.quota_safety import Spending
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.metrics import Counters
 from larchlatch.node.upstream_registry import UpstreamRegistry
 from larchlatch.policy.balancer import Balancer
-from tests.test_cluster import ENTRY, OTHER
+from larchlatch.scenario.puppets import Drift
+from larchlatch.scenario.scenario import Day, checked, day_of, settings_for
+from tests.cluster.test_membership import ENTRY, OTHER
 
 SECOND = 1_000_000
 BEAT, STEP = 200_000, 20_000
@@ -210,7 +210,7 @@
     assert any(judge.over() or judge.outside for judge in judges)
 
 
-LOANS = Path(__file__).parent.parent / "days" / "loans.toml"
+LOANS = Path(__file__).parents[2] / "scenarios" / "loans.toml"
 
 
 def test_a_day_of_cuts_deaths_and_a_shorter_file_in_the_middle_of_loans(
--- a/tests/test_pacing.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -20,13 +20,13 @@
 from larchlatch.cluster.slow_start.notices import TokenNotice
 from larchlatch.cluster.slow_start.requester import NOTICE_LAG_US, TokenRequester
 from larchlatch.cluster.slow_start.tokens import SlowStartTokens
-from larchlatch.days.day import Day, day_of
-from larchlatch.days.hosts import Upstream
-from larchlatch.days.puppets import Drift
-from larchlatch.days.warming import Warming
 from larchlatch.emulator.world import World
+from larchlatch.invariants.slow_start_safety import Warming
 from larchlatch.policy.types import Hold, Token, TokenCandidate
-from tests.ground import Ground, line, sent_to
+from larchlatch.scenario.puppets import Drift
+from larchlatch.scenario.scenario import Day, day_of
+from larchlatch.scenario.upstreams import Upstream
+from tests.support.balancer_harness import BalancerHarness, endpoint, forwarded_to
 
 SECOND = 1_000_000
 BEAT, STEP = 200_000, 40_000
@@ -340,12 +340,12 @@
 
 def test_a_leave_is_for_its_link_alone_and_ends() -> None:
     # Danger: a heavy link that was refused would take the leave of a light one.
-    ground = Ground(upstreams=0, nodes=40, probes=False)
-    ground.relist(line(0, started_at=ground.now), line(1, started_at=ground.now))
-    balancer, now = ground.balancer, ground.now
+    harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
+    harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
+    balancer, now = harness.balancer, harness.now
     balancer.record_token(now, now + 10 * SECOND)
-    one, other = (ground.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
-    assert not ground.out, "all hosts are cold, and turns are handed over"
+    one, other = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
+    assert not harness.attempt_upstreams, "all hosts are cold, and turns are handed over"
     sought = {
         want.upstream
         for answer in [balancer.place(now, session) for session in (one, other)]
@@ -358,12 +358,14 @@
     late = balancer.place(now + 200_000, one)
     assert isinstance(late, Hold), "it has run out"
     balancer.record_token(now + 200_000, now + 10 * SECOND, Token(1, one.number, now + 300_000))
-    assert sent_to(balancer.place(now + 210_000, one)) == 1
-    again = ground.arrive(key=3)
-    assert again.number in ground.held and not ground.balancer.fleet.upstreams[1].tokens, "it was used"
+    assert forwarded_to(balancer.place(now + 210_000, one)) == 1
+    again = harness.arrive(key=3)
+    assert again.number in harness.held_until and not harness.balancer.fleet.upstreams[1].tokens, (
+        "it was used"
+    )
 
 
-PACE = Path(__file__).parent.parent / "days" / "pace.toml"
+PACE = Path(__file__).parents[2] / "scenarios" / "pace.toml"
 
 
 def day(pace: bool, **changes: Any) -> Day:
--- a/tests/test_settings.py
+++ b/tests/config/test_configuration.py
@@ -21,9 +21,9 @@
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.metrics import Counters
 from larchlatch.node.reload import reload_configuration
-from tests.ground import configuration
+from tests.support.configuration import node_configuration
 
-GOOD = configuration(["127.0.0.1:1"], 1)
+GOOD = node_configuration(["127.0.0.1:1"], 1)
 WRONG: tuple[Any, ...] = (None, True, -1, 1.5, 1e300, 2**70, "word", "", [], [1], [None], {}, {"a": 1})
 
 
--- a/tests/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -18,22 +18,22 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.days.amounts import SECOND
-from larchlatch.days.chance import Chance
-from larchlatch.days.clients import demand
-from larchlatch.days.day import Cold, checked, day_of, settings_for
-from larchlatch.days.hosts import Upstream
+from larchlatch.emulator.baselines import POLICIES, Plain
 from larchlatch.emulator.clock import CHECK, TIMER, TOLD, WORLD, Clock
 from larchlatch.emulator.nodes import Node
-from larchlatch.emulator.plain import POLICIES, Plain
 from larchlatch.emulator.stage import START_US
 from larchlatch.emulator.sweep import interval, rows_of, runs_of, summed
 from larchlatch.emulator.world import Make, World
 from larchlatch.errors import InvalidInputError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.types import Answer, Endpoint, EndpointState, Hold, Nothing, Outcome, Session
+from larchlatch.scenario.amounts import SECOND
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.clients import demand
+from larchlatch.scenario.scenario import Cold, checked, day_of, settings_for
+from larchlatch.scenario.upstreams import Upstream
 
-DAYS = Path(__file__).parent.parent / "days"
+DAYS = Path(__file__).parents[2] / "scenarios"
 SMALL: dict[str, Any] = {
     "span_s": 12.0,
     "nodes": {"count": 3, "back_s": 1.0, "noticed_s": 0.5},
@@ -408,9 +408,9 @@
 
 def test_the_node_reads_nothing_of_the_tools() -> None:
     probe = (
-        "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.wirehost.loop;"
+        "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.simulator_adapter.loop;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'matplotlib', 'hdrh', 'numpy')"
-        " or m.startswith(('larchlatch.emulator', 'larchlatch.load'))])"
+        " or m.startswith(('larchlatch.emulator', 'larchlatch.loadtest'))])"
     )
     done = subprocess.run([sys.executable, "-c", probe], capture_output=True, text=True)
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
--- a/tests/test_between.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -9,10 +9,10 @@
 
 import pytest
 
-from larchlatch.days.day import checked
-from larchlatch.load.bounds import playable
-from larchlatch.load.company import Company
-from larchlatch.load.play import LoadTest
+from larchlatch.loadtest.bounds import playable
+from larchlatch.loadtest.company import Company
+from larchlatch.loadtest.play import LoadTest
+from larchlatch.scenario.scenario import checked
 
 WITHIN_S = 8.0  # for all to agree: four times what it takes, as the machine may be busy
 
--- a/tests/test_load.py
+++ b/tests/loadtest/test_load_test.py
@@ -22,18 +22,18 @@
 from larchlatch.cluster.membership.member import MemberChange, MemberState
 from larchlatch.cluster.service import ClusterService
 from larchlatch.config.node import parse_node_configuration
-from larchlatch.days.day import checked
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
-from larchlatch.load import play
-from larchlatch.load.bounds import playable
-from larchlatch.load.company import Company
-from larchlatch.load.play import LoadTest, Place
-from larchlatch.load.sites import Watch
-from larchlatch.load.ways import Ways
+from larchlatch.loadtest import play
+from larchlatch.loadtest.bounds import playable
+from larchlatch.loadtest.company import Company
+from larchlatch.loadtest.play import LoadTest, Place
+from larchlatch.loadtest.sites import Watch
+from larchlatch.loadtest.ways import Ways
 from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
 from larchlatch.node.metrics import Counters
 from larchlatch.policy.types import Idempotency
+from larchlatch.scenario.scenario import checked
 
 SHORT: dict[str, Any] = {
     "span_s": 6.0,
--- a/tests/test_operating.py
+++ b/tests/node/test_admin_api.py
@@ -18,33 +18,26 @@
 from larchlatch.node import admin_api, lifecycle_state
 from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.wire.stream import Ending, Lines
-from tests.ground import (
-    Discovery,
-    Upstreams,
-    answered,
-    call,
-    configuration,
-    dial,
-    door_address,
-    on_loopback,
-    opened,
-    process,
-)
-from tests.test_node import NEWS, rest_of, serving
+from tests.support.clients import connect, open_session, read_to_end
+from tests.support.configuration import node_configuration
+from tests.support.loopback import run_on_loopback
+from tests.support.node import EMPTY_CHANGE, start_node
+from tests.support.node_process import admin_address, call_admin_api, node_process, read_http_answer
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
 START, STOP, READY = "POST /ops/drain/start", "POST /ops/drain/stop", "GET /ops/readiness"
 
 
-async def node_with_admin_api(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> tuple[int, str]:
+async def node_with_admin_api(tasks: TaskGroup, upstreams: UpstreamStubs, **changes: Any) -> tuple[int, str]:
     """Start a node with an admin API; return the port for clients and the address of the admin API."""
-    discovery = await Discovery([NEWS]).start(tasks)
-    raw = configuration(upstreams.addresses, discovery.port, **changes)
-    raw["control"] = door_address()
-    return await serving(tasks, raw), raw["control"]
+    discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+    raw = node_configuration(upstreams.addresses, discovery.port, **changes)
+    raw["control"] = admin_address()
+    return await start_node(tasks, raw), raw["control"]
 
 
 async def ping(port: int) -> bytes | Ending:
-    front = await dial(port)
+    front = await connect(port)
     await front.send(b"PING\r\n")
     said = await front.line()
     await front.close()
@@ -55,7 +48,7 @@
     """Each unfinished call holds a descriptor and a task: the oldest is evicted, and no call waits for it."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         _, admin_address = await node_with_admin_api(tasks, upstreams)
         host, _, port = admin_address.rpartition(":")
         idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)]
@@ -64,12 +57,12 @@
                 await caller.send(b"GET /ops/readiness HTTP/1.1\r\nHo")
         with anyio.fail_after(admin_api.CALL_TIMEOUT_S / 2):
             for _ in range(3):
-                status, text = await call(admin_address, READY)
+                status, text = await call_admin_api(admin_address, READY)
                 assert status == 200 and '"ready":true' in text
             # All but the last few are evicted: the connections of the first ones have ended.
             assert isinstance(await idle[0].line(), Ending)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize(
@@ -89,13 +82,13 @@
     request_line: str, more_headers: str, status: int, expected: str
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
-        got, text = await call(admin_address, request_line, more_headers)
+        got, text = await call_admin_api(admin_address, request_line, more_headers)
         assert got == status and expected.lower() in text.lower()
         assert await ping(port) == b"PONG\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_call_comes_cut_at_any_byte_and_one_without_an_end_is_ended(
@@ -105,7 +98,7 @@
     text = f"{READY} HTTP/1.1\r\nHost: door\r\n\r\n".encode()
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         _, admin_address = await node_with_admin_api(tasks, upstreams)
         host, _, port = admin_address.rpartition(":")
         for cut in range(1, len(text), 3):
@@ -113,12 +106,12 @@
             await caller.send(text[:cut])
             await anyio.sleep(0.005)
             await caller.send(text[cut:])
-            assert (await answered(caller))[0] == 200
+            assert (await read_http_answer(caller))[0] == 200
         caller = Lines(await anyio.connect_tcp(host, int(port)))
         await caller.send(text[:-1])
         assert isinstance(await caller.line(), Ending)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_readiness_is_false_until_the_node_can_serve(tmp_path: Path) -> None:
@@ -126,16 +119,16 @@
 
     async def body(tasks: TaskGroup) -> None:
         silent = await anyio.create_tcp_listener(local_host="127.0.0.1")
-        raw = configuration([], int(silent.extra(anyio.abc.SocketAttribute.local_port)))
-        raw["control"] = door_address()
+        raw = node_configuration([], int(silent.extra(anyio.abc.SocketAttribute.local_port)))
+        raw["control"] = admin_address()
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
-        async with process(path, "admin_api_listening") as running:
-            assert (await call(raw["control"], READY))[0] == 503
-            await running.told("serving")
-            assert (await call(raw["control"], READY))[0] == 200
+        async with node_process(path, "admin_api_listening") as running:
+            assert (await call_admin_api(raw["control"], READY))[0] == 503
+            await running.next_event("serving")
+            assert (await call_admin_api(raw["control"], READY))[0] == 200
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_drain_moves_all_sessions_and_its_end_accepts_clients_again(
@@ -146,107 +139,107 @@
     monkeypatch.setattr(lifecycle_state, "NEW_SESSIONS_GRACE_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
+        upstreams = await UpstreamStubs(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
-        established = [await opened(port, key=f"k{n}") for n in range(8)]
+        established = [await open_session(port, key=f"k{n}") for n in range(8)]
         for client in established:
             assert await client.line() == b"UP r1\r\n"
-        setup = await opened(port)
+        setup = await open_session(port)
         while len(upstreams.lines) < 9:
             await anyio.sleep(0.01)
-        assert (await call(admin_address, START))[0] == 200
+        assert (await call_admin_api(admin_address, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
-        during = await opened(port)
+        during = await open_session(port)
         assert await during.line() == b"UP r3\r\n", "a front sends on for a moment: it is served"
-        assert (await call(admin_address, START))[0] == 200, "told twice"
+        assert (await call_admin_api(admin_address, START))[0] == 200, "told twice"
         with anyio.fail_after(3.0):
             for client in (*established, during):
-                assert await rest_of(client) == [b"MOVE\r\n"]
-            assert await rest_of(setup) == [b"UP r2\r\n", b"MOVE\r\n"]
-        late = await rest_of(await opened(port))
+                assert await read_to_end(client) == [b"MOVE\r\n"]
+            assert await read_to_end(setup) == [b"UP r2\r\n", b"MOVE\r\n"]
+        late = await read_to_end(await open_session(port))
         assert len(late) == 1 and late[0].startswith(b"BUSY "), "shed with advice: it would have to leave"
-        assert (await call(admin_address, READY))[0] == 200, "the process is well"
-        assert (await call(admin_address, STOP))[0] == 200
+        assert (await call_admin_api(admin_address, READY))[0] == 200, "the process is well"
+        assert (await call_admin_api(admin_address, STOP))[0] == 200
         assert await ping(port) == b"PONG\r\n"
-        assert await (await opened(port)).line() == b"UP r3\r\n"
+        assert await (await open_session(port)).line() == b"UP r3\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_moves_of_a_drain_are_spread_and_end_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
-        established = [await opened(port, key=f"k{n}") for n in range(40)]
+        established = [await open_session(port, key=f"k{n}") for n in range(40)]
         moved = 0
 
         async def watched(client: Lines) -> None:
             nonlocal moved
-            moved += await rest_of(client) == [b"MOVE\r\n"]
+            moved += await read_to_end(client) == [b"MOVE\r\n"]
 
         for client in established:
             assert await client.line() == b"UP r1\r\n"
             tasks.start_soon(watched, client)
-        await call(admin_address, START)
+        await call_admin_api(admin_address, START)
         while not moved:
             await anyio.sleep(0.01)
-        await call(admin_address, STOP)
+        await call_admin_api(admin_address, STOP)
         await anyio.sleep(0.2)
         moved_before = moved
         assert 0 < moved_before < 40, "all at once they are a crowd elsewhere"
         await anyio.sleep(1.2)
         assert moved == moved_before, "moved though the drain was over"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_client_that_reads_nothing_is_cut_off_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 1.5)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP flood").start(tasks)
+        upstreams = await UpstreamStubs("UP flood").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
-        client = await opened(port)
+        client = await open_session(port)
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
         await anyio.sleep(0.3)  # it reads no more: what its upstream sends fills all buffers
-        await call(admin_address, START)
+        await call_admin_api(admin_address, START)
         with anyio.fail_after(3.0):
             while not upstreams.ended:
                 await anyio.sleep(0.01)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize("first", ["drain", "stop"])
 def test_a_drain_and_a_stop_in_either_order_move_all_sessions_once(first: str, tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
-        raw["control"] = door_address()
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
+        raw["control"] = admin_address()
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
-        async with process(path) as running:
-            established = [await opened(running.port, key=f"k{n}") for n in range(6)]
+        async with node_process(path) as running:
+            established = [await open_session(running.port, key=f"k{n}") for n in range(6)]
             for client in established:
                 assert await client.line() == b"UP r1\r\n"
             if first == "drain":
-                await call(raw["control"], START)
+                await call_admin_api(raw["control"], START)
                 running.signal(signal.SIGHUP)
                 running.signal(signal.SIGTERM)
             else:
                 running.signal(signal.SIGTERM)
-                await running.told("stopping")
-                assert (await call(raw["control"], START))[0] == 200
-                assert (await call(raw["control"], STOP))[0] == 200
+                await running.next_event("stopping")
+                assert (await call_admin_api(raw["control"], START))[0] == 200
+                assert (await call_admin_api(raw["control"], STOP))[0] == 200
             for client in established:
-                assert await rest_of(client) == [b"MOVE\r\n"]
+                assert await read_to_end(client) == [b"MOVE\r\n"]
             assert await running.ended() == 0
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 STEPS = st.tuples(st.sampled_from(["drain", "end", "stop", "look", "cede", "resume"]), st.floats(0.001, 1.0))
@@ -315,7 +308,7 @@
 )
 def test_an_invalid_admin_api_address_is_named(control_address: Any, expected: str, tmp_path: Path) -> None:
     path = tmp_path / "node.json"
-    raw = {**configuration([], 1), "listen": "127.0.0.1:3000", "control": control_address}
+    raw = {**node_configuration([], 1), "listen": "127.0.0.1:3000", "control": control_address}
     path.write_bytes(orjson.dumps(raw))
     result = CliRunner().invoke(cli, ["check", "--config", str(path)])
     assert result.exit_code == 2 and expected in result.output and result.output.count("\n") == 1
--- a/tests/test_descriptor_budget.py
+++ b/tests/node/test_descriptor_budget.py
@@ -19,8 +19,11 @@
     IdleConnection,
 )
 from larchlatch.node.wire.stream import Ending
-from tests.ground import IDENTS, Discovery, Upstreams, configuration, dial, on_loopback
-from tests.test_node import NEWS, serving
+from tests.support.clients import CLIENT_IDS, connect
+from tests.support.configuration import node_configuration
+from tests.support.loopback import run_on_loopback
+from tests.support.node import EMPTY_CHANGE, start_node
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
 STEPS = st.tuples(
     st.sampled_from(["connect", "part", "ping", "line", "leave", "socket", "end"]),
@@ -93,15 +96,15 @@
     monkeypatch.setattr(request_reader, "PINGED_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks, 2)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw: dict[str, Any] = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw: dict[str, Any] = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"]["sockets"] = 192
-        port = await serving(tasks, raw)
+        port = await start_node(tasks, raw)
         answers = []
 
         async def idle(says: bytes) -> None:
-            client = await dial(port)
+            client = await connect(port)
             if says:
                 await client.send(says)
             said = await client.line()
@@ -112,8 +115,8 @@
             await client.close()
 
         async def slow() -> None:
-            client = await dial(port)
-            text = f"OPEN id{next(IDENTS)} k1 c=rerun,t=acme,d=2000,g=k1\r\n".encode()
+            client = await connect(port)
+            text = f"OPEN id{next(CLIENT_IDS)} k1 c=rerun,t=acme,d=2000,g=k1\r\n".encode()
             for place in range(0, len(text), 9):
                 await client.send(text[place : place + 9])
                 await anyio.sleep(0.3 if place else 0.03)
@@ -133,4 +136,4 @@
         assert got == [b"UP r1\r\n"] * 10
         assert len(answers) == 1000 and set(answers) <= {b"ERR\r\n", Ending.END, Ending.RESET}
 
-    on_loopback(body)
+    run_on_loopback(body)
--- a/tests/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -31,8 +31,11 @@
 from larchlatch.node.wire.json_framing import JsonObjectFramer
 from larchlatch.node.wire.stream import Lines
 from larchlatch.policy.types import EndpointState
-from tests.ground import Upstreams, configuration, member, on_loopback, opened, port_of, until
-from tests.test_node import serving
+from tests.support.clients import open_session
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import port_of, run_on_loopback, wait_until
+from tests.support.node import start_node
+from tests.support.stand_ins import UpstreamStubs
 
 KNOWN_WITHIN_S = (
     6.0  # seconds after which a change that discovery has counts as known, while it can be reached
@@ -40,7 +43,7 @@
 LATE_S = 1.0  # what a node in a crowd may be late by, with room to spare
 GRACE_S = 0.25 + 0.05  # the shortest grace of a drain that a page names, with the protocol's slack
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-CHANGE = {"revision": 7, "complete": False, "members": [member(0, "127.0.0.1:9", "terminating")]}
+CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
 FULL_LIST = {**CHANGE, "complete": True}
 
 
@@ -233,9 +236,9 @@
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
             assert service.open == 1, "a call that is over is closed at once"
             running.cancel_scope.cancel()
-        await until(lambda: service.open == 0)
+        await wait_until(lambda: service.open == 0)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize("before", ["silent at once", "silent in mid-line", "refused", "no list", "told"])
@@ -254,7 +257,7 @@
         mailbox = Mailbox()
         client = client_of(old.port, mailbox, lambda low, high: high)
         tasks.start_soon(client.run)
-        await until(
+        await wait_until(
             lambda: bool(old.asked) and (before not in ("refused", "no list") or bool(mailbox.messages))
         )
         if before == "told":
@@ -264,11 +267,11 @@
         await mailbox.update_received.wait()
         assert new.asked[0] == "/catalog/members", "the whole list first"
         assert client.revision == 7
-        await until(lambda: old.open == 0)
+        await wait_until(lambda: old.open == 0)
 
     # The answer of a fetch ends with the list; the stand-in's goes on, as a watch does.
     monkeypatch.setattr(discovery_client, "fetch_list", whole_of_watch)
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 async def whole_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
@@ -294,10 +297,10 @@
         await mailbox.update_received.wait()
         client.change_address(("127.0.0.1", second.port))
         mailbox.has_space.set()
-        await until(lambda: len(second.asked) >= 2)
+        await wait_until(lambda: len(second.asked) >= 2)
         assert second.asked[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize("nameless", [False, True])
@@ -305,22 +308,22 @@
     """A drain beside it is acted on; its own upstream stays as it was, also in a whole list."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks, 3)
+        upstreams = await UpstreamStubs("UP r1").start(tasks, 3)
         rows = [
-            member(0, upstreams.addresses[0], "terminating"),
-            {**member(1, "nowhere"), "size": "large"},
+            endpoint_row(0, upstreams.addresses[0], "terminating"),
+            {**endpoint_row(1, "nowhere"), "size": "large"},
             *([{"host_port": 7}] if nameless else []),
-            member(2, upstreams.addresses[2], "terminating"),
+            endpoint_row(2, upstreams.addresses[2], "terminating"),
         ]
         service = await Service(streams_updates({"revision": 9, "complete": True, "members": rows})).start(
             tasks
         )
-        port = await serving(tasks, configuration(upstreams.addresses, service.port))
+        port = await start_node(tasks, node_configuration(upstreams.addresses, service.port))
         for number in range(20):
-            assert await (await opened(port, key=f"key{number}")).line() == b"UP r1\r\n"
+            assert await (await open_session(port, key=f"key{number}")).line() == b"UP r1\r\n"
         assert {upstream for upstream, _ in upstreams.lines} == {1}
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 LIST_JSON = st.builds(
--- a/tests/test_node.py
+++ b/tests/node/test_node.py
@@ -21,62 +21,34 @@
 from hypothesis import strategies as st
 
 from larchlatch.__main__ import cli
-from larchlatch.config.node import parse_node_configuration
 from larchlatch.node import session_watch
 from larchlatch.node.clients import request_reader
 from larchlatch.node.descriptor_budget import HEADROOM
-from larchlatch.node.runtime import run_node
 from larchlatch.node.wire.lines import BadLine, Opening, Up, attempt_line, parse_opening, parse_upstream_line
 from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.backoff import BACKOFF_US
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.types import Answer, Session
-from tests.ground import (
-    Discovery,
-    Upstreams,
-    configuration,
-    dial,
-    member,
-    on_loopback,
-    opened,
-    process,
-    until,
-)
+from tests.support.clients import connect, open_session, read_to_end
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import run_on_loopback, wait_until
+from tests.support.node import EMPTY_CHANGE, start_node, start_node_with
+from tests.support.node_process import node_process
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
 ANSWERS = ["UP r1", "BUSY", "ERR", "reset", "silent", "MOVE", "BUSY inflight=7,queue=2", "odd words"]
-NO_FILE = Path("none.json")  # where nothing is read anew
-NEWS = {"revision": 2, "complete": False, "members": []}
 TRAFFIC_CLASSES = ["rerun", "ticket", "once"]
 
 
-async def started(tasks: TaskGroup, upstreams: Upstreams, **changes: Any) -> int:
-    """A node before these hosts; the port it listens on."""
-    discovery = await Discovery([NEWS]).start(tasks)
-    return await serving(tasks, configuration(upstreams.addresses, discovery.port, **changes))
-
-
-async def serving(tasks: TaskGroup, raw: dict[str, Any]) -> int:
-    port: int = await tasks.start(run_node, parse_node_configuration(raw), NO_FILE)
-    return port
-
-
-async def rest_of(client: Lines) -> list[bytes]:
-    """All lines up to the connection's end."""
-    lines = []
-    while not isinstance(line := await client.line(), Ending):
-        lines.append(line)
-    return lines
-
-
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(
     st.lists(st.sampled_from(ANSWERS), min_size=1, max_size=5), st.sampled_from(["rerun", "ticket", "once"])
 )
 def test_rules_hold_whatever_hosts_answer(answers: list[str], traffic_class: str) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams(*answers).start(tasks, 3)
-        port = await started(tasks, upstreams)
-        client = await opened(port, wait_ms=500, traffic_class=traffic_class)
+        upstreams = await UpstreamStubs(*answers).start(tasks, 3)
+        port = await start_node_with(tasks, upstreams)
+        client = await open_session(port, wait_ms=500, traffic_class=traffic_class)
         first = await client.line()
         assert isinstance(first, bytes), "no final answer"
         word = first.split()[0]
@@ -100,28 +72,28 @@
             await anyio.sleep(0.05)
             assert len(upstreams.lines) == sent, "sent after the final answer"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_an_answer_that_comes_late_never_reaches_the_client() -> None:
     """The try was given up: its host must find the connection closed, and the client one answer alone."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("late UP r1").start(tasks)
-        client = await opened(await started(tasks, upstreams), wait_ms=300)
-        lines = await rest_of(client)
+        upstreams = await UpstreamStubs("late UP r1").start(tasks)
+        client = await open_session(await start_node_with(tasks, upstreams), wait_ms=300)
+        lines = await read_to_end(client)
         assert len(lines) == 1 and lines[0].startswith(b"BUSY")
-        await until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended == 1)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_line_that_lay_unread_is_answered_in_its_clients_time() -> None:
     """A crowd keeps the loop busy: the client's time runs from when its line came, not from its reading."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("silent").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(b"OPEN id1 k1 c=once,t=acme,d=1000\r\n")
             sent = time.monotonic()
@@ -132,24 +104,24 @@
         assert answer.startswith((b"ERR", b"BUSY"))
         assert time.monotonic() - sent < 1.5
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_lines_pass_both_ways_and_ends_pass_on() -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        client = await opened(await started(tasks, upstreams), ident="echo")
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        client = await open_session(await start_node_with(tasks, upstreams), ident="echo")
         assert await client.line() == b"UP echo\r\n"
         for text in (b"one\r\n", b"two, longer\r\n"):
             await client.send(text)
             assert await client.line() == text
         await client.finish(Ending.END)
-        await until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended == 1)
         line = upstreams.lines[0][1]
         assert line.startswith("OPEN echo k1 c=rerun,t=acme,d=") and line.endswith(",g=k1\r\n")
         assert 1000 < int(line.split("d=")[1].split(",")[0]) <= 2000
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_link_on_a_silent_host_is_moved_between_two_lines(
@@ -159,15 +131,15 @@
     monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 300_000)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP half").start(tasks)
-        client = await opened(await started(tasks, upstreams))
+        upstreams = await UpstreamStubs("UP half").start(tasks)
+        client = await open_session(await start_node_with(tasks, upstreams))
         assert await client.line() == b"UP half\r\n"
         await client.send(b"hello\r\n")
-        assert await rest_of(client) == [b"MOVE\r\n"]
+        assert await read_to_end(client) == [b"MOVE\r\n"]
         assert not client.tail
-        await until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended == 1)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_host_that_answers_no_link_is_told_of_before_its_links_are_given_up(
@@ -181,11 +153,11 @@
     monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 10**9)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP half", "UP echo", "UP half").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP half", "UP echo", "UP half").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         clients = []
         for answer in (b"UP half\r\n", b"UP echo\r\n", b"UP half\r\n"):
-            clients.append(await opened(port))
+            clients.append(await open_session(port))
             assert await clients[-1].line() == answer
         mute, sound, late = clients
         await mute.send(b"hello\r\n")
@@ -195,9 +167,9 @@
             assert await sound.line() == b"hello\r\n"
         assert not told
         await late.send(b"hello\r\n")
-        await until(lambda: 0 in told)
+        await wait_until(lambda: 0 in told)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 BAD = [
@@ -223,55 +195,55 @@
 
 def test_bad_lines_get_a_failure_and_touch_nothing_else() -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        port = await started(tasks, upstreams)
-        standing = await opened(port, ident="mine")
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        standing = await open_session(port, ident="mine")
         assert await standing.line() == b"UP echo\r\n"
         before = len(os.listdir("/proc/self/fd"))
         for line in BAD:
-            client = await dial(port)
+            client = await connect(port)
             if line:
                 await client.send(line)
-                assert await rest_of(client) == [b"ERR\r\n"], line[:60]
+                assert await read_to_end(client) == [b"ERR\r\n"], line[:60]
             await client.close()
         assert len(upstreams.lines) == 1
         await standing.send(b"still there\r\n")
         assert await standing.line() == b"still there\r\n"
         # Descriptors are the node's first limit: none may stay behind.
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= before)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_the_id_of_an_open_link_reaches_no_host() -> None:
     """Hosts turn it away with an error: a few such clients would have all hosts rest that the node knows."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        port = await started(tasks, upstreams)
-        first = await opened(port, ident="mine")
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        first = await open_session(port, ident="mine")
         assert await first.line() == b"UP echo\r\n"
-        assert await rest_of(await opened(port, ident="mine", key="other")) == [b"ERR\r\n"]
+        assert await read_to_end(await open_session(port, ident="mine", key="other")) == [b"ERR\r\n"]
         assert len(upstreams.lines) == 1
         await first.finish(Ending.END)
-        while await (await opened(port, ident="mine")).line() != b"UP echo\r\n":
+        while await (await open_session(port, ident="mine")).line() != b"UP echo\r\n":
             await anyio.sleep(0.02)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_client_that_says_more_before_its_answer_gets_an_error() -> None:
     """What it says besides would be passed on, and no host could read it."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("silent").start(tasks)
-        client = await opened(await started(tasks, upstreams))
-        await until(lambda: len(upstreams.lines) == 1)
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        client = await open_session(await start_node_with(tasks, upstreams))
+        await wait_until(lambda: len(upstreams.lines) == 1)
         await client.send(b"and now?\r\n")
-        assert await rest_of(client) == [b"ERR\r\n"]
-        await until(lambda: upstreams.ended == 1)
+        assert await read_to_end(client) == [b"ERR\r\n"]
+        await wait_until(lambda: upstreams.ended == 1)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_silent_crowd_does_not_shut_out_a_sound_client(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -279,23 +251,23 @@
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.6)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": HEADROOM + 20}
-        port = await serving(tasks, raw)
-        crowd = [await dial(port) for _ in range(100)]
+        port = await start_node(tasks, raw)
+        crowd = [await connect(port) for _ in range(100)]
         for client in crowd[::2]:
             await client.send(b"OPEN ")
-        sound = [await opened(port, ident=f"id{number}") for number in range(5)]
+        sound = [await open_session(port, ident=f"id{number}") for number in range(5)]
         for client in sound:
             assert await client.line() == b"UP echo\r\n"
         for client in crowd:
-            assert await rest_of(client) in ([b"ERR\r\n"], [])
+            assert await read_to_end(client) in ([b"ERR\r\n"], [])
         await sound[0].send(b"still there\r\n")
         assert await sound[0].line() == b"still there\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_fault_in_the_decisions_costs_one_link_its_answer_alone(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -310,25 +282,25 @@
     monkeypatch.setattr(Balancer, "place", faulty)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        port = await started(tasks, upstreams)
-        assert await rest_of(await opened(port, traffic_class="once")) == [b"ERR\r\n"]
-        assert await (await opened(port)).line() == b"UP echo\r\n"
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        assert await read_to_end(await open_session(port, traffic_class="once")) == [b"ERR\r\n"]
+        assert await (await open_session(port)).line() == b"UP echo\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_many_links_leave_no_descriptor_and_no_room_lost() -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": HEADROOM + 70}
-        port = await serving(tasks, raw)
+        port = await start_node(tasks, raw)
         before = len(os.listdir("/proc/self/fd"))
 
         async def visit(number: int) -> None:
-            client = await opened(port, wait_ms=1000, key=f"k{number}")
+            client = await open_session(port, wait_ms=1000, key=f"k{number}")
             line = await client.line()
             assert isinstance(line, bytes) and (number < 100 or line == b"UP echo\r\n")
             if number % 2:
@@ -340,65 +312,65 @@
             async with anyio.create_task_group() as visits:
                 for number in range(30):
                     visits.start_soon(visit, 100 * crowd + number)
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= before)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_without_descriptors_links_are_told_and_none_is_lost() -> None:
     """A try that can't even be opened has not run: its link is told so at once, whatever its tariff."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": HEADROOM + 4}
-        port = await serving(tasks, raw)
-        first = await opened(port, traffic_class="once")
+        port = await start_node(tasks, raw)
+        first = await open_session(port, traffic_class="once")
         assert await first.line() == b"UP echo\r\n"
-        second = await opened(port, traffic_class="once")
-        assert (await rest_of(second))[0].startswith(b"BUSY")
-        third = await opened(port, traffic_class="once")
+        second = await open_session(port, traffic_class="once")
+        assert (await read_to_end(second))[0].startswith(b"BUSY")
+        third = await open_session(port, traffic_class="once")
         await first.close()
         assert await third.line() in (b"UP echo\r\n", b"BUSY\r\n")
         await third.close()
-        while await (await opened(port, traffic_class="once")).line() != b"UP echo\r\n":
+        while await (await open_session(port, traffic_class="once")).line() != b"UP echo\r\n":
             await anyio.sleep(0.02)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_refused_or_absent_host_is_told_apart_from_one_that_may_have_run_it() -> None:
     """Nobody listens there: proven not to have run, so even an exclusive link goes on to the next host."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
         upstreams.addresses = ["127.0.0.1:1", *upstreams.addresses]
-        port = await started(tasks, upstreams)
+        port = await start_node_with(tasks, upstreams)
         for number in range(6):
-            client = await opened(port, traffic_class="once", key=f"k{number}")
+            client = await open_session(port, traffic_class="once", key=f"k{number}")
             assert await client.line() == b"UP echo\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_the_list_is_followed_through_nonsense_and_a_watch_that_breaks_off() -> None:
     """A list that is not followed any more sends links to hosts that are gone."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
-        gone = member(0, old.addresses[0], "terminated")
-        discovery = await Discovery(
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        gone = endpoint_row(0, old.addresses[0], "terminated")
+        discovery = await DiscoveryStub(
             [],
             None,
-            [{"revision": 2, "complete": False, "members": [gone, member(1, new.addresses[0])]}],
+            [{"revision": 2, "complete": False, "members": [gone, endpoint_row(1, new.addresses[0])]}],
         ).start(tasks)
-        port = await serving(tasks, configuration(old.addresses, discovery.port))
-        await until(lambda: len(discovery.asked) >= 3)
-        while await (await opened(port)).line() != b"UP new\r\n":
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        await wait_until(lambda: len(discovery.asked) >= 3)
+        while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_jump_of_the_version_on_a_watch_asks_for_nothing_more() -> None:
@@ -406,72 +378,75 @@
     overbooks the list service, and while it waits its turn the drain behind it is not read."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
-        gone = member(0, old.addresses[0], "terminated")
-        discovery = await Discovery(
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        gone = endpoint_row(0, old.addresses[0], "terminated")
+        discovery = await DiscoveryStub(
             [
                 {"revision": 2, "complete": False, "members": []},
-                {"revision": 5, "complete": False, "members": [member(1, new.addresses[0])]},
+                {"revision": 5, "complete": False, "members": [endpoint_row(1, new.addresses[0])]},
                 {"revision": 9, "complete": False, "members": [gone]},
             ]
         ).start(tasks)
-        port = await serving(tasks, configuration(old.addresses, discovery.port))
-        while await (await opened(port)).line() != b"UP new\r\n":
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
         assert len(discovery.asked) == 1 and discovery.left == 0
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_version_that_runs_back_is_made_up_for_by_the_whole_list() -> None:
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Upstreams("UP old").start(tasks), await Upstreams("UP new").start(tasks)
-        discovery = await Discovery(
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        discovery = await DiscoveryStub(
             [
                 {"revision": 5, "complete": False, "members": []},
                 {"revision": 2, "complete": False, "members": []},
             ],
-            [{"revision": 2, "complete": True, "members": [member(1, new.addresses[0])]}],
+            [{"revision": 2, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}],
             [],
         ).start(tasks)
-        port = await serving(tasks, configuration(old.addresses, discovery.port))
-        await until(lambda: len(discovery.asked) >= 2)
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        await wait_until(lambda: len(discovery.asked) >= 2)
         assert discovery.asked[1] == "GET /catalog/members HTTP/1.1"
-        while await (await opened(port)).line() != b"UP new\r\n":
+        while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_host_replaced_under_a_new_id_at_its_address_takes_links_and_keeps_its_standing_ones() -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        gone, fresh = member(0, upstreams.addresses[0], "terminated"), member(7, upstreams.addresses[0])
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        gone, fresh = (
+            endpoint_row(0, upstreams.addresses[0], "terminated"),
+            endpoint_row(7, upstreams.addresses[0]),
+        )
         replaced = {"revision": 3, "complete": False, "members": [gone, fresh]}
-        discovery = await Discovery([NEWS], [replaced], []).start(tasks)
-        port = await serving(tasks, configuration(upstreams.addresses, discovery.port))
-        standing = await opened(port, key="stands")
+        discovery = await DiscoveryStub([EMPTY_CHANGE], [replaced], []).start(tasks)
+        port = await start_node(tasks, node_configuration(upstreams.addresses, discovery.port))
+        standing = await open_session(port, key="stands")
         assert await standing.line() == b"UP echo\r\n"
-        await until(lambda: len(discovery.asked) >= 3)
-        later = await opened(port, key="later")
+        await wait_until(lambda: len(discovery.asked) >= 3)
+        later = await open_session(port, key="later")
         assert await later.line() == b"UP echo\r\n"
         await standing.send(b"still there\r\n")
         assert await standing.line() == b"still there\r\n"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_node_with_an_old_list_of_hosts_mostly_gone_serves_by_those_left() -> None:
     """Discovery tells nothing: each gone host costs a refused connection or two, not a link's whole time."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
         upstreams.addresses = ["127.0.0.1:1"] * 9 + upstreams.addresses
-        port = await started(tasks, upstreams)
+        port = await start_node_with(tasks, upstreams)
         answers = []
         began = time.monotonic()
         for number in range(20):
-            client = await opened(port, key=f"k{number}")
+            client = await open_session(port, key=f"k{number}")
             answers.append(await client.line())
         # Each gone host is tried once, and again when its rest is over, which doubles: a slow machine meets
         # more of them. Six such tries cost a link its answer.
@@ -481,31 +456,31 @@
         assert answers.count(b"BUSY\r\n") <= refused // 6, (answers, took_us)
         assert upstreams.most_out == 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_sigterm_moves_standing_links_bit_by_bit_and_ends(tmp_path: Path) -> None:
     """All at once they would come back as a crowd; cut off without a word they would be lost."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks)
-        discovery = await Discovery([NEWS]).start(tasks)
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
         path = tmp_path / "node.json"
-        path.write_bytes(orjson.dumps(configuration(upstreams.addresses, discovery.port)))
-        async with process(path) as running:
-            front = await dial(running.port)
+        path.write_bytes(orjson.dumps(node_configuration(upstreams.addresses, discovery.port)))
+        async with node_process(path) as running:
+            front = await connect(running.port)
             await front.send(b"PING\r\n")
             assert await front.line() == b"PONG\r\n"
-            clients = [await opened(running.port, key=f"k{number}") for number in range(8)]
+            clients = [await open_session(running.port, key=f"k{number}") for number in range(8)]
             for client in clients:
                 assert await client.line() == b"UP echo\r\n"
             running.signal(signal.SIGTERM)
-            late = await opened(running.port, key="late")
+            late = await open_session(running.port, key="late")
             assert await late.line() == b"UP echo\r\n"
             moved = []
 
             async def wait_for(client: Lines) -> None:
-                assert await rest_of(client) == [b"MOVE\r\n"]
+                assert await read_to_end(client) == [b"MOVE\r\n"]
                 moved.append(anyio.current_time())
 
             async with anyio.create_task_group() as waits:
@@ -513,55 +488,55 @@
                     waits.start_soon(wait_for, client)
             assert moved[-1] - moved[0] > 0.5, "all at once"
             await front.close()
-            assert (await running.told("stopped"))["sessions_established"] == 9
+            assert (await running.next_event("stopped"))["sessions_established"] == 9
             assert await running.ended() == 0
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_sighup_follows_a_new_list_service_and_refuses_a_faulty_file(tmp_path: Path) -> None:
     """By default a process ends at SIGHUP: its links would be lost, and a slip in a file as well."""
 
     async def body(tasks: TaskGroup) -> None:
-        old, new = await Upstreams("UP echo").start(tasks), await Upstreams("UP new").start(tasks)
-        first = await Discovery([NEWS]).start(tasks)
+        old, new = await UpstreamStubs("UP echo").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        first = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
         # Its version is older than what the node has heard of, and it does not name the first host.
-        whole = {"revision": 1, "complete": True, "members": [member(1, new.addresses[0])]}
-        second = await Discovery([whole], []).start(tasks)
+        whole = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
+        second = await DiscoveryStub([whole], []).start(tasks)
         path = tmp_path / "node.json"
-        good = configuration(old.addresses, first.port)
+        good = node_configuration(old.addresses, first.port)
         path.write_bytes(orjson.dumps(good))
-        async with process(path) as running:
-            standing = await opened(running.port)
+        async with node_process(path) as running:
+            standing = await open_session(running.port)
             assert await standing.line() == b"UP echo\r\n"
             path.write_bytes(orjson.dumps({**good, "discovery": "nowhere"}))
             running.signal(signal.SIGHUP)
-            assert "discovery" in (await running.told("configuration_rejected"))["reason"]
+            assert "discovery" in (await running.next_event("configuration_rejected"))["reason"]
             path.write_bytes(orjson.dumps({**good, "discovery": f"127.0.0.1:{second.port}"}))
             running.signal(signal.SIGHUP)
-            await until(lambda: len(second.asked) >= 2)
+            await wait_until(lambda: len(second.asked) >= 2)
             assert "watch" not in second.asked[0] and "watch" in second.asked[1]
-            while await (await opened(running.port, key="k2")).line() != b"UP new\r\n":
+            while await (await open_session(running.port, key="k2")).line() != b"UP new\r\n":
                 await anyio.sleep(0.02)
-            await until(lambda: first.left == 1)  # the old watch ends
+            await wait_until(lambda: first.left == 1)  # the old watch ends
             await standing.send(b"still there\r\n")
             assert await standing.line() == b"still there\r\n"
             running.signal(signal.SIGINT)
-            await running.told("stopping")
+            await running.next_event("stopping")
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_the_configuration_is_checked_with_the_faulty_key_named(tmp_path: Path) -> None:
     path = tmp_path / "node.json"
 
     def checked(change: dict[str, Any]) -> tuple[int, str]:
-        path.write_bytes(orjson.dumps({**configuration(["127.0.0.1:1"], 1), **change}))
+        path.write_bytes(orjson.dumps({**node_configuration(["127.0.0.1:1"], 1), **change}))
         result = CliRunner().invoke(cli, ["check", "--config", str(path)])
         return result.exit_code, result.output
 
     assert checked({}) == (0, "n0: in order; 1 hosts known, 3 tariffs, 2 zones\n")
-    known = {"revision": 1, "complete": True, "members": [member(0, "nowhere")]}
+    known = {"revision": 1, "complete": True, "members": [endpoint_row(0, "nowhere")]}
     for change, key in (
         ({"listen": "here"}, "listen"),
         ({"seed": "not hex"}, "seed"),
--- a/tests/test_crossings.py
+++ b/tests/node/test_races.py
@@ -38,20 +38,12 @@
 from larchlatch.node.wire import stream
 from larchlatch.node.wire.stream import Unconnected
 from larchlatch.policy.types import Outcome, Session
-from tests.ground import (
-    Discovery,
-    Upstreams,
-    call,
-    configuration,
-    door_address,
-    member,
-    on_loopback,
-    opened,
-    port_of,
-    process,
-    until,
-)
-from tests.test_node import serving, started
+from tests.support.clients import open_session
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import port_of, run_on_loopback, wait_until
+from tests.support.node import start_node, start_node_with
+from tests.support.node_process import admin_address, call_admin_api, node_process
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
 FLOOD = b"more and more\r\n" * 27_000  # more than is read at once, less than is read at all
 
@@ -73,7 +65,7 @@
 async def at_rest(door: ClientConnections) -> None:
     """Nothing is left of what went through it: no connection, id, attempt or descriptor."""
     module = door._balancer_actor
-    await until(
+    await wait_until(
         lambda: (
             not (
                 door.connection_count
@@ -141,13 +133,13 @@
     monkeypatch.setattr(stream.Lines, "send", send)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("silent").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         clients.append(raw_client(port, first))
         assert await all_of(clients[0]) == b"ERR\r\n"
         await at_rest(doors[0])
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_link_turned_away_unread_gets_its_answer_whole() -> None:
@@ -160,9 +152,9 @@
         stream.send_last_line(node, b"BUSY 7\r\n")
         tasks.start_soon(stream.discard_and_close, node, 1.0)
         assert await all_of(client, FLOOD) == b"BUSY 7\r\n"
-        await until(lambda: node.fileno() < 0)
+        await wait_until(lambda: node.fileno() < 0)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 # Clients that leave.
@@ -172,25 +164,25 @@
     """It goes on from elsewhere, says more, and leaves while its link waits for a place."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        rows = [member(0, upstreams.addresses[0])]
-        discovery = await Discovery([]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        rows = [endpoint_row(0, upstreams.addresses[0])]
+        discovery = await DiscoveryStub([]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
         raw["known"]["members"][0]["phase"] = "terminating"
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
-        port = await serving(tasks, raw)
+        port = await start_node(tasks, raw)
         client = raw_client(port, line_of("a", ",mid=1", PATIENT_US // 1000))
-        await until(lambda: doors[0].sessions.open_count == 1)
+        await wait_until(lambda: doors[0].sessions.open_count == 1)
         client.sendall(b"one\r\n")
         client.sendall(b"two\r\n")
         client.close()
         with anyio.fail_after(SOON_S):
             await at_rest(doors[0])
         doors[0]._balancer_actor.handle(now_us(), EndpointsChanged(say_members(rows), True))
-        assert await (await opened(port)).line() == b"UP r1\r\n"
+        assert await (await open_session(port)).line() == b"UP r1\r\n"
         assert len(upstreams.lines) == 1, "an attempt for a client that had left"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def say_members(rows: list[dict[str, Any]]) -> Any:
@@ -204,8 +196,8 @@
     """Its end lies in this machine when the connection to the host comes up; nobody has read it yet."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         clients: list[socket.socket] = []
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
@@ -217,12 +209,12 @@
 
         monkeypatch.setattr(node_attempts, "dial", dialled)
         clients.append(raw_client(port, line_of("a", ",mid=1")))
-        await until(lambda: not clients)
+        await wait_until(lambda: not clients)
         await at_rest(doors[0])
         assert not upstreams.lines
         assert doors[0].counters.counts["attempt_not_begun_client_gone"] == 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_client_that_leaves_before_the_decisions_come_to_it_costs_no_attempt(
@@ -239,21 +231,21 @@
     monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        discovery = await Discovery([]).start(tasks)
-        raw = configuration(upstreams.addresses, discovery.port)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        discovery = await DiscoveryStub([]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
         raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
-        port = await serving(tasks, raw)
+        port = await start_node(tasks, raw)
         client = raw_client(port, line_of("a", wait_ms=PATIENT_US // 1000))
-        await until(lambda: doors[0].sessions.open_count == 1)
+        await wait_until(lambda: doors[0].sessions.open_count == 1)
         client.close()
         with anyio.fail_after(SOON_S):
-            await until(lambda: doors[0].sessions.open_count == 0)
+            await wait_until(lambda: doors[0].sessions.open_count == 0)
         gate.set()
         await at_rest(doors[0])
         assert not upstreams.lines
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_link_that_the_decisions_never_come_to_is_answered_in_time(
@@ -266,15 +258,15 @@
     monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         began = anyio.current_time()
         assert (await all_of(raw_client(port, line_of("a", wait_ms=1000)))).startswith(b"BUSY ")
         assert anyio.current_time() < began + 1.0
         assert not upstreams.lines
         await at_rest(doors[0])
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 # An attempt, between its decision and its sending.
@@ -331,7 +323,7 @@
     meanwhile: Callable[[Alone, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         alone, record = Alone(upstreams.addresses[0]), hand_of()
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
@@ -343,27 +335,27 @@
         assert await alone.attempt(record) is Outcome.NOT_SENT
         assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_connection_that_comes_up_after_the_attempts_time_carries_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
         alone = Alone(upstreams.addresses[0])
         late = now_us() + 30_000
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             made = await stream.dial(address, within_s)
-            await until(lambda: now_us() > late)
+            await wait_until(lambda: now_us() > late)
             return made
 
         monkeypatch.setattr(node_attempts, "dial", dialled)
         assert await alone.attempt(hand_of(), 20_000) is Outcome.NOT_SENT
         assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_line_that_the_system_did_not_take_whole_can_not_have_run() -> None:
@@ -386,12 +378,12 @@
             assert not ended
             upstream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             upstream.close()
-            await until(lambda: bool(ended))
+            await wait_until(lambda: bool(ended))
             assert ended == [False]
-        upstreams = await Upstreams("reset").start(tasks)
+        upstreams = await UpstreamStubs("reset").start(tasks)
         assert await Alone(upstreams.addresses[0]).attempt(hand_of()) is Outcome.RESET
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def descriptors() -> int:
@@ -425,7 +417,7 @@
             await stream.dial(server.getsockname()[:2], 1.0)
         assert descriptors() == before - 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_connection_that_is_up_is_had_though_this_nodes_loop_was_late(
@@ -444,7 +436,7 @@
             assert isinstance(made, socket.socket)
             made.close()
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_an_unknown_name_and_a_refusal_are_no_connection() -> None:
@@ -452,15 +444,15 @@
         assert await stream.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
         assert await stream.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 # The end of a node.
 
 
-def short_lived(upstreams: Upstreams, discovery: int, **changes: Any) -> dict[str, Any]:
+def short_lived(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
     """A configuration whose node is granted little time after SIGTERM."""
-    raw = configuration(upstreams.addresses, discovery, **changes)
+    raw = node_configuration(upstreams.addresses, discovery, **changes)
     for traffic_class in raw["settings"]["tariffs"]:
         traffic_class["cut_off_us"] = 400_000
     return raw
@@ -471,16 +463,16 @@
     """One says nothing at all, one half a line; a link waits for its host's answer, and gets it."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("late UP r1").start(tasks)
-        discovery = await Discovery([]).start(tasks)
+        upstreams = await UpstreamStubs("late UP r1").start(tasks)
+        discovery = await DiscoveryStub([]).start(tasks)
         path = tmp_path / "node.json"
         raw = short_lived(upstreams, discovery.port, domain={"mode": mode})
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         path.write_bytes(orjson.dumps(raw))
-        async with process(path) as node:
+        async with node_process(path) as node:
             resting = [raw_client(node.port, said) for said in (b"", b"OPEN half")]
-            waiting = await opened(node.port)
-            await until(lambda: len(upstreams.lines) == 1)
+            waiting = await open_session(node.port)
+            await wait_until(lambda: len(upstreams.lines) == 1)
             for _ in range(2):  # the second changes nothing
                 node.signal(signal.SIGTERM)
             assert await waiting.line() == b"UP r1\r\n"
@@ -489,7 +481,7 @@
                 assert (await all_of(client)).startswith(b"BUSY ")
             assert await node.ended() == 0
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize("crossing", ["start", "SIGHUP"])
@@ -497,30 +489,30 @@
     """Told to end while it waits for its first list, and in one breath with a new configuration."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("late UP r1").start(tasks)
+        upstreams = await UpstreamStubs("late UP r1").start(tasks)
         silent = await Scripted().start(tasks, lambda upstream, session: anyio.sleep_forever())
         path = tmp_path / "node.json"
         raw = short_lived(upstreams, silent.address[1])
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
-        raw["control"] = door_address()
+        raw["control"] = admin_address()
         path.write_bytes(orjson.dumps(raw))
         event = "admin_api_listening" if crossing == "start" else "serving"
-        async with process(path, event) as node:
+        async with node_process(path, event) as node:
             if crossing == "start":
                 node.signal(signal.SIGTERM)
-                assert (await node.told("serving"))["upstreams"] == 1
+                assert (await node.next_event("serving"))["upstreams"] == 1
             else:
-                waiting = await opened(node.port)
-                await until(lambda: len(upstreams.lines) == 1)
+                waiting = await open_session(node.port)
+                await wait_until(lambda: len(upstreams.lines) == 1)
                 for told in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
                     node.signal(told)
                 assert await waiting.line() == b"UP r1\r\n"
                 await waiting.close()
-            await node.told("stopping")
-            await node.told("stopped")
+            await node.next_event("stopping")
+            await node.next_event("stopped")
             assert await node.ended() == 0
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_host_that_resets_a_standing_link_long_after_resets_its_client(
@@ -535,16 +527,16 @@
             await stream.Lines(session).close(reset=True)
 
         upstream = await Scripted().start(tasks, answer)
-        discovery = await Discovery([]).start(tasks)
-        port = await serving(tasks, configuration([upstream.named], discovery.port))
-        client = await opened(port)
+        discovery = await DiscoveryStub([]).start(tasks)
+        port = await start_node(tasks, node_configuration([upstream.named], discovery.port))
+        client = await open_session(port)
         assert await client.line() == b"UP r1\r\n"
         stood.set()
         assert await client.line() is stream.Ending.RESET
         await at_rest(doors[0])
         assert len(upstream.lines) == 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_what_waits_to_be_accepted_at_the_end_is_answered_and_what_comes_later_refused(
@@ -561,8 +553,8 @@
     monkeypatch.setattr(node_run, "ClientListener", Kept)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         (listener,) = listeners
         listener.pause()
         await listener.idle.wait()
@@ -576,7 +568,7 @@
             assert (await all_of(client)).startswith(b"BUSY ")
         assert not upstreams.lines
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_node_that_ends_turns_away_what_the_system_accepted_for_it(
@@ -585,10 +577,10 @@
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         rests = raw_client(port, b"")
-        await until(lambda: doors[0].reader.without_line == 1)
+        await wait_until(lambda: doors[0].reader.without_line == 1)
         doors[0].reject_all()
         came = [raw_client(port, said) for said in (line_of("a"), b"", b"half a li")]
         for client in (rests, *came):
@@ -596,15 +588,15 @@
         assert not upstreams.lines
         await at_rest(doors[0])
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_links_at_the_end_are_answered_before_it(doors: list[ClientConnections]) -> None:
     """However long a client would wait: what is still out when the process is killed has no answer."""
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("silent").start(tasks)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        port = await start_node_with(tasks, upstreams)
         phase = doors[0]._lifecycle
         phase.start_stop(anyio.current_time())
         phase.stop_duration_s = 0.3
@@ -613,7 +605,7 @@
         assert anyio.current_time() < began + 2.0
         await at_rest(doors[0])
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 # Answers that cross with the end of an attempt.
@@ -676,13 +668,13 @@
             assert record.final_answer.line in (b"UP r1\r\n", b"BYE\r\n")
             await record.final_answer.connection.close()
             alone.descriptors.release()
-        await until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended == 1)
         assert (
             alone.descriptors.free == alone.descriptors.capacity
             and alone.upstream_actor.attempts.in_flight == 0
         )
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize("rest", [b"1\r\n", None])
@@ -703,10 +695,10 @@
         assert await alone.attempt(record, 100_000) is Outcome.TIMED_OUT
         given_up.set()
         assert record.final_answer is None
-        await until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended == 1)
         assert alone.descriptors.free == alone.descriptors.capacity
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_an_answer_that_comes_as_its_attempt_is_withdrawn_is_taken_or_leaves_nothing(
@@ -734,25 +726,25 @@
         if isinstance(record.final_answer, Delivered):
             await record.final_answer.connection.close()
             alone.descriptors.release()
-        await until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended == 1)
         assert alone.descriptors.free == alone.descriptors.capacity
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_second_line_ends_the_attempt_that_is_out_and_none_follows(doors: list[ClientConnections]) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("silent", "UP r1").start(tasks, 3)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("silent", "UP r1").start(tasks, 3)
+        port = await start_node_with(tasks, upstreams)
         client = raw_client(port, line_of("a"))
-        await until(lambda: len(upstreams.lines) == 1)
+        await wait_until(lambda: len(upstreams.lines) == 1)
         client.sendall(b"and now?\r\n")
         assert await all_of(client) == b"ERR\r\n"
-        await until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended == 1)
         await at_rest(doors[0])
         assert len(upstreams.lines) == 1 and upstreams.most_out == 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 # Many at once.
@@ -765,18 +757,21 @@
     monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks, 2)
+        upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
         closed = socket.create_server(("127.0.0.1", 0))
         port = closed.getsockname()[1]
         closed.close()
-        raw = configuration(upstreams.addresses[:1], port)
+        raw = node_configuration(upstreams.addresses[:1], port)
         raw["limits"] = {"sockets": HEADROOM + 24}
-        raw["control"] = door_address()
-        at = await serving(tasks, raw)
+        raw["control"] = admin_address()
+        at = await start_node(tasks, raw)
         idle = [raw_client(at, b"") for _ in range(60)]
-        await until(lambda: doors[0].counters.counts["idle_connection_evicted_silent"] > 0)
-        assert (await call(raw["control"], "GET /ops/readiness"))[0] == 200
-        rows = [member(0, upstreams.addresses[0], "terminating"), member(1, upstreams.addresses[1])]
+        await wait_until(lambda: doors[0].counters.counts["idle_connection_evicted_silent"] > 0)
+        assert (await call_admin_api(raw["control"], "GET /ops/readiness"))[0] == 200
+        rows = [
+            endpoint_row(0, upstreams.addresses[0], "terminating"),
+            endpoint_row(1, upstreams.addresses[1]),
+        ]
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
 
         async def serve(session: SocketStream) -> None:
@@ -788,14 +783,14 @@
                 await anyio.sleep_forever()
 
         tasks.start_soon(listener.serve, serve)
-        await until(lambda: doors[0].counters.counts["endpoint_list_full"] == 1)
+        await wait_until(lambda: doors[0].counters.counts["endpoint_list_full"] == 1)
         for _ in range(5):
-            assert await (await opened(at)).line() == b"UP r1\r\n"
+            assert await (await open_session(at)).line() == b"UP r1\r\n"
         assert {upstream for upstream, _ in upstreams.lines} == {1}
         for client in idle:
             client.close()
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_herd_that_starts_at_once_is_ready_in_time(tmp_path: Path) -> None:
@@ -803,12 +798,12 @@
 
     async def body(tasks: TaskGroup) -> None:
         path = tmp_path / "node.json"
-        path.write_bytes(orjson.dumps(configuration(["127.0.0.1:1"], 1)))
+        path.write_bytes(orjson.dumps(node_configuration(["127.0.0.1:1"], 1)))
         began = anyio.current_time()
         ready: list[float] = []
 
         async def start() -> None:
-            async with process(path):
+            async with node_process(path):
                 ready.append(anyio.current_time() - began)
 
         async with anyio.create_task_group() as herd:
@@ -816,4 +811,4 @@
                 herd.start_soon(start)
         assert sorted(ready)[26] < 10.0
 
-    on_loopback(body)
+    run_on_loopback(body)
--- a/tests/test_pieces.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -17,20 +17,12 @@
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.messages import EndpointsChanged, Message, ProbeFinished
 from larchlatch.node.metrics import Counters
-from tests.ground import (
-    IDENTS,
-    Discovery,
-    Upstreams,
-    configuration,
-    dial,
-    member,
-    on_loopback,
-    opened,
-    port_of,
-    process,
-    until,
-)
-from tests.test_node import NEWS, rest_of, serving, started
+from tests.support.clients import CLIENT_IDS, connect, open_session, read_to_end
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import port_of, run_on_loopback, wait_until
+from tests.support.node import EMPTY_CHANGE, start_node, start_node_with
+from tests.support.node_process import node_process
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
 BETWEEN_S = 0.002  # between two pieces: read apart as a rule, and whatever way they are read is right
 
@@ -45,20 +37,20 @@
 
 def test_a_clients_dialogue_cut_at_any_byte_reaches_its_host_whole() -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP echo").start(tasks, 2)
-        port = await started(tasks, upstreams)
+        upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
+        port = await start_node_with(tasks, upstreams)
         first = "OPEN {} k1 c=rerun,t=acme,d=2000,g=k1\r\n"
         lines = b"one line\r\nand another\r\n"
         for at in range(1, len(first) + 4):
-            client = await dial(port)
-            await cut(client.send, first.format(f"id{next(IDENTS)}").encode(), at)
+            client = await connect(port)
+            await cut(client.send, first.format(f"id{next(CLIENT_IDS)}").encode(), at)
             assert await client.line() == b"UP echo\r\n"
             await cut(client.send, lines, at % len(lines))
             assert await client.line() + await client.line() == lines  # type: ignore[operator]
             await client.close()
         assert len(upstreams.lines) == len(first) + 3 and upstreams.most_out <= 1
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 @pytest.mark.parametrize(
@@ -75,22 +67,22 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
-        discovery = await Discovery([NEWS]).start(tasks)
-        raw = configuration([f"127.0.0.1:{port_of(listener)}"], discovery.port)
-        port = await serving(tasks, raw)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        raw = node_configuration([f"127.0.0.1:{port_of(listener)}"], discovery.port)
+        port = await start_node(tasks, raw)
         for at in range(1, len(said) + 1):  # noqa: B007
-            got = b"".join(await rest_of(await opened(port, wait_ms=150, traffic_class="once")))
+            got = b"".join(await read_to_end(await open_session(port, wait_ms=150, traffic_class="once")))
             if said.startswith(b"UP"):
                 assert got == said
             else:
                 # Rejected where it can't have run, or where its upstream is in backoff by then.
                 assert got.count(b"\r\n") == 1 and got.startswith((b"ERR", b"BUSY")), "one final answer"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_list_cut_at_any_byte_is_read_whole() -> None:
-    whole = {"revision": 5, "complete": True, "members": [member(0, "127.0.0.1:9")]}
+    whole = {"revision": 5, "complete": True, "members": [endpoint_row(0, "127.0.0.1:9")]}
     text = orjson.dumps(whole) + b"\n\n"
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (text[:40], text[40:]))
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
@@ -128,7 +120,7 @@
             assert isinstance(update, EndpointsChanged) and update.endpoints.revision == 5
             assert [entry.name for entry in update.endpoints.endpoints] == ["s-0"]
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_list_service_that_turns_callers_away_empties_no_list() -> None:
@@ -136,7 +128,7 @@
 
     async def body(tasks: TaskGroup) -> None:
         asked = 0
-        upstreams = await Upstreams("UP r1").start(tasks)
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
 
         async def serve(stream: SocketStream) -> None:
             nonlocal asked
@@ -147,13 +139,13 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
-        port = await serving(tasks, configuration(upstreams.addresses, port_of(listener)))
+        port = await start_node(tasks, node_configuration(upstreams.addresses, port_of(listener)))
         for _ in range(5):
-            assert await (await opened(port)).line() == b"UP r1\r\n"
+            assert await (await open_session(port)).line() == b"UP r1\r\n"
             await anyio.sleep(0.3)
         assert 2 <= asked <= 12, "as a crowd of nodes this would keep it busy"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
@@ -162,38 +154,40 @@
     monkeypatch.setattr(session_watch, "CLIENT_STALL_LIMIT_US", 500_000)
 
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP flood").start(tasks)
-        client = await opened(await started(tasks, upstreams))
+        upstreams = await UpstreamStubs("UP flood").start(tasks)
+        client = await open_session(await start_node_with(tasks, upstreams))
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
-        await until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended == 1)
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_the_node_reports_each_upstream_beside_its_sockets(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
-        upstreams = await Upstreams("UP r1").start(tasks, 2)
+        upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
         story = {
             "revision": 3,
             "complete": False,
-            "members": [member(1, upstreams.addresses[1], "terminating")],
+            "members": [endpoint_row(1, upstreams.addresses[1], "terminating")],
         }
-        discovery = await Discovery([NEWS, story]).start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE, story]).start(tasks)
         path = tmp_path / "node.json"
-        path.write_bytes(orjson.dumps(configuration(upstreams.addresses, discovery.port)))
-        async with process(path) as running:
-            clients = [await opened(running.port, key=f"k{number}") for number in range(3)]
+        path.write_bytes(orjson.dumps(node_configuration(upstreams.addresses, discovery.port)))
+        async with node_process(path) as running:
+            clients = [await open_session(running.port, key=f"k{number}") for number in range(3)]
             for client in clients:
                 assert await client.line() == b"UP r1\r\n"
             running.signal(signal.SIGUSR1)
-            rows = {row["host"]: row for row in [await running.told("upstream_status") for _ in range(2)]}
+            rows = {
+                row["host"]: row for row in [await running.next_event("upstream_status") for _ in range(2)]
+            }
         assert sum(row["links"] for row in rows.values()) == 3
         for row in rows.values():
             assert row["links"] == row["links_open"] and row["tries"] == row["tries_open"] == 0
         assert rows["s-0"]["left_out"] == "" and rows["s-1"]["left_out"] == "draining"
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 async def pong_once(stream: SocketStream) -> None:
@@ -221,7 +215,7 @@
         assert await upstream.prober.query() is not None and descriptors.free == free - 1
         assert await upstream.prober.query() is None and descriptors.free == free
 
-    on_loopback(body)
+    run_on_loopback(body)
 
 
 def test_a_probe_ordered_while_one_is_under_way_does_not_end_the_node() -> None:
@@ -250,4 +244,4 @@
             both.start_soon(upstream.prober.run)
         assert [message.answered for message in posted if isinstance(message, ProbeFinished)] == [True, False]
 
-    on_loopback(body)
+    run_on_loopback(body)
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -8,31 +8,31 @@
 import pytest
 
 from larchlatch.policy.types import Outcome, ProbeResult
-from tests.ground import SECOND, Ground, line
+from tests.support.balancer_harness import SECOND_US, BalancerHarness, endpoint
 
 FULL = 100.0  # sessions that fill a warm upstream of this size
 COLD = 9  # the upstream that has just come up
-LASTS = 10 * SECOND
+LASTS = 10 * SECOND_US
 
 
-def node_of(fleet: int, me: int, seed: int, now: int, started_at: int) -> Ground:
+def node_of(fleet: int, me: int, seed: int, now: int, started_at: int) -> BalancerHarness:
     """A node that has just started, before an upstream that came up then."""
-    node = Ground(nodes=fleet, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True)
+    node = BalancerHarness(nodes=fleet, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True)
     node.now = now
-    node.relist(line(COLD, started_at=started_at))
+    node.update_endpoints(endpoint(COLD, started_at=started_at))
     return node
 
 
-def asked(node: Ground, key: int) -> None:
+def asked(node: BalancerHarness, key: int) -> None:
     """One session comes, and its candidates are probed."""
-    for upstream in node.lines:
+    for upstream in node.endpoints:
         node.balancer.record_probe(
             node.now, upstream, ProbeResult(True, 0.05 if upstream == COLD else 0.5, FULL / 2)
         )
     session = node.arrive(key=key)
-    node.run(SECOND // 100)
-    if session.number in node.out:
-        node.end(session, Outcome.ESTABLISHED)
+    node.advance(SECOND_US // 100)
+    if session.number in node.attempt_upstreams:
+        node.finish_attempt(session, Outcome.ESTABLISHED)
 
 
 @pytest.mark.parametrize("restarts", [False, True])
@@ -45,18 +45,20 @@
     sends: list[int] = []
     start = 0
     for me in range(nodes):
-        node = Ground(nodes=fleet, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True)
+        node = BalancerHarness(nodes=fleet, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True)
         start = node.now
-        node.relist(line(COLD, started_at=start))
+        node.update_endpoints(endpoint(COLD, started_at=start))
         for burst in range(2):
             for number in range(sessions):
                 asked(node, 1 + 1000 * me + 500 * burst + number)
-            sends += [at - start for at, upstream in node.cold_sends if upstream == COLD]
-            node.cold_sends.clear()
+            sends += [at - start for at, upstream in node.slow_start_sends if upstream == COLD]
+            node.slow_start_sends.clear()
             if restarts:
                 node = node_of(fleet, me, 7 * me + burst, node.now, start)
-            node.run(start + (burst + 1) * LASTS // 2 - node.now if node.now < start + LASTS // 2 else SECOND)
-    deployment_settings = Ground().settings
+            node.advance(
+                start + (burst + 1) * LASTS // 2 - node.now if node.now < start + LASTS // 2 else SECOND_US
+            )
+    deployment_settings = BalancerHarness().settings
     rate = (
         deployment_settings.overload_multiple
         * FULL
@@ -68,7 +70,7 @@
         able = rate * (
             deployment_settings.slow_start_min_share
             + (1 - deployment_settings.slow_start_min_share)
-            * (at + SECOND)
+            * (at + SECOND_US)
             / deployment_settings.slow_start_us
         )
         return able + 2 * math.sqrt(able) + 2
--- /dev/null
+++ b/tests/support/clients.py
@@ -0,0 +1,33 @@
+"""Clients of a node on loopback."""
+
+from __future__ import annotations
+
+from itertools import count
+
+import anyio
+
+from larchlatch.node.wire.stream import Ending, Lines
+
+CLIENT_IDS = count(1)  # each connection has a new client id
+
+
+async def connect(port: int) -> Lines:
+    return Lines(await anyio.connect_tcp("127.0.0.1", port))
+
+
+async def open_session(
+    port: int, wait_ms: int = 2000, traffic_class: str = "rerun", key: str = "k1", ident: str = ""
+) -> Lines:
+    """Return a connected client that has sent its request."""
+    client = await connect(port)
+    client_id = ident or f"id{next(CLIENT_IDS)}"
+    await client.send(f"OPEN {client_id} {key} c={traffic_class},t=acme,d={wait_ms},g={key}\r\n".encode())
+    return client
+
+
+async def read_to_end(client: Lines) -> list[bytes]:
+    """Return all lines up to the end of the connection."""
+    lines = []
+    while not isinstance(line := await client.line(), Ending):
+        lines.append(line)
+    return lines
--- /dev/null
+++ b/tests/support/node_process.py
@@ -0,0 +1,86 @@
+"""Nodes as processes, and calls to their admin APIs."""
+
+from __future__ import annotations
+
+import os
+import signal
+import subprocess
+import sys
+from collections.abc import AsyncIterator, Sequence
+from contextlib import asynccontextmanager
+from itertools import count
+from pathlib import Path
+from typing import Any
+
+import anyio
+import orjson
+from anyio.abc import Process
+from anyio.streams.buffered import BufferedByteReceiveStream
+
+from larchlatch.node.wire.stream import Ending, Lines
+
+
+class NodeProcess:
+    """A node that runs as a process, and its log."""
+
+    def __init__(self, process: Process) -> None:
+        assert process.stdout is not None
+        self.process = process
+        self.log = BufferedByteReceiveStream(process.stdout)
+        self.port = 0
+        self.admin_address = ""  # of its admin API
+
+    def signal(self, number: signal.Signals) -> None:
+        self.process.send_signal(number)
+
+    async def next_event(self, event: str) -> dict[str, Any]:
+        """Return the next row of the log with this event."""
+        while True:
+            row: dict[str, Any] = orjson.loads(await self.log.receive_until(b"\n", 65536))
+            if row["event"] == event:
+                return row
+
+    async def ended(self) -> int:
+        return await self.process.wait()
+
+
+@asynccontextmanager
+async def node_process(
+    path: Path, event: str = "serving", more: Sequence[str] = (), **env: str
+) -> AsyncIterator[NodeProcess]:
+    """Run a node with this configuration file until it has logged the event; more holds further arguments."""
+    command = [sys.executable, "-B", "-m", "larchlatch", "serve", *more]
+    made = await anyio.open_process(
+        command, env={**os.environ, "EDGE_CONFIG": str(path), **env}, stderr=subprocess.STDOUT
+    )
+    try:
+        running = NodeProcess(made)
+        running.port = (await running.next_event(event))["listen"][1]
+        yield running
+    finally:
+        if made.returncode is None:
+            made.kill()
+        await made.aclose()
+
+
+ADMIN_ADDRESS_NUMBERS = count(1)  # so that each node has an address that no other program takes
+
+
+def admin_address() -> str:
+    return f"127.77.{os.getpid() % 250 + 1}.{next(ADMIN_ADDRESS_NUMBERS)}:9600"
+
+
+async def call_admin_api(address: str, what: str, more: str = "") -> tuple[int, str]:
+    """Make one call to an admin API and return its status and the whole answer."""
+    host, _, port = address.rpartition(":")
+    caller = Lines(await anyio.connect_tcp(host, int(port)))
+    await caller.send(f"{what} HTTP/1.1\r\nHost: admin\r\n{more}\r\n".encode())
+    return await read_http_answer(caller)
+
+
+async def read_http_answer(caller: Lines) -> tuple[int, str]:
+    text = ""
+    while not isinstance(some := await caller.some(), Ending):
+        text += b"".join(some).decode()
+    await caller.close()
+    return int(text.split()[1]) if text else 0, text
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -31,7 +31,6 @@
 from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 from larchlatch.config.endpoints import EndpointEntry
 from larchlatch.config.endpoints import EndpointList as MemberList
-from larchlatch.days.day import Day, day_of
 from larchlatch.emulator.world import World
 from larchlatch.node.hot_restart import packets as passing
 from larchlatch.node.hot_restart.channel import HEADER, frame
@@ -48,7 +47,8 @@
     Session,
     TokenCandidate,
 )
-from tests.ground import SETTINGS
+from larchlatch.scenario.scenario import Day, day_of
+from tests.support.balancer_harness import SETTINGS
 
 ROOT = Path(__file__).parents[1]
 FIXTURE = Path(__file__).parent / "fixtures" / "compatibility.json"
@@ -265,7 +265,7 @@
 
 
 def emulated(name: str, seed: int) -> dict[str, Any]:
-    row = World(day_of(ROOT / "days" / f"{name}.toml", {"seed": seed})).play()
+    row = World(day_of(ROOT / "scenarios" / f"{name}.toml", {"seed": seed})).play()
     return {key: value for key, value in row.items() if key not in MEASURED}
 
 
@@ -335,7 +335,7 @@
     assert stored_values() == recorded()["values"]
 
 
-@pytest.mark.parametrize("path", sorted((ROOT / "days").glob("*.toml")), ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda path: path.stem)
 def test_example_scenarios_are_read(path: Path) -> None:
     assert day_of(path).name
 
