--- a/larchlatch/policy/backoff.py
+++ b/larchlatch/policy/backoff.py
@@ -1,36 +1,106 @@
-"""Backoff over recent outcomes: of one upstream, which it ejects meanwhile, or of all a node's attempts."""
+"""Backoff after failed attempts: of one upstream, or of all the attempts of a node.
+
+An upstream in backoff is ejected: it gets no new session until the delay is over, and then one per delay.
+"""
+
+from __future__ import annotations
 
 from collections import deque
 
-JUDGED_OUTCOMES = 3  # of an upstream: two failures in a row tell, one does not
-BACKOFF_US = 100_000  # first delay after a failure: a full queue has moved on by then
-LONGEST_BACKOFF_US = 6_000_000  # the delay doubles up to this: a returned upstream is found within it
+# Backoff of one upstream.
+JUDGED_OUTCOMES = 3  # one failure alone does not eject it
+BACKOFF_US = 100_000  # about as long as a full queue takes to move on
+LONGEST_BACKOFF_US = 6_000_000  # an upstream that has returned is found within this
+
+# Backoff of an upstream that has reset a session.
+RESET_BACKOFF_US = 1_000_000  # work that has piled up takes longer than a queue
+RESET_TRIAL_INTERVAL_US = 250_000  # all nodes together try such an upstream once in this
+
+# Backoff of a node, over its attempts at all upstreams.
+NODE_JUDGED_OUTCOMES = 8
+NODE_BACKOFF_US = 20_000
+LONGEST_NODE_BACKOFF_US = 1_000_000
+NODE_TRIAL_INTERVAL_US = 2_000_000  # all nodes together establish one session an upstream in this
 
 
 class Backoff:
-    """Spaces out attempts after failures; owns the last few outcomes and the delay."""
+    """Spaces out attempts after failures; owns the recent outcomes and the delay.
 
-    def __init__(self, judged: int, initial_us: int, longest_us: int) -> None:
-        self.recent: deque[bool] = deque(maxlen=judged)
+    Attributes:
+        recent: Whether each of the last few attempts succeeded.
+        initial_us: The first delay after a failure, in microseconds.
+        longest_us: The bound of the delay, in microseconds.
+        delay_us: The present delay, in microseconds; above 0 only one attempt is sent per delay.
+        until: When the next attempt may be sent, in microseconds.
+        doubled_at: When the delay was last doubled, in microseconds; -1 before.
+    """
+
+    def __init__(self, *, judged_outcomes: int, initial_us: int, longest_us: int) -> None:
+        self.recent: deque[bool] = deque(maxlen=judged_outcomes)
         self.initial_us = initial_us
         self.longest_us = longest_us
-        self.delay_us = self.until = 0  # delay above 0: on probation, one attempt per delay
+        self.delay_us = 0
+        self.until = 0
         self.doubled_at = -1
 
+    @classmethod
+    def of_upstream(cls) -> Backoff:
+        """Return the backoff of one upstream."""
+        return cls(judged_outcomes=JUDGED_OUTCOMES, initial_us=BACKOFF_US, longest_us=LONGEST_BACKOFF_US)
+
+    @classmethod
+    def of_node(cls) -> Backoff:
+        """Return the backoff of a node, which spaces its attempts at all upstreams."""
+        return cls(
+            judged_outcomes=NODE_JUDGED_OUTCOMES,
+            initial_us=NODE_BACKOFF_US,
+            longest_us=LONGEST_NODE_BACKOFF_US,
+        )
+
     def record(self, now: int, sent_at: int, *, succeeded: bool) -> None:
-        """Count the outcome of an attempt; back off if most of the recent ones have failed."""
+        """Record the outcome of an attempt; back off if most of the recent ones have failed.
+
+        Args:
+            now: The present time in microseconds.
+            sent_at: When the attempt was sent.
+            succeeded: Whether it succeeded.
+        """
         self.recent.append(succeeded)
         if succeeded:
-            # Each success halves the delay: what returns after a failure must not return all at once.
-            self.delay_us = self.delay_us // 2 if self.delay_us >= 2 * self.initial_us else 0
-            self.until = min(self.until, now + self.delay_us)
-        elif 2 * sum(self.recent) < len(self.recent):
-            self.escalate(now, sent_at, self.initial_us, self.longest_us)
-
-    def escalate(self, now: int, sent_at: int, least_us: int, longest_us: int) -> None:
-        """Back off; double the delay once for all attempts sent before it was last doubled."""
+            self._shorten(now)
+        elif self._most_have_failed():
+            self.escalate(now, sent_at, least_us=self.initial_us, longest_us=self.longest_us)
+
+    def escalate(self, now: int, sent_at: int, *, least_us: int, longest_us: int) -> None:
+        """Back off by a doubled delay; all attempts sent before the last doubling count as one failure.
+
+        Args:
+            now: The present time in microseconds.
+            sent_at: When the attempt that failed was sent.
+            least_us: The shortest delay, in microseconds.
+            longest_us: The longest delay, in microseconds.
+        """
         if sent_at >= self.doubled_at:
             self.delay_us = min(longest_us, max(least_us, 2 * self.delay_us))
             self.doubled_at = now
         self.delay_us = max(self.delay_us, least_us)
         self.until = max(self.until, now + self.delay_us)
+
+    def attempt_sent(self, now: int) -> None:
+        """Let the next attempt wait for one delay."""
+        self.until = now + self.delay_us
+
+    def reset(self) -> None:
+        """Forget all outcomes and end the delay."""
+        self.recent.clear()
+        self.delay_us = 0
+        self.until = 0
+
+    def _shorten(self, now: int) -> None:
+        # Halved, not ended: the sessions held back would otherwise all be sent at once.
+        can_halve = self.delay_us >= 2 * self.initial_us
+        self.delay_us = self.delay_us // 2 if can_halve else 0
+        self.until = min(self.until, now + self.delay_us)
+
+    def _most_have_failed(self) -> bool:
+        return 2 * sum(self.recent) < len(self.recent)
--- /dev/null
+++ b/larchlatch/policy/health.py
@@ -0,0 +1,33 @@
+"""Which upstreams take sessions at all: predicates on what is known of one upstream."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:
+    from larchlatch.policy.upstream import Upstream
+
+
+def is_slow(now: int, upstream: Upstream) -> bool:
+    """Return whether the messages of an upstream count as late."""
+    return now < upstream.slow_until
+
+
+def is_ejected(now: int, upstream: Upstream) -> bool:
+    """Return whether an upstream is in backoff."""
+    return now < upstream.backoff.until
+
+
+def is_healthy(now: int, upstream: Upstream) -> bool:
+    """Return whether an upstream is neither slow nor ejected."""
+    return now >= upstream.slow_until and now >= upstream.backoff.until
+
+
+def is_unreachable(now: int, upstream: Upstream) -> bool:
+    """Return whether the last connection to an upstream failed and the next trial is not yet due."""
+    return upstream.unreachable and now < upstream.backoff.until
+
+
+def has_vanished(now: int, upstream: Upstream) -> bool:
+    """Return whether an upstream answers no message on any session and no connection to it can be had."""
+    return upstream.unreachable and now < upstream.unresponsive_until
--- a/larchlatch/policy/load.py
+++ b/larchlatch/policy/load.py
@@ -1,72 +1,142 @@
 """Load estimates of upstreams, from this node's own sessions and from load reports."""
 
+from __future__ import annotations
+
 from dataclasses import dataclass
+from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.policy.ring import PRIOR_SESSIONS
-from larchlatch.policy.slow_start import SlowStart
-from larchlatch.policy.types import DeploymentSettings
-from larchlatch.policy.upstream import Fleet, Upstream
-
-MEAN_GAIN = 0.1  # weight of a new figure in a running mean
-CROWDED_RATIO = 2.0  # times the mean load above which an upstream counts as crowded
-CROWDED_UTILIZATION = 0.9  # the same by its load report: messages are late soon after
-NEARLY_FULL = 0.75  # utilization from which messages are late now and then: bursts find no room above
-REPORT_SERVES_US = 2_000_000  # a load report serves this long: about as long as load takes to shift
-REPORT_EXPIRES_US = 10_000_000  # one older than this is forgotten
-REPORT_WEIGHT = 0.5  # of load reports against own sessions, per node: a report sees every node's
-PENALTY_STEP = 1.5  # factor for each second of resets or late messages: two make a load double
-MAX_PENALTY = 8.0  # an upstream never counts for less than an eighth of its size
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from larchlatch.policy.slow_start import SlowStart
+    from larchlatch.policy.types import DeploymentSettings
+    from larchlatch.policy.upstream import Fleet, Upstream
+
+MEAN_GAIN = 0.1  # weight of a new value in a running mean
+
+# Utilization, as load reports state it.
+NEARLY_FULL = 0.75  # bursts make messages late from here on
+CROWDED_UTILIZATION = 0.9  # an upstream that reports more is crowded
+
+# Own sessions at an upstream over those at the mean upstream.
+CROWDED_RATIO = 2.0  # an upstream with a higher ratio is crowded
+
+# Load reports.
+REPORT_FRESH_US = 2_000_000  # about the time in which load shifts
+REPORT_EXPIRES_US = 10_000_000
+REPORT_WEIGHT = 0.5  # per node, against the node's own sessions: a report sees the sessions of all nodes
+
+# Overload penalty, a factor on the estimated load.
+PENALTY_STEP = 1.5
+MAX_PENALTY = 8.0
 PENALTY_INTERVAL_US = 1_000_000  # between two steps
-PENALTY_DECAY_US = 20_000_000  # until it is forgotten: some session lives later, as load has changed by then
+PENALTY_DECAY_US = 20_000_000  # from the last step until the factor is 1 again
+
+
+def running_mean(mean: float, value: float) -> float:
+    """Return a running mean with one more value; a mean of 0 has had no value yet."""
+    gain = MEAN_GAIN if mean else 1.0
+    return mean + (value - mean) * gain
+
+
+def has_recent_report(now: int, upstream: Upstream) -> bool:
+    """Return whether the last load report of an upstream has not expired."""
+    return now < upstream.utilization_at + REPORT_EXPIRES_US
+
+
+def has_fresh_report(now: int, upstream: Upstream) -> bool:
+    """Return whether a load report is so recent that it shows the present load."""
+    return now < upstream.utilization_at + REPORT_FRESH_US
 
 
-def running_mean(mean: float, figure: float) -> float:
-    """Return a running mean, 0 before its first figure, with one more figure."""
-    return mean + (figure - mean) * (MEAN_GAIN if mean else 1.0)
+def with_recent_reports(now: int, upstreams: Iterable[Upstream]) -> list[Upstream]:
+    """Return those upstreams whose last load report has not expired, in their order."""
+    return [upstream for upstream in upstreams if has_recent_report(now, upstream)]
+
+
+class FleetLoad(NamedTuple):
+    """The load of all ready upstreams at one time, against which a single one is compared.
+
+    Attributes:
+        mean_sessions: Own sessions, in usual ones, per unit of size.
+        report_count: How many upstreams have a recent load report.
+        reported_utilization: The sum of the utilizations in those reports.
+    """
+
+    mean_sessions: float
+    report_count: int
+    reported_utilization: float
+
+    def reports_below(self, utilization: float) -> bool:
+        """Return whether the mean of the reports is below this utilization; False without reports."""
+        return self.reported_utilization < utilization * self.report_count
 
 
 @dataclass(eq=False)
 class LoadEstimator:
-    """Estimates the load of upstreams; owns the overload penalty that each record holds."""
+    """Estimates the load of upstreams; owns the overload penalty in their records.
+
+    Attributes:
+        settings: The deployment settings.
+        fleet: All upstreams.
+        slow_start: Says what share of its work an upstream can do.
+    """
 
     settings: DeploymentSettings
     fleet: Fleet
     slow_start: SlowStart
 
-    def reporting(self, now: int) -> list[Upstream]:
-        """Return the ready upstreams that have a recent load report."""
-        return [other for other in self.fleet.ready if now < other.utilization_at + REPORT_EXPIRES_US]
-
-    def estimate(self, now: int, upstream: Upstream, mean: float) -> float:
-        """Return an upstream's load over the mean one's, with load reports in the same unit if known."""
-        own = self._own(now, upstream, mean)
-        if now >= upstream.utilization_at + REPORT_EXPIRES_US:
-            return own
-        reports = [other.utilization for other in self.reporting(now)]
-        total = sum(reports)
-        weight = REPORT_WEIGHT * self.settings.nodes  # the more nodes, the less of a load is this node's own
-        return (own + weight * upstream.utilization * len(reports) / total) / (1 + weight) if total else own
-
-    def is_crowded(self, now: int, upstream: Upstream, mean: float, utilization: float) -> bool:
-        """Return whether an upstream bears far more than the mean, or reports more than that utilization."""
-        if now < upstream.utilization_at + REPORT_SERVES_US and upstream.utilization > utilization:
+    def fleet_load(self, now: int) -> FleetLoad:
+        """Return the load of all ready upstreams."""
+        reports = [upstream.utilization for upstream in with_recent_reports(now, self.fleet.ready)]
+        return FleetLoad(self.fleet.mean_sessions(), len(reports), sum(reports))
+
+    def estimate(self, now: int, upstream: Upstream, fleet_load: FleetLoad) -> float:
+        """Return the load of an upstream over that of the mean upstream.
+
+        Where load reports are recent, the reported load joins the own sessions, weighted by the number of
+        nodes: the more nodes there are, the fewer of an upstream's sessions belong to this one.
+        """
+        own_load = self._own_load(now, upstream, fleet_load.mean_sessions)
+        if not fleet_load.reported_utilization or not has_recent_report(now, upstream):
+            return own_load
+        weight = REPORT_WEIGHT * self.settings.nodes
+        weighted_report = (
+            weight * upstream.utilization * fleet_load.report_count / fleet_load.reported_utilization
+        )
+        return (own_load + weighted_report) / (1 + weight)
+
+    def is_crowded(
+        self, now: int, upstream: Upstream, fleet_load: FleetLoad, *, max_utilization: float
+    ) -> bool:
+        """Return whether an upstream reports more than this utilization, or bears far more than the mean."""
+        if has_fresh_report(now, upstream) and upstream.utilization > max_utilization:
             return True
-        # What it can't do yet in slow start is its budget's matter: it would be crowded for half of that.
-        return self._own(now, upstream, mean) * self.slow_start.warm_share(now, upstream) > CROWDED_RATIO
+        # The estimate counts the lesser capacity in slow start, for which the turn's budget accounts already.
+        own_load = self._own_load(now, upstream, fleet_load.mean_sessions)
+        return own_load * self.slow_start.warm_share(now, upstream) > CROWDED_RATIO
+
+    def penalize(self, now: int, upstream: Upstream) -> None:
+        """Raise the overload penalty of an upstream that is short of capacity, once an interval."""
+        if now < upstream.penalized_at + PENALTY_INTERVAL_US:
+            return
+        upstream.overload_penalty = min(MAX_PENALTY, self._penalty(now, upstream) * PENALTY_STEP)
+        upstream.penalized_at = now
 
-    def _own(self, now: int, upstream: Upstream, mean: float) -> float:
-        # Where each node has a few sessions, none or two say nothing of a load: the mean stands in.
-        share = mean * upstream.size
-        sessions = (self.fleet.sessions_at(upstream) if upstream.sessions else share) + PRIOR_SESSIONS
-        ratio = sessions / (share + PRIOR_SESSIONS) * self._penalty(now, upstream)
-        return ratio / self.slow_start.warm_share(now, upstream)
+    def _own_load(self, now: int, upstream: Upstream, mean_sessions: float) -> float:
+        """Return the own sessions at an upstream over those at the mean one of its size."""
+        mean_share = mean_sessions * upstream.size
+        # To have no own session there by chance says nothing of its load: then it counts at the mean.
+        own_sessions = self.fleet.sessions_at(upstream) if upstream.sessions else mean_share
+        ratio = (own_sessions + PRIOR_SESSIONS) / (mean_share + PRIOR_SESSIONS)
+        penalized_ratio = ratio * self._penalty(now, upstream)
+        return penalized_ratio / self.slow_start.warm_share(now, upstream)
 
     def _penalty(self, now: int, upstream: Upstream) -> float:
+        """Return the overload penalty as it has decayed by now; 1 for none."""
         remaining = 1 - (now - upstream.penalized_at) / PENALTY_DECAY_US
-        return 1 + (upstream.overload_penalty - 1) * remaining if remaining > 0 else 1.0
-
-    def penalize(self, now: int, upstream: Upstream) -> None:
-        """Note that it bears more than it can, as sizes are registered and others' sessions unseen."""
-        if now >= upstream.penalized_at + PENALTY_INTERVAL_US:
-            upstream.overload_penalty = min(MAX_PENALTY, self._penalty(now, upstream) * PENALTY_STEP)
-            upstream.penalized_at = now
+        if remaining <= 0:
+            return 1.0
+        return 1 + (upstream.overload_penalty - 1) * remaining
--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -1,25 +1,46 @@
-"""Which upstreams are slow, and which sessions migrate off them."""
+"""Which upstreams are slow, and which established sessions migrate off them."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass
-from random import Random
+from typing import TYPE_CHECKING
+
+from larchlatch.policy.health import has_vanished, is_healthy, is_slow
+from larchlatch.policy.load import NEARLY_FULL, with_recent_reports
+from larchlatch.policy.upstream import joint_utilization, mean_utilization
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from larchlatch.policy.backoff import Backoff
+    from larchlatch.policy.selection import UpstreamSelector
+    from larchlatch.policy.types import DeploymentSettings, Session
+    from larchlatch.policy.upstream import Fleet, Upstream
+
+# When an upstream is slow.
+SLOW_US = 2_000_000  # a delay counts this long: it is reported once a second while it lasts
+SLOW_SHARE = 0.34  # of the strictest message objective
+UNEVEN_RATIO = 1.5  # utilization over that of others, from which they can take what this one loses
+MAX_LATENCY_RATIO = 4.0  # message latency over the objective, up to which more sessions migrate
 
-from larchlatch.policy.backoff import Backoff
-from larchlatch.policy.load import NEARLY_FULL
-from larchlatch.policy.selection import UpstreamSelector, is_fit
-from larchlatch.policy.types import DeploymentSettings, Session
-from larchlatch.policy.upstream import Fleet, Upstream, joint_utilization, mean_utilization
+# Migration off a slow upstream.
+ROUND_INTERVAL_US = 1_000_000  # long enough for the next report to show what the last round did
+ROUND_SHARE = 0.1  # of the own sessions at the upstream, times its latency ratio
 
-SLOW_US = 2_000_000  # a delay note counts this long: notes come once a second while it lasts
-SLOW_SHARE = 0.34  # of the strictest message objective, above which an upstream is slow: notes start there
-MAX_LATENCY_RATIO = 4.0  # for an upstream whose messages take so many times the objective
-UNEVEN_RATIO = 1.5  # times the mean utilization from which to relieve: others have room for what it loses
-ROUND_US = 1_000_000  # between migrations off an upstream: the next note tells what the last ones did
-ROUND_SHARE = 0.1  # of an upstream's own sessions in a round: one just over its capacity returns in one
+STRAYED = -1  # rank of sessions at an upstream that is none of their candidates
 
 
 @dataclass(eq=False)
 class Migration:
-    """Relieves slow upstreams; owns what their records say of slowness."""
+    """Relieves slow upstreams; owns what their records say of slowness.
+
+    Attributes:
+        settings: The deployment settings.
+        fleet: All upstreams.
+        selector: Knows the candidates of sessions, and the load of upstreams.
+        node_backoff: The backoff of the node.
+        random: The source of random draws.
+    """
 
     settings: DeploymentSettings
     fleet: Fleet
@@ -28,82 +49,130 @@
     random: Random
 
     def record_delay(self, now: int, upstream: Upstream, delay_us: int) -> None:
-        """Record what a message takes at an upstream now."""
+        """Record the present message latency at an upstream."""
         objective_us = self.settings.message_objective_us
         if objective_us and delay_us > SLOW_SHARE * objective_us:
-            self._mark_slow(now, upstream, delay_us / objective_us, SLOW_US)
+            self._mark_slow(now, upstream, latency_ratio=delay_us / objective_us, duration_us=SLOW_US)
         else:
-            upstream.slow_until = upstream.unresponsive_until = 0
+            upstream.slow_until = 0
+            upstream.unresponsive_until = 0
 
     def record_unresponsive(self, now: int, upstream: Upstream) -> None:
         """Record that no message is answered at an upstream."""
         upstream.unresponsive_until = now + SLOW_US
-        self._mark_slow(now, upstream, MAX_LATENCY_RATIO, SLOW_US)
+        self._mark_slow(now, upstream, latency_ratio=MAX_LATENCY_RATIO, duration_us=SLOW_US)
 
     def check_report(self, now: int, upstream: Upstream) -> None:
-        """Mark an upstream slow if its load report shows overload, as it may answer at once all the same."""
+        """Mark an upstream slow if its load report shows overload that no message latency shows."""
         if self.settings.reports_delay:
             return
-        # Where all are as full, its sessions would only be handed round; a large one with room takes much.
-        reporting = self.selector.load.reporting(now)
-        of_others = joint_utilization([other for other in reporting if other is not upstream])
-        uneven_to_others = UNEVEN_RATIO * (upstream.utilization if of_others is None else of_others)
-        uneven = min(UNEVEN_RATIO * mean_utilization(reporting), max(1.0, uneven_to_others))
-        if upstream.utilization > max(NEARLY_FULL, uneven):
-            # It has to lose what it is over by, and a little more; then it is looked at again.
+        if upstream.utilization > max(NEARLY_FULL, self._uneven_utilization(now, upstream)):
+            # It has to lose its excess, and a little more; then it is probed again.
             excess = (upstream.utilization - NEARLY_FULL) / ROUND_SHARE
-            self._mark_slow(now, upstream, 1 + excess, ROUND_US)
+            self._mark_slow(now, upstream, latency_ratio=1 + excess, duration_us=ROUND_INTERVAL_US)
+
+    def due(self, now: int) -> list[int]:
+        """Return the numbers of the sessions that migrate now; they are no longer counted anywhere."""
+        vanished = [other for other in self.fleet.ready if has_vanished(now, other)]
+        migrated = self._migrate_off_vanished(now, vanished)
+        migrated += self._migrate_off_slow(now, vanished)
+        for session in migrated:
+            self.fleet.upstreams[session.upstream].remove(session)
+        return [session.number for session in migrated]
+
+    def _uneven_utilization(self, now: int, upstream: Upstream) -> float:
+        """Return the utilization above which other upstreams have room for what this one would lose.
+
+        Where all are as full, its sessions would only be handed round. A large upstream with room may be able
+        to take much, though the mean is high.
+        """
+        reporting = with_recent_reports(now, self.fleet.ready)
+        of_others = joint_utilization([other for other in reporting if other is not upstream])
+        over_others = UNEVEN_RATIO * (upstream.utilization if of_others is None else of_others)
+        over_mean = UNEVEN_RATIO * mean_utilization(reporting)
+        return min(over_mean, max(1.0, over_others))
 
-    def _mark_slow(self, now: int, upstream: Upstream, latency_ratio: float, span_us: int) -> None:
-        upstream.slow_until = now + span_us
+    def _mark_slow(self, now: int, upstream: Upstream, *, latency_ratio: float, duration_us: int) -> None:
+        upstream.slow_until = now + duration_us
         upstream.latency_ratio = min(MAX_LATENCY_RATIO, max(1.0, latency_ratio))
-        self.fleet.look_at = now
+        self.fleet.check_now(now)
         self.selector.load.penalize(now, upstream)
-        # Where most are slow, what migrates off one fills the next: sessions have to come in more slowly.
-        used = [other for other in self.fleet.upstreams.values() if other.sessions and not other.unreachable]
-        if 2 * sum(now < other.slow_until for other in used) > len(used) > 1:
+        if self._most_used_are_slow(now):
+            # What migrates off one fills the next: sessions have to come in more slowly than they leave.
             self.node_backoff.record(now, now, succeeded=False)
 
-    def due(self, now: int) -> list[int]:
-        """Return the sessions that migrate now."""
-        ready = self.fleet.ready
-        vanished = [other for other in ready if other.unreachable and now < other.unresponsive_until]
-        # They reset nothing: a session left there is served nothing, and an attempt there waits in vain.
+    def _most_used_are_slow(self, now: int) -> bool:
+        """Return whether most of the several upstreams that hold own sessions are slow."""
+        used = [other for other in self.fleet.upstreams.values() if other.sessions and not other.unreachable]
+        slow_count = sum(is_slow(now, other) for other in used)
+        return 2 * slow_count > len(used) > 1
+
+    def _migrate_off_vanished(self, now: int, vanished: list[Upstream]) -> list[Session]:
+        """Return all sessions of vanished upstreams, and eject these for the longest time.
+
+        A vanished upstream resets no session: those left there would stay silent for good.
+        """
         migrated = [session for upstream in vanished for session in upstream.established()]
         for upstream in vanished:
-            upstream.backoff.escalate(now, now, upstream.backoff.longest_us, upstream.backoff.longest_us)
-        # Nor do they tell of the others, which their sessions may fill up: those have to be relieved.
-        slow = [upstream for upstream in ready if now < upstream.slow_until and upstream not in vanished]
-        # A slowdown of everything is not cured by migration, unless strayed sessions cause it.
-        strayed_only = 2 * len(slow) > len(ready) - len(vanished)
+            longest_us = upstream.backoff.longest_us
+            upstream.backoff.escalate(now, now, least_us=longest_us, longest_us=longest_us)
+        return migrated
+
+    def _migrate_off_slow(self, now: int, vanished: list[Upstream]) -> list[Session]:
+        """Return the sessions that this round takes off slow upstreams.
+
+        Vanished upstreams don't count here: their sessions may fill the others, which need relief then.
+        """
+        ready = self.fleet.ready
+        slow = [other for other in ready if is_slow(now, other) and other not in vanished]
+        # Where most are slow, migration does not help, unless strayed sessions are the cause.
+        only_strayed = 2 * len(slow) > len(ready) - len(vanished)
+        migrated: list[Session] = []
         for upstream in slow:
             if now >= upstream.migrate_at:
-                upstream.migrate_at = now + ROUND_US
-                migrated += self._round(now, upstream, strayed_only=strayed_only)
+                upstream.migrate_at = now + ROUND_INTERVAL_US
+                migrated += self._round(now, upstream, only_strayed=only_strayed)
             else:
-                self.fleet.look_at = min(self.fleet.look_at, upstream.migrate_at)
-        for session in migrated:
-            self.fleet.upstreams[session.upstream].remove(session)
-        return [session.number for session in migrated]
+                self.fleet.check_by(upstream.migrate_at)
+        return migrated
 
-    def _round(self, now: int, upstream: Upstream, *, strayed_only: bool) -> list[Session]:
-        # Whole groups go, the same first on every node; those strayed from both candidates, rank -1, first.
-        groups: dict[tuple[int, int], list[Session]] = {}
-        for session in upstream.established():
-            pair = self.selector.candidates(now, session).pair
-            rank = pair.index(upstream) if upstream in pair else -1
-            groups.setdefault((rank, self.selector.ring.affinity_key(session)), []).append(session)
-        # None in most rounds where a node has few: one from each of hundreds would fill the next upstream.
-        quota = int(ROUND_SHARE * upstream.latency_ratio * len(upstream.sessions) + self.random.uniform(0, 1))
+    def _round(self, now: int, upstream: Upstream, *, only_strayed: bool) -> list[Session]:
+        """Return the sessions that one round takes off an upstream: whole groups, strayed ones first."""
+        groups = self._groups_by_rank(now, upstream)
+        quota = self._round_quota(upstream)
         migrated: list[Session] = []
         for (rank, _), members in sorted(groups.items()):
-            if quota <= 0 or (rank >= 0 and strayed_only):
+            if quota <= 0 or (rank != STRAYED and only_strayed):
                 break
-            if rank < 0 or self._has_capacity(now, members[0]):
+            if rank == STRAYED or self._candidates_can_take(now, members[0]):
                 migrated += members[:quota]
                 quota -= len(members)
         return migrated
 
-    def _has_capacity(self, now: int, session: Session) -> bool:
-        pair, may_take = self.selector.candidates(now, session).pair, self.selector.slow_start.may_take
-        return any(is_fit(now, upstream) and may_take(now, upstream, session) for upstream in pair)
+    def _groups_by_rank(self, now: int, upstream: Upstream) -> dict[tuple[int, int], list[Session]]:
+        """Return the sessions established at an upstream by their candidates' rank and affinity key.
+
+        Sorted by these, the same groups migrate first on every node.
+        """
+        groups: dict[tuple[int, int], list[Session]] = {}
+        for session in upstream.established():
+            pair = self.selector.candidates(now, session).pair
+            rank = pair.index(upstream) if upstream in pair else STRAYED
+            key = self.selector.ring.affinity_key(session)
+            groups.setdefault((rank, key), []).append(session)
+        return groups
+
+    def _round_quota(self, upstream: Upstream) -> int:
+        """Return how many sessions a round may take off an upstream.
+
+        A share below one is rounded at random: were it rounded up, hundreds of nodes with few sessions each
+        would empty the upstream and fill the next.
+        """
+        share = ROUND_SHARE * upstream.latency_ratio * len(upstream.sessions)
+        return int(share + self.random.uniform(0, 1))
+
+    def _candidates_can_take(self, now: int, session: Session) -> bool:
+        """Return whether a candidate of a session is healthy and may take it."""
+        pair = self.selector.candidates(now, session).pair
+        slow_start = self.selector.slow_start
+        return any(is_healthy(now, other) and slow_start.may_take(now, other, session) for other in pair)
--- /dev/null
+++ b/larchlatch/policy/outcomes.py
@@ -0,0 +1,143 @@
+"""What the outcomes of attempts, sessions and probes mean for their upstreams and for the node."""
+
+from __future__ import annotations
+
+from collections import deque
+from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
+
+from larchlatch.policy.backoff import BACKOFF_US, RESET_BACKOFF_US, RESET_TRIAL_INTERVAL_US
+from larchlatch.policy.load import running_mean
+from larchlatch.policy.types import Outcome
+
+if TYPE_CHECKING:
+    from larchlatch.policy.backoff import Backoff
+    from larchlatch.policy.load import LoadEstimator
+    from larchlatch.policy.migration import Migration
+    from larchlatch.policy.retries import Retries
+    from larchlatch.policy.ring import UpstreamRing
+    from larchlatch.policy.slow_start import SlowStart
+    from larchlatch.policy.types import DeploymentSettings, ProbeResult, Session
+    from larchlatch.policy.upstream import Fleet, Upstream
+
+# Outcomes that show the state of what all attempts depend on. A failed connection shows only that of one
+# upstream, or of its network.
+JUDGED_BY_NODE = frozenset(
+    {Outcome.COMPLETED, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET}
+)
+# Outcomes that say nothing of the upstream.
+NOT_JUDGED_BY_UPSTREAM = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED})
+
+SETTLE_US = 1_000_000  # an established session is a success after this: overload resets new ones sooner
+
+
+@dataclass(eq=False)
+class OutcomeRecorder:
+    """Records how attempts and sessions end; owns the sessions that have just been established.
+
+    Attributes:
+        settings: The deployment settings.
+        fleet: All upstreams.
+        node_backoff: Spaces the attempts of this node at all upstreams.
+        ring: Counts established sessions by group.
+        load: Penalizes upstreams that reset sessions.
+        retries: Knows the attempts in flight.
+        settling: Established sessions that are not yet a success, oldest first.
+        mean_setup_us: Running mean of the time from sending an attempt to its establishment.
+    """
+
+    settings: DeploymentSettings
+    fleet: Fleet
+    node_backoff: Backoff
+    ring: UpstreamRing
+    load: LoadEstimator
+    retries: Retries
+    settling: deque[Session] = field(default_factory=deque)
+    mean_setup_us: float = 0.0
+
+    def record_established(self, now: int, session: Session) -> None:
+        """Record that the attempt in flight has established its session."""
+        upstream = self.fleet.upstreams[session.upstream]
+        self.retries.attempt_ended(session)
+        self.retries.record_established(session)
+        self.mean_setup_us = running_mean(self.mean_setup_us, now - session.sent_at)
+        session.attempt_established(now)
+        upstream.unreachable = False
+        self.settling.append(session)
+        self.ring.record_established(session)
+
+    def record_end(self, now: int, session: Session, outcome: Outcome) -> None:
+        """Record how an attempt or an established session has ended."""
+        upstream = self.fleet.upstreams[session.upstream]
+        self.retries.attempt_ended(session)
+        self.fleet.check_now(now)
+        upstream.remove(session)
+        self._judge_upstream(now, session, upstream, outcome)
+        if outcome in JUDGED_BY_NODE and not _has_settled(now, session):
+            succeeded = outcome is Outcome.COMPLETED
+            self.node_backoff.record(now, session.sent_at, succeeded=succeeded)
+        session.attempt_ended(outcome, self.settings.class_of(session))
+
+    def credit_settled(self, now: int) -> None:
+        """Count sessions as successes that have stayed established for a while.
+
+        An overloaded upstream establishes sessions and resets them at once: those were no success.
+        """
+        while self.settling and now >= self.settling[0].established_at + SETTLE_US:
+            session = self.settling.popleft()
+            if session.established:
+                self._credit(now, session)
+
+    def _credit(self, now: int, session: Session) -> None:
+        upstream = self.fleet.upstreams[session.upstream]
+        succeeded = now >= upstream.slow_until
+        upstream.backoff.record(now, session.established_at, succeeded=succeeded)
+        self.node_backoff.record(now, session.established_at, succeeded=succeeded)
+
+    def _judge_upstream(self, now: int, session: Session, upstream: Upstream, outcome: Outcome) -> None:
+        backoff = upstream.backoff
+        if outcome is Outcome.RESET:
+            self.load.penalize(now, upstream)
+            longest_us = self._longest_reset_backoff_us(upstream)
+            backoff.escalate(now, session.sent_at, least_us=RESET_BACKOFF_US, longest_us=longest_us)
+        elif outcome is Outcome.REJECTED:
+            backoff.escalate(now, session.sent_at, least_us=BACKOFF_US, longest_us=backoff.longest_us)
+        elif not session.established and outcome not in NOT_JUDGED_BY_UPSTREAM:
+            upstream.unreachable = outcome is Outcome.CONNECT_FAILED
+            backoff.record(now, session.sent_at, succeeded=outcome is Outcome.COMPLETED)
+
+    def _longest_reset_backoff_us(self, upstream: Upstream) -> int:
+        """Return the bound of the backoff after resets: all nodes try the upstream, each after its own."""
+        return max(upstream.backoff.longest_us, RESET_TRIAL_INTERVAL_US * self.settings.nodes)
+
+
+@dataclass(eq=False)
+class ProbeRecorder:
+    """Records the results of probes; owns no state.
+
+    Attributes:
+        fleet: All upstreams.
+        slow_start: Derives capacities from load reports.
+        migration: Checks load reports for overload.
+    """
+
+    fleet: Fleet
+    slow_start: SlowStart
+    migration: Migration
+
+    def record(self, now: int, upstream: Upstream, probe: ProbeResult) -> None:
+        """Record the result of a probe of an upstream."""
+        upstream.unreachable = not probe.answered
+        if upstream.unreachable and now < upstream.unresponsive_until:
+            self.fleet.check_now(now)
+        if not probe.answered or upstream.backoff.delay_us:
+            upstream.backoff.record(now, upstream.probed_at, succeeded=probe.answered)
+        if probe.utilization is not None:
+            upstream.load_reported(now, probe.utilization)
+            self.slow_start.record_capacity(now, upstream, probe.sessions or 0.0)
+            self.migration.check_report(now, upstream)
+
+
+def _has_settled(now: int, session: Session) -> bool:
+    """Return whether a session has been established so long that its end says nothing of new ones."""
+    return session.established and now >= session.established_at + SETTLE_US
--- /dev/null
+++ b/larchlatch/policy/placement.py
@@ -0,0 +1,138 @@
+"""Where a session goes: to an upstream, on hold, or to its final answer."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from itertools import islice
+from typing import TYPE_CHECKING
+
+from larchlatch.policy.health import is_healthy
+from larchlatch.policy.types import Answer, Forward, Hold
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from larchlatch.policy.backoff import Backoff
+    from larchlatch.policy.probing import Probing
+    from larchlatch.policy.retries import Retries
+    from larchlatch.policy.selection import UpstreamSelector
+    from larchlatch.policy.slow_start import SlowStart
+    from larchlatch.policy.types import DeploymentSettings, Session, TokenCandidates
+    from larchlatch.policy.upstream import Candidates, Upstream
+
+HOLD_US = 50_000  # a session that no upstream may take now is placed again after this
+PROBE_WAIT_US = 25_000  # for probes and tokens: a round trip between zones
+TOKEN_CANDIDATES = 4  # where half of a fleet is in slow start, the budget at one of them may be spent
+
+
+@dataclass(eq=False)
+class Placement:
+    """Places sessions that have no attempt in flight; owns no state but the node's backoff.
+
+    Attributes:
+        settings: The deployment settings.
+        node_backoff: Spaces the attempts of this node at all upstreams.
+        selector: Finds candidates and chooses among them.
+        slow_start: Says what upstreams in slow start may take.
+        retries: Says which attempts are harmless, and gives final answers.
+        probing: Requests probes of candidates.
+        random: The source of random draws.
+    """
+
+    settings: DeploymentSettings
+    node_backoff: Backoff
+    selector: UpstreamSelector
+    slow_start: SlowStart
+    retries: Retries
+    probing: Probing
+    random: Random
+
+    def place(self, now: int, session: Session) -> Answer:
+        """Return an upstream for a session, or that it is held, or its final answer."""
+        if self._is_out_of_attempts(now, session):
+            return self.retries.final_answer(now, session)
+        if self._waits_for_node_backoff(now, session):
+            return self._hold(now, session, until=self.node_backoff.until)
+        self.slow_start.record_arrival(now, session)
+        candidates = self._candidates(now, session)
+        if not candidates.pair and session.maybe_executed_at >= 0:
+            return self.retries.final_answer(now, session)
+        token_candidates = self._token_candidates(now, session, candidates)
+        probes_requested = self.probing.request(now, session, candidates.pair)
+        if probes_requested or token_candidates:
+            return Hold(now + PROBE_WAIT_US, token_candidates)
+        upstream = self.selector.choose(now, session, candidates)
+        if upstream is None:
+            return self._defer(now, session, candidates.pair)
+        return self._send(now, session, upstream)
+
+    def _is_out_of_attempts(self, now: int, session: Session) -> bool:
+        """Return whether a session gets its final answer: held once more, it would miss its deadline."""
+        is_last_moment = now + HOLD_US >= session.deadline
+        return is_last_moment or session.attempt_count >= self.settings.max_attempts
+
+    def _waits_for_node_backoff(self, now: int, session: Session) -> bool:
+        """Return whether the node spaces its attempts and this session's turn has not come.
+
+        A session for which a token was requested has had its turn, and is placed with that token.
+        """
+        return now < self.node_backoff.until and not session.token_requested
+
+    def _candidates(self, now: int, session: Session) -> Candidates:
+        """Return the candidates among those upstreams where a further attempt is harmless."""
+        ring_walk = self.selector.ring_walk(now, session)
+        retryable = (upstream for upstream in ring_walk if self.retries.may_retry(now, session, upstream))
+        return self.selector.candidates(now, session, retryable)
+
+    def _token_candidates(self, now: int, session: Session, candidates: Candidates) -> TokenCandidates:
+        """Return the upstreams in slow start for which a token is to be requested; empty for no request."""
+        if not self._needs_token(now, session, candidates.pair):
+            return ()
+        session.token_requested = True
+        # In the node's backoff this is the one attempt of the delay: another one would waste the token.
+        self.node_backoff.attempt_sent(now)
+        near = candidates.pair + candidates.spread
+        reachable = self.selector.reachable(now, near, candidates.beyond)
+        warming = (other for other in reachable if self._is_healthy_and_warming(now, other))
+        return tuple(
+            self.slow_start.token_candidate(now, session, other)
+            for other in islice(warming, TOKEN_CANDIDATES)
+        )
+
+    def _needs_token(self, now: int, session: Session, pair: list[Upstream]) -> bool:
+        """Return whether a token issuer can be asked, and a candidate may not take the session without."""
+        if not self.slow_start.has_token_issuer(now) or session.token_requested:
+            return False
+        return not all(self.slow_start.may_take(now, upstream, session) for upstream in pair)
+
+    def _is_healthy_and_warming(self, now: int, upstream: Upstream) -> bool:
+        return is_healthy(now, upstream) and not self.slow_start.is_warm(now, upstream)
+
+    def _hold(self, now: int, session: Session, *, until: int) -> Answer:
+        """Hold a session at least until then; shed it at once where its deadline is too near for that."""
+        # Spread, so that not all sessions that wait come back at once.
+        place_at = max(until, now + HOLD_US) + int(self.random.uniform(0, HOLD_US))
+        if until > now and place_at + HOLD_US >= session.deadline:
+            return self.retries.final_answer(now, session, until - now)
+        return Hold(min(session.deadline - HOLD_US, place_at))
+
+    def _defer(self, now: int, session: Session, pair: list[Upstream]) -> Answer:
+        """Hold a session that no upstream may take, until a warm candidate may be healthy again."""
+        session.token_requested = False
+        warm_upstreams = [upstream for upstream in pair if self.slow_start.is_warm(now, upstream)]
+        healthy_at = [max(upstream.backoff.until, upstream.slow_until) for upstream in warm_upstreams]
+        return self._hold(now, session, until=min(healthy_at, default=now))
+
+    def _send(self, now: int, session: Session, upstream: Upstream) -> Answer:
+        """Send an attempt to an upstream; it may last until the deadline.
+
+        A slow attempt waits in a queue with all others, where one that is given up is served all the same: a
+        shorter time-out would fill the queue with abandoned work.
+        """
+        self.slow_start.spend(now, upstream, session)
+        upstream.backoff.attempt_sent(now)
+        self.node_backoff.attempt_sent(now)
+        upstream.add(session)
+        session.attempt_sent(now, upstream.number)
+        self.retries.attempt_sent(session)
+        return Forward(upstream.number, session.deadline)
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -1,36 +1,57 @@
-"""What the node asks of others: probes of upstreams, and polls of the endpoint list."""
+"""When upstreams are probed, and when the endpoint list is polled."""
+
+from __future__ import annotations
 
 from dataclasses import dataclass
-from random import Random
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.policy.load import NEARLY_FULL, REPORT_FRESH_US
+from larchlatch.policy.types import NO_END
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from larchlatch.policy.types import DeploymentSettings, Session
+    from larchlatch.policy.upstream import Fleet, Upstream
+
+# Probes of upstreams with own sessions, where only load reports show that one is full.
+WATCH_INTERVAL_US = 5_000_000
+RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off the upstream
 
-from larchlatch.policy.load import NEARLY_FULL, REPORT_SERVES_US
-from larchlatch.policy.types import NO_END, DeploymentSettings, Session
-from larchlatch.policy.upstream import Fleet, Upstream
+# A report is doubtful where many sessions have come since.
+DOUBTFUL_GROWTH = 4  # own sessions more than at the last probe; fewer differ by chance
+DOUBTFUL_FRESH_US = 500_000  # for so long such a report still shows the load: reports lag a few tenths
 
-WATCH_US = 5_000_000  # between probes of an upstream with own sessions: that costs little beside late ones
-RELIEF_US = 1_000_000  # the same while it is being relieved
-GROWTH_SESSIONS = 4  # own ones more than at the last probe that make it doubtful: fewer differ by chance
-DOUBTFUL_US = 500_000  # a doubtful report serves this long: reports lag by a few tenths of a second
-FIRST_POLL_US = 1_000_000  # bound of the first pause after a failed poll; doubles
-POLL_LOST_US = 10_000_000  # a poll without an answer for so long is taken for lost
+# Polls of the endpoint list.
+FIRST_POLL_PAUSE_US = 1_000_000  # bound of the pause after the first failure; it doubles
+POLL_TIMEOUT_US = 10_000_000
 
 
 @dataclass(eq=False)
 class Probing:
-    """Decides when upstreams are probed; owns the times and requests of probes in their records."""
+    """Decides when upstreams are probed; owns the times and requests of probes in their records.
+
+    Attributes:
+        settings: The deployment settings.
+        fleet: All upstreams.
+    """
 
     settings: DeploymentSettings
     fleet: Fleet
 
     def request(self, now: int, session: Session, upstreams: list[Upstream]) -> bool:
-        """Request the probes that a new session had better wait for; return whether there are any."""
+        """Request probes of those upstreams whose load is not known well enough to place a new session.
+
+        Returns:
+            Whether any probe was requested, which the session has to wait for.
+        """
         if not self.settings.probes_report_load or session.mid_flow or session.attempt_count:
             return False
-        expired = [other for other in upstreams if now >= other.probed_at + self._serves_us(other)]
-        for upstream in expired:
+        unknown = [other for other in upstreams if now >= other.probed_at + _fresh_us(other)]
+        for upstream in unknown:
             upstream.probe_requested = True
-            self.fleet.look_at = now
-        return bool(expired)
+            self.fleet.check_now(now)
+        return bool(unknown)
 
     def due(self, now: int) -> list[int]:
         """Return the upstreams to be probed now."""
@@ -39,64 +60,103 @@
         due = []
         for upstream in self.fleet.ready:
             interval_us = self._interval_us(upstream)
-            if interval_us and now >= upstream.probed_at + interval_us:
+            if interval_us is None:
+                continue
+            if now >= upstream.probed_at + interval_us:
                 upstream.probe_sent(now)
                 due.append(upstream.number)
-            if interval_us:
-                self.fleet.look_at = min(self.fleet.look_at, upstream.probed_at + interval_us)
+            self.fleet.check_by(upstream.probed_at + interval_us)
         return due
 
-    def _interval_us(self, upstream: Upstream) -> int:  # 0 for never
+    def _interval_us(self, upstream: Upstream) -> int | None:
+        """Return the time between two probes of an upstream; None if it is not probed."""
         if upstream.probe_requested:
-            return self._serves_us(upstream)
+            return _fresh_us(upstream)
         if upstream.backoff.delay_us:
-            return REPORT_SERVES_US
-        # Where load shows in no delay, one that has filled up would keep its sessions, and serve none.
-        if self.settings.probes_report_load and not self.settings.reports_delay and upstream.sessions:
-            relieved = upstream.slow_until > upstream.utilization_at
-            return RELIEF_US if relieved or self._is_doubtful(upstream) else WATCH_US
-        return 0
+            return REPORT_FRESH_US
+        if upstream.sessions and self._only_probes_show_load:
+            is_relieved = upstream.slow_until > upstream.utilization_at
+            return RELIEF_INTERVAL_US if is_relieved or _is_doubtful(upstream) else WATCH_INTERVAL_US
+        return None
+
+    @property
+    def _only_probes_show_load(self) -> bool:
+        return self.settings.probes_report_load and not self.settings.reports_delay
+
 
-    def _serves_us(self, upstream: Upstream) -> int:
-        return DOUBTFUL_US if self._is_doubtful(upstream) else REPORT_SERVES_US
+def _fresh_us(upstream: Upstream) -> int:
+    """Return for how long the last report of an upstream shows its present load."""
+    return DOUBTFUL_FRESH_US if _is_doubtful(upstream) else REPORT_FRESH_US
 
-    def _is_doubtful(self, upstream: Upstream) -> bool:
-        # In a crowd the last probe shows an upstream empty that the own sessions since may have filled.
-        sessions, before = len(upstream.sessions), upstream.sessions_at_probe
-        if before < GROWTH_SESSIONS:  # empty, it showed nothing of what a session takes there
-            return sessions >= 2 * GROWTH_SESSIONS
-        return sessions >= before + GROWTH_SESSIONS and upstream.utilization * sessions > NEARLY_FULL * before
+
+def _is_doubtful(upstream: Upstream) -> bool:
+    """Return whether own sessions since the last probe may have filled an upstream that had room then."""
+    sessions = len(upstream.sessions)
+    sessions_then = upstream.sessions_at_probe
+    if sessions_then < DOUBTFUL_GROWTH:
+        # It was nearly empty: its utilization does not tell what a session takes there.
+        return sessions >= 2 * DOUBTFUL_GROWTH
+    has_grown = sessions >= sessions_then + DOUBTFUL_GROWTH
+    return has_grown and upstream.utilization * sessions > NEARLY_FULL * sessions_then
+
+
+class PollDecision(NamedTuple):
+    """Whether the endpoint list is polled now.
+
+    Attributes:
+        poll_now: Whether to poll it now.
+        wait_us: How long until a poll falls due, as far as that is known.
+    """
+
+    poll_now: bool
+    wait_us: int
+
+
+POLL_NOW = PollDecision(poll_now=True, wait_us=NO_END)
+NO_POLL = PollDecision(poll_now=False, wait_us=NO_END)
 
 
 @dataclass(eq=False)
 class DiscoveryPolling:
-    """Decides when the endpoint list is polled; owns the state of the subscription and of the poll."""
+    """Decides when the endpoint list is polled; owns the state of the subscription and of the poll.
+
+    Attributes:
+        settings: The deployment settings.
+        random: The source of random draws.
+        subscribed: Whether changes of the list are pushed to this node.
+        in_flight: Whether a poll has no answer yet.
+        poll_at: When the next poll is due, or the one in flight was sent, in microseconds.
+        longest_pause_us: The bound of the pause after the next failure.
+    """
 
     settings: DeploymentSettings
     random: Random
     subscribed: bool = False
     in_flight: bool = False
     poll_at: int = 0
-    longest_pause_us: int = FIRST_POLL_US
+    longest_pause_us: int = FIRST_POLL_PAUSE_US
 
     def answered(self) -> None:
-        """Record that a poll was answered: a subscription is up from then on."""
-        self.subscribed, self.in_flight, self.longest_pause_us = True, False, FIRST_POLL_US
+        """Record that a poll was answered, which also subscribes the node to changes."""
+        self.subscribed = True
+        self.in_flight = False
+        self.longest_pause_us = FIRST_POLL_PAUSE_US
 
     def failed(self, now: int) -> None:
-        """Record that a poll failed, or that the subscription was lost."""
-        # Without one no drain is heard of, yet the node counts as notified: poll on, ever more slowly.
-        self.subscribed = self.in_flight = False
+        """Record that a poll failed or that the subscription was lost; the pauses between polls grow."""
+        self.subscribed = False
+        self.in_flight = False
         self.poll_at = now + int(self.random.uniform(0, self.longest_pause_us))
         self.longest_pause_us = min(2 * self.settings.poll_within_us, 2 * self.longest_pause_us)
 
-    def due(self, now: int) -> tuple[bool, int]:
-        """Return whether to poll now, and how long until the next poll as far as that is known."""
-        if self.in_flight and now >= self.poll_at + POLL_LOST_US:
+    def due(self, now: int) -> PollDecision:
+        """Return whether to poll now; a poll that is due counts as sent."""
+        if self.in_flight and now >= self.poll_at + POLL_TIMEOUT_US:
             self.in_flight = False
         if self.subscribed or self.in_flight or not self.settings.polls_discovery:
-            return False, NO_END
+            return NO_POLL
         if now < self.poll_at:
-            return False, self.poll_at - now
-        self.in_flight, self.poll_at = True, now
-        return True, NO_END
+            return PollDecision(poll_now=False, wait_us=self.poll_at - now)
+        self.in_flight = True
+        self.poll_at = now
+        return POLL_NOW
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -1,36 +1,56 @@
 """The candidates of a session on the ring, and the choice among them."""
 
-from collections.abc import Iterable, Iterator
+from __future__ import annotations
+
 from dataclasses import dataclass
+from enum import IntEnum
 from itertools import chain, islice
-from random import Random
+from typing import TYPE_CHECKING
 
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.policy.load import CROWDED_UTILIZATION, NEARLY_FULL, REPORT_EXPIRES_US, LoadEstimator
-from larchlatch.policy.ring import UpstreamRing
-from larchlatch.policy.slow_start import SlowStart
-from larchlatch.policy.types import Session
-from larchlatch.policy.upstream import Candidates, Fleet, Upstream
+from larchlatch.policy.health import is_healthy, is_unreachable
+from larchlatch.policy.load import CROWDED_UTILIZATION, NEARLY_FULL, with_recent_reports
+from larchlatch.policy.ring import CANDIDATE_COUNT
+from larchlatch.policy.structures import HASH_RANGE
+from larchlatch.policy.upstream import Candidates
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable, Iterator
+    from random import Random
+
+    from larchlatch.policy.load import FleetLoad, LoadEstimator
+    from larchlatch.policy.ring import UpstreamRing
+    from larchlatch.policy.slow_start import SlowStart
+    from larchlatch.policy.types import Session
+    from larchlatch.policy.upstream import Fleet, Upstream
 
-MASTER_TIE = 1.2  # the master must be so many times as loaded as the second for that to be chosen
-SPARE_UTILIZATION = 0.5  # up to which any upstream takes sessions: its mean is under that of most full days
-ROOMY_UTILIZATION = 0.6  # mean of the upstreams that are well, below which they can take others' sessions
+MASTER_TIE = 1.2  # the second is chosen if the master bears more than this times its load
 
+# Utilizations, as load reports state them.
+SPARE_UTILIZATION = 0.5  # up to this, any upstream takes sessions
+ROOMY_UTILIZATION = 0.6  # healthy upstreams with a lower mean have room for others' sessions
 
-def is_fit(now: int, upstream: Upstream) -> bool:
-    """Return whether an upstream is neither slow nor ejected."""
-    return now >= upstream.slow_until and now >= upstream.backoff.until
 
+class Preference(IntEnum):
+    """The order in which upstreams are preferred where no candidate is free."""
 
-def is_down(now: int, upstream: Upstream) -> bool:
-    """Return whether no connection can be had: it is as good as gone until its next trial."""
-    return upstream.unreachable and now < upstream.backoff.until
+    CANDIDATE_WITH_ROOM = 0
+    WITH_ROOM = 1
+    CROWDED = 2
 
 
 @dataclass(eq=False)
 class UpstreamSelector:
-    """Chooses an upstream for a session; owns no state."""
+    """Chooses an upstream for a session; owns no state.
+
+    Attributes:
+        fleet: All upstreams.
+        ring: Finds the upstreams near a session.
+        load: Estimates the load of upstreams.
+        slow_start: Says what upstreams in slow start may take.
+        random: The source of random draws.
+    """
 
     fleet: Fleet
     ring: UpstreamRing
@@ -38,64 +58,124 @@
     slow_start: SlowStart
     random: Random
 
-    def candidates(self, now: int, session: Session, among: Iterator[Upstream] | None = None) -> Candidates:
-        """Return the reachable candidates among these successors, by default all of the session's."""
-        # A large group spreads until none bears more of it than a mean upstream does in all.
-        among = among or self.ring.successors(session)
-        spread = max(2, int(self.ring.share(session) * len(self.fleet.ready)))
-        near = list(islice((upstream for upstream in among if not is_down(now, upstream)), spread))
-        if spread > 2:
-            key = (session.key or 0) % 2**64
+    def ring_walk(self, now: int, session: Session) -> Iterator[Upstream]:
+        """Return the ready upstreams clockwise from a session's place on the ring.
+
+        For a session that another node has handed over they are those that it was placed among.
+        """
+        successors = self.ring.successors(session)
+        return self._prefer_warm(now, successors) if is_first_of_handed_over(session) else successors
+
+    def candidates(
+        self, now: int, session: Session, ring_walk: Iterator[Upstream] | None = None
+    ) -> Candidates:
+        """Return the reachable candidates among these upstreams; by default on the whole ring walk.
+
+        A large group spreads over more upstreams, so that none bears more of it than the mean upstream bears
+        in all.
+        """
+        if ring_walk is None:
+            ring_walk = self.ring.successors(session)
+        fair_share = int(self.ring.share(session) * len(self.fleet.ready))
+        count = max(CANDIDATE_COUNT, fair_share)
+        reachable = (upstream for upstream in ring_walk if not is_unreachable(now, upstream))
+        near = list(islice(reachable, count))
+        if count > CANDIDATE_COUNT:
+            key = (session.key or 0) % HASH_RANGE
             near.sort(key=lambda upstream: xxh3_64_intdigest(upstream.name.encode(), key))
-        return Candidates(near[:2], near[2:], among)
-
-    def prefer_warm(self, now: int, successors: Iterable[Upstream]) -> Iterator[Upstream]:
-        """Return the ring walk as when a session in mid-flow was placed, without those in slow start."""
-        upstreams = list(successors)
-        warm_upstreams = [upstream for upstream in upstreams if self.slow_start.is_warm(now, upstream)]
-        # Where these are fewer than half, a few would get all the others' sessions.
-        return iter(warm_upstreams if 2 * len(warm_upstreams) >= len(upstreams) else upstreams)
+        return Candidates(near[:CANDIDATE_COUNT], near[CANDIDATE_COUNT:], ring_walk)
 
     def choose(self, now: int, session: Session, candidates: Candidates) -> Upstream | None:
-        """Return the less loaded of master and second, another only if both are unfit; None for not now."""
+        """Return the less loaded of master and second, or another where both are unfit; None for not now."""
         usable = [other for other in candidates.pair if self.slow_start.may_take(now, other, session)]
-        if session.mid_flow and session.attempt_count == 0:
+        if is_first_of_handed_over(session):
             return usable[0] if usable else None
         if session.attempt_count and len(usable) > 1:
             usable = [upstream for upstream in usable if upstream.number != session.upstream]
-        mean = self.fleet.mean_sessions()
-        threshold = self._crowded_threshold(now)
-        fit = [upstream for upstream in usable if is_fit(now, upstream)]
-        best = [upstream for upstream in fit if not self.load.is_crowded(now, upstream, mean, threshold)]
-        if len(best) == 2:
-            master, second = (self.load.estimate(now, upstream, mean) for upstream in best)
-            return best[1] if MASTER_TIE * second < master else best[0]
-        if best:
-            return best[0]
-        for upstream in self.reachable(now, candidates.spread, candidates.beyond):
-            is_well = is_fit(now, upstream) and not is_down(now, upstream)
-            if is_well and self.slow_start.may_take(now, upstream, session, candidate=False):
-                if not self.load.is_crowded(now, upstream, mean, threshold):
-                    return upstream
-                fit.append(upstream)
-        # Where none is below what was drawn, its own candidates come first while they are not full.
-        full = {other: self.load.is_crowded(now, other, mean, CROWDED_UTILIZATION) for other in fit}
-        rank = {other: full[other] or -(other in candidates.pair) for other in fit}
-        return min(fit, key=lambda other: (rank[other], self.load.estimate(now, other, mean)), default=None)
-
-    def _crowded_threshold(self, now: int) -> float:
-        # Many nodes would act on one report at once: each placement draws, unless others have no room.
-        reports = [upstream.utilization for upstream in self.load.reporting(now)]
-        has_capacity = sum(reports) < NEARLY_FULL * len(reports)
-        if has_capacity and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
+        fleet_load = self.load.fleet_load(now)
+        max_utilization = self._crowded_threshold(now, fleet_load)
+        healthy = [upstream for upstream in usable if is_healthy(now, upstream)]
+        free = [
+            upstream
+            for upstream in healthy
+            if not self.load.is_crowded(now, upstream, fleet_load, max_utilization=max_utilization)
+        ]
+        if free:
+            return self._less_loaded(now, free, fleet_load)
+        for upstream in self._strays(now, session, candidates):
+            if not self.load.is_crowded(now, upstream, fleet_load, max_utilization=max_utilization):
+                return upstream
+            healthy.append(upstream)
+        return self._most_preferred(now, healthy, candidates.pair, fleet_load)
+
+    def reachable(self, now: int, near: list[Upstream], beyond: Iterator[Upstream]) -> Iterable[Upstream]:
+        """Return the upstreams that a session may stray to.
+
+        Only the near ones where many upstreams are unhealthy and the others have no room: elsewhere a stray
+        session would add its group's own work to one more upstream.
+        """
+        present = [upstream for upstream in self.fleet.ready if not is_unreachable(now, upstream)]
+        healthy = [upstream for upstream in present if is_healthy(now, upstream)]
+        trouble_is_wide = 4 * len(healthy) <= 3 * len(present)
+        if trouble_is_wide and not _have_room(now, healthy):
+            return near
+        return chain(near, beyond)
+
+    def _prefer_warm(self, now: int, successors: Iterable[Upstream]) -> Iterator[Upstream]:
+        """Return the warm upstreams of a ring walk, or all of them if fewer than half are warm."""
+        upstreams = list(successors)
+        warm_upstreams = [upstream for upstream in upstreams if self.slow_start.is_warm(now, upstream)]
+        most_are_warm = 2 * len(warm_upstreams) >= len(upstreams)
+        return iter(warm_upstreams if most_are_warm else upstreams)
+
+    def _crowded_threshold(self, now: int, fleet_load: FleetLoad) -> float:
+        """Return the utilization above which an upstream is crowded for this placement.
+
+        Many nodes read the same report within a short time. So that they don't all act on it alike, each
+        placement draws its threshold, unless the other upstreams lack room or one is in slow start.
+        """
+        has_room = fleet_load.reports_below(NEARLY_FULL)
+        if has_room and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
             return self.random.uniform(SPARE_UTILIZATION, CROWDED_UTILIZATION)
         return CROWDED_UTILIZATION
 
-    def reachable(self, now: int, near: list[Upstream], beyond: Iterator[Upstream]) -> Iterable[Upstream]:
-        """Return where a session may stray to: only near if many upstreams are unfit and others lack room."""
-        # There it would add its group's own work to one more, until all drown in it.
-        present = [upstream for upstream in self.fleet.ready if not is_down(now, upstream)]
-        fit = [upstream for upstream in present if is_fit(now, upstream)]
-        reports = [other.utilization for other in fit if now < other.utilization_at + REPORT_EXPIRES_US]
-        has_capacity = bool(reports) and sum(reports) < ROOMY_UTILIZATION * len(reports)
-        return near if 4 * len(fit) <= 3 * len(present) and not has_capacity else chain(near, beyond)
+    def _less_loaded(self, now: int, free: list[Upstream], fleet_load: FleetLoad) -> Upstream:
+        """Return the master, or the second if the master is clearly more loaded."""
+        if len(free) == 1:
+            return free[0]
+        master, second = free
+        master_load = self.load.estimate(now, master, fleet_load)
+        second_load = self.load.estimate(now, second, fleet_load)
+        return second if master_load > MASTER_TIE * second_load else master
+
+    def _strays(self, now: int, session: Session, candidates: Candidates) -> Iterator[Upstream]:
+        """Yield the healthy upstreams other than its candidates that a session may go to."""
+        for upstream in self.reachable(now, candidates.spread, candidates.beyond):
+            is_available = is_healthy(now, upstream) and not is_unreachable(now, upstream)
+            if is_available and self.slow_start.may_take(now, upstream, session, candidate=False):
+                yield upstream
+
+    def _most_preferred(
+        self, now: int, upstreams: list[Upstream], pair: list[Upstream], fleet_load: FleetLoad
+    ) -> Upstream | None:
+        """Return a candidate with room, else another upstream with room, else the least loaded."""
+
+        def preference(upstream: Upstream) -> tuple[Preference, float]:
+            load = self.load.estimate(now, upstream, fleet_load)
+            if self.load.is_crowded(now, upstream, fleet_load, max_utilization=CROWDED_UTILIZATION):
+                return Preference.CROWDED, load
+            is_candidate = upstream in pair
+            return (Preference.CANDIDATE_WITH_ROOM if is_candidate else Preference.WITH_ROOM), load
+
+        return min(upstreams, key=preference, default=None)
+
+
+def is_first_of_handed_over(session: Session) -> bool:
+    """Return whether this is the first attempt of a session that another node has handed over."""
+    return session.mid_flow and not session.attempt_count
+
+
+def _have_room(now: int, healthy: list[Upstream]) -> bool:
+    """Return whether these upstreams report that they have room; False without reports."""
+    reports = [upstream.utilization for upstream in with_recent_reports(now, healthy)]
+    return sum(reports) < ROOMY_UTILIZATION * len(reports)
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -1,94 +1,139 @@
-"""Slow start: what all nodes together send a started upstream stays within what it bears as it warms up."""
+"""Slow start: what upstreams that have just started may take.
+
+All nodes together send such an upstream no more in an overload window than it bears as it warms up. Without
+a token issuer the nodes take turns: each overload window of an upstream is the turn of one node, which may
+spend the whole budget of that window there.
+"""
+
+from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import TYPE_CHECKING
 
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.policy.ring import UpstreamRing
-from larchlatch.policy.structures import Arrivals
-from larchlatch.policy.types import DeploymentSettings, Session, TokenCandidate
-from larchlatch.policy.upstream import Fleet, Upstream
+from larchlatch.policy.ring import CANDIDATE_COUNT
+from larchlatch.policy.structures import HASH_RANGE, Arrivals
+from larchlatch.policy.types import TokenCandidate
+
+if TYPE_CHECKING:
+    from larchlatch.policy.ring import UpstreamRing
+    from larchlatch.policy.types import DeploymentSettings, Session, Token
+    from larchlatch.policy.upstream import Fleet, Upstream
 
-SAFE_SHARE = 0.75  # of the stated multiple of a capacity: the rest is for what is guessed of it
-GUESSED_SHARE = 0.5  # the same where not even a warm capacity is reported, but guessed from own sessions
-REPORTABLE_UTILIZATION = 0.1  # from which reported sessions tell a capacity: below, a few of them decide
+# Shares of the stated overload multiple that a turn's budget uses.
+SAFE_SHARE = 0.75  # where probes tell what a warm upstream bears
+GUESSED_SHARE = 0.5  # where that is guessed from the node's own sessions
+
+REPORTABLE_UTILIZATION = 0.1  # below this, a few sessions more or less would change the capacity derived
 
 
 @dataclass(eq=False)
 class SlowStart:
-    """Decides what upstreams in slow start can take; owns recent arrivals, and who has the node's budget."""
+    """Decides what upstreams in slow start may take; owns recent arrivals and who has the node's budget.
+
+    Attributes:
+        settings: The deployment settings.
+        fleet: All upstreams.
+        ring: Tells how large a session's group is.
+        arrivals: The sessions that came to this node within the last overload window.
+        issuer_until: Until when a token issuer speaks for all nodes, in place of turns, in microseconds.
+        released: Whether another process of this node has its budget; what that spends is not seen here.
+    """
 
     settings: DeploymentSettings
     fleet: Fleet
     ring: UpstreamRing
-    arrivals: Arrivals = field(default_factory=Arrivals)  # of the last overload window
-    issuer_until: int = 0  # until then a token issuer speaks for all nodes, in place of turns
-    released: bool = False  # another process of this node has its budget, and spends unseen by this one
+    arrivals: Arrivals = field(default_factory=Arrivals)
+    issuer_until: int = 0
+    released: bool = False
 
     def warm_share(self, now: int, upstream: Upstream) -> float:
-        """Return the least share of its work that an upstream can do, by the time since it started."""
+        """Return the share of its work that an upstream can do at least, by the time since it started."""
         settings = self.settings
         if not upstream.started_at or now >= upstream.started_at + settings.slow_start_us:
             return 1.0
-        age = max(0, now - upstream.started_at) / settings.slow_start_us
-        return settings.slow_start_min_share + (1 - settings.slow_start_min_share) * age
+        progress = max(0, now - upstream.started_at) / settings.slow_start_us
+        return settings.slow_start_min_share + (1 - settings.slow_start_min_share) * progress
 
     def is_warm(self, now: int, upstream: Upstream) -> bool:
         """Return whether an upstream is past its slow start."""
         return self.warm_share(now, upstream) >= 1.0
 
+    def has_token_issuer(self, now: int) -> bool:
+        """Return whether a token issuer speaks for all nodes now."""
+        return now < self.issuer_until
+
     def may_take(self, now: int, upstream: Upstream, session: Session, *, candidate: bool = True) -> bool:
-        """Return whether it may take a session; where it is no candidate of its own, all may want it."""
-        if self.is_warm(now, upstream) or self.released:
-            return self.is_warm(now, upstream)
-        if now < self.issuer_until:
-            return now < upstream.tokens.get(session.number, 0)
-        # No node sees what others send: they take turns by number, a window each with its whole budget.
+        """Return whether an upstream may take a session.
+
+        Args:
+            now: The present time in microseconds.
+            upstream: A warm upstream, which always may, or one in slow start.
+            session: The session to be placed.
+            candidate: Whether the upstream is one of the session's candidates. Any session may stray to
+                another one, so there all of them count as demand.
+        """
+        if self.is_warm(now, upstream):
+            return True
+        if self.released:
+            return False
+        if self.has_token_issuer(now):
+            return _holds_token(now, upstream, session)
         capacity = self.reported_capacity(upstream)
         budget = self.turn_budget(now, upstream, capacity)
-        turn, spent = self.turn_and_spent(now, upstream)
-        if turn % self.settings.nodes == self.settings.me and spent < (1.0 if capacity else max(1.0, budget)):
+        turn = self._turn(now, upstream)
+        spent = _spent_in(turn, upstream)
+        if self._is_own(turn) and spent < _own_turn_limit(budget, capacity):
             return True
         if not capacity or spent >= budget - 1:
             return False
-        # Turns pass unused where nodes see few sessions: others get in by chance, within budget if all have
-        # as many arrivals, less a root as room for chance. A session placed again draws no second time.
-        own_demand = 2 / max(1, len(self.fleet.ready)) + self.ring.share(session) if candidate else 1.0
-        arrivals = self.settings.nodes * max(1, len(self.arrivals.times))
-        wanted = arrivals * min(1.0, own_demand) * self.fleet.weight(session)
-        draw = xxh3_64_intdigest(upstream.name.encode(), ((session.key or session.number) + turn) % 2**64)
-        return bool(draw * wanted < (budget**0.5 - 1) ** 2 * 2**64)
-
-    def turn_and_spent(self, now: int, upstream: Upstream) -> tuple[int, float]:
-        """Return the number of the present overload window of an upstream, and what was spent in it."""
-        turn = (now - upstream.started_at) // self.settings.overload_window_us
-        return turn, upstream.spent_in_turn if upstream.turn == turn else 0.0
+        return self._may_take_by_chance(upstream, session, turn=turn, budget=budget, candidate=candidate)
 
     def turn_budget(self, now: int, upstream: Upstream, capacity: float) -> float:
-        """Return the sessions for one turn, by a reported capacity, else by that of level load."""
-        settings, safe_share = self.settings, SAFE_SHARE
+        """Return how many usual sessions an upstream in slow start bears in one overload window.
+
+        Args:
+            now: The present time in microseconds.
+            upstream: The upstream.
+            capacity: The sessions that fill it once it is warm, by reports; 0 if unknown.
+        """
+        settings = self.settings
+        safe_share = SAFE_SHARE
         if not capacity:
             safe_share = GUESSED_SHARE
-            warm_upstreams = [other for other in self.fleet.ready if self.is_warm(now, other)]
-            size = sum(other.size for other in warm_upstreams)
-            own = settings.nodes * sum(len(other.sessions) for other in warm_upstreams)
-            capacity = own / size * upstream.size if size else 0.0
-        # The stated slow start is the slowest: what a probe has shown holds on, as capacity only grows.
-        able = max(self.warm_share(now, upstream) * capacity, min(upstream.capacity, capacity))
+            capacity = self._guessed_capacity(now, upstream)
+        # The stated slow start is the slowest one: where a probe has shown more, that holds.
+        stated = self.warm_share(now, upstream) * capacity
+        probed = min(upstream.capacity, capacity)
+        bearable_sessions = max(stated, probed)
         multiple = safe_share * settings.overload_multiple
-        return multiple * able * settings.overload_window_us / settings.slow_start_us
+        return multiple * bearable_sessions * settings.overload_window_us / settings.slow_start_us
 
     def reported_capacity(self, upstream: Upstream) -> float:
-        """Return the sessions that fill an upstream once warm, by probes of others; 0 for unknown."""
+        """Return the sessions that fill an upstream once it is warm, by probes of warm ones; 0 if unknown."""
         known = [other for other in self.fleet.upstreams.values() if other.warm_capacity]
-        total = sum(other.warm_capacity / other.size for other in known)
-        return total / len(known) * upstream.size if known else 0.0
+        if not known:
+            return 0.0
+        total_per_size = sum(other.warm_capacity / other.size for other in known)
+        return total_per_size / len(known) * upstream.size
+
+    def record_arrival(self, now: int, session: Session) -> None:
+        """Count a session among the recent arrivals, once however often it is placed."""
+        self.arrivals.record(now, session, self.settings.overload_window_us)
 
     def record_capacity(self, now: int, upstream: Upstream, sessions: float) -> None:
-        """Take over from a probe how many sessions an upstream holds at its reported utilization."""
-        if sessions and upstream.utilization >= REPORTABLE_UTILIZATION:
-            upstream.capacity = sessions / upstream.utilization
-            upstream.warm_capacity = upstream.capacity if self.is_warm(now, upstream) else 0.0
+        """Derive an upstream's capacity from the sessions and the utilization that a probe reports."""
+        if not sessions or upstream.utilization < REPORTABLE_UTILIZATION:
+            return
+        upstream.capacity = sessions / upstream.utilization
+        upstream.warm_capacity = upstream.capacity if self.is_warm(now, upstream) else 0.0
+
+    def record_token(self, now: int, issuer_until: int, token: Token | None) -> None:
+        """Record until when a token issuer speaks for all nodes, and the token that it issues, if any."""
+        self.issuer_until = issuer_until
+        if token is not None and token.upstream in self.fleet.upstreams:
+            self.fleet.upstreams[token.upstream].add_token(now, token)
 
     def token_candidate(self, now: int, session: Session, upstream: Upstream) -> TokenCandidate:
         """Return what the token issuer has to know of an upstream in slow start."""
@@ -96,7 +141,65 @@
         return TokenCandidate(upstream.number, budget, self.fleet.weight(session))
 
     def spend(self, now: int, upstream: Upstream, session: Session) -> None:
-        """Charge a session that is sent to an upstream to the budget of this turn."""
-        upstream.turn, spent = self.turn_and_spent(now, upstream)
-        upstream.spent_in_turn = self.fleet.weight(session) + spent
+        """Charge a session that is sent to an upstream to the budget of the present turn."""
+        turn = self._turn(now, upstream)
+        upstream.spent_in_turn = self.fleet.weight(session) + _spent_in(turn, upstream)
+        upstream.turn = turn
         upstream.tokens.pop(session.number, None)
+
+    def _turn(self, now: int, upstream: Upstream) -> int:
+        """Return the number of the present overload window of an upstream, from 0 at its start."""
+        return (now - upstream.started_at) // self.settings.overload_window_us
+
+    def _is_own(self, turn: int) -> bool:
+        return turn % self.settings.nodes == self.settings.me
+
+    def _guessed_capacity(self, now: int, upstream: Upstream) -> float:
+        """Return the sessions at a warm upstream of this size, if all nodes have as many as this one."""
+        warm_upstreams = [other for other in self.fleet.ready if self.is_warm(now, other)]
+        total_size = sum(other.size for other in warm_upstreams)
+        if not total_size:
+            return 0.0
+        sessions = self.settings.nodes * sum(len(other.sessions) for other in warm_upstreams)
+        return sessions / total_size * upstream.size
+
+    def _may_take_by_chance(
+        self, upstream: Upstream, session: Session, *, turn: int, budget: float, candidate: bool
+    ) -> bool:
+        """Return whether a session is admitted outside of this node's turn, or beyond its share of it.
+
+        Turns pass unused where each node sees few sessions. So a share of them is admitted that stays within
+        the budget if all nodes have as many arrivals as this one. The draw is a hash: however often and
+        wherever a session is placed again within the turn, it comes out the same.
+        """
+        demand = self._expected_demand(session, candidate=candidate)
+        # The number admitted varies by about the root of its mean: the budget leaves room for that.
+        admitted = (budget**0.5 - 1) ** 2
+        seed = ((session.key or session.number) + turn) % HASH_RANGE
+        draw = xxh3_64_intdigest(upstream.name.encode(), seed)
+        return bool(draw * demand < admitted * HASH_RANGE)
+
+    def _expected_demand(self, session: Session, *, candidate: bool) -> float:
+        """Return the usual sessions that may want the upstream in this window, if all nodes see as many."""
+        share = 1.0
+        if candidate:
+            share = CANDIDATE_COUNT / max(1, len(self.fleet.ready)) + self.ring.share(session)
+        arrivals = self.settings.nodes * max(1, len(self.arrivals.times))
+        return arrivals * min(1.0, share) * self.fleet.weight(session)
+
+
+def _holds_token(now: int, upstream: Upstream, session: Session) -> bool:
+    return now < upstream.tokens.get(session.number, 0)
+
+
+def _spent_in(turn: int, upstream: Upstream) -> float:
+    """Return what this node has spent of its budget at an upstream in this turn, in usual sessions."""
+    return upstream.spent_in_turn if upstream.turn == turn else 0.0
+
+
+def _own_turn_limit(budget: float, capacity: float) -> float:
+    """Return what a node spends in its own turn without a draw, in usual sessions.
+
+    Where the capacity is known, further sessions are admitted by chance: those of other nodes are too.
+    """
+    return 1.0 if capacity else max(1.0, budget)
--- a/larchlatch/policy/structures.py
+++ b/larchlatch/policy/structures.py
@@ -16,6 +16,7 @@
 
     from larchlatch.policy.types import Session
 
+HASH_RANGE = 2**64  # number of values that a hash of 64 bits can have
 NUMBER_MASK = 0xFFFFFF  # low bits of a point that hold its member's number: more than a node ever meets
 SHORTEST_NAME = 4  # bytes: the hashes of shorter names with an index for their seed would coincide
 
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -9,12 +9,14 @@
 from dataclasses import InitVar, dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.policy.backoff import BACKOFF_US, JUDGED_OUTCOMES, LONGEST_BACKOFF_US, Backoff
-from larchlatch.policy.types import Endpoint, EndpointState, Session, Token
+from larchlatch.policy.backoff import Backoff
+from larchlatch.policy.types import Endpoint, EndpointState
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator
 
+    from larchlatch.policy.types import Session, Token
+
 NEVER = -10_000_000  # microseconds: before all times of a node
 
 
@@ -60,7 +62,7 @@
     sessions: dict[int, Session] = field(default_factory=dict)
     known_load: float = 0.0
     unknown_loads: int = 0
-    backoff: Backoff = field(default_factory=lambda: Backoff(JUDGED_OUTCOMES, BACKOFF_US, LONGEST_BACKOFF_US))
+    backoff: Backoff = field(default_factory=Backoff.of_upstream)
     overload_penalty: float = 1.0
     penalized_at: int = 0
     unreachable: bool = False
@@ -85,10 +87,11 @@
     def follow(self, endpoint: Endpoint) -> None:
         """Take over the fields of its endpoint, and forget what a former process of it did."""
         if endpoint.started_at > self.started_at and endpoint.state is EndpointState.READY:
-            self.backoff.recent.clear()
-            self.backoff.delay_us = self.backoff.until = 0
-            self.slow_until = self.unresponsive_until = 0
-            self.capacity = self.warm_capacity = 0.0
+            self.backoff.reset()
+            self.slow_until = 0
+            self.unresponsive_until = 0
+            self.capacity = 0.0
+            self.warm_capacity = 0.0
         self.number = endpoint.upstream
         self.name = endpoint.name
         self.zone = endpoint.zone
@@ -120,6 +123,11 @@
         self.probe_requested = False
         self.sessions_at_probe = len(self.sessions)
 
+    def load_reported(self, now: int, utilization: float) -> None:
+        """Record a load report."""
+        self.utilization = utilization
+        self.utilization_at = now
+
     def add_token(self, now: int, token: Token) -> None:
         """Keep a token for its session, and drop those that have ended."""
         held = {session: until for session, until in self.tokens.items() if now < until}
@@ -158,14 +166,22 @@
         upstreams: The records by number, those of upstreams that are gone included.
         ready: The records of the ready upstreams, in the order in which they were first named.
         mean_session_load: Running mean, in microseconds of work a second; 0 if no load is known.
-        look_at: When an upstream may next have a probe or migrations due, in microseconds.
+        next_check_at: When an upstream may next have a probe or migrations due, in microseconds.
     """
 
     def __init__(self) -> None:
         self.upstreams: dict[int, Upstream] = {}
         self.ready: list[Upstream] = []
         self.mean_session_load = 0.0
-        self.look_at = 0
+        self.next_check_at = 0
+
+    def check_now(self, now: int) -> None:
+        """Note that an upstream may have something due now."""
+        self.next_check_at = now
+
+    def check_by(self, at: int) -> None:
+        """Note that an upstream has something due at this time."""
+        self.next_check_at = min(self.next_check_at, at)
 
     def weight(self, session: Session) -> float:
         """Return a session's load in usual sessions."""
