--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -159,7 +159,7 @@
 
     def __init__(self, settings: DeploymentSettings, chance: Random) -> None:
         super().__init__(settings, chance)
-        self.selector = MasterSelector(self.fleet, self.ring, self.load, self.slow_start, chance)
+        self.placement.selector = MasterSelector(self.fleet, self.ring, self.load, self.slow_start, chance)
 
 
 POLICIES: dict[str, Callable[[DeploymentSettings, Random], Policy]] = {
