--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -8,7 +8,7 @@
 
 from larchlatch.node.clients.request_reader import RequestReader
 from larchlatch.node.clients.requests import RequestChecker, UnreadRequest
-from larchlatch.node.clients.session_handler import RETRY_AFTER_US, SessionHandler
+from larchlatch.node.clients.session_handler import SessionHandler
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire import lines
 from larchlatch.node.wire.listen import stream_of
@@ -20,6 +20,8 @@
     send_last_line,
     waited_us,
 )
+from larchlatch.policy import admission
+from larchlatch.policy.retries import RETRY_AFTER_US
 
 if TYPE_CHECKING:
     import socket
@@ -78,13 +80,11 @@
 
     def read_overdue(self, sock: socket.socket) -> UnreadRequest | None:
         """Return what a connection just accepted has sent if this node is behind, else None."""
-        limit_us, waited = self._balancer_actor.shed_waiting_over_us, waited_us(sock)
-        # All that is done for one session costs time that others lack that have waited as long.
-        if not 0 < limit_us < waited:
+        waited = waited_us(sock)
+        if not admission.is_overdue(waited_us=waited, setup_us=self._balancer_actor.shed_waiting_over_us):
             return None
         data = receive_available(sock)
-        is_request = data.endswith(b"\n") and data.count(b"\n") == 1 and data != lines.PING
-        opening = lines.parse_opening(data) if is_request else None
+        opening = lines.parse_opening(data) if _is_one_request(data) else None
         return UnreadRequest(data, opening, now_us() - waited)
 
     def shed_overdue(self, sock: socket.socket, request: UnreadRequest) -> bool:
@@ -92,10 +92,11 @@
         opening = request.opening
         if not isinstance(opening, lines.Opening) or opening.may_continue:
             return False
-        enough_until = now_us() + self._balancer_actor.shed_waiting_over_us
-        served = self.requests.deadline(opening, request.received_us) > enough_until
-        # Sent to no upstream, it may be tried again whatever its traffic class.
-        if self.requests.rejection_reason(opening) is not None or served:
+        if self.requests.rejection_reason(opening) is not None:
+            return False
+        deadline = self.requests.deadline(opening, request.received_us)
+        setup_us = self._balancer_actor.shed_waiting_over_us
+        if not admission.is_too_late(now_us(), deadline=deadline, setup_us=setup_us):
             return False
         self.counters.add(REQUESTS_SHED_UNREAD)
         send_last_line(sock, lines.shed_line(RETRY_AFTER_US))
@@ -204,3 +205,8 @@
                 sock.close()
             for _ in sockets:
                 self.descriptors.release()
+
+
+def _is_one_request(data: bytes) -> bool:
+    """Return whether bytes are one complete line that may be a request."""
+    return data.endswith(b"\n") and data.count(b"\n") == 1 and data != lines.PING
--- a/larchlatch/node/clients/requests.py
+++ b/larchlatch/node/clients/requests.py
@@ -10,6 +10,7 @@
 
 from larchlatch.node.clock import now_us
 from larchlatch.node.session_record import SessionRecord
+from larchlatch.policy.admission import session_deadline
 from larchlatch.policy.types import Session
 
 if TYPE_CHECKING:
@@ -18,15 +19,6 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.wire.lines import BadLine, Opening
 
-# An answer leaves so long before the deadline: a node in a crowd took 0.1 s to pass one on.
-ANSWER_MARGIN_US = 150_000
-ANSWER_MARGIN_SHARE = 10  # but no more than a tenth of a short deadline
-
-
-def answer_margin_us(wait_us: int) -> int:
-    """Return what is kept back of a client's time for the way of its answer."""
-    return min(ANSWER_MARGIN_US, wait_us // ANSWER_MARGIN_SHARE)
-
 
 class UnreadRequest(NamedTuple):
     """What a client had sent before its connection was read.
@@ -124,12 +116,13 @@
 
     def deadline(self, opening: Opening, received_us: int) -> int:
         """Return when a request that came at this time is to have its answer."""
-        wait_us = self.wait_us(opening)
-        deadline = received_us + wait_us - answer_margin_us(wait_us)
+        return session_deadline(
+            received_us=received_us, wait_us=self.wait_us(opening), node_ends_at=self._node_ends_at()
+        )
+
+    def _node_ends_at(self) -> int | None:
         time_left_s = self._lifecycle.time_left_s(anyio.current_time())
-        if time_left_s is None:
-            return deadline
-        return min(deadline, now_us() + int(time_left_s * 1e6))
+        return None if time_left_s is None else now_us() + int(time_left_s * 1e6)
 
     def make_record(self, opening: Opening, received_us: int) -> SessionRecord:
         """Make the record of an accepted request."""
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -9,7 +9,6 @@
 import anyio
 import structlog
 
-from larchlatch.node.clients.requests import answer_margin_us
 from larchlatch.node.clock import now_us, seconds_until
 from larchlatch.node.messages import AttemptFinished, ClientLeft, SessionAdopted, SessionArrived
 from larchlatch.node.relay import Relay, RelayEnd, Side
@@ -17,6 +16,8 @@
 from larchlatch.node.upstream_actor import StartAttempt
 from larchlatch.node.wire import lines
 from larchlatch.node.wire.stream import LINGER_S, Ending, Lines
+from larchlatch.policy import admission
+from larchlatch.policy.retries import RETRY_AFTER_US
 from larchlatch.policy.types import Outcome
 
 if TYPE_CHECKING:
@@ -30,8 +31,6 @@
     from larchlatch.node.metrics import Counters
 
 MOVE_S = 0.5  # a client that does not read for so long is cut off: it can't be told to move
-# A client that this node sheds comes back through a front that knows by then that this node drains.
-RETRY_AFTER_US = 200_000
 MAX_EARLY_BYTES = 65536  # taken from a client before it has an upstream: nobody reads them until then
 SHORT_LINGER_S = 0.02  # for a client's end after its answer, where sessions need its descriptor
 
@@ -149,7 +148,7 @@
     async def _wait_for_answer(self, client: Lines, record: SessionRecord) -> None:
         """Wait until the session has its final answer, or its client has left."""
         wait_us = self._requests.wait_us(record.opening)
-        answer_by = record.session.deadline + answer_margin_us(wait_us) // 2
+        answer_by = admission.answer_by(deadline=record.session.deadline, wait_us=wait_us)
         async with anyio.create_task_group() as tasks:
             # From the beginning: its client may leave while the balancer actor's mailbox is full.
             tasks.start_soon(self._watch_client, client, record)
@@ -158,9 +157,9 @@
             with anyio.move_on_after(seconds_until(answer_by)) as timeout:
                 await record.finished.wait()
             if timeout.cancelled_caught and not record.finished.is_set():
-                # The balancer has not come to it in time. What was sent to no upstream can't have run.
                 self._counters.add(SESSIONS_WITHOUT_DECISION)
-                record.set_final_answer(Failed() if record.session.attempt_count else Shed(RETRY_AFTER_US))
+                is_shed = admission.sheds_undecided(record.session)
+                record.set_final_answer(Shed(RETRY_AFTER_US) if is_shed else Failed())
             tasks.cancel_scope.cancel()
 
     def _start(self, record: SessionRecord) -> bool:
@@ -169,7 +168,12 @@
         if upstream is not None:
             self._rejoin(record, upstream)
             return True
-        if self._lifecycle.sheds_new_sessions(anyio.current_time()) or self._lifecycle.rejects_all:
+        sheds_new_session = admission.sheds_new_session(
+            now_s=anyio.current_time(),
+            drain_started_at_s=self._lifecycle.drain_started_at,
+            rejects_all=self._lifecycle.rejects_all,
+        )
+        if sheds_new_session:
             record.set_final_answer(Shed(RETRY_AFTER_US))
             return True
         return self._balancer_actor.mailbox.offer(SessionArrived(record))
--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -8,8 +8,6 @@
 DRAIN_S = 4.0  # after so long no client's connection may be held that was not told to move
 DISCONNECT_S = 1.0  # part of DRAIN_S for a client that does not read, an event loop that lags included
 HANDOVER_S = 1.5  # established sessions are handed to the successor within this: each costs both some work
-# A front sends new sessions for a moment after the drain began; later ones are shed.
-NEW_SESSIONS_GRACE_S = 1.0
 
 
 class LifecycleState:
@@ -85,10 +83,6 @@
         """Return for how long sessions may still be in hand; None where no end is in sight."""
         return None if self.stop_started_at is None else self.stop_started_at + self.stop_duration_s - now
 
-    def sheds_new_sessions(self, now: float) -> bool:
-        """Return whether a new session is shed: it would have to leave at once."""
-        return self.drain_started_at is not None and now >= self.drain_started_at + NEW_SESSIONS_GRACE_S
-
     def release_deadline(self) -> float | None:
         """Return when the last session is to have left; None where none has to."""
         deadlines = []
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -18,6 +18,7 @@
 from larchlatch.node import admin_api, lifecycle_state
 from larchlatch.node.lifecycle_state import LifecycleState
 from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.policy import admission
 from tests.support.clients import connect, open_session, read_to_end
 from tests.support.configuration import node_configuration
 from tests.support.loopback import run_on_loopback
@@ -136,7 +137,7 @@
 ) -> None:
     """Sessions established, being established, and new ones; a node that drains stays up."""
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
-    monkeypatch.setattr(lifecycle_state, "NEW_SESSIONS_GRACE_S", 0.3)
+    monkeypatch.setattr(admission, "DRAIN_GRACE_S", 0.3)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs(*["UP r1"] * 8, "late UP r2", "UP r3").start(tasks)
--- /dev/null
+++ b/tests/policy/test_deciding_modules.py
@@ -0,0 +1,71 @@
+"""The deploy file names every module that decides, and only those decide."""
+
+from __future__ import annotations
+
+import ast
+import tomllib
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[2]
+POLICY = ROOT / "larchlatch" / "policy"
+
+# Modules of the package that hold no threshold and make no choice.
+SUPPORTING = {
+    "__init__.py",
+    "driver.py",
+    "state_export.py",
+    "status.py",
+    "structures.py",
+    "types.py",
+    "upstream.py",
+}
+
+
+def listed_modules() -> list[str]:
+    """Return the paths under the key `policy` of the deploy file."""
+    deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    return list(deployment["policy"])
+
+
+def imported_policy_modules(path: Path) -> set[str]:
+    """Return the modules of `larchlatch.policy` that a module imports."""
+    modules = set()
+    for statement in ast.walk(ast.parse(path.read_text())):
+        if isinstance(statement, ast.ImportFrom) and statement.module == "larchlatch.policy":
+            modules |= {f"{alias.name}.py" for alias in statement.names}
+        elif isinstance(statement, ast.ImportFrom) and str(statement.module).startswith("larchlatch.policy."):
+            modules.add(f"{str(statement.module).removeprefix('larchlatch.policy.')}.py")
+        elif isinstance(statement, ast.Import):
+            prefix = "larchlatch.policy."
+            names = [alias.name for alias in statement.names if alias.name.startswith(prefix)]
+            modules |= {f"{name.removeprefix(prefix)}.py" for name in names}
+    return modules
+
+
+def test_deploy_file_names_every_deciding_module_once() -> None:
+    listed = listed_modules()
+    deciding = {path.name for path in POLICY.glob("*.py")} - SUPPORTING
+    assert len(listed) == len(set(listed))
+    assert {f"larchlatch/policy/{name}" for name in deciding} == set(listed)
+
+
+def test_supporting_modules_exist() -> None:
+    assert {path.name for path in POLICY.glob("*.py")} >= SUPPORTING
+
+
+@pytest.mark.parametrize("package", ["node", "simulator_adapter"])
+def test_what_carries_decisions_out_imports_only_listed_or_supporting_modules(package: str) -> None:
+    known = SUPPORTING | {Path(path).name for path in listed_modules()}
+    for path in sorted((ROOT / "larchlatch" / package).rglob("*.py")):
+        assert imported_policy_modules(path) <= known, path
+
+
+def test_only_the_balancer_actor_and_the_composition_import_what_decides_on_placement() -> None:
+    """The client side may import pure modules: admission, the retry advice, and types."""
+    allowed = SUPPORTING | {"admission.py", "retries.py"}
+    node = ROOT / "larchlatch" / "node"
+    for path in sorted(node.rglob("*.py")):
+        if path not in (node / "balancer_actor.py", node / "runtime.py"):
+            assert imported_policy_modules(path) <= allowed, path
