--- a/larchlatch/simulator_adapter/__main__.py
+++ b/larchlatch/simulator_adapter/__main__.py
@@ -1,3 +1,5 @@
-from larchlatch.simulator_adapter.loop import main
+"""Entry point of `python -m larchlatch.simulator_adapter`."""
+
+from larchlatch.simulator_adapter.main import main
 
 main()
--- /dev/null
+++ b/larchlatch/simulator_adapter/main.py
@@ -0,0 +1,105 @@
+"""The adapter's process: batches of messages on standard input, a reply for each on standard output."""
+
+from __future__ import annotations
+
+import logging
+import sys
+from typing import Any
+
+import orjson
+
+from larchlatch.config.reading import required
+from larchlatch.errors import InvalidInputError, ProtocolError
+from larchlatch.simulator_adapter import protocol
+from larchlatch.simulator_adapter.node_instance import NodeInstance
+from larchlatch.simulator_adapter.protocol import (
+    Action,
+    EndpointListDefined,
+    EndpointRow,
+    NodeKilled,
+    NodeStarted,
+)
+
+EXIT_INVALID_INPUT = 2
+
+log = logging.getLogger("larchlatch")
+
+
+class BatchProcessor:
+    """All nodes that this process plays, and the endpoint lists that messages to any of them refer to."""
+
+    def __init__(self) -> None:
+        self._instances: dict[str, NodeInstance] = {}
+        self._endpoint_lists: dict[int, list[EndpointRow]] = {}
+
+    def process(self, line: bytes) -> bytes:
+        """Return the reply to a batch.
+
+        Raises:
+            InvalidInputError: The batch is wrong; nothing can be replied to it.
+        """
+        try:
+            batch = orjson.loads(line)
+        except orjson.JSONDecodeError as error:
+            raise ProtocolError("batch", f"no JSON ({error})") from None
+        if not isinstance(batch, dict):
+            raise ProtocolError("batch", "not an object")
+        now = required(batch, "sim_time_us", int, "batch", error=ProtocolError)
+        parts = required(batch, "parts", list, "batch", error=ProtocolError)
+        replies = [self._process_part(now, part) for part in parts]
+        return orjson.dumps({"parts": [reply for reply in replies if reply is not None]})
+
+    def _process_part(self, now: int, part: Any) -> dict[str, Any] | None:
+        """Return one node's reply to its part of a batch; None if it has no action to take."""
+        if not isinstance(part, dict):
+            raise ProtocolError("batch", "a part is not an object")
+        name = required(part, "i", str, "batch: part", error=ProtocolError)
+        rows = required(part, "msgs", list, "batch: part", error=ProtocolError)
+        try:
+            actions = self._actions_of(now, name, rows)
+        except InvalidInputError:
+            raise
+        except Exception as error:
+            # A fault in the decisions ends neither the process nor the other nodes, and must not be hidden.
+            log.exception("%s: the decisions failed", name)
+            actions = [protocol.crash_action(error)]
+        return {"i": name, "actions": actions} if actions else None
+
+    def _actions_of(self, now: int, name: str, rows: list[Any]) -> list[Action]:
+        """Handle the messages of a batch to one node, and return the actions that it takes.
+
+        A node takes no action if it has been killed, or if the batch only defines endpoint lists.
+        """
+        instance = None
+        for row in rows:
+            message = protocol.decode_message(row)
+            if isinstance(message, EndpointListDefined):
+                self._endpoint_lists[message.slot] = message.endpoints
+            elif isinstance(message, NodeStarted):
+                instance = self._instances[name] = NodeInstance(message, self._endpoint_lists)
+            elif isinstance(message, NodeKilled):
+                self._instances.pop(name, None)
+                instance = None
+            elif name not in self._instances:
+                raise ProtocolError(row[0], f"{name} has had no POWER_ON")
+            else:
+                instance = self._instances[name]
+                instance.handle(now, message)
+        if instance is None:
+            return []
+        instance.due(now)
+        return instance.take_actions()
+
+
+def main() -> None:
+    """Reply to batches until standard input ends; a batch that is wrong ends the process with exit code 2."""
+    logging.basicConfig(stream=sys.stderr, level=logging.WARNING, format="larchlatch: %(message)s")
+    processor = BatchProcessor()
+    for line in sys.stdin.buffer:
+        try:
+            reply = processor.process(line)
+        except InvalidInputError as error:
+            sys.stderr.write(f"larchlatch: {error}\n")
+            sys.exit(EXIT_INVALID_INPUT)
+        sys.stdout.buffer.write(reply + b"\n")
+        sys.stdout.buffer.flush()
--- /dev/null
+++ b/larchlatch/simulator_adapter/node_instance.py
@@ -0,0 +1,254 @@
+"""One simulated node: typed messages in, calls of the balancer, actions out."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
+
+from larchlatch.config.deployment import read_deployment_settings
+from larchlatch.config.reading import required
+from larchlatch.errors import ProtocolError
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.driver import Driver
+from larchlatch.policy.types import Endpoint, Outcome, Session
+from larchlatch.simulator_adapter import protocol
+from larchlatch.simulator_adapter.protocol import (
+    Action,
+    AttemptEnded,
+    ClientGone,
+    DelayMeasured,
+    DiscoveryFailed,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointRow,
+    Ignored,
+    LoadMeasured,
+    Message,
+    NodeStarted,
+    ProbeEnded,
+    SessionDescription,
+    SessionEstablished,
+    SessionInherited,
+    SessionRequested,
+)
+
+SETTINGS_PLACE = "POWER_ON: conf"  # as error messages name the settings
+
+# Unknown zones and cells have this number.
+UNKNOWN = -1
+
+EndpointLists = Mapping[int, Sequence[EndpointRow]]
+Handler = Callable[[int, Any], None]
+
+
+class NodeInstance(Driver):
+    """A balancer and the sessions of one simulated node; it shares nothing with another node.
+
+    The simulator names sessions by handles and upstreams by names. The balancer has numbers for both.
+
+    Attributes:
+        actions: The actions of the current batch, in order.
+
+    Raises:
+        InvalidInputError: The settings are wrong.
+    """
+
+    def __init__(self, start: NodeStarted, endpoint_lists: EndpointLists) -> None:
+        self.balancer = Balancer(
+            read_deployment_settings(start.settings, SETTINGS_PLACE), random.Random(start.seed)
+        )
+        super().__init__(self.balancer)
+        self.actions: list[Action] = []
+        self._traffic_classes = {
+            required(traffic_class, "name", str, f"{SETTINGS_PLACE}.tariffs"): number
+            for number, traffic_class in enumerate(start.settings["tariffs"])
+        }
+        self._zones = {name: number for number, name in enumerate(start.settings["areas"])}
+        self._endpoint_lists = endpoint_lists
+        self._upstream_names: list[str] = []
+        self._upstream_numbers: dict[str, int] = {}
+        self._sessions: dict[str, Session] = {}
+        self._handles: dict[int, str] = {}
+        self._session_count = 0
+        self._wake_at = 0
+        self._handlers: dict[type[Message], Handler] = {
+            EndpointListReceived: self._endpoint_list_received,
+            DiscoveryFailed: self._discovery_failed,
+            SessionRequested: self._session_requested,
+            SessionInherited: self._session_inherited,
+            ClientGone: self._client_gone,
+            SessionEstablished: self._session_established,
+            AttemptEnded: self._attempt_ended,
+            LoadMeasured: self._load_measured,
+            DelayMeasured: self._delay_measured,
+            ProbeEnded: self._probe_ended,
+            Ignored: self._ignored,
+        }
+
+    def handle(self, now: int, message: Message) -> None:
+        """Pass a message on to the balancer and carry its answer out.
+
+        Raises:
+            ProtocolError: The message names something that does not exist.
+        """
+        self._handlers[type(message)](now, message)
+
+    def due(self, now: int) -> int:
+        """Carry out what has fallen due after a batch's messages, and ask to be woken for the rest."""
+        wake = super().due(now)
+        if wake < self._wake_at or self._wake_at <= now:
+            self._wake_at = max(wake, now + 1)
+            self.actions.append(protocol.wake_action(self._wake_at - now))
+        return wake
+
+    def take_actions(self) -> list[Action]:
+        """Return the actions of the batch, and begin an empty list for the next one."""
+        actions, self.actions = self.actions, []
+        return actions
+
+    # The balancer's answers, as the driver carries them out.
+
+    def session(self, number: int) -> Session | None:
+        """Return the session of this number; None if it is over."""
+        handle = self._handles.get(number)
+        return None if handle is None else self._sessions[handle]
+
+    def send(self, now: int, session: Session, upstream: int, until: int) -> None:
+        """Send an attempt to an upstream; it times out at `until`, in microseconds."""
+        handle = self._handles[session.number]
+        self.actions.append(protocol.attempt_action(handle, self._upstream_names[upstream], until))
+
+    def shed(self, now: int, session: Session, retry_after_us: int) -> None:
+        """Answer that nothing has run, and advise when to try again; 0 for no advice."""
+        handle = self._handles[session.number]
+        self.actions.append(protocol.shed_action(handle, retry_after_us))
+        self._forget_session(handle)
+
+    def fail(self, now: int, session: Session) -> None:
+        """Answer without a promise: an attempt may have run."""
+        handle = self._handles[session.number]
+        self.actions.append(protocol.fail_action(handle))
+        self._forget_session(handle)
+
+    def probe(self, now: int, upstream: int) -> None:
+        """Probe an upstream."""
+        self.actions.append(protocol.probe_action(self._upstream_names[upstream]))
+
+    def migrate(self, now: int, session: int) -> None:
+        """Migrate an established session."""
+        self.actions.append(protocol.migrate_action(self._handles[session]))
+
+    def cancel_attempt(self, now: int, session: int) -> None:
+        """Cancel a session's attempt."""
+        handle = self._handles[session]
+        attempt = self._sessions[handle].attempt_count - 1
+        self.actions.append(protocol.cancel_action(handle, attempt))
+
+    def poll_endpoints(self, now: int) -> None:
+        """Poll the endpoint list."""
+        self.actions.append(protocol.poll_endpoints_action())
+
+    # Messages of the simulator, one handler each.
+
+    def _endpoint_list_received(self, now: int, message: EndpointListReceived) -> None:
+        rows = None if message.slot is None else self._endpoint_lists.get(message.slot)
+        if rows is None:
+            raise ProtocolError("TOPOLOGY", f"slot {message.slot} names no INVENTORY")
+        self.balancer.update_endpoints(
+            now,
+            [self._endpoint(row) for row in rows],
+            whole=message.kind is not EndpointListKind.CHANGES,
+            asked=message.kind is not EndpointListKind.STORED,
+        )
+
+    def _discovery_failed(self, now: int, message: DiscoveryFailed) -> None:
+        self.balancer.discovery_failed(now)
+
+    def _session_requested(self, now: int, message: SessionRequested) -> None:
+        session = self._add_session(message.session)
+        self.carry_out(now, session, self.balancer.place(now, session))
+
+    def _session_inherited(self, now: int, message: SessionInherited) -> None:
+        session = self._add_session(message.session)
+        self.balancer.add_established(session, self._upstream_number(message.upstream))
+
+    def _client_gone(self, now: int, message: ClientGone) -> None:
+        session = self._sessions.get(message.handle)
+        if session is not None:
+            self.balancer.remove_session(session)
+            self._forget_session(message.handle)
+
+    def _session_established(self, now: int, message: SessionEstablished) -> None:
+        session = self._sessions.get(message.handle)
+        if session is not None:
+            self.balancer.outcome(now, session, Outcome.ESTABLISHED)
+
+    def _attempt_ended(self, now: int, message: AttemptEnded) -> None:
+        session = self._sessions.get(message.handle)
+        if session is None:
+            return
+        answer = self.balancer.outcome(now, session, message.outcome, answered=message.answered)
+        if message.answered:
+            self._forget_session(message.handle)
+        else:
+            self.carry_out(now, session, answer)
+
+    def _load_measured(self, now: int, message: LoadMeasured) -> None:
+        session = self._sessions.get(message.handle)
+        if session is not None:
+            self.balancer.record_load(now, session, message.load)
+
+    def _delay_measured(self, now: int, message: DelayMeasured) -> None:
+        session = self._sessions.get(message.handle)
+        if session is not None:
+            self.balancer.record_delay(now, session, message.delay_us)
+
+    def _probe_ended(self, now: int, message: ProbeEnded) -> None:
+        self.balancer.record_probe(now, self._upstream_number(message.upstream), message.result)
+
+    def _ignored(self, now: int, message: Ignored) -> None:
+        pass
+
+    # Sessions and upstreams by handle, name and number.
+
+    def _add_session(self, description: SessionDescription) -> Session:
+        name = description.traffic_class
+        if name not in self._traffic_classes:
+            raise ProtocolError("ASK", f"grade names no tariff of the settings ({name!r})")
+        session = Session(
+            self._session_count,
+            self._traffic_classes[name],
+            description.key,
+            description.group,
+            description.deadline,
+            mid_flow=description.mid_flow,
+            load=description.load,
+        )
+        self._session_count += 1
+        self._sessions[description.handle] = session
+        self._handles[session.number] = description.handle
+        return session
+
+    def _forget_session(self, handle: str) -> None:
+        session = self._sessions.pop(handle, None)
+        if session is not None:
+            self._handles.pop(session.number, None)
+
+    def _upstream_number(self, name: str) -> int:
+        number = self._upstream_numbers.get(name)
+        if number is None:
+            number = self._upstream_numbers[name] = len(self._upstream_names)
+            self._upstream_names.append(name)
+        return number
+
+    def _endpoint(self, row: EndpointRow) -> Endpoint:
+        return Endpoint(
+            self._upstream_number(row.upstream),
+            row.upstream,
+            UNKNOWN if row.zone is None else self._zones.get(row.zone, UNKNOWN),
+            UNKNOWN if row.cell is None else row.cell,
+            row.state(),
+            float(row.size) if row.size and row.size > 0 else 1.0,
+            row.started_at or 0,
+        )
--- /dev/null
+++ b/larchlatch/simulator_adapter/protocol.py
@@ -0,0 +1,497 @@
+"""The simulator's wire: rows of JSON in the users' names, to and from typed messages.
+
+No other module knows the names of the wire. A row is checked against its fields first, then turned into a
+message. A row that ends early has None for the rest; further values at its end are ignored.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from larchlatch.config.reading import NUMBER, one_of
+from larchlatch.errors import ProtocolError
+from larchlatch.policy.types import EndpointState, Outcome, ProbeResult
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+OUTCOMES = {
+    "pass": Outcome.COMPLETED,
+    "no_room": Outcome.REJECTED,
+    "no_route": Outcome.CONNECT_FAILED,
+    "stale_send": Outcome.NOT_SENT,
+    "fault": Outcome.ERROR,
+    "too_slow": Outcome.TIMED_OUT,
+    "cut": Outcome.RESET,
+    "undone": Outcome.CANCELLED,
+}
+ENDPOINT_STATES = {
+    "SERVING": EndpointState.READY,
+    "DRAINING": EndpointState.DRAINING,
+    "DELETED": EndpointState.GONE,
+}
+
+# Bits of a session's flags.
+LOAD_HINT_VALID = 1
+MID_FLOW = 8
+
+# Kinds of a measurement on an established session.
+LOAD_MEASUREMENT = 1
+DELAY_MEASUREMENT = 2
+
+MICROSECONDS_PER_MILLISECOND = 1000
+
+
+class EndpointListKind(Enum):
+    """Where an announced endpoint list comes from, and whether it is complete."""
+
+    CHANGES = "diff"
+    COMPLETE = "snapshot"
+    STORED = "disk"
+
+
+class NodeStarted(NamedTuple):
+    """A node starts.
+
+    Attributes:
+        seed: The seed of its random choices.
+        settings: The deployment's settings, not yet checked.
+    """
+
+    seed: int
+    settings: dict[str, Any]
+
+
+class NodeKilled(NamedTuple):
+    """A node has been killed."""
+
+
+class EndpointRow(NamedTuple):
+    """An upstream's entry in an endpoint list; the state is checked when the list is used."""
+
+    upstream: str
+    zone: str | None
+    cell: int | None
+    state_name: str
+    size: float | None
+    started_at: int | None
+
+    def state(self) -> EndpointState:
+        """Return the state that the entry names.
+
+        Raises:
+            ProtocolError: The wire knows no such state.
+        """
+        return one_of(self.state_name, ENDPOINT_STATES, "INVENTORY: lifecycle", error=ProtocolError)
+
+
+class EndpointListDefined(NamedTuple):
+    """The content of a list, which later messages to any node refer to by its slot."""
+
+    slot: int
+    endpoints: list[EndpointRow]
+
+
+class EndpointListReceived(NamedTuple):
+    """A node has received the endpoint list that was defined under a slot."""
+
+    slot: int | None
+    kind: EndpointListKind
+
+
+class DiscoveryFailed(NamedTuple):
+    """A node's call to discovery has failed."""
+
+
+class SessionDescription(NamedTuple):
+    """What the wire tells of a session.
+
+    Attributes:
+        handle: The simulator's name for it.
+        traffic_class: The name of its traffic class.
+        key: The client's key, if any.
+        group: The group that it shares work with, if any.
+        deadline: When its client must have its final answer, in microseconds; 0 if there is none.
+        mid_flow: Whether it was established at another node before.
+        load: The hint at its load, in microseconds of work a second; 0 if there is none.
+    """
+
+    handle: str
+    traffic_class: str
+    key: int | None
+    group: int | None
+    deadline: int
+    mid_flow: bool
+    load: float
+
+
+class SessionRequested(NamedTuple):
+    """A client asks for a session."""
+
+    session: SessionDescription
+
+
+class SessionInherited(NamedTuple):
+    """A session was established at an upstream before the node started."""
+
+    session: SessionDescription
+    upstream: str
+
+
+class ClientGone(NamedTuple):
+    """A session's client has left."""
+
+    handle: str
+
+
+class SessionEstablished(NamedTuple):
+    """An attempt has established its session."""
+
+    handle: str
+
+
+class AttemptEnded(NamedTuple):
+    """An attempt, or the session that it established, has ended.
+
+    Attributes:
+        handle: The session's handle.
+        outcome: How it ended.
+        answered: Whether the client has its final answer by that.
+    """
+
+    handle: str
+    outcome: Outcome
+    answered: bool
+
+
+class LoadMeasured(NamedTuple):
+    """An established session's present load, in microseconds of work a second."""
+
+    handle: str
+    load: float
+
+
+class DelayMeasured(NamedTuple):
+    """The present delay of messages at an established session's upstream, in microseconds."""
+
+    handle: str
+    delay_us: int
+
+
+class ProbeEnded(NamedTuple):
+    """A probe of an upstream has been answered, or has failed."""
+
+    upstream: str
+    result: ProbeResult
+
+
+class Ignored(NamedTuple):
+    """A message that the balancer has no use for."""
+
+
+Message = (
+    NodeStarted
+    | NodeKilled
+    | EndpointListDefined
+    | EndpointListReceived
+    | DiscoveryFailed
+    | SessionRequested
+    | SessionInherited
+    | ClientGone
+    | SessionEstablished
+    | AttemptEnded
+    | LoadMeasured
+    | DelayMeasured
+    | ProbeEnded
+    | Ignored
+)
+
+# One action of a reply, as the wire has it.
+Action = list[str | int | bool]
+
+Kind = type | tuple[type, ...]
+Row = list[Any]
+
+
+class Field(NamedTuple):
+    """A field of a row: its name in error messages and the types that its value may have."""
+
+    name: str
+    kind: Kind
+
+
+class Form(NamedTuple):
+    """How the rows of one message are read: their fields in order, and what makes the message of them."""
+
+    fields: tuple[Field, ...]
+    decode: Callable[[Row], Message]
+
+
+OPTIONAL_INT = (int, type(None))
+OPTIONAL_STR = (str, type(None))
+OPTIONAL_NUMBER = (int, float, type(None))
+OPTIONAL_OBJECT = (dict, type(None))
+OPTIONAL_ID = (str, int, type(None))
+
+ENDPOINT_FIELDS = (
+    Field("host", str),
+    Field("hall", OPTIONAL_STR),
+    Field("type", OPTIONAL_STR),
+    Field("pack", OPTIONAL_INT),
+    Field("lifecycle", str),
+    Field("nominal", OPTIONAL_NUMBER),
+    Field("came_up_us", OPTIONAL_INT),
+)
+
+
+def checked_row(row: Any, fields: tuple[Field, ...], where: str) -> Row:
+    """Return a row's values, with None for those left off at its end.
+
+    Raises:
+        ProtocolError: The row is no array, or a value has a type that its field may not have.
+    """
+    if not isinstance(row, list):
+        raise ProtocolError(where, "not an array")
+    values = row[: len(fields)] + [None] * (len(fields) - len(row))
+    for value, (name, kind) in zip(values, fields, strict=True):
+        if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
+            problem = "is missing" if value is None else f"has the wrong type ({type(value).__name__})"
+            raise ProtocolError(where, f"{name} {problem}")
+    return values
+
+
+def decode_message(raw: Any) -> Message:
+    """Return the typed message of a row.
+
+    Raises:
+        ProtocolError: The row is no message of the wire, or one of its values is wrong.
+    """
+    if not isinstance(raw, list) or not raw or not isinstance(raw[0], str):
+        raise ProtocolError("message", "not an array that opens with a name")
+    form = FORMS.get(raw[0])
+    if form is None:
+        raise ProtocolError("message", f"unknown name {raw[0]!r}")
+    return form.decode(checked_row(raw[1:], form.fields, raw[0]))
+
+
+def _node_started(row: Row) -> NodeStarted:
+    seed, settings = row
+    return NodeStarted(seed, settings)
+
+
+def _node_killed(row: Row) -> NodeKilled:
+    return NodeKilled()
+
+
+def _ignored(row: Row) -> Ignored:
+    return Ignored()
+
+
+def _endpoint_list_defined(row: Row) -> EndpointListDefined:
+    slot, members = row
+    return EndpointListDefined(slot, [_endpoint_row(member) for member in members])
+
+
+def _endpoint_row(member: Any) -> EndpointRow:
+    values = checked_row(member, ENDPOINT_FIELDS, "INVENTORY: members")
+    upstream, zone, _machine_type, cell, state_name, size, started_at = values
+    return EndpointRow(upstream, zone, cell, state_name, size, started_at)
+
+
+def _endpoint_list_received(row: Row) -> EndpointListReceived | DiscoveryFailed:
+    slot, mode, _revision = row
+    if mode == "error":
+        return DiscoveryFailed()
+    try:
+        return EndpointListReceived(slot, EndpointListKind(mode))
+    except ValueError:
+        raise ProtocolError("TOPOLOGY", f"unknown mode {mode!r}") from None
+
+
+def _session_requested(row: Row) -> SessionRequested:
+    handle, traffic_class, load_hint, key, _tenant, group, deadline, flags = row
+    session = _session_description(handle, traffic_class, key, group, deadline, load_hint, flags)
+    return SessionRequested(session)
+
+
+def _session_inherited(row: Row) -> SessionInherited:
+    handle, traffic_class, _tenant, key, deadline, load_hint, group, flags, upstream = row
+    session = _session_description(handle, traffic_class, key, group, deadline, load_hint, flags)
+    return SessionInherited(session, upstream)
+
+
+def _session_description(
+    handle: str,
+    traffic_class: str,
+    key: int | None,
+    group: int | None,
+    deadline: int | None,
+    load_hint: int | None,
+    flags: int | None,
+) -> SessionDescription:
+    flags = flags or 0
+    load = float(load_hint) if flags & LOAD_HINT_VALID and load_hint else 0.0
+    return SessionDescription(handle, traffic_class, key, group, deadline or 0, bool(flags & MID_FLOW), load)
+
+
+def _client_gone(row: Row) -> ClientGone:
+    return ClientGone(row[0])
+
+
+def _session_established(row: Row) -> SessionEstablished:
+    return SessionEstablished(row[0])
+
+
+def _attempt_ended(row: Row) -> AttemptEnded:
+    handle, _attempt, _upstream, code, _duration, answered, _load_report = row
+    outcome = one_of(code, OUTCOMES, "ATTEMPT_END: state_code", error=ProtocolError)
+    return AttemptEnded(handle, outcome, answered)
+
+
+def _measured(row: Row) -> LoadMeasured | DelayMeasured | Ignored:
+    handle, _upstream, _attempt, kind, value = row
+    if kind == LOAD_MEASUREMENT:
+        return LoadMeasured(handle, float(value))
+    if kind == DELAY_MEASUREMENT:
+        return DelayMeasured(handle, int(value * MICROSECONDS_PER_MILLISECOND))
+    return Ignored()
+
+
+def _probe_ended(row: Row) -> ProbeEnded:
+    code, _duration, upstream, load_report = row
+    outcome = one_of(code, OUTCOMES, "ECHO: state_code", error=ProtocolError)
+    report = load_report or {}
+    utilization = _optional_float(report.get("x0"))
+    sessions = _optional_float(report.get("inflight"))
+    return ProbeEnded(upstream, ProbeResult(outcome == Outcome.COMPLETED, utilization, sessions))
+
+
+def _optional_float(figure: Any) -> float | None:
+    return None if figure is None else float(figure)
+
+
+FORMS: dict[str, Form] = {
+    "POWER_ON": Form((Field("seed", int), Field("conf", dict)), _node_started),
+    "KILLED": Form((), _node_killed),
+    "INVENTORY": Form((Field("slot", int), Field("members", list)), _endpoint_list_defined),
+    "TOPOLOGY": Form(
+        (Field("slot", OPTIONAL_INT), Field("mode", str), Field("revision", OPTIONAL_INT)),
+        _endpoint_list_received,
+    ),
+    "ASK": Form(
+        (
+            Field("handle", str),
+            Field("grade", str),
+            Field("estimate_us", OPTIONAL_INT),
+            Field("entity", OPTIONAL_INT),
+            Field("account", OPTIONAL_ID),
+            Field("room", OPTIONAL_INT),
+            Field("not_after_us", int),
+            Field("bitmap", OPTIONAL_INT),
+        ),
+        _session_requested,
+    ),
+    "EXISTING": Form(
+        (
+            Field("handle", str),
+            Field("grade", str),
+            Field("account", OPTIONAL_ID),
+            Field("entity", OPTIONAL_INT),
+            Field("not_after_us", OPTIONAL_INT),
+            Field("estimate_us", OPTIONAL_INT),
+            Field("room", OPTIONAL_INT),
+            Field("bitmap", OPTIONAL_INT),
+            Field("host", str),
+        ),
+        _session_inherited,
+    ),
+    "CLIENT_GONE": Form((Field("handle", str),), _client_gone),
+    "WHISPER": Form((Field("author", int), Field("octets", str)), _ignored),
+    "ELAPSED": Form((Field("label", int),), _ignored),
+    "ECHO": Form(
+        (
+            Field("state_code", str),
+            Field("duration_us", OPTIONAL_INT),
+            Field("host", str),
+            Field("feedback", OPTIONAL_OBJECT),
+        ),
+        _probe_ended,
+    ),
+    "UNDER_WAY": Form(
+        (
+            Field("handle", str),
+            Field("duration_us", OPTIONAL_INT),
+            Field("host", str),
+            Field("leg", int),
+        ),
+        _session_established,
+    ),
+    "ATTEMPT_END": Form(
+        (
+            Field("handle", str),
+            Field("leg", int),
+            Field("host", str),
+            Field("state_code", str),
+            Field("duration_us", OPTIONAL_INT),
+            Field("done_flag", bool),
+            Field("feedback", OPTIONAL_OBJECT),
+        ),
+        _attempt_ended,
+    ),
+    "INTERIM": Form(
+        (
+            Field("handle", str),
+            Field("host", str),
+            Field("leg", int),
+            Field("what", int),
+            Field("level", NUMBER),
+        ),
+        _measured,
+    ),
+}
+
+
+def attempt_action(handle: str, upstream: str, give_up_at: int) -> Action:
+    """Return the action that sends a session's attempt to an upstream, to be given up at a time."""
+    return ["TRANSMIT", handle, upstream, give_up_at]
+
+
+def shed_action(handle: str, retry_after_us: int) -> Action:
+    """Return the action that sheds a session, with when to come back; 0 for no advice."""
+    return ["PUSH_BACK", handle, retry_after_us]
+
+
+def fail_action(handle: str) -> Action:
+    """Return the action that fails a session."""
+    return ["DROP_REQUEST", handle]
+
+
+def probe_action(upstream: str) -> Action:
+    """Return the action that probes an upstream."""
+    return ["POLL", upstream]
+
+
+def migrate_action(handle: str) -> Action:
+    """Return the action that migrates a session."""
+    return ["REASSIGN", handle]
+
+
+def cancel_action(handle: str, attempt: int) -> Action:
+    """Return the action that cancels a session's attempt, counted from 0."""
+    return ["REVOKE", handle, attempt]
+
+
+def poll_endpoints_action() -> Action:
+    """Return the action that polls the endpoint list."""
+    return ["TAIL", True]
+
+
+def wake_action(delay_us: int) -> Action:
+    """Return the action that has the node woken after a time."""
+    return ["WAKE_ME", delay_us, 0]
+
+
+def crash_action(error: Exception) -> Action:
+    """Return the action that reports a fault of the program in place of a decision."""
+    return ["CRASH", f"{type(error).__name__}: {error}"]
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -408,7 +408,7 @@
 
 def test_the_node_reads_nothing_of_the_tools() -> None:
     probe = (
-        "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.simulator_adapter.loop;"
+        "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.simulator_adapter.main;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'matplotlib', 'hdrh', 'numpy')"
         " or m.startswith(('larchlatch.emulator', 'larchlatch.loadtest'))])"
     )
