--- a/larchlatch/node/status.py
+++ b/larchlatch/node/status.py
@@ -4,12 +4,26 @@
 
 from typing import TYPE_CHECKING, Any
 
+from larchlatch.policy.types import Exclusion
+
 if TYPE_CHECKING:
     from collections.abc import Mapping
 
     from larchlatch.node.upstream_actor import UpstreamActor
     from larchlatch.policy.types import UpstreamStatus
 
+# What the key `left_out` says; empty for an upstream that gets its share of new sessions. For one that is not
+# ready it holds the state by the endpoint list.
+EXCLUSION_WORDS = {
+    None: "",
+    Exclusion.UNREACHABLE: "no connection",
+    Exclusion.UNRESPONSIVE: "quiet",
+    Exclusion.SLOW: "slow",
+    Exclusion.EJECTED: "rests",
+    Exclusion.CROWDED: "crowded",
+    Exclusion.WARMING_UP: "cold",
+}
+
 
 def upstream_row(status: UpstreamStatus, actor: UpstreamActor | None) -> dict[str, Any]:
     """Return what the balancer believes of one upstream, beside the sockets that are open there."""
@@ -17,7 +31,7 @@
     return {
         "host": actor.name if actor else status.upstream,
         "state": status.state.value,
-        "left_out": status.left_out,
+        "left_out": _exclusion_word(status),
         "tries": status.attempts,
         "tries_open": actor.attempts.in_flight if actor else 0,
         "links": status.established,
@@ -27,6 +41,12 @@
     }
 
 
+def _exclusion_word(status: UpstreamStatus) -> str:
+    if status.exclusion is Exclusion.NOT_READY:
+        return status.state.value
+    return EXCLUSION_WORDS[status.exclusion]
+
+
 def upstream_rows(
     statuses: list[UpstreamStatus], actors: Mapping[int, UpstreamActor]
 ) -> list[dict[str, Any]]:
--- a/larchlatch/policy/__init__.py
+++ b/larchlatch/policy/__init__.py
@@ -1,17 +1,17 @@
 """The decisions of a node: where a session goes, whether it is tried again, and what is rejected.
 
-Build one `larchlatch.policy.balancer.Balancer` per node from its settings and a seeded `random.Random`; ask
+A node makes one `larchlatch.policy.balancer.Balancer` from its settings and a seeded `random.Random`. It calls
 
-- `place(now, session)` where to send a session: an upstream, or not yet, or its final answer;
-- `outcome(now, session, outcome)` what to do after an outcome of its attempt: the same answers, or nothing;
-- `wait(now)` how long to wait, and what is due now: probes, a poll of the endpoint list, migrations, attempts
-  to be cancelled.
+- `place(now, session)`, which returns where to send a session, or that it is held, or its final answer;
+- `outcome(now, session, outcome)`, which records how an attempt ended and returns what to do next;
+- `wait(now)`, which returns what is due now (probes, a poll of the endpoint list, migrations, attempts to be
+  cancelled) and how long until something else is.
 
-What the node observes goes in by the balancer's other methods, which return nothing. Their types are in
-`larchlatch.policy.types`. Times are whole microseconds of the caller's clock; nothing here reads a clock,
-does I/O or shares state with another node. docs/design.md says where each choice comes from.
+It reports what it observes by the balancer's other methods. Their types are in `larchlatch.policy.types`.
+Times are whole microseconds of the caller's clock. Nothing here reads a clock, does I/O or shares state with
+another node.
 
-The files listed under `policy` in deploy/balancer.toml hold all that decides: every threshold and every
-choice. Beside them are `types`, `upstream` (records), `structures`, `status` (rows for operators),
-`state_export` (hot restart) and `driver`, which decide nothing.
+`policy` in deploy/balancer.toml lists the modules that hold thresholds and make choices. The others (`types`,
+`upstream`, `structures`, `status`, `state_export`, `driver`) decide nothing. docs/design.md explains the
+choices.
 """
--- a/larchlatch/policy/status.py
+++ b/larchlatch/policy/status.py
@@ -1,4 +1,4 @@
-"""Rows for operators: what this node takes its upstreams to be. They decide nothing, and feed no decision."""
+"""What the balancer knows of its upstreams, for operators. No decision depends on it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from larchlatch.policy.health import is_ejected, is_slow, is_unreachable
 from larchlatch.policy.load import CROWDED_UTILIZATION
-from larchlatch.policy.types import EndpointState, UpstreamStatus
+from larchlatch.policy.types import EndpointState, Exclusion, UpstreamStatus
 
 if TYPE_CHECKING:
     from larchlatch.policy.balancer import Balancer
@@ -15,7 +15,7 @@
 
 
 def upstream_statuses(balancer: Balancer, now: int) -> list[UpstreamStatus]:
-    """Return a row for each upstream."""
+    """Return the status of each upstream, those that are gone included."""
     fleet_load = balancer.load.fleet_load(now)
     rows = []
     for upstream in balancer.fleet.upstreams.values():
@@ -28,26 +28,25 @@
                 established=established,
                 utilization=upstream.utilization if upstream.utilization_at > 0 else None,
                 utilization_age_us=now - upstream.utilization_at,
-                left_out=left_out(balancer, now, upstream, fleet_load),
+                exclusion=exclusion(balancer, now, upstream, fleet_load),
             )
         )
     return rows
 
 
-def left_out(balancer: Balancer, now: int, upstream: Upstream, fleet_load: FleetLoad) -> str:
-    """Return why no new session goes to an upstream in the first place; empty where it has its share.
+def exclusion(balancer: Balancer, now: int, upstream: Upstream, fleet_load: FleetLoad) -> Exclusion | None:
+    """Return why no new session goes to an upstream before others do; None where it has its share.
 
-    The reasons are words of the admin API. They are asked in the order of `Balancer.place` and
-    `UpstreamSelector.choose`.
+    The reasons stand in the order in which a placement asks for them.
     """
     is_crowded = balancer.load.is_crowded(now, upstream, fleet_load, max_utilization=CROWDED_UTILIZATION)
     reasons = (
-        (upstream.state is not EndpointState.READY, upstream.state.value),
-        (is_unreachable(now, upstream), "no connection"),
-        (now < upstream.unresponsive_until, "quiet"),
-        (is_slow(now, upstream), "slow"),
-        (is_ejected(now, upstream), "rests"),
-        (is_crowded, "crowded"),
-        (not balancer.slow_start.is_warm(now, upstream), "cold"),
+        (upstream.state is not EndpointState.READY, Exclusion.NOT_READY),
+        (is_unreachable(now, upstream), Exclusion.UNREACHABLE),
+        (now < upstream.unresponsive_until, Exclusion.UNRESPONSIVE),
+        (is_slow(now, upstream), Exclusion.SLOW),
+        (is_ejected(now, upstream), Exclusion.EJECTED),
+        (is_crowded, Exclusion.CROWDED),
+        (not balancer.slow_start.is_warm(now, upstream), Exclusion.WARMING_UP),
     )
-    return next((reason for holds, reason in reasons if holds), "")
+    return next((reason for holds, reason in reasons if holds), None)
--- a/larchlatch/policy/types.py
+++ b/larchlatch/policy/types.py
@@ -1,4 +1,4 @@
-"""The plain types that the balancer is called with, and those of its answers. They decide nothing."""
+"""The types of the balancer's arguments and answers. They decide nothing."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a session's request would do."""
+    """What a second run of a session's request would do; the values stand in stored files."""
 
     IDEMPOTENT = "rerunnable"
     KEYED = "ticketed"
@@ -18,7 +18,7 @@
 
 
 class DedupScope(Enum):
-    """Which upstreams discard the repeats of a keyed session."""
+    """Which upstreams discard the repeats of a keyed session; the values stand in files."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class EndpointState(Enum):
-    """What the endpoint list says of an upstream."""
+    """The state of an upstream by the endpoint list; the values stand in rows for operators."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -34,20 +34,21 @@
 
 
 class Outcome(IntEnum):
-    """What became of an attempt, or of the session that it established."""
+    """What became of an attempt, or of the session that it established; the numbers stand in packets."""
 
-    ESTABLISHED = 0  # the connection is up; its end is another outcome
-    COMPLETED = 1  # answered, and over
-    REJECTED = 2  # turned away before anything ran
+    ESTABLISHED = 0  # the session is up; how it ends is a further outcome
+    COMPLETED = 1  # answered and ended in order
+    REJECTED = 2  # before anything ran
     CONNECT_FAILED = 3  # no connection in time
-    NOT_SENT = 4  # never left the node
+    NOT_SENT = 4  # nothing left the node
     ERROR = 5
     TIMED_OUT = 6  # no answer in time
     RESET = 7
     CANCELLED = 8
 
 
-# What an outcome says of whether its upstream can be reached; None: it casts doubt. Others say nothing.
+# Whether an outcome shows that its upstream can be reached; None where it makes that doubtful. Outcomes that
+# are not listed show nothing.
 REACHED = {
     Outcome.ESTABLISHED: True,
     Outcome.COMPLETED: True,
@@ -55,6 +56,7 @@
     Outcome.CONNECT_FAILED: False,
     Outcome.RESET: None,
 }
+# Outcomes of attempts that have not run.
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
@@ -67,7 +69,7 @@
         message_objective_us: The same for a message on an established session; 0 if unknown.
         idempotency: What a second run would do.
         dedup_scope: Which upstreams discard the repeats of a keyed session.
-        dedup_window_us: How long these remember it.
+        dedup_window_us: For how long these recognize a repeat.
     """
 
     latency_objective_us: int
@@ -77,7 +79,11 @@
     dedup_window_us: int
 
     def repeat_until(self, maybe_executed_at: int) -> int:
-        """Return before when further attempts have to be sent, if one that may have run was sent then."""
+        """Return until when further attempts may be sent after one that may have run.
+
+        Args:
+            maybe_executed_at: When that one was sent, in microseconds.
+        """
         if self.idempotency is Idempotency.IDEMPOTENT:
             return NO_END
         return maybe_executed_at + self.dedup_window_us
@@ -85,26 +91,26 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What the operators have agreed for a deployment, as far as decisions read it.
+    """What the operators agreed for a deployment, as far as decisions depend on it.
 
     Attributes:
         me: This node's number, from 0.
         nodes: How many nodes there are.
         traffic_classes: The traffic classes, by number.
         uses_groups: Whether sessions of one group share work on an upstream.
-        weighted: Whether a listed size stays the same from list to list.
-        polls_discovery: Whether the endpoint list has to be polled before it is pushed.
+        weighted: Whether listed sizes are stable, so that the ring may depend on them.
+        polls_discovery: Whether the endpoint list has to be polled before changes are pushed.
         probes: Whether upstreams can be probed.
         can_cancel: Whether an attempt may be cancelled.
         probes_report_load: Whether probes report load.
-        reports_delay: Whether an upstream that is late by its load shows in the delay of messages.
+        reports_delay: Whether the overload of an upstream shows in its message latency.
         max_attempts: The most attempts for a session.
-        max_retry_after_us: The longest wait that shed clients honour; 0 if they take no advice.
+        max_retry_after_us: The longest wait that shed clients follow; 0 if they take no advice.
         poll_within_us: The time within which the endpoint list should be polled again.
         slow_start_min_share: The share of its work that an upstream can do when it has just started.
-        slow_start_us: How long until it can do all of it.
-        overload_multiple: The multiple of what it can do that overloads an upstream in slow start.
-        overload_window_us: In how long a time that counts.
+        slow_start_us: How long an upstream takes until it can do all of its work.
+        overload_multiple: How many times the sessions that it can serve overload an upstream in slow start.
+        overload_window_us: The time within which so many sessions overload it.
     """
 
     me: int
@@ -138,7 +144,7 @@
 
 @dataclass(slots=True)
 class Session:
-    """One session in hand: what its client said of it, and what its attempts have come to.
+    """A session: what its client requested, and the state of its attempts.
 
     Attributes:
         number: Its number at this node.
@@ -147,18 +153,18 @@
         group: The group that it shares work with, if any.
         deadline: When its client must have its final answer, in microseconds.
         mid_flow: Whether another node has handed it over after it was established.
-        load: Work a second in microseconds; 0 if unknown.
+        load: The work that it makes, in microseconds a second; 0 if unknown.
         attempt_count: How many attempts have been sent.
-        upstream: Where the last attempt went, or where it is established; -1 before.
+        upstream: The number of the upstream of its last attempt, or where it is established; -1 before.
         attempt_in_flight: Whether an attempt is without an outcome.
         established: Whether it is established at its upstream.
-        token_requested: Whether the token issuer has been asked for it since its last attempt.
-        counted_at: When it was last counted among arrivals.
+        token_requested: Whether a slow-start token was requested for it since its last attempt.
+        counted_at: When it was last counted among arrivals, in microseconds.
         sent_at: When its last attempt was sent.
         established_at: When it was established.
         maybe_executed_at: When the first attempt that may have run was sent; -1 if none may have.
-        maybe_executed_upstream: Where that was.
-        repeat_until: Before when a further attempt has to be sent; then its effect is forgotten.
+        maybe_executed_upstream: The number of the upstream that it was sent to; -1 if none may have.
+        repeat_until: Until when upstreams recognize a further attempt as a repeat.
     """
 
     number: int
@@ -232,12 +238,12 @@
 
 
 class ProbeResult(NamedTuple):
-    """What a probe of an upstream came to.
+    """The result of a probe of an upstream.
 
     Attributes:
         answered: Whether it was answered in time.
-        utilization: The load over the capacity that it reports, if it does.
-        sessions: How many sessions it reports, if it does.
+        utilization: The load over capacity that it reported, if any.
+        sessions: The number of sessions that it reported, if any.
     """
 
     answered: bool
@@ -246,12 +252,12 @@
 
 
 class TokenCandidate(NamedTuple):
-    """An upstream in slow start to which a session would go with a token.
+    """An upstream in slow start that a session may go to with a token.
 
     Attributes:
         upstream: The upstream's number.
-        budget: Sessions that all nodes together may send there in an overload window.
-        weight: What this session counts, in such sessions.
+        budget: How many usual sessions all nodes together may send there in an overload window.
+        weight: How many usual sessions this one counts for.
     """
 
     upstream: int
@@ -268,7 +274,7 @@
     Attributes:
         upstream: The upstream's number.
         session: The session's number.
-        until: When it ends, in microseconds.
+        until: When it expires, in microseconds.
     """
 
     upstream: int
@@ -282,7 +288,7 @@
 
     Attributes:
         upstream: The number of the upstream to send it to.
-        give_up_at: Until when it may last, in microseconds.
+        give_up_at: When it times out, in microseconds.
     """
 
     upstream: int
@@ -294,8 +300,8 @@
     """Place the session again later.
 
     Attributes:
-        until: When, or sooner if something changes, in microseconds.
-        token_candidates: What to ask a token issuer for, if there is one.
+        until: When to place it again at the latest, in microseconds.
+        token_candidates: The upstreams for which a token is to be requested, in order of preference.
     """
 
     until: int
@@ -304,10 +310,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Give the final answer that trying again is harmless.
+    """Give the final answer that nothing has taken effect, so that trying again is harmless.
 
     Attributes:
-        retry_after_us: How long the client had better wait; 0 for no advice.
+        retry_after_us: How long the client is advised to wait, in microseconds; 0 for no advice.
     """
 
     retry_after_us: int
@@ -315,19 +321,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the final answer without a promise."""
+    """Give the final answer without a promise: an attempt may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Nothing:
-    """Nothing is to be done."""
+    """Do nothing."""
 
 
 Answer = Forward | Hold | Shed | Fail | Nothing
 
 
+class Exclusion(Enum):
+    """Why an upstream gets no new session before others do."""
+
+    NOT_READY = "not ready"
+    UNREACHABLE = "unreachable"
+    UNRESPONSIVE = "unresponsive"
+    SLOW = "slow"
+    EJECTED = "ejected"
+    CROWDED = "crowded"
+    WARMING_UP = "warming up"
+
+
 class UpstreamStatus(NamedTuple):
-    """What the node takes an upstream to be, for operators to compare with the sockets.
+    """What the balancer knows of an upstream, for operators to compare with the open sockets.
 
     Attributes:
         upstream: The upstream's number.
@@ -335,8 +353,8 @@
         attempts: Own attempts in flight there.
         established: Own sessions established there.
         utilization: Load over capacity by its last report, if it has made one.
-        utilization_age_us: How old that is.
-        left_out: Why no new session goes there in the first place; empty if it has its share.
+        utilization_age_us: The age of that report in microseconds.
+        exclusion: Why no new session goes there before others do; None if it has its share.
     """
 
     upstream: int
@@ -345,19 +363,20 @@
     established: int
     utilization: float | None
     utilization_age_us: int
-    left_out: str
+    exclusion: Exclusion | None
 
 
 class DueActions(NamedTuple):
-    """What falls due now, and how long until the next thing does.
+    """What falls due now, and how long until something else does.
 
     Attributes:
-        wait_us: How long until the next thing falls due.
-        probes: Upstreams to be probed.
+        wait_us: How long until something else falls due, in microseconds.
+        probes: The numbers of the upstreams to be probed.
         poll_list: Whether to poll the endpoint list.
-        migrations: Sessions to be migrated; they no longer count at their upstreams.
-        superseded: Sessions whose attempts are cancelled now; their outcome is handed in like others.
-        setup_us: How long a setup takes: a session that lay unread for longer, and has less left, is shed.
+        migrations: The numbers of the sessions to be migrated; they no longer count at their upstreams.
+        superseded: The numbers of the sessions whose attempts are to be cancelled; their outcomes are
+            reported like any other.
+        setup_us: How long it takes to establish a session, in microseconds; 0 if unknown.
     """
 
     wait_us: int
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -1,7 +1,7 @@
-"""The one record of an upstream, and the fleet of all upstreams; both decide nothing.
+"""The record of an upstream, and the fleet of all upstreams.
 
-The deciding parts keep their figures of an upstream in its record. Thresholds and choices stand in those
-parts; here are fields, counts and lists by state.
+The deciding parts keep their figures of an upstream in its one record. Here are fields, counts and lists by
+state; thresholds and choices stand in the deciding parts.
 """
 
 from __future__ import annotations
@@ -17,37 +17,44 @@
 
     from larchlatch.policy.types import Session, Token
 
-NEVER = -10_000_000  # microseconds: before all times of a node
+NEVER = -10_000_000  # microseconds; earlier than every time that a node compares it with
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """All that this node knows of one upstream; times are in microseconds.
+    """What this node knows of one upstream; times are in microseconds.
 
     Attributes:
-        endpoint: What the endpoint list says of it; its fields stand here one by one.
-        ring_points: How many points it holds on the ring.
+        endpoint: Its entry in the endpoint list, whose fields become attributes of the record.
+        number: Its number at this node.
+        name: Its name.
+        zone: The number of its zone; -1 if unknown.
+        cell: The number of its cell; -1 if unknown.
+        state: Its state by the endpoint list.
+        size: Its capacity in units of the usual upstream's.
+        started_at: When it started; 0 if it is long past slow start.
+        ring_points: How many points it has on the ring.
         sessions: Own sessions by number, established there or with an attempt in flight.
-        known_load: Sum of the loads of those sessions, as far as known.
+        known_load: Sum of the known loads of those sessions.
         unknown_loads: How many of them have no known load.
         backoff: Its backoff; while it lasts the upstream is ejected.
-        overload_penalty: Above 1 if it was short of capacity lately.
-        penalized_at: When that was last raised.
+        overload_penalty: Factor on its load estimate; above 1 if it was short of capacity lately.
+        penalized_at: When that factor was last raised.
         unreachable: Whether the last attempt or probe got no connection.
         slow_until: Until when its messages count as late.
-        latency_ratio: Last message latency over the strictest objective.
+        latency_ratio: Last message latency over the strictest message objective.
         unresponsive_until: Until when it counts as answering no message on any session.
         migrate_at: When the next sessions may migrate off it, if it is slow.
         utilization: Load over capacity by its last load report.
-        utilization_at: When that was reported.
-        capacity: Sessions that fill it, by its last probe; 0 if unknown.
-        warm_capacity: The same if it was not in slow start then.
-        probe_requested: Whether a session waits to know its load.
+        utilization_at: When it made that report.
+        capacity: How many sessions fill it, by its last probe; 0 if unknown.
+        warm_capacity: The same if it was past slow start at that probe; else 0.
+        probe_requested: Whether a session waits for its load report.
         probed_at: When it was last probed.
-        sessions_at_probe: Own sessions there then.
+        sessions_at_probe: How many own sessions it held then.
         turn: The overload window in which the node last spent of its slow-start budget.
-        spent_in_turn: What it spent in that window, in usual sessions.
-        tokens: Slow-start tokens by session number: until when each holds.
+        spent_in_turn: What the node spent in that window, in usual sessions.
+        tokens: When each slow-start token expires, by the number of its session.
     """
 
     endpoint: InitVar[Endpoint]
@@ -85,7 +92,7 @@
         self.follow(endpoint)
 
     def follow(self, endpoint: Endpoint) -> None:
-        """Take over the fields of its endpoint, and forget what a former process of it did."""
+        """Take over the fields of its endpoint; a new start drops what was known of the process before."""
         if endpoint.started_at > self.started_at and endpoint.state is EndpointState.READY:
             self.backoff.reset()
             self.slow_until = 0
@@ -101,14 +108,14 @@
         self.started_at = endpoint.started_at
 
     def add(self, session: Session) -> None:
-        """Count a session as placed here."""
+        """Count a session here."""
         if session.number not in self.sessions:
             self.sessions[session.number] = session
             self.known_load += session.load
             self.unknown_loads += not session.load
 
     def remove(self, session: Session) -> None:
-        """Count a session as placed here no longer."""
+        """Count a session here no longer."""
         if self.sessions.pop(session.number, None) is not None:
             self.known_load -= session.load
             self.unknown_loads -= not session.load
@@ -129,7 +136,7 @@
         self.utilization_at = now
 
     def add_token(self, now: int, token: Token) -> None:
-        """Keep a token for its session, and drop those that have ended."""
+        """Keep a token for its session, and drop expired ones."""
         held = {session: until for session, until in self.tokens.items() if now < until}
         self.tokens = {**held, token.session: token.until}
 
@@ -139,7 +146,7 @@
 
     Attributes:
         pair: The master and the second.
-        spread: Further upstreams that a large group spreads to.
+        spread: Further upstreams over which a large group spreads.
         beyond: The rest of the ring walk.
     """
 
@@ -149,23 +156,23 @@
 
 
 def mean_utilization(upstreams: Collection[Upstream]) -> float:
-    """Return the mean of reported utilizations, each counted once; 0 for none."""
+    """Return the mean of the reported utilizations, whatever the sizes; 0 without upstreams."""
     return sum(other.utilization for other in upstreams) / len(upstreams) if upstreams else 0.0
 
 
 def joint_utilization(upstreams: Collection[Upstream]) -> float | None:
-    """Return the reported load of all over their capacity, by their sizes; None for none."""
+    """Return the mean of the reported utilizations, weighted by size; None without upstreams."""
     size = sum(other.size for other in upstreams)
     return sum(other.utilization * other.size for other in upstreams) / size if size else None
 
 
 class Fleet:
-    """The upstreams that the endpoint list has named; owns their records and the list of ready ones.
+    """All upstreams that the endpoint list has named; owns their records.
 
     Attributes:
         upstreams: The records by number, those of upstreams that are gone included.
         ready: The records of the ready upstreams, in the order in which they were first named.
-        mean_session_load: Running mean, in microseconds of work a second; 0 if no load is known.
+        mean_session_load: Running mean of known loads, in microseconds of work a second; 0 if none is known.
         next_check_at: When an upstream may next have a probe or migrations due, in microseconds.
     """
 
@@ -188,13 +195,13 @@
         return session.load / self.mean_session_load if session.load and self.mean_session_load else 1.0
 
     def add_established(self, session: Session, number: int) -> None:
-        """Count a session as established at an upstream, which no list need have named."""
+        """Count a session as established at an upstream, even if no endpoint list has named it yet."""
         session.upstream = number
         session.established = True
         self.find(Endpoint.unlisted(number)).add(session)
 
     def remove(self, session: Session) -> None:
-        """Count a session nowhere."""
+        """Count a session at no upstream any more."""
         if session.upstream >= 0:
             self.upstreams[session.upstream].remove(session)
 
@@ -218,7 +225,7 @@
         return known + upstream.unknown_loads
 
     def find(self, endpoint: Endpoint) -> Upstream:
-        """Return the record of an endpoint, a new one if it has none."""
+        """Return the record of an endpoint's upstream; a new one if there is none."""
         if endpoint.upstream not in self.upstreams:
             self.upstreams[endpoint.upstream] = Upstream(endpoint)
         return self.upstreams[endpoint.upstream]
