--- a/larchlatch/policy/__init__.py
+++ b/larchlatch/policy/__init__.py
@@ -1,6 +1,7 @@
 """The decisions of a node: where a session goes, whether it is tried again, and what is rejected.
 
-A node makes one `larchlatch.policy.balancer.Balancer` from its settings and a seeded `random.Random`. It calls
+A node makes one `larchlatch.policy.balancer.Balancer` from its settings and a seeded `random.Random`, and
+calls
 
 - `place(now, session)`, which returns where to send a session, or that it is held, or its final answer;
 - `outcome(now, session, outcome)`, which records how an attempt ended and returns what to do next;
