--- a/larchlatch/policy/state_export.py
+++ b/larchlatch/policy/state_export.py
@@ -1,90 +1,174 @@
 """Export and restore of what the balancer has learned, for a hot restart.
 
-The next process of a node reads what this one wrote, and may be of another version: every key is an explicit
-string here, and must not change when an attribute is renamed.
+The next process of a node reads what this one wrote, and may be of another version. So the keys stand here as
+strings, apart from the names of attributes, and must not change.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from operator import attrgetter
+from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
     from larchlatch.policy.balancer import Balancer
     from larchlatch.policy.upstream import Upstream
 
-# Key in the exported state, and the attribute of an upstream's record that it stands for.
-UPSTREAM_VALUES = {
-    "x0": "utilization",
-    "able": "capacity",
-    "fills": "warm_capacity",
-    "strain": "overload_penalty",
-    "late": "latency_ratio",
-    "unreached": "unreachable",
-    "rest": "backoff.delay_us",
-    "turn": "turn",
-    "spent": "spent_in_turn",
-    "came_up": "started_at",
-}
-# The same for points in time: they are moved by the difference of the two processes' clocks.
-UPSTREAM_TIMES = {
-    "x0_at": "utilization_at",
-    "probed_at": "probed_at",
-    "strain_at": "penalized_at",
-    "slow_until": "slow_until",
-    "quiet_until": "unresponsive_until",
-    "rest_until": "backoff.until",
-    "rested_at": "backoff.doubled_at",
-}
-UPSTREAM_STATE = UPSTREAM_VALUES | UPSTREAM_TIMES
-
-
-def export_state(balancer: Balancer) -> dict[str, Any]:
-    """Return what was observed of upstreams and demand, and spent in slow start, as plain JSON values."""
+JsonObject = dict[str, Any]
+
+UPSTREAMS = "hosts"
+ARRIVALS = "asked"
+MEAN_SESSION_LOAD = "noted"
+STARTED_AT = "came_up"
+
+
+@dataclass(frozen=True, slots=True)
+class UpstreamSnapshot:
+    """What a balancer has learned of one upstream, and spent there in slow start.
+
+    The attributes are those of `Upstream` and of its backoff; times are microseconds of one process's clock.
+    """
+
+    utilization: float
+    utilization_at: int
+    capacity: float
+    warm_capacity: float
+    probed_at: int
+    overload_penalty: float
+    penalized_at: int
+    latency_ratio: float
+    slow_until: int
+    unresponsive_until: int
+    unreachable: bool
+    backoff_delay_us: int
+    backoff_until: int
+    backoff_doubled_at: int
+    turn: int
+    spent_in_turn: float
+
+    @classmethod
+    def of(cls, upstream: Upstream) -> UpstreamSnapshot:
+        """Return the snapshot of an upstream's record."""
+        return cls(
+            utilization=upstream.utilization,
+            utilization_at=upstream.utilization_at,
+            capacity=upstream.capacity,
+            warm_capacity=upstream.warm_capacity,
+            probed_at=upstream.probed_at,
+            overload_penalty=upstream.overload_penalty,
+            penalized_at=upstream.penalized_at,
+            latency_ratio=upstream.latency_ratio,
+            slow_until=upstream.slow_until,
+            unresponsive_until=upstream.unresponsive_until,
+            unreachable=upstream.unreachable,
+            backoff_delay_us=upstream.backoff.delay_us,
+            backoff_until=upstream.backoff.until,
+            backoff_doubled_at=upstream.backoff.doubled_at,
+            turn=upstream.turn,
+            spent_in_turn=upstream.spent_in_turn,
+        )
+
+    def restore_to(self, upstream: Upstream) -> None:
+        """Write the snapshot into an upstream's record."""
+        upstream.utilization = self.utilization
+        upstream.utilization_at = self.utilization_at
+        upstream.capacity = self.capacity
+        upstream.warm_capacity = self.warm_capacity
+        upstream.probed_at = self.probed_at
+        upstream.overload_penalty = self.overload_penalty
+        upstream.penalized_at = self.penalized_at
+        upstream.latency_ratio = self.latency_ratio
+        upstream.slow_until = self.slow_until
+        upstream.unresponsive_until = self.unresponsive_until
+        upstream.unreachable = self.unreachable
+        upstream.backoff.delay_us = self.backoff_delay_us
+        upstream.backoff.until = self.backoff_until
+        upstream.backoff.doubled_at = self.backoff_doubled_at
+        upstream.turn = self.turn
+        upstream.spent_in_turn = self.spent_in_turn
+
+    def to_json(self) -> JsonObject:
+        """Return the snapshot as JSON values."""
+        return {
+            "x0": self.utilization,
+            "x0_at": self.utilization_at,
+            "able": self.capacity,
+            "fills": self.warm_capacity,
+            "probed_at": self.probed_at,
+            "strain": self.overload_penalty,
+            "strain_at": self.penalized_at,
+            "late": self.latency_ratio,
+            "slow_until": self.slow_until,
+            "quiet_until": self.unresponsive_until,
+            "unreached": self.unreachable,
+            "rest": self.backoff_delay_us,
+            "rest_until": self.backoff_until,
+            "rested_at": self.backoff_doubled_at,
+            "turn": self.turn,
+            "spent": self.spent_in_turn,
+        }
+
+    @classmethod
+    def from_json(cls, raw: JsonObject, clock_shift_us: int) -> UpstreamSnapshot:
+        """Return the snapshot in JSON values, with its times on this process's clock.
+
+        Raises:
+            KeyError, TypeError, ValueError, OverflowError: A value is missing or unreadable.
+        """
+        return cls(
+            utilization=float(raw["x0"]),
+            utilization_at=int(raw["x0_at"]) + clock_shift_us,
+            capacity=float(raw["able"]),
+            warm_capacity=float(raw["fills"]),
+            probed_at=int(raw["probed_at"]) + clock_shift_us,
+            overload_penalty=float(raw["strain"]),
+            penalized_at=int(raw["strain_at"]) + clock_shift_us,
+            latency_ratio=float(raw["late"]),
+            slow_until=int(raw["slow_until"]) + clock_shift_us,
+            unresponsive_until=int(raw["quiet_until"]) + clock_shift_us,
+            unreachable=bool(raw["unreached"]),
+            backoff_delay_us=int(raw["rest"]),
+            backoff_until=int(raw["rest_until"]) + clock_shift_us,
+            backoff_doubled_at=int(raw["rested_at"]) + clock_shift_us,
+            turn=int(raw["turn"]),
+            spent_in_turn=float(raw["spent"]),
+        )
+
+
+def export_state(balancer: Balancer) -> JsonObject:
+    """Return what was observed of upstreams and demand, and spent in slow start, as JSON values."""
     rows = {
-        upstream.name: {key: attrgetter(path)(upstream) for key, path in UPSTREAM_STATE.items()}
+        upstream.name: {**UpstreamSnapshot.of(upstream).to_json(), STARTED_AT: upstream.started_at}
         for upstream in balancer.fleet.upstreams.values()
     }
-    arrivals = list(balancer.slow_start.arrivals.times)
-    return {"hosts": rows, "asked": arrivals, "noted": balancer.fleet.mean_session_load}
+    return {
+        UPSTREAMS: rows,
+        ARRIVALS: list(balancer.slow_start.arrivals.times),
+        MEAN_SESSION_LOAD: balancer.fleet.mean_session_load,
+    }
 
 
-def restore_state(balancer: Balancer, state: dict[str, Any], clock_shift_us: int) -> None:
-    """Continue from exported state; it is left out for upstreams that have started anew.
+def restore_state(balancer: Balancer, state: JsonObject, clock_shift_us: int) -> None:
+    """Continue from exported state, except for upstreams that have started anew since.
 
     Args:
-        balancer: The balancer that goes on.
+        balancer: The balancer that continues.
         state: What `export_state` returned, decoded from JSON.
-        clock_shift_us: This process's clock less the exporter's.
+        clock_shift_us: This process's clock less the exporter's, in microseconds.
 
     Raises:
         AttributeError, KeyError, TypeError, ValueError, OverflowError: The state is unreadable; nothing has
             changed then.
     """
-    restored = [
-        (upstream, _read_row(upstream, row, clock_shift_us))
+    snapshots = [
+        (upstream, UpstreamSnapshot.from_json(row, clock_shift_us))
         for upstream in balancer.fleet.upstreams.values()
-        if (row := state["hosts"].get(upstream.name)) and row["came_up"] == upstream.started_at
+        if (row := state[UPSTREAMS].get(upstream.name)) and row[STARTED_AT] == upstream.started_at
     ]
-    arrivals = deque(int(at) + clock_shift_us for at in state["asked"])
-    mean_session_load = float(state["noted"])
-    # Nothing is assigned before all of it has been read: half a state would be worse than none.
-    for upstream, values in restored:
-        for path, value in values.items():
-            _assign(upstream, path, value)
+    arrivals = deque(int(at) + clock_shift_us for at in state[ARRIVALS])
+    mean_session_load = float(state[MEAN_SESSION_LOAD])
+    # All of it is read by now: an unreadable state is not restored in part.
+    for upstream, snapshot in snapshots:
+        snapshot.restore_to(upstream)
     balancer.slow_start.arrivals.times = arrivals
     balancer.fleet.mean_session_load = mean_session_load
-
-
-def _read_row(upstream: Upstream, row: dict[str, Any], clock_shift_us: int) -> dict[str, Any]:
-    values = {}
-    for key, path in UPSTREAM_STATE.items():
-        value = type(attrgetter(path)(upstream))(row[key])
-        values[path] = value + clock_shift_us if key in UPSTREAM_TIMES else value
-    return values
-
-
-def _assign(upstream: Upstream, path: str, value: Any) -> None:
-    *owner, attribute = path.split(".")
-    setattr(attrgetter(*owner)(upstream) if owner else upstream, attribute, value)
