--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -1,14 +1,18 @@
-"""The deployment settings: the object `settings` of a configuration, also sent by the simulator."""
+"""The deployment settings: the object `settings` of a configuration, which the simulator sends as well.
+
+This is the one module that knows the keys of that object.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from dataclasses import dataclass
+from typing import Any, NamedTuple
 
 from larchlatch.config.reading import NUMBER, non_negative_int, one_of, optional, required
 from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
-# Words of the key `effect`.
+# Words of the key `effect` of a traffic class.
 IDEMPOTENCY_BY_EFFECT = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
@@ -18,6 +22,71 @@
 DEDUP_SCOPE_BY_GROUP = {scope.value: scope for scope in DedupScope}
 DEFAULT_GROUP = DedupScope.ALL.value
 
+STABLE_SIZES = ("nominal", "rough")  # words of the key `weights`
+POLLED_DISCOVERY = "on_request"  # word of the key `discovery`
+PASS_THROUGH_MODE = "pass"  # word of the key `mode` of the domain
+NO_TELEMETRY = "none"  # word of the key `via` of the telemetry
+LOAD_FIELD = "x0"  # name of the utilization among the fields of the telemetry
+
+DEFAULT_CONNECT_TIMEOUT_US = 250_000
+
+
+@dataclass(frozen=True, slots=True)
+class Deployment:
+    """What the operators agreed for a deployment, as a node on sockets needs it.
+
+    Attributes:
+        settings: What decisions depend on.
+        traffic_class_names: In the order of the settings' traffic classes.
+        tenants: Names of the clients' owners.
+        zones: Names of the zones; their positions are the numbers that decisions know.
+        connect_timeout_us: The time for establishing a connection to an upstream.
+        passes_through: Whether packets of established sessions bypass the node's process.
+        max_deadline_us: The longest deadline of any traffic class; 0 without traffic classes.
+
+    """
+
+    settings: DeploymentSettings
+    traffic_class_names: list[str]
+    tenants: list[str]
+    zones: list[str]
+    connect_timeout_us: int
+    passes_through: bool
+    max_deadline_us: int
+
+
+class _Sections(NamedTuple):
+    """The objects within the settings."""
+
+    capabilities: dict[str, Any]
+    rules: dict[str, Any]
+    telemetry: dict[str, Any]
+    domain: dict[str, Any]
+
+
+def read_deployment(raw: dict[str, Any], where: str) -> Deployment:
+    """Return the settings of a node on sockets, checked and with their defaults.
+
+    Args:
+        raw: The JSON object that holds the settings.
+        where: The place of that object, for the messages.
+
+    Raises:
+        ConfigurationError: A value is missing or wrong.
+
+    """
+    settings = read_deployment_settings(raw, where)
+    sections = _read_sections(raw, where)
+    return Deployment(
+        settings=settings,
+        traffic_class_names=_read_names(raw["tariffs"], f"{where}.tariffs"),
+        tenants=_read_names(optional(raw, "tenants", list, where, []), f"{where}.tenants"),
+        zones=[str(zone) for zone in raw["areas"]],
+        connect_timeout_us=_read_connect_timeout_us(sections.capabilities, f"{where}.caps"),
+        passes_through=sections.domain.get("mode") == PASS_THROUGH_MODE,
+        max_deadline_us=_read_max_deadline_us(raw["tariffs"], f"{where}.tariffs"),
+    )
+
 
 def read_deployment_settings(raw: dict[str, Any], where: str) -> DeploymentSettings:
     """Return the settings that decisions depend on, checked and with their defaults.
@@ -30,28 +99,22 @@
         ConfigurationError: A value is missing or wrong.
 
     """
-    caps = required(raw, "caps", dict, where)
-    rules = required(raw, "rules", dict, where)
-    telemetry = required(raw, "telemetry", dict, where)
-    domain = optional(raw, "domain", dict, where, {})
+    capabilities, rules, telemetry, domain = _read_sections(raw, where)
     required(raw, "areas", list, where)
-    traffic_classes = _read_traffic_classes(raw, domain, where)
-    probes = bool(caps.get("probes"))
-    reports_load = _reports_load(telemetry, f"{where}.telemetry")
-    max_retry_after_us = non_negative_int(caps, "max_retry_after_us", f"{where}.caps", 0)
+    probes = bool(capabilities.get("probes"))
     return DeploymentSettings(
         me=required(raw, "me", int, where),
         nodes=max(1, required(raw, "peers_total", int, where)),
-        traffic_classes=traffic_classes,
+        traffic_classes=_read_traffic_classes(raw, domain, where),
         uses_groups=bool(domain.get("groups")),
-        weighted=raw.get("weights") in ("nominal", "rough"),
-        polls_discovery=required(raw, "discovery", str, where) == "on_request",
+        weighted=raw.get("weights") in STABLE_SIZES,
+        polls_discovery=required(raw, "discovery", str, where) == POLLED_DISCOVERY,
         probes=probes,
-        can_cancel=bool(caps.get("cancel")),
-        probes_report_load=probes and reports_load,
+        can_cancel=bool(capabilities.get("cancel")),
+        probes_report_load=probes and _reports_load(telemetry, f"{where}.telemetry"),
         reports_delay=bool(domain.get("tells_delay")),
-        max_attempts=required(caps, "most_setup_tries", int, f"{where}.caps"),
-        max_retry_after_us=max_retry_after_us if caps.get("retry_after") else 0,
+        max_attempts=required(capabilities, "most_setup_tries", int, f"{where}.caps"),
+        max_retry_after_us=_read_max_retry_after_us(capabilities, f"{where}.caps"),
         poll_within_us=non_negative_int(rules, "ask_within_us", f"{where}.rules"),
         slow_start_min_share=float(required(rules, "cold_from", NUMBER, f"{where}.rules")),
         slow_start_us=max(1, non_negative_int(rules, "cold_us", f"{where}.rules")),
@@ -60,6 +123,15 @@
     )
 
 
+def _read_sections(raw: dict[str, Any], where: str) -> _Sections:
+    return _Sections(
+        capabilities=required(raw, "caps", dict, where),
+        rules=required(raw, "rules", dict, where),
+        telemetry=required(raw, "telemetry", dict, where),
+        domain=optional(raw, "domain", dict, where, {}),
+    )
+
+
 def _read_traffic_classes(
     raw: dict[str, Any], domain: dict[str, Any], where: str
 ) -> tuple[TrafficClass, ...]:
@@ -69,17 +141,22 @@
     for index, entry in enumerate(required(raw, "tariffs", list, where)):
         if not isinstance(entry, dict):
             raise ConfigurationError(f"{where}.tariffs[{index}]", "not an object")
-        objective = objectives[index] if index < len(objectives) else 0
-        if not isinstance(objective, NUMBER):
-            raise ConfigurationError(
-                f"{where}.domain", f"message_aim_us[{index}] has the wrong type ({type(objective).__name__})"
-            )
-        traffic_classes.append(_read_traffic_class(entry, int(objective), f"{where}.tariffs[{index}]"))
+        objective_us = _message_objective_us(objectives, index, f"{where}.domain")
+        traffic_classes.append(_read_traffic_class(entry, objective_us, f"{where}.tariffs[{index}]"))
     return tuple(traffic_classes)
 
 
+def _message_objective_us(objectives: list[Any], index: int, where: str) -> int:
+    """Return the message objective of a traffic class; 0 if none is stated."""
+    objective = objectives[index] if index < len(objectives) else 0
+    if not isinstance(objective, NUMBER):
+        problem = f"message_aim_us[{index}] has the wrong type ({type(objective).__name__})"
+        raise ConfigurationError(where, problem)
+    return int(objective)
+
+
 def _read_traffic_class(entry: dict[str, Any], message_objective_us: int, where: str) -> TrafficClass:
-    """Return one traffic class; its objective for messages stands apart from its entry."""
+    """Return one traffic class; its message objective stands apart from its entry."""
     latency_objective_us = non_negative_int(entry, "expected_time_us", where)
     effect = required(entry, "effect", str, where)
     idempotency = one_of(effect, IDEMPOTENCY_BY_EFFECT, f"{where}.effect")
@@ -96,4 +173,33 @@
 def _reports_load(telemetry: dict[str, Any], where: str) -> bool:
     """Return whether the answers to probes carry the load of their upstream."""
     fields = optional(telemetry, "fields", list, where, [])
-    return telemetry.get("via") != "none" and "x0" in fields
+    return telemetry.get("via") != NO_TELEMETRY and LOAD_FIELD in fields
+
+
+def _read_max_retry_after_us(capabilities: dict[str, Any], where: str) -> int:
+    """Return the longest advice that clients follow; 0 if they follow none."""
+    max_retry_after_us = non_negative_int(capabilities, "max_retry_after_us", where, 0)
+    return max_retry_after_us if capabilities.get("retry_after") else 0
+
+
+def _read_connect_timeout_us(capabilities: dict[str, Any], where: str) -> int:
+    """Return the time for establishing a connection; 0 in the file stands for the default."""
+    timeout_us = non_negative_int(capabilities, "dial_timeout_us", where, DEFAULT_CONNECT_TIMEOUT_US)
+    return timeout_us or DEFAULT_CONNECT_TIMEOUT_US
+
+
+def _read_max_deadline_us(entries: list[dict[str, Any]], where: str) -> int:
+    deadlines_us = [
+        non_negative_int(entry, "cut_off_us", f"{where}[{index}]") for index, entry in enumerate(entries)
+    ]
+    return max(deadlines_us, default=0)
+
+
+def _read_names(entries: list[Any], where: str) -> list[str]:
+    """Return the name of each entry of a list in the settings."""
+    names = []
+    for index, entry in enumerate(entries):
+        if not isinstance(entry, dict):
+            raise ConfigurationError(f"{where}[{index}]", "not an object")
+        names.append(required(entry, "name", str, f"{where}[{index}]"))
+    return names
--- a/larchlatch/config/endpoints.py
+++ b/larchlatch/config/endpoints.py
@@ -1,4 +1,7 @@
-"""The JSON form of the endpoint list, as discovery sends it and as the configuration holds it. No I/O."""
+"""The JSON form of the endpoint list, as discovery sends it and the configuration holds it. No I/O.
+
+This is the one module that knows its keys.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,14 @@
 }
 PHASE_BY_STATE = {state: phase for phase, state in STATE_BY_PHASE.items()}
 
-# Sizes are compared and summed: an entry beyond all reason would outweigh all other upstreams together.
-MAX_SIZE = 1e6
+MAX_SIZE = 1e6  # sizes are summed: one beyond all reason would outweigh all other upstreams together
 DEFAULT_SIZE = 1.0
 NO_CELL = -1
 
+Address = tuple[str, int]  # host and port
+
 MAX_PORT = 65535
+MICROSECONDS_PER_MS = 1000
 MAX_QUOTED_CHARACTERS = 60  # of a wrong address in a message
 
 
@@ -30,10 +35,10 @@
     """One upstream as the endpoint list describes it.
 
     Attributes:
-        name: The id of the upstream.
-        address: Host and port.
-        zone: The zone's name, empty where the list names none.
-        cell: The cell's number, `NO_CELL` where the list names none.
+        name: The name of the upstream.
+        address: Its host and port.
+        zone: The name of its zone; empty if the list names none.
+        cell: The number of its cell; `NO_CELL` if the list names none.
         state: Whether it takes sessions.
         size: Its capacity relative to other upstreams.
         started_at: When it started, in microseconds of Unix time; 0 for long ago.
@@ -41,7 +46,7 @@
     """
 
     name: str
-    address: tuple[str, int]
+    address: Address
     zone: str
     cell: int
     state: EndpointState
@@ -53,8 +58,8 @@
     """An endpoint list, or the changes to one.
 
     Attributes:
-        revision: The version of the list that this leads to.
-        complete: Whether it is the complete list: an upstream that it lacks is gone.
+        revision: The revision of the list, or the one that the changes lead to.
+        complete: Whether it is the complete list, so that an upstream that it lacks is gone.
         endpoints: The entries.
         unreadable: Names of upstreams whose entries are wrong. What was known of them stays valid.
 
@@ -67,7 +72,7 @@
 
 
 class DecodedEndpointList(NamedTuple):
-    """What could be read of an endpoint list.
+    """An endpoint list as far as it could be read.
 
     Attributes:
         endpoint_list: The list without its wrong entries.
@@ -79,9 +84,7 @@
     faults: list[str]
 
 
-def parse_address(
-    text: str, where: str, *, error: type[InvalidInputError] = ConfigurationError
-) -> tuple[str, int]:
+def parse_address(text: str, where: str, *, error: type[InvalidInputError] = ConfigurationError) -> Address:
     """Return host and port of `HOST:PORT`; an IPv6 address may stand in brackets.
 
     Raises:
@@ -104,26 +107,36 @@
     """
     if not isinstance(raw, dict):
         raise ProtocolError(where, "not an object")
-    cell, size = raw.get("cell"), raw.get("size")
-    if isinstance(size, NUMBER) and size >= MAX_SIZE:
-        raise ProtocolError(f"{where}.size", f"too large ({size:g})")
+    size = _parse_size(raw, where)
     name = required(raw, "id", str, where, error=ProtocolError)
     host_port = required(raw, "host_port", str, where, error=ProtocolError)
     address = parse_address(host_port, f"{where}.host_port", error=ProtocolError)
     phase = required(raw, "phase", str, where, error=ProtocolError)
+    cell = raw.get("cell")
+    up_since_ms = non_negative_int(raw, "up_since_ms", where, error=ProtocolError)
     return EndpointEntry(
         name=name,
         address=address,
         zone=str(raw.get("locality") or ""),
         cell=cell if isinstance(cell, int) else NO_CELL,
         state=one_of(phase, STATE_BY_PHASE, f"{where}.phase", error=ProtocolError),
-        size=float(size) if isinstance(size, NUMBER) and size > 0 else DEFAULT_SIZE,
-        started_at=non_negative_int(raw, "up_since_ms", where, error=ProtocolError) * 1000,
+        size=size,
+        started_at=up_since_ms * MICROSECONDS_PER_MS,
     )
 
 
+def _parse_size(raw: dict[str, Any], where: str) -> float:
+    """Return the size of an entry; the default if it has none above 0."""
+    size = raw.get("size")
+    if not isinstance(size, NUMBER):
+        return DEFAULT_SIZE
+    if size >= MAX_SIZE:
+        raise ProtocolError(f"{where}.size", f"too large ({size:g})")
+    return float(size) if size > 0 else DEFAULT_SIZE
+
+
 def parse_endpoint_list(raw: Any, where: str) -> EndpointList:
-    """Return a list all of whose entries must be right.
+    """Return a list of which every entry must be right.
 
     Raises:
         ProtocolError: The list or an entry is wrong.
@@ -140,9 +153,9 @@
 
 
 def parse_readable_endpoints(raw: Any, where: str) -> DecodedEndpointList:
-    """Return a list as far as its entries can be read.
+    """Return a list without the entries that can't be read.
 
-    A wrong entry must not hide the news of other upstreams, such as a drain that stands beside it.
+    A wrong entry must not hide what the list says of other upstreams.
 
     Raises:
         ProtocolError: The list itself is wrong.
@@ -150,25 +163,31 @@
     """
     if not isinstance(raw, dict):
         raise ProtocolError(where, "not an object")
+    complete = required(raw, "complete", bool, where, error=ProtocolError)
     endpoints: list[EndpointEntry] = []
     faults: list[str] = []
     unreadable: list[str] = []
-    complete = required(raw, "complete", bool, where, error=ProtocolError)
     for index, entry in enumerate(required(raw, "members", list, where, error=ProtocolError)):
         try:
             endpoints.append(parse_endpoint(entry, f"{where}.members[{index}]"))
         except InvalidInputError as error:
             faults.append(str(error))
-            name = entry.get("id") if isinstance(entry, dict) else None
-            if isinstance(name, str):
+            name = _name_of_unreadable(entry)
+            if name is not None:
                 unreadable.append(name)
             else:
-                # The entry may be about any upstream: a complete list without it would declare that one gone.
+                # Any upstream may be meant: a complete list without the entry would declare that one gone.
                 complete = False
     revision = required(raw, "revision", int, where, error=ProtocolError)
     return DecodedEndpointList(EndpointList(revision, complete, endpoints, tuple(unreadable)), faults)
 
 
+def _name_of_unreadable(entry: Any) -> str | None:
+    """Return the name in an entry that is otherwise wrong; None if it has none."""
+    name = entry.get("id") if isinstance(entry, dict) else None
+    return name if isinstance(name, str) else None
+
+
 def endpoint_list_to_json(endpoint_list: EndpointList) -> dict[str, Any]:
     """Return a list in the form that `parse_endpoint_list` reads."""
     return {
@@ -187,7 +206,7 @@
         "cell": endpoint.cell,
         "phase": PHASE_BY_STATE[endpoint.state],
         "size": endpoint.size,
-        "up_since_ms": endpoint.started_at // 1000,
+        "up_since_ms": endpoint.started_at // MICROSECONDS_PER_MS,
     }
 
 
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -1,4 +1,8 @@
-"""The node's configuration: its JSON file, read, checked and completed with defaults."""
+"""The node's configuration: its JSON file, read, checked and completed with defaults.
+
+This is the one module that knows the keys of that file, except those of the object `settings` and of the
+endpoint list.
+"""
 
 from __future__ import annotations
 
@@ -8,9 +12,9 @@
 
 import orjson
 
-from larchlatch.config.deployment import read_deployment_settings
-from larchlatch.config.endpoints import EndpointList, parse_address, parse_endpoint_list
-from larchlatch.config.reading import non_negative_int, optional, required
+from larchlatch.config.deployment import Deployment, read_deployment
+from larchlatch.config.endpoints import Address, EndpointList, parse_address, parse_endpoint_list
+from larchlatch.config.reading import optional, required
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.errors import ConfigurationError
 
@@ -22,39 +26,39 @@
 WHERE = "configuration"  # what messages call the file
 ADMIN_ADDRESS_VARIABLE = "EDGE_CONTROL"
 
-DEFAULT_CONNECT_TIMEOUT_US = 250_000
-DEFAULT_DESCRIPTOR_LIMIT = 1024  # what most systems grant a process
+DEFAULT_DESCRIPTOR_LIMIT = 1024  # the usual limit of a process
 
 MAX_QUOTED_CHARACTERS = 40  # of a wrong seed in a message
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfiguration:
-    """What a node is to do, and with what.
+    """The configuration of one node.
 
     Attributes:
         name: The node's name, unique in its cluster.
         listen_address: Where clients are accepted.
-        discovery_address: Where the endpoint list is had.
+        discovery_address: Where the endpoint list is fetched.
         admin_address: Where the admin API listens; None for no admin API.
-        seed: Of the node's random draws.
+        seed: The seed of the node's random draws.
         descriptor_limit: How many file descriptors the node may hold.
         known_endpoints: The endpoint list to begin with.
         settings: The deployment settings.
         traffic_class_names: In the order of the settings' traffic classes.
         tenants: Names of the clients' owners.
-        zones: Names of the zones; their places are the numbers that decisions know.
+        zones: Names of the zones; their positions are the numbers that decisions know.
         upstream_settings: How upstreams are connected to and watched.
-        discovery_pushes_changes: Whether changes of the list are followed from the start; else on request.
+        discovery_pushes_changes: Whether changes of the list are followed from the start, and not only once
+            the balancer polls it.
         passes_through: Whether packets of established sessions bypass this process, so that they outlive it.
-        max_deadline_us: The longest deadline of any traffic class, from a client's line on.
+        max_deadline_us: The longest deadline of any traffic class, from the arrival of a client's request.
 
     """
 
     name: str
-    listen_address: tuple[str, int]
-    discovery_address: tuple[str, int]
-    admin_address: tuple[str, int] | None
+    listen_address: Address
+    discovery_address: Address
+    admin_address: Address | None
     seed: int
     descriptor_limit: int
     known_endpoints: EndpointList
@@ -99,34 +103,35 @@
         InvalidInputError: Something is missing or wrong.
 
     """
-    listen_address = parse_address(required(raw, "listen", str, WHERE), f"{WHERE}: listen")
-    raw_settings = required(raw, "settings", dict, WHERE)
-    agreed = read_deployment_settings(raw_settings, "settings")
-    domain = optional(raw_settings, "domain", dict, "settings", {})
-    seed = _read_seed(raw)
-    limits = optional(raw, "limits", dict, WHERE, {})
+    listen_address = _read_address(raw, "listen")
+    deployment = read_deployment(required(raw, "settings", dict, WHERE), "settings")
+    settings = deployment.settings
     return NodeConfiguration(
         name=required(raw, "name", str, WHERE),
         listen_address=listen_address,
-        discovery_address=parse_address(required(raw, "discovery", str, WHERE), f"{WHERE}: discovery"),
+        discovery_address=_read_address(raw, "discovery"),
         admin_address=_read_admin_address(raw, default_admin_address, listen_address),
-        seed=seed,
-        descriptor_limit=_read_descriptor_limit(limits),
+        seed=_read_seed(raw),
+        descriptor_limit=_read_descriptor_limit(raw),
         known_endpoints=_read_known_endpoints(raw),
-        # On sockets the delay of messages shows no load: an upstream answers lines at once while it runs.
-        settings=replace(agreed, reports_delay=False),
-        traffic_class_names=_read_names(raw_settings["tariffs"], "tariffs"),
-        tenants=_read_names(optional(raw_settings, "tenants", list, "settings", []), "tenants"),
-        zones=[str(zone) for zone in raw_settings["areas"]],
-        upstream_settings=_read_upstream_settings(raw_settings, agreed),
-        discovery_pushes_changes=not agreed.polls_discovery,
-        passes_through=domain.get("mode") == "pass",
-        max_deadline_us=_read_max_deadline(raw_settings["tariffs"]),
+        # On sockets an overloaded upstream answers messages at once: their latency does not show its load.
+        settings=replace(settings, reports_delay=False),
+        traffic_class_names=deployment.traffic_class_names,
+        tenants=deployment.tenants,
+        zones=deployment.zones,
+        upstream_settings=_upstream_settings(deployment),
+        discovery_pushes_changes=not settings.polls_discovery,
+        passes_through=deployment.passes_through,
+        max_deadline_us=deployment.max_deadline_us,
     )
 
 
+def _read_address(raw: dict[str, Any], key: str) -> Address:
+    return parse_address(required(raw, key, str, WHERE), f"{WHERE}: {key}")
+
+
 def _read_seed(raw: dict[str, Any]) -> int:
-    """Return the seed, a number or one in hexadecimal digits."""
+    """Return the seed, which is a number or a string of hexadecimal digits."""
     seed = required(raw, "seed", (str, int), WHERE)
     if isinstance(seed, int):
         return seed
@@ -138,9 +143,7 @@
         raise ConfigurationError(WHERE, f"seed is no hexadecimal number ({quoted})") from None
 
 
-def _read_admin_address(
-    raw: dict[str, Any], default: str | None, listen_address: tuple[str, int]
-) -> tuple[str, int] | None:
+def _read_admin_address(raw: dict[str, Any], default: str | None, listen_address: Address) -> Address | None:
     """Return the address of the admin API; None where neither the file nor the environment names one."""
     if raw.get("control") is not None:
         text, where = required(raw, "control", str, WHERE), f"{WHERE}: control"
@@ -149,55 +152,32 @@
     else:
         return None
     address = parse_address(text, where)
-    # Port 0 lets the system choose: twice the same address then gives two ports.
+    # With port 0 the system chooses the ports, which then differ.
     if address == listen_address and address[1]:
         raise ConfigurationError(where, f"the address where clients are taken ({text})")
     return address
 
 
-def _read_descriptor_limit(limits: dict[str, Any]) -> int:
+def _read_descriptor_limit(raw: dict[str, Any]) -> int:
+    limits = optional(raw, "limits", dict, WHERE, {})
     if "sockets" not in limits:
         return DEFAULT_DESCRIPTOR_LIMIT
     return required(limits, "sockets", int, f"{WHERE}: limits")
 
 
 def _read_known_endpoints(raw: dict[str, Any]) -> EndpointList:
-    """Return the list to begin with; an empty one of revision 0 where the file has none."""
+    """Return the list to begin with; an empty one of revision 0 if the file has none."""
     known = raw.get("known")
     if known is None:
         return EndpointList(revision=0, complete=True, endpoints=[])
     return parse_endpoint_list(known, "known")
 
 
-def _read_names(entries: list[Any], key: str) -> list[str]:
-    """Return the name of each entry of a list in the settings."""
-    names = []
-    for index, entry in enumerate(entries):
-        where = f"settings.{key}[{index}]"
-        if not isinstance(entry, dict):
-            raise ConfigurationError(where, "not an object")
-        names.append(required(entry, "name", str, where))
-    return names
-
-
-def _read_upstream_settings(raw_settings: dict[str, Any], settings: DeploymentSettings) -> UpstreamSettings:
-    """Return what upstream actors work by; a timeout of 0 stands for the default."""
-    caps = raw_settings["caps"]
-    timeout_us = non_negative_int(caps, "dial_timeout_us", "settings.caps", DEFAULT_CONNECT_TIMEOUT_US)
+def _upstream_settings(deployment: Deployment) -> UpstreamSettings:
+    settings = deployment.settings
     return UpstreamSettings(
-        connect_timeout_us=timeout_us or DEFAULT_CONNECT_TIMEOUT_US,
+        connect_timeout_us=deployment.connect_timeout_us,
         probes_report_load=settings.probes_report_load,
         reports_delay=settings.reports_delay,
         strictest_message_objective_us=settings.message_objective_us,
     )
-
-
-def _read_max_deadline(traffic_classes: list[dict[str, Any]]) -> int:
-    """Return the longest deadline of any traffic class, in microseconds; 0 without traffic classes."""
-    return max(
-        (
-            non_negative_int(entry, "cut_off_us", f"settings.tariffs[{index}]")
-            for index, entry in enumerate(traffic_classes)
-        ),
-        default=0,
-    )
--- a/larchlatch/config/reading.py
+++ b/larchlatch/config/reading.py
@@ -1,7 +1,7 @@
 """Checked reading of JSON objects.
 
-Each function takes the object, the key, and the place of the object as error messages name it. A missing or
-wrong value raises one error that names the place, the key and the fault. Callers that read messages of other
+Each function takes the object, the key, and the place of the object for error messages. A missing or wrong
+value raises one error that names the place, the key and what is wrong. Callers that read messages of other
 processes instead of files pass `error=ProtocolError`.
 """
 
@@ -20,8 +20,7 @@
 
 NUMBER = (int, float)
 
-# JSON numbers are exact below this (RFC 8259, section 6). As microseconds it is 285 years.
-EXACT_INTEGER_LIMIT = 2**53
+EXACT_INTEGER_LIMIT = 2**53  # JSON numbers are exact below this (RFC 8259, section 6)
 
 
 def required(
@@ -48,7 +47,7 @@
     if key not in holder:
         raise error(where, f"{key} is missing")
     value = holder[key]
-    # bool is a subclass of int, but `true` in place of a number is a mistake.
+    # bool is a subclass of int, but `true` where a number is expected is a mistake.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise error(where, f"{key} has the wrong type ({type(value).__name__})")
     return value
--- a/larchlatch/config/toml_file.py
+++ b/larchlatch/config/toml_file.py
@@ -1,6 +1,6 @@
 """Strict reading of the operators' TOML files.
 
-A file is checked against its types. The error for a wrong one is a line that names the file and the key.
+A file is checked against types. The error for a wrong file is one line that names the file and the key.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 Table = TypeVar("Table")
 
-# Attributes whose keys in operators' files have other names: the keys are part of the users' files and stay.
+# Keys of operators' files that differ from the names of their attributes.
 FILE_KEYS = {
     "overload_multiple": "tip_multiple",
     "sessions": "links",
