--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -11,7 +11,8 @@
 from larchlatch.node.messages import AttemptFinished, LoadReported, Post, SessionAdopted
 from larchlatch.node.session_record import Delivered, Failed
 from larchlatch.node.wire import lines as wire
-from larchlatch.node.wire.stream import Ending, Lines, Unconnected, dial, lines_of, written
+from larchlatch.node.wire.dialing import Unconnected, dial, lines_of, send_all
+from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy.types import Outcome
 
 if TYPE_CHECKING:
@@ -191,7 +192,7 @@
         """Write the request line; return whether it was written whole: if not, it can't have run."""
         whole = False
         try:
-            whole = await written(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
+            whole = await send_all(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
         finally:
             if not whole:
                 sock.close()
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -12,14 +12,13 @@
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire import lines
 from larchlatch.node.wire.listen import stream_of
-from larchlatch.node.wire.stream import (
-    Ending,
-    Lines,
+from larchlatch.node.wire.raw_socket import (
     discard_and_close,
     receive_available,
     send_last_line,
-    waited_us,
+    us_since_received,
 )
+from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy import admission
 from larchlatch.policy.retries import RETRY_AFTER_US
 
@@ -80,12 +79,12 @@
 
     def read_overdue(self, sock: socket.socket) -> UnreadRequest | None:
         """Return what a connection just accepted has sent if this node is behind, else None."""
-        waited = waited_us(sock)
-        if not admission.is_overdue(waited_us=waited, setup_us=self._balancer_actor.shed_waiting_over_us):
+        waited_us = us_since_received(sock)
+        if not admission.is_overdue(waited_us=waited_us, setup_us=self._balancer_actor.shed_waiting_over_us):
             return None
         data = receive_available(sock)
         opening = lines.parse_opening(data) if _is_one_request(data) else None
-        return UnreadRequest(data, opening, now_us() - waited)
+        return UnreadRequest(data, opening, now_us() - waited_us)
 
     def shed_overdue(self, sock: socket.socket, request: UnreadRequest) -> bool:
         """Shed a request that has too little time left; return whether it was answered."""
@@ -144,7 +143,7 @@
         line = await self.reader.read(client)
         # A line may lie unread for a tenth of a second in a crowd, and the client's time runs from when it
         # came: counted from the reading, the answer would come after the client has left.
-        received_us = now_us() - client.waited_us()
+        received_us = now_us() - client.us_since_received()
         if line is None and self._lifecycle.rejects_all:
             # A request that crosses this line has its answer with it: one that finds only the end is lost.
             self.counters.add(IDLE_CONNECTIONS_ENDED)
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -15,7 +15,8 @@
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord, Shed
 from larchlatch.node.upstream_actor import StartAttempt
 from larchlatch.node.wire import lines
-from larchlatch.node.wire.stream import LINGER_S, Ending, Lines
+from larchlatch.node.wire.raw_socket import LINGER_S
+from larchlatch.node.wire.stream import Ending, Lines
 from larchlatch.policy import admission
 from larchlatch.policy.retries import RETRY_AFTER_US
 from larchlatch.policy.types import Outcome
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -10,7 +10,8 @@
 from larchlatch.node.clock import now_us
 from larchlatch.node.messages import Post, ProbeFinished
 from larchlatch.node.wire import lines as wire
-from larchlatch.node.wire.stream import Ending, Lines, Unconnected, connect
+from larchlatch.node.wire.dialing import Unconnected, connect
+from larchlatch.node.wire.stream import Ending, Lines
 
 if TYPE_CHECKING:
     from larchlatch.config.upstream import UpstreamSettings
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -11,10 +11,10 @@
 
 from larchlatch.config.endpoints import EndpointList, decode_endpoint_list
 from larchlatch.errors import LarchlatchError, ProtocolError
+from larchlatch.node.wire.dialing import Unconnected, dial
 from larchlatch.node.wire.http import next_event
 from larchlatch.node.wire.json_framing import MAX_LIST_BYTES, JsonObjectFramer
 from larchlatch.node.wire.listen import stream_of
-from larchlatch.node.wire.stream import Unconnected, dial
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -1,11 +1,17 @@
-"""Lines of text, as clients and upstreams speak them: each is decoded once and encoded once. No I/O."""
+"""The line protocol with clients and upstreams: lines to typed messages and back. No I/O.
+
+This is the one module that knows the words and keys of the protocol.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_LINE_BYTES = 4096  # its end included
+MAX_LINE_BYTES = 4096  # with its end
+MICROSECONDS_PER_MS = 1000
+
+# Lines without arguments.
 PING = b"PING\r\n"
 PONG = b"PONG\r\n"
 NO = b"NO\r\n"
@@ -13,15 +19,28 @@
 MOVE = b"MOVE\r\n"
 FAILED = b"ERR\r\n"
 
-REQUEST_WORDS = 4  # OPEN, the id, the key, the list of values
-REQUIRED_VALUES = ("c", "d")
-FLAGS = ("r", "again", "mid")
+# A request: the word OPEN, the session's id, the client's key, and a list of values by key.
+REQUEST_WORD = "OPEN"
+REQUEST_WORD_COUNT = 4
+TRAFFIC_CLASS = "c"
+TENANT = "t"
+WAIT_MS = "d"
+GROUP = "g"
+LOAD = "h"
+MID_FLOW = "mid"
+ESTABLISHED_AT = "at"
+REQUIRED_KEYS = (TRAFFIC_CLASS, WAIT_MS)
+FLAG_KEYS = ("r", "again", MID_FLOW)
 MAX_WAIT_DIGITS = 9
-MAX_FIGURE = 1e15  # figures of a report beyond all reason are passed over
+
+# A load report: a list of figures by key.
+UTILIZATION = "x0"
+SESSION_COUNT = "inflight"
+MAX_FIGURE = 1e15  # a larger one is ignored
 
 
 class BadLine(NamedTuple):
-    """A line that is not in the required form, and why; the reason goes into the name of a counter."""
+    """A request that is not in the required form; the reason is part of a counter's name."""
 
     reason: str
 
@@ -32,16 +51,16 @@
 
     Attributes:
         ident: the session's id, new with every connection.
-        before: the line up to the figure of `d`.
-        behind: the line from behind the figure of `d`.
+        before: the text of the line before the time that the client waits.
+        behind: the text of the line after that time.
         key: the client's key.
-        traffic_class: name of the traffic class.
-        tenant: name of the tenant, if one is named.
-        wait_ms: how long the client waits for its answer.
-        group: the affinity group, if one is named.
+        traffic_class: the name of its traffic class.
+        tenant: the name of its tenant, if one is named.
+        wait_ms: how long the client waits for its answer, in milliseconds.
+        group: its affinity group, if one is named.
         mid_flow: whether its packets passed through another node before.
-        established_upstream: name of the upstream where it was established before, if it was.
-        load: its expected load in microseconds of work a second; 0 for unknown.
+        established_upstream: the name of the upstream where it was established before, if it was.
+        load: its expected load in microseconds of work a second; 0 if unknown.
 
     """
 
@@ -59,7 +78,7 @@
 
     @property
     def may_continue(self) -> bool:
-        """Whether its client was served before, and may be in the middle of what it sends."""
+        """Whether the session was established before, so that its client may already send further lines."""
         return self.mid_flow or self.established_upstream is not None
 
 
@@ -69,31 +88,38 @@
     if isinstance(text, BadLine):
         return text
     words = text.split(" ")
-    if len(words) != REQUEST_WORDS or words[0] != "OPEN" or not words[1] or not words[2]:
+    if len(words) != REQUEST_WORD_COUNT or words[0] != REQUEST_WORD or not words[1] or not words[2]:
         return BadLine("not_an_open_line_of_four_words")
-    values = _values(words[3])
+    _, ident, key, values_text = words
+    values = _parse_values(values_text)
     if isinstance(values, BadLine):
         return values
-    load = parse_figure(values.get("h", "0"))
+    load = _parse_figure(values.get(LOAD, "0"))
     if load is None:
-        return BadLine("h_is_no_number")
-    # The line is passed on unchanged but for d, which says how long this node will wait.
-    wait_at = text.index(",d=") + 3 if ",d=" in text else text.index(" d=") + 3
+        return BadLine(f"{LOAD}_is_no_number")
+    wait_at = _position_of_wait(text)
     return Opening(
-        ident=words[1],
+        ident=ident,
         before=text[:wait_at],
-        behind=text[wait_at + len(values["d"]) :],
-        key=words[2],
-        traffic_class=values["c"],
-        tenant=values.get("t"),
-        wait_ms=int(values["d"]),
-        group=values.get("g"),
-        mid_flow=values.get("mid") == "1",
-        established_upstream=values.get("at"),
+        behind=text[wait_at + len(values[WAIT_MS]) :],
+        key=key,
+        traffic_class=values[TRAFFIC_CLASS],
+        tenant=values.get(TENANT),
+        wait_ms=int(values[WAIT_MS]),
+        group=values.get(GROUP),
+        mid_flow=values.get(MID_FLOW) == "1",
+        established_upstream=values.get(ESTABLISHED_AT),
         load=load,
     )
 
 
+def _position_of_wait(text: str) -> int:
+    """Return where in a request the time begins that the client waits: a node puts its own time there."""
+    behind_comma, first = f",{WAIT_MS}=", f" {WAIT_MS}="
+    item = behind_comma if behind_comma in text else first
+    return text.index(item) + len(item)
+
+
 def _printable_text(line: bytes) -> str | BadLine:
     try:
         text = line.decode("utf-8").rstrip("\r\n")
@@ -102,41 +128,51 @@
     return text if text.isprintable() else BadLine("not_printable")
 
 
-def _values(word: str) -> dict[str, str] | BadLine:
-    """Return the names and values of a request."""
+def _parse_values(text: str) -> dict[str, str] | BadLine:
+    """Return the values of a request by their keys."""
     values: dict[str, str] = {}
-    for item in word.split(","):
+    for item in text.split(","):
         name, equals, value = item.partition("=")
         if not equals or not name or not value:
             return BadLine("name_without_value")
         if name in values:
             return BadLine("name_twice")
         values[name] = value
-    for name in REQUIRED_VALUES:
+    fault = _fault_in(values)
+    return values if fault is None else BadLine(fault)
+
+
+def _fault_in(values: dict[str, str]) -> str | None:
+    """Return what is wrong with the values of a request, or None."""
+    for name in REQUIRED_KEYS:
         if name not in values:
-            return BadLine(f"{name}_missing")
-    wait = values["d"]
+            return f"{name}_missing"
+    wait = values[WAIT_MS]
     if not (wait.isascii() and wait.isdigit() and len(wait) <= MAX_WAIT_DIGITS):
-        return BadLine("d_is_no_number")
-    for name in FLAGS:
+        return f"{WAIT_MS}_is_no_number"
+    for name in FLAG_KEYS:
         if values.get(name, "1") not in ("0", "1"):
-            return BadLine(f"{name}_is_no_flag")
-    return values
+            return f"{name}_is_no_flag"
+    return None
 
 
 def attempt_line(opening: Opening, wait_us: int) -> bytes:
-    """Return the line that an attempt sends to its upstream, with the time that this node will wait."""
-    return f"{opening.before}{max(1, wait_us // 1000)}{opening.behind}\r\n".encode()
+    """Return the line that an attempt sends: the client's, with the time that this node waits."""
+    wait_ms = max(1, wait_us // MICROSECONDS_PER_MS)
+    return f"{opening.before}{wait_ms}{opening.behind}\r\n".encode()
 
 
 def request_line(opening: Opening) -> bytes:
     """Return the line as the client sent it."""
-    return attempt_line(opening, opening.wait_ms * 1000)
+    return attempt_line(opening, opening.wait_ms * MICROSECONDS_PER_MS)
 
 
 def shed_line(retry_after_us: int) -> bytes:
-    """Return the answer that trying again is harmless; the wait is in whole milliseconds, rounded up."""
-    return f"BUSY {-(-retry_after_us // 1000)}\r\n".encode() if retry_after_us > 0 else b"BUSY\r\n"
+    """Return the answer to a client that is shed, with the advised wait rounded up to milliseconds."""
+    if retry_after_us <= 0:
+        return b"BUSY\r\n"
+    retry_after_ms = -(-retry_after_us // MICROSECONDS_PER_MS)
+    return f"BUSY {retry_after_ms}\r\n".encode()
 
 
 class Up(NamedTuple):
@@ -144,38 +180,38 @@
 
 
 class Bye(NamedTuple):
-    """Served to its end."""
+    """The session has ended in order."""
 
 
 class Moved(NamedTuple):
-    """A draining upstream sends the client away."""
+    """The upstream drains: the session has to be established at another one."""
 
 
 class Fault(NamedTuple):
-    """The upstream failed at it."""
+    """The upstream has failed to serve the session."""
 
 
 class Busy(NamedTuple):
-    """Rejected: nothing has run."""
+    """The upstream has rejected the session: nothing has run."""
 
 
 class Load(NamedTuple):
-    """The session's load as it is now, in microseconds of work a second."""
+    """The session's present load, in microseconds of work a second."""
 
     load: float
 
 
 class Pong(NamedTuple):
-    """Answer to a probe.
+    """The answer to a probe.
 
     Attributes:
         utilization: load over capacity, if the upstream reported it.
-        held: the sessions that it holds, if it reported them.
+        session_count: how many sessions it holds, if it reported that.
 
     """
 
     utilization: float | None
-    held: float | None
+    session_count: float | None
 
 
 class Other(NamedTuple):
@@ -193,30 +229,30 @@
 
 
 def parse_upstream_line(line: bytes) -> UpstreamLine:
-    """Parse a line of an upstream; any line has a meaning, if only `Other`."""
+    """Return the message that a line of an upstream stands for; `Other` for an unknown one."""
     word, _, rest = line.rstrip(b"\r\n").partition(b" ")
     if word == b"LOAD":
-        load = parse_figure(rest.decode("latin-1"))
+        load = _parse_figure(rest.decode("latin-1"))
         return Other() if load is None else Load(load)
     if word == b"PONG":
-        report = parse_load_report(rest.decode("latin-1"))
-        return Pong(report.get("x0"), report.get("inflight"))
+        figures = _parse_load_report(rest.decode("latin-1"))
+        return Pong(figures.get(UTILIZATION), figures.get(SESSION_COUNT))
     return LINES_BY_WORD.get(word, Other())
 
 
-def parse_load_report(text: str) -> dict[str, float]:
-    """Return the figures of a load report; what is no figure is passed over."""
-    report = {}
+def _parse_load_report(text: str) -> dict[str, float]:
+    """Return the figures of a load report by their keys, without what is no figure."""
+    figures = {}
     for item in text.split(","):
         name, _, value = item.partition("=")
-        figure = parse_figure(value)
+        figure = _parse_figure(value)
         if figure is not None:
-            report[name] = figure
-    return report
+            figures[name] = figure
+    return figures
 
 
-def parse_figure(text: str) -> float | None:
-    """Return a finite figure of at least 0, or None."""
+def _parse_figure(text: str) -> float | None:
+    """Return a finite number of at least 0; None if the text is none."""
     try:
         figure = float(text)
     except ValueError:
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -34,9 +34,9 @@
 from larchlatch.node.metrics import Counters
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord
 from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.wire import dialing, raw_socket, stream
 from larchlatch.node.wire import lines as say
-from larchlatch.node.wire import stream
-from larchlatch.node.wire.stream import Unconnected
+from larchlatch.node.wire.dialing import Unconnected
 from larchlatch.policy.types import Outcome, Session
 from tests.support.clients import open_session
 from tests.support.configuration import endpoint_row, node_configuration
@@ -149,8 +149,8 @@
             node, _ = server.accept()
         assert node.recv(100) == line_of("a")
         node.setblocking(False)
-        stream.send_last_line(node, b"BUSY 7\r\n")
-        tasks.start_soon(stream.discard_and_close, node, 1.0)
+        raw_socket.send_last_line(node, b"BUSY 7\r\n")
+        tasks.start_soon(raw_socket.discard_and_close, node, 1.0)
         assert await all_of(client, FLOOD) == b"BUSY 7\r\n"
         await wait_until(lambda: node.fileno() < 0)
 
@@ -201,7 +201,7 @@
         clients: list[socket.socket] = []
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await stream.dial(address, within_s)
+            made = await dialing.dial(address, within_s)
             if clients:
                 clients[0].sendall(behind)
                 clients.pop().close()
@@ -327,7 +327,7 @@
         alone, record = Alone(upstreams.addresses[0]), hand_of()
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await stream.dial(address, within_s)
+            made = await dialing.dial(address, within_s)
             meanwhile(alone, record)
             return made
 
@@ -347,7 +347,7 @@
         late = now_us() + 30_000
 
         async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await stream.dial(address, within_s)
+            made = await dialing.dial(address, within_s)
             await wait_until(lambda: now_us() > late)
             return made
 
@@ -363,7 +363,7 @@
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            made = await stream.dial(server.getsockname()[:2], 1.0)
+            made = await dialing.dial(server.getsockname()[:2], 1.0)
             assert isinstance(made, socket.socket)
             upstream, _ = server.accept()
         with made, upstream:
@@ -371,7 +371,7 @@
             ended: list[bool] = []
 
             async def write() -> None:
-                ended.append(await stream.written(made, b"x" * 10_000_000))
+                ended.append(await dialing.send_all(made, b"x" * 10_000_000))
 
             tasks.start_soon(write)
             await anyio.wait_readable(upstream)
@@ -405,16 +405,16 @@
             before = descriptors()
             if broken_off:
                 with anyio.move_on_after(0.05):
-                    await stream.dial(address, 1000.0)
+                    await dialing.dial(address, 1000.0)
             else:
-                assert await stream.dial(address, 0.05) is Unconnected.CONNECT_FAILED
+                assert await dialing.dial(address, 0.05) is Unconnected.CONNECT_FAILED
             assert descriptors() == before
             for sock in filler:
                 sock.close()
         with socket.create_server(("127.0.0.1", 0)) as server, anyio.CancelScope() as scope:
             before = descriptors()
             scope.cancel()
-            await stream.dial(server.getsockname()[:2], 1.0)
+            await dialing.dial(server.getsockname()[:2], 1.0)
         assert descriptors() == before - 1
 
     run_on_loopback(body)
@@ -432,7 +432,7 @@
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            made = await stream.dial(server.getsockname()[:2], 0.05)
+            made = await dialing.dial(server.getsockname()[:2], 0.05)
             assert isinstance(made, socket.socket)
             made.close()
 
@@ -441,8 +441,8 @@
 
 def test_an_unknown_name_and_a_refusal_are_no_connection() -> None:
     async def body(tasks: TaskGroup) -> None:
-        assert await stream.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
-        assert await stream.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
+        assert await dialing.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
+        assert await dialing.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
 
     run_on_loopback(body)
 
