--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -123,6 +123,24 @@
     )
 
 
+def traffic_class_numbers(raw: dict[str, Any], where: str) -> dict[str, int]:
+    """Return the numbers of the traffic classes by their names, from settings that were read before.
+
+    Raises:
+        ConfigurationError: A traffic class has no name.
+
+    """
+    return {
+        required(entry, "name", str, f"{where}.tariffs"): number
+        for number, entry in enumerate(raw["tariffs"])
+    }
+
+
+def zone_numbers(raw: dict[str, Any]) -> dict[str, int]:
+    """Return the numbers of the zones by their names, from settings that were read before."""
+    return {name: number for number, name in enumerate(raw["areas"])}
+
+
 def _read_sections(raw: dict[str, Any], where: str) -> _Sections:
     return _Sections(
         capabilities=required(raw, "caps", dict, where),
--- a/larchlatch/simulator_adapter/node_instance.py
+++ b/larchlatch/simulator_adapter/node_instance.py
@@ -6,8 +6,7 @@
 from collections.abc import Callable, Mapping, Sequence
 from typing import Any
 
-from larchlatch.config.deployment import read_deployment_settings
-from larchlatch.config.reading import required
+from larchlatch.config.deployment import read_deployment_settings, traffic_class_numbers, zone_numbers
 from larchlatch.errors import ProtocolError
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.driver import Driver
@@ -60,11 +59,8 @@
         )
         super().__init__(self.balancer)
         self.actions: list[Action] = []
-        self._traffic_classes = {
-            required(traffic_class, "name", str, f"{SETTINGS_PLACE}.tariffs"): number
-            for number, traffic_class in enumerate(start.settings["tariffs"])
-        }
-        self._zones = {name: number for number, name in enumerate(start.settings["areas"])}
+        self._traffic_classes = traffic_class_numbers(start.settings, SETTINGS_PLACE)
+        self._zones = zone_numbers(start.settings)
         self._endpoint_lists = endpoint_lists
         self._upstream_names: list[str] = []
         self._upstream_numbers: dict[str, int] = {}
