--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -1,13 +1,14 @@
-"""All clients' connections of a node, from accepting to closing."""
+"""The connections of clients, from accepting to closing."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import structlog
 
 from larchlatch.node.clients.request_reader import RequestReader
-from larchlatch.node.clients.requests import RequestChecker, UnreadRequest
+from larchlatch.node.clients.requests import RejectionReason, RequestChecker, UnreadRequest
 from larchlatch.node.clients.session_handler import SessionHandler
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire import lines
@@ -34,21 +35,25 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-SHUTDOWN_LINGER_S = 0.25  # for the end of an idle connection at shutdown: the process has a moment only
-
-CONNECTIONS_FAILED = "connections_failed"
-IDLE_CONNECTIONS_ENDED = "idle_connections_ended"
-REQUESTS_SHED_UNREAD = "requests_shed_unread"
-REQUEST_REJECTED = "request_rejected_"  # and the reason behind it
+SHUTDOWN_LINGER_S = 0.25  # for the end of an idle connection, as the process ends soon
+REJECTED_PREFIX = "request_rejected_"  # of the counter of a rejection; the reason follows
 
 log = structlog.get_logger()
 
 
+class ConnectionCounter(StrEnum):
+    """Names of the counters of connections, except those of rejected requests."""
+
+    FAILED = "connections_failed"
+    IDLE_ENDED = "idle_connections_ended"
+    SHED_UNREAD = "requests_shed_unread"
+
+
 class ClientConnections:
     """Serves each connection in a task of its own, and owns its socket until it is closed.
 
     Attributes:
-        connection_count: connections that are open here, whatever they wait for.
+        connection_count: how many connections of clients are open.
         requests: checks requests.
         reader: reads requests.
         sessions: runs sessions.
@@ -75,10 +80,10 @@
         self._balancer_actor = balancer_actor
         self._lifecycle = lifecycle
 
-    # Connections that lay unread for long.
+    # Connections that were not read for long.
 
     def read_overdue(self, sock: socket.socket) -> UnreadRequest | None:
-        """Return what a connection just accepted has sent if this node is behind, else None."""
+        """Return what a connection just accepted has sent, if it was not read for long; else None."""
         waited_us = us_since_received(sock)
         if not admission.is_overdue(waited_us=waited_us, setup_us=self._balancer_actor.shed_waiting_over_us):
             return None
@@ -87,7 +92,7 @@
         return UnreadRequest(data, opening, now_us() - waited_us)
 
     def shed_overdue(self, sock: socket.socket, request: UnreadRequest) -> bool:
-        """Shed a request that has too little time left; return whether it was answered."""
+        """Shed a request if too little of its time is left; return whether it was shed."""
         opening = request.opening
         if not isinstance(opening, lines.Opening) or opening.may_continue:
             return False
@@ -97,7 +102,7 @@
         setup_us = self._balancer_actor.shed_waiting_over_us
         if not admission.is_too_late(now_us(), deadline=deadline, setup_us=setup_us):
             return False
-        self.counters.add(REQUESTS_SHED_UNREAD)
+        self.counters.add(ConnectionCounter.SHED_UNREAD)
         send_last_line(sock, lines.shed_line(RETRY_AFTER_US))
         return True
 
@@ -113,15 +118,15 @@
     # One connection.
 
     async def serve(self, sock: socket.socket, request: UnreadRequest | None = None) -> None:
-        """Serve one connection to its end; no exception leaves it."""
+        """Serve one connection to its end; it raises no exception but cancellation."""
         client: Lines | None = None
         self.connection_count += 1
         try:
             client = Lines(await stream_of(sock))
             await self._serve(client, request)
         except Exception:
-            # A fault in one connection must not end the node, and its client gets an answer all the same.
-            self.counters.add(CONNECTIONS_FAILED)
+            # A fault in serving one connection must not end the node, and its client gets an answer.
+            self.counters.add(ConnectionCounter.FAILED)
             log.exception("connection_failed")
             if client is not None and not client.spoken_to:
                 await client.send(lines.FAILED)
@@ -141,18 +146,17 @@
         if request is not None:
             client.feed(request.data)
         line = await self.reader.read(client)
-        # A line may lie unread for a tenth of a second in a crowd, and the client's time runs from when it
-        # came: counted from the reading, the answer would come after the client has left.
+        # The client's time runs from the arrival of its line, which may have waited to be read.
         received_us = now_us() - client.us_since_received()
         if line is None and self._lifecycle.rejects_all:
-            # A request that crosses this line has its answer with it: one that finds only the end is lost.
-            self.counters.add(IDLE_CONNECTIONS_ENDED)
+            # A request that is under way has its answer by this line; the end alone would be none.
+            self.counters.add(ConnectionCounter.IDLE_ENDED)
             await client.send(lines.shed_line(RETRY_AFTER_US))
             await client.finish(Ending.END, SHUTDOWN_LINGER_S)
         elif line is None:
-            await self._reject(client, "no_line_in_time")
+            await self._reject(client, RejectionReason.NO_LINE_IN_TIME)
         elif line is Ending.TOO_LONG:
-            await self._reject(client, "line_too_long")
+            await self._reject(client, RejectionReason.LINE_TOO_LONG)
         elif not isinstance(line, Ending):
             await self._handle_request(client, lines.parse_opening(line), received_us)
 
@@ -164,14 +168,14 @@
         elif (reason := self.requests.rejection_reason(opening)) is not None:
             await self._reject(client, reason)
         elif client.ready and not opening.may_continue:
-            await self._reject(client, "more_than_one_line")
+            await self._reject(client, RejectionReason.MORE_THAN_ONE_LINE)
         else:
             record = self.requests.make_record(opening, received_us)
             await self.sessions.run(client, record, received_us)
 
     async def _reject(self, client: Lines, reason: str) -> None:
         """Answer with an error at once, and end the connection."""
-        self.counters.add(f"{REQUEST_REJECTED}{reason}")
+        self.counters.add(f"{REJECTED_PREFIX}{reason}")
         log.debug("request_rejected", reason=reason)
         await client.send(lines.FAILED)
         await client.finish(Ending.END, self.sessions.linger_s)
@@ -179,13 +183,19 @@
     # Shutdown and hot restart.
 
     def reject_all(self) -> None:
-        """Answer all connections without a request, and reject all that come: this node ends."""
+        """Shed all connections without a request, and all that come from now on, as this node ends."""
         if not self._lifecycle.rejects_all:
             self._lifecycle.rejects_all = True
             self.reader.cancel_all()
 
     async def adopt(self, packet: SessionHandover, sockets: list[socket.socket]) -> None:
-        """Go on with a session that the predecessor hands over with its client's and upstream's sockets."""
+        """Continue a session of the predecessor.
+
+        Args:
+            packet: what the predecessor says of the session.
+            sockets: the connections of its client and of its upstream, in this order; they are owned here.
+
+        """
         sides: list[Lines] = []
         try:
             for sock, unread in zip(sockets, (packet.client_unread, packet.upstream_unread), strict=True):
@@ -194,8 +204,8 @@
             client, upstream = sides
             await self.sessions.adopt(packet, client, upstream)
         except Exception:
-            # As for connections: one session that can't be taken over must not end the node.
-            self.counters.add(CONNECTIONS_FAILED)
+            # A fault in adopting one session must not end the node.
+            self.counters.add(ConnectionCounter.FAILED)
             log.exception("session_adoption_failed")
         finally:
             for side in sides:
--- a/larchlatch/node/clients/request_reader.py
+++ b/larchlatch/node/clients/request_reader.py
@@ -1,8 +1,9 @@
-"""Reads the first line of clients' connections; those that send nothing make way for others."""
+"""Reads the first line of clients' connections. Those that send nothing make way for others."""
 
 from __future__ import annotations
 
 from contextlib import contextmanager
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -18,21 +19,25 @@
     from larchlatch.node.metrics import Counters
     from larchlatch.node.wire.stream import Ending, Lines
 
-FIRST_LINE_S = 2.5  # a client is owed an answer 3 s after it has connected, whatever it sends
-PINGED_S = 10.0  # a front that has asked whether this node serves may ask again within this
-# For the line of a client that connects while this node ends: it is under way, or there is none.
-LAST_REQUEST_S = 0.1
+# How long a connection may go without a complete line, in seconds.
+FIRST_LINE_S = 2.5  # each client gets an answer within 3 s after it has connected, whatever it sends
+AFTER_PING_S = 10.0  # a front that has sent a PING may send another one within this
+LAST_REQUEST_S = 0.1  # while this node ends: the line of a client is under way, or there is none
 
-IDLE_EVICTED_SILENT = "idle_connection_evicted_silent"
-IDLE_EVICTED_FRAGMENT = "idle_connection_evicted_incomplete_line"
+
+class ReaderCounter(StrEnum):
+    """Names of the counters of connections without a request."""
+
+    EVICTED_SILENT = "idle_connection_evicted_silent"
+    EVICTED_INCOMPLETE_LINE = "idle_connection_evicted_incomplete_line"
 
 
 class RequestReader:
     """Waits for requests, and answers a front's PING meanwhile.
 
     Attributes:
-        waiting: ends the waiting of each connection without a request.
-        without_line: connections that have sent no complete line yet.
+        waiting: the cancel scopes of the connections that have no request yet, in order of their arrival.
+        without_line: how many connections have sent no complete line yet.
 
     """
 
@@ -47,7 +52,7 @@
         self.without_line = 0
         self._descriptors = descriptors
         self._counters = counters
-        self._ready = ready  # set once the node can serve
+        self._ready = ready
         self._lifecycle = lifecycle
 
     def cancel_all(self) -> None:
@@ -56,7 +61,7 @@
             scope.cancel()
 
     async def read(self, client: Lines) -> bytes | Ending | None:
-        """Return the line that holds the request; None where none comes in time."""
+        """Return the line that holds the request, or how the connection ended; None if none came in time."""
         began = anyio.current_time()
         wait_s = LAST_REQUEST_S if self._lifecycle.rejects_all else FIRST_LINE_S
         with anyio.CancelScope(deadline=began + wait_s) as scope:
@@ -76,31 +81,34 @@
         pinged = False
         try:
             while (line := await client.line()) == lines.PING:
-                if not pinged:  # a front: shutdown need not wait for it
+                if not pinged:
+                    # Only fronts send PING: a shutdown need not wait for their requests.
                     pinged = True
                     self.without_line -= 1
                 self._descriptors.record_received(idle, anyio.current_time(), is_complete_line=True)
                 await self._ready.wait()
                 await client.send(lines.PONG if self._lifecycle.accepts_clients else lines.NO)
-                scope.deadline = anyio.current_time() + PINGED_S
+                scope.deadline = anyio.current_time() + AFTER_PING_S
             return line
         finally:
             self.without_line -= not pinged
 
     @contextmanager
     def _evictable(self, client: Lines, idle: IdleConnection, began: float) -> Iterator[None]:
-        """Let the connection be closed in favour of others for as long as this lasts."""
+        """Let the connection be evicted in favour of others within this block."""
 
         def fragment_received() -> None:
             self._descriptors.record_received(idle, anyio.current_time())
 
         self._descriptors.add_idle(idle, began)
         client.begun = fragment_received
-        if client.tail:  # a fragment was read before the connection had a task
+        if client.tail:  # part of a line was read before the connection had a task
             fragment_received()
         try:
             yield
         finally:
             client.begun = None
             if not self._descriptors.remove_idle(idle):
-                self._counters.add(IDLE_EVICTED_FRAGMENT if idle.fragments else IDLE_EVICTED_SILENT)
+                self._counters.add(
+                    ReaderCounter.EVICTED_INCOMPLETE_LINE if idle.fragments else ReaderCounter.EVICTED_SILENT
+                )
--- a/larchlatch/node/clients/requests.py
+++ b/larchlatch/node/clients/requests.py
@@ -1,7 +1,8 @@
-"""Checks clients' requests, and makes the record of a session that is accepted."""
+"""Checks requests of clients, and makes the records of sessions that are accepted."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from itertools import count
 from typing import TYPE_CHECKING, NamedTuple
 
@@ -10,6 +11,7 @@
 
 from larchlatch.node.clock import now_us
 from larchlatch.node.session_record import SessionRecord
+from larchlatch.node.wire.lines import MICROSECONDS_PER_MS
 from larchlatch.policy.admission import session_deadline
 from larchlatch.policy.types import Session
 
@@ -20,13 +22,27 @@
     from larchlatch.node.wire.lines import BadLine, Opening
 
 
+class RejectionReason(StrEnum):
+    """Why a request is answered with an error at once; the values are parts of counters' names.
+
+    For a line that is not in the required form, the reason is that of its `BadLine`.
+    """
+
+    UNKNOWN_TRAFFIC_CLASS = "unknown_traffic_class"
+    UNKNOWN_TENANT = "unknown_tenant"
+    ID_IN_USE = "id_in_use"
+    MORE_THAN_ONE_LINE = "more_than_one_line"
+    LINE_TOO_LONG = "line_too_long"
+    NO_LINE_IN_TIME = "no_line_in_time"
+
+
 class UnreadRequest(NamedTuple):
     """What a client had sent before its connection was read.
 
     Attributes:
         data: the bytes.
-        opening: the request, where they are one complete line.
-        received_us: when they came, in microseconds of the node's clock.
+        opening: the request, if they are one complete line.
+        received_us: when they arrived, in microseconds of the node's clock.
 
     """
 
@@ -36,10 +52,10 @@
 
 
 class SessionIds:
-    """Ids of sessions, which must not be in use twice.
+    """The ids of sessions, each of which is in use only once.
 
     Attributes:
-        records: the sessions in flight or established here by their clients' ids.
+        records: the sessions in flight or established here, by the ids that their clients gave.
 
     """
 
@@ -52,32 +68,32 @@
         return session_id in self.records or session_id in self._reserved
 
     def reserve(self, session_ids: Iterable[str]) -> None:
-        """Reject new sessions with these ids: the predecessor has sessions of these ids in flight."""
+        """Treat ids as in use: the predecessor has sessions with these ids in flight."""
         self._reserved.update(session_ids)
 
     def release_reserved(self) -> None:
-        """Free the predecessor's ids: it has ended."""
+        """Free the reserved ids, as the predecessor has ended."""
         self._reserved.clear()
 
     def adopt(self, session_id: str) -> None:
-        """Take over one of the predecessor's sessions."""
+        """Free the reserved id of a session that the predecessor hands over."""
         self._reserved.discard(session_id)
 
     def add(self, record: SessionRecord) -> None:
-        """Note that a session is open here."""
+        """Record that a session is open here."""
         self.records[record.opening.ident] = record
 
     def remove(self, record: SessionRecord) -> None:
-        """Free a session's id: where packets pass through, it may come again at this node too."""
+        """Free a session's id; where packets pass through, the session may come back to this node."""
         if self.records.get(record.opening.ident) is record:
             del self.records[record.opening.ident]
 
 
 class RequestChecker:
-    """Decides nothing about placement: it rejects requests that no upstream could serve.
+    """Rejects requests that no upstream could serve, and makes the records of the others.
 
     Attributes:
-        ids: the ids in use.
+        ids: the session ids in use.
 
     """
 
@@ -99,33 +115,34 @@
         """Return whether the deployment has the request's traffic class."""
         return opening.traffic_class in self._traffic_classes
 
-    def rejection_reason(self, opening: Opening) -> str | None:
+    def rejection_reason(self, opening: Opening) -> RejectionReason | None:
         """Return why a request can't be served, or None."""
         if not self.knows_class(opening):
-            return "unknown_traffic_class"
+            return RejectionReason.UNKNOWN_TRAFFIC_CLASS
         if opening.tenant is not None and self._tenants and opening.tenant not in self._tenants:
-            return "unknown_tenant"
-        # Upstreams answer a second use of an id with an error: passed on, it would count as their failure.
+            return RejectionReason.UNKNOWN_TENANT
+        # Upstreams answer the second use of an id with an error, which would count as their failure.
         if self.ids.is_used(opening.ident):
-            return "id_in_use"
+            return RejectionReason.ID_IN_USE
         return None
 
     def wait_us(self, opening: Opening) -> int:
-        """Return how long a client is held at the most, whatever its request says."""
-        return min(opening.wait_ms * 1000, self._max_deadline_us)
+        """Return how long a client waits, in microseconds; at most the longest deadline of the settings."""
+        return min(opening.wait_ms * MICROSECONDS_PER_MS, self._max_deadline_us)
 
     def deadline(self, opening: Opening, received_us: int) -> int:
-        """Return when a request that came at this time is to have its answer."""
+        """Return when a request must have its answer that was received at this time, in microseconds."""
         return session_deadline(
             received_us=received_us, wait_us=self.wait_us(opening), node_ends_at=self._node_ends_at()
         )
 
     def _node_ends_at(self) -> int | None:
+        """Return when this node ends, in microseconds of its clock; None where no end is in sight."""
         time_left_s = self._lifecycle.time_left_s(anyio.current_time())
         return None if time_left_s is None else now_us() + int(time_left_s * 1e6)
 
     def make_record(self, opening: Opening, received_us: int) -> SessionRecord:
-        """Make the record of an accepted request."""
+        """Return the record of an accepted request."""
         session = Session(
             number=next(self._numbers),
             traffic_class=self._traffic_classes[opening.traffic_class],
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -1,9 +1,10 @@
-"""Takes a session from its accepted request to its end."""
+"""Runs sessions, each from its accepted request to its end."""
 
 from __future__ import annotations
 
 from collections.abc import Awaitable, Callable
 from contextlib import asynccontextmanager
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -31,35 +32,40 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-MOVE_S = 0.5  # a client that does not read for so long is cut off: it can't be told to move
-MAX_EARLY_BYTES = 65536  # taken from a client before it has an upstream: nobody reads them until then
-SHORT_LINGER_S = 0.02  # for a client's end after its answer, where sessions need its descriptor
-
-SESSIONS_ACCEPTED = "sessions_accepted"
-SESSIONS_ESTABLISHED = "sessions_established"
-SESSIONS_SHED = "sessions_shed"
-SESSIONS_FAILED = "sessions_failed"
-SESSIONS_ABANDONED = "sessions_abandoned_by_client"
-SESSIONS_WITHOUT_DECISION = "sessions_answered_without_decision"
-SESSIONS_ADOPTED = "sessions_adopted"
-SESSIONS_HANDED_OVER = "sessions_handed_over"
-SESSIONS_MIGRATED = "sessions_migrated"
-SESSIONS_MIGRATED_SILENT = "sessions_migrated_off_silent_upstream"
-SESSION_HANDOVER_INVALID = "session_handover_invalid"
-REJECTED_SECOND_LINE = "request_rejected_more_than_one_line"
-
-# Hands an established session over to the successor; False where that failed and the session is still here.
+MOVE_S = 0.5  # for telling a client to move; one that does not read in this time is cut off
+MAX_EARLY_BYTES = 65536  # taken from a client before it has an upstream to send them to
+SHORT_LINGER_S = 0.02  # for a client's end after its answer, while descriptors are scarce
+
+# Hands an established session over to the successor; returns whether that succeeded. If not, the session is
+# still here.
 SendSession = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
 
 log = structlog.get_logger()
 
 
+class SessionCounter(StrEnum):
+    """Names of the counters of sessions, except those of their ends."""
+
+    ACCEPTED = "sessions_accepted"
+    ESTABLISHED = "sessions_established"
+    SHED = "sessions_shed"
+    FAILED = "sessions_failed"
+    ABANDONED = "sessions_abandoned_by_client"
+    WITHOUT_DECISION = "sessions_answered_without_decision"
+    ADOPTED = "sessions_adopted"
+    HANDED_OVER = "sessions_handed_over"
+    MIGRATED = "sessions_migrated"
+    MIGRATED_SILENT = "sessions_migrated_off_silent_upstream"
+    HANDOVER_INVALID = "session_handover_invalid"
+    REJECTED_SECOND_LINE = "request_rejected_more_than_one_line"
+
+
 class SessionHandler:
     """Runs sessions; each owns its client's and its upstream's connection until both have ended.
 
     Attributes:
         established: the sessions that are established here, by number.
-        open_count: sessions that were accepted and are not over.
+        open_count: how many sessions were accepted and are not over.
 
     """
 
@@ -81,17 +87,17 @@
         self._send_to_successor: SendSession | None = None
 
     def hand_sessions_to(self, send: SendSession | None) -> None:
-        """Hand the sessions that are to leave to the successor; None: there is none any more."""
+        """Hand sessions that have to leave to the successor; None if there is no successor any more."""
         self._send_to_successor = send
 
     @property
     def linger_s(self) -> float:
-        """How long a connection that has had its answer may wait for its client's end, in seconds."""
+        """How long a connection waits for its client's end after the answer, in seconds."""
         return SHORT_LINGER_S if self._descriptors.scarce else LINGER_S
 
     async def run(self, client: Lines, record: SessionRecord, received_us: int) -> None:
         """Run a session whose request was accepted, until it is over."""
-        self._counters.add(SESSIONS_ACCEPTED)
+        self._counters.add(SessionCounter.ACCEPTED)
         opening = record.opening
         log.debug(
             "session_accepted",
@@ -107,25 +113,24 @@
             await self._carry_out(client, record)
 
     async def adopt(self, packet: SessionHandover, client: Lines, upstream: Lines) -> None:
-        """Go on with an established session of the predecessor: both of its sides go on unbroken."""
+        """Continue an established session of the predecessor, on the same connections."""
         opening = lines.parse_opening(packet.request_line)
         number = self._balancer_actor.upstreams.number_of(packet.upstream)
         known = not isinstance(opening, lines.BadLine) and self._requests.knows_class(opening)
         if isinstance(opening, lines.BadLine) or not known or number is None:
-            self._counters.add(SESSION_HANDOVER_INVALID)
+            self._counters.add(SessionCounter.HANDOVER_INVALID)
             await client.send(lines.MOVE)
             await client.finish(Ending.END)
             return
         record = self._requests.make_record(opening, now_us())
         record.session.load = packet.load
-        # Nobody read its upstream while the session changed hands. If that pause counted as the upstream's,
-        # all would be unresponsive on a busy machine to a process that has just begun.
+        # Nobody read its upstream during the hand-over. That pause must not count as the upstream's silence.
         record.awaiting_answer_since = now_us() if packet.unanswered_since_us else 0
         delivered = Delivered(upstream, b"", number)
         record.set_final_answer(delivered)
         async with self._open(record):
             self._requests.ids.adopt(opening.ident)
-            self._counters.add(SESSIONS_ADOPTED)
+            self._counters.add(SessionCounter.ADOPTED)
             await self._balancer_actor.mailbox.post(SessionAdopted(record, number))
             await self._relay(client, record, delivered, Outcome(packet.outcome_at_end))
 
@@ -133,7 +138,7 @@
 
     @asynccontextmanager
     async def _open(self, record: SessionRecord) -> AsyncIterator[None]:
-        """Count a session as open for as long as this lasts; nothing of it outlives its connection."""
+        """Count a session as open within this block; its attempt and its place end with the block."""
         self.open_count += 1
         self._requests.ids.add(record)
         try:
@@ -151,20 +156,20 @@
         wait_us = self._requests.wait_us(record.opening)
         answer_by = admission.answer_by(deadline=record.session.deadline, wait_us=wait_us)
         async with anyio.create_task_group() as tasks:
-            # From the beginning: its client may leave while the balancer actor's mailbox is full.
+            # The client is watched from the start: it may leave while the balancer actor's mailbox is full.
             tasks.start_soon(self._watch_client, client, record)
             if not self._start(record):
                 tasks.start_soon(self._balancer_actor.mailbox.submit, SessionArrived(record))
             with anyio.move_on_after(seconds_until(answer_by)) as timeout:
                 await record.finished.wait()
             if timeout.cancelled_caught and not record.finished.is_set():
-                self._counters.add(SESSIONS_WITHOUT_DECISION)
+                self._counters.add(SessionCounter.WITHOUT_DECISION)
                 is_shed = admission.sheds_undecided(record.session)
                 record.set_final_answer(Shed(RETRY_AFTER_US) if is_shed else Failed())
             tasks.cancel_scope.cancel()
 
     def _start(self, record: SessionRecord) -> bool:
-        """Send a session on its way to its answer; False where the balancer actor's mailbox is full."""
+        """Have a session answered; return False if the balancer actor's mailbox is full."""
         upstream = record.opening.established_upstream
         if upstream is not None:
             self._rejoin(record, upstream)
@@ -180,7 +185,7 @@
         return self._balancer_actor.mailbox.offer(SessionArrived(record))
 
     def _rejoin(self, record: SessionRecord, upstream: str) -> None:
-        """Send a session to the upstream where it was established before, whatever the balancer says."""
+        """Send a session to the upstream where it was established before, without asking the balancer."""
         upstreams = self._balancer_actor.upstreams
         number = upstreams.number_of(upstream)
         attempt = StartAttempt(record, record.session.deadline)
@@ -197,33 +202,33 @@
                     record.mark_client_gone()
                     return
                 if isinstance(received, Ending) or not record.opening.may_continue:
-                    # A client has to wait for its answer: no upstream could make sense of what comes before.
-                    self._counters.add(REJECTED_SECOND_LINE)
+                    # A new client has to wait for its answer before it sends more.
+                    self._counters.add(SessionCounter.REJECTED_SECOND_LINE)
                     record.set_final_answer(Failed())
                     return
-                early += received  # sent before it came here: for its upstream, once there is one
+                early += received  # for the upstream of a session that was established before
         finally:
             client.ready = early + client.ready
 
     # From the final answer on.
 
     async def _carry_out(self, client: Lines, record: SessionRecord) -> None:
-        """Pass the final answer on, and run the session where it is established."""
+        """Pass the final answer on to the client; relay the session if it was established."""
         match record.final_answer:
             case Delivered() as delivered:
-                self._counters.add(SESSIONS_ESTABLISHED)
+                self._counters.add(SessionCounter.ESTABLISHED)
                 try:
                     await self._relay(client, record, delivered, Outcome.RESET)
                 finally:
                     await delivered.connection.close(reset=True)
                     self._descriptors.release()
             case None:
-                self._counters.add(SESSIONS_ABANDONED)
+                self._counters.add(SessionCounter.ABANDONED)
             case Shed(retry_after_us):
-                self._counters.add(SESSIONS_SHED)
+                self._counters.add(SessionCounter.SHED)
                 await self._answer(client, lines.shed_line(retry_after_us))
             case Failed():
-                self._counters.add(SESSIONS_FAILED)
+                self._counters.add(SessionCounter.FAILED)
                 await self._answer(client, lines.FAILED)
 
     async def _answer(self, client: Lines, line: bytes) -> None:
@@ -233,7 +238,15 @@
     async def _relay(
         self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
     ) -> None:
-        """Pass lines on until the session is over; `outcome_at_end`: what its upstream's end would mean."""
+        """Relay a session until it is over.
+
+        Args:
+            client: the client's connection.
+            record: the session.
+            delivered: the upstream's connection.
+            outcome_at_end: the outcome that the end of the upstream's side would mean.
+
+        """
         actor = self._balancer_actor.upstreams.actors[delivered.upstream]
         number = record.session.number
         watched = actor.session_watch.sessions
@@ -252,7 +265,7 @@
     async def _relay_until_end(
         self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
     ) -> RelayEnd | None:
-        """Return how the session ended here; None where the successor goes on with it."""
+        """Relay a session; return how it ended here, or None if the successor continues it."""
         if delivered.line and not await client.send(delivered.line):
             return RelayEnd(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         actor = self._balancer_actor.upstreams.actors[delivered.upstream]
@@ -263,13 +276,13 @@
             return end
         send = self._send_to_successor
         if send is not None and await send(record, client, delivered.connection, relay.outcome_at_end):
-            self._counters.add(SESSIONS_HANDED_OVER)
+            self._counters.add(SessionCounter.HANDED_OVER)
             return None
         return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
 
     async def _end(self, client: Lines, record: SessionRecord, delivered: Delivered, end: RelayEnd) -> None:
-        """End both sides of a session in the way in which one of them ended."""
-        self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}".replace(" ", "_"))
+        """End both sides of a session in the way in which one of them has ended."""
+        self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}")
         log.debug(
             "session_ended",
             upstream=self._balancer_actor.upstreams.actors[delivered.upstream].name,
@@ -280,7 +293,9 @@
         if end.side is not Side.CLIENT:
             await self._balancer_actor.mailbox.post(AttemptFinished(record, end.outcome, True))
         if end.side is Side.NODE:
-            self._counters.add(SESSIONS_MIGRATED_SILENT if record.upstream_silent else SESSIONS_MIGRATED)
+            self._counters.add(
+                SessionCounter.MIGRATED_SILENT if record.upstream_silent else SessionCounter.MIGRATED
+            )
             with anyio.move_on_after(MOVE_S):
                 await client.send(lines.MOVE)
         async with anyio.create_task_group() as tasks:
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from enum import StrEnum
 from typing import NamedTuple
 
 MAX_LINE_BYTES = 4096  # with its end
@@ -29,8 +30,8 @@
 LOAD = "h"
 MID_FLOW = "mid"
 ESTABLISHED_AT = "at"
-REQUIRED_KEYS = (TRAFFIC_CLASS, WAIT_MS)
-FLAG_KEYS = ("r", "again", MID_FLOW)
+RETRY = "r"
+AGAIN = "again"
 MAX_WAIT_DIGITS = 9
 
 # A load report: a list of figures by key.
@@ -39,10 +40,39 @@
 MAX_FIGURE = 1e15  # a larger one is ignored
 
 
+class LineFault(StrEnum):
+    """Why a line is no request in the required form; the values are parts of counters' names."""
+
+    NOT_UTF8 = "not_utf8"
+    NOT_PRINTABLE = "not_printable"
+    NOT_FOUR_WORDS = "not_an_open_line_of_four_words"
+    NAME_WITHOUT_VALUE = "name_without_value"
+    NAME_TWICE = "name_twice"
+    TRAFFIC_CLASS_MISSING = "c_missing"
+    WAIT_MISSING = "d_missing"
+    WAIT_IS_NO_NUMBER = "d_is_no_number"
+    LOAD_IS_NO_NUMBER = "h_is_no_number"
+    RETRY_IS_NO_FLAG = "r_is_no_flag"
+    AGAIN_IS_NO_FLAG = "again_is_no_flag"
+    MID_FLOW_IS_NO_FLAG = "mid_is_no_flag"
+
+
+# The faults of requests that lack a required key, and of those where a flag is neither 0 nor 1.
+FAULT_BY_REQUIRED_KEY = {
+    TRAFFIC_CLASS: LineFault.TRAFFIC_CLASS_MISSING,
+    WAIT_MS: LineFault.WAIT_MISSING,
+}
+FAULT_BY_FLAG = {
+    RETRY: LineFault.RETRY_IS_NO_FLAG,
+    AGAIN: LineFault.AGAIN_IS_NO_FLAG,
+    MID_FLOW: LineFault.MID_FLOW_IS_NO_FLAG,
+}
+
+
 class BadLine(NamedTuple):
-    """A request that is not in the required form; the reason is part of a counter's name."""
+    """A line that is no request in the required form, and why."""
 
-    reason: str
+    reason: LineFault
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,14 +119,14 @@
         return text
     words = text.split(" ")
     if len(words) != REQUEST_WORD_COUNT or words[0] != REQUEST_WORD or not words[1] or not words[2]:
-        return BadLine("not_an_open_line_of_four_words")
+        return BadLine(LineFault.NOT_FOUR_WORDS)
     _, ident, key, values_text = words
     values = _parse_values(values_text)
     if isinstance(values, BadLine):
         return values
     load = _parse_figure(values.get(LOAD, "0"))
     if load is None:
-        return BadLine(f"{LOAD}_is_no_number")
+        return BadLine(LineFault.LOAD_IS_NO_NUMBER)
     wait_at = _position_of_wait(text)
     return Opening(
         ident=ident,
@@ -124,8 +154,8 @@
     try:
         text = line.decode("utf-8").rstrip("\r\n")
     except UnicodeDecodeError:
-        return BadLine("not_utf8")
-    return text if text.isprintable() else BadLine("not_printable")
+        return BadLine(LineFault.NOT_UTF8)
+    return text if text.isprintable() else BadLine(LineFault.NOT_PRINTABLE)
 
 
 def _parse_values(text: str) -> dict[str, str] | BadLine:
@@ -134,25 +164,25 @@
     for item in text.split(","):
         name, equals, value = item.partition("=")
         if not equals or not name or not value:
-            return BadLine("name_without_value")
+            return BadLine(LineFault.NAME_WITHOUT_VALUE)
         if name in values:
-            return BadLine("name_twice")
+            return BadLine(LineFault.NAME_TWICE)
         values[name] = value
     fault = _fault_in(values)
     return values if fault is None else BadLine(fault)
 
 
-def _fault_in(values: dict[str, str]) -> str | None:
+def _fault_in(values: dict[str, str]) -> LineFault | None:
     """Return what is wrong with the values of a request, or None."""
-    for name in REQUIRED_KEYS:
-        if name not in values:
-            return f"{name}_missing"
+    for key, fault in FAULT_BY_REQUIRED_KEY.items():
+        if key not in values:
+            return fault
     wait = values[WAIT_MS]
     if not (wait.isascii() and wait.isdigit() and len(wait) <= MAX_WAIT_DIGITS):
-        return f"{WAIT_MS}_is_no_number"
-    for name in FLAG_KEYS:
-        if values.get(name, "1") not in ("0", "1"):
-            return f"{name}_is_no_flag"
+        return LineFault.WAIT_IS_NO_NUMBER
+    for key, fault in FAULT_BY_FLAG.items():
+        if values.get(key, "1") not in ("0", "1"):
+            return fault
     return None
 
 
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -39,7 +39,7 @@
 
     END = "end"
     RESET = "reset"
-    TOO_LONG = "line too long"
+    TOO_LONG = "line_too_long"
 
 
 class Lines:
--- a/tests/node/test_descriptor_budget.py
+++ b/tests/node/test_descriptor_budget.py
@@ -93,7 +93,7 @@
 def test_a_thousand_idle_and_half_written_beside_sound_slow_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     """Few descriptors, and a crowd that would fill them twenty times over."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 2.0)
-    monkeypatch.setattr(request_reader, "PINGED_S", 2.0)
+    monkeypatch.setattr(request_reader, "AFTER_PING_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
