--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -21,8 +21,8 @@
 FAILED = b"ERR\r\n"
 
 # A request: the word OPEN, the session's id, the client's key, and a list of values by key.
-REQUEST_WORD = "OPEN"
-REQUEST_WORD_COUNT = 4
+REQUEST_COMMAND = "OPEN"
+REQUEST_FIELD_COUNT = 4
 TRAFFIC_CLASS = "c"
 TENANT = "t"
 WAIT_MS = "d"
@@ -117,10 +117,12 @@
     text = _printable_text(line)
     if isinstance(text, BadLine):
         return text
-    words = text.split(" ")
-    if len(words) != REQUEST_WORD_COUNT or words[0] != REQUEST_WORD or not words[1] or not words[2]:
+    fields = text.split(" ")
+    if len(fields) != REQUEST_FIELD_COUNT:
+        return BadLine(LineFault.NOT_FOUR_WORDS)
+    command, ident, key, values_text = fields
+    if command != REQUEST_COMMAND or not ident or not key:
         return BadLine(LineFault.NOT_FOUR_WORDS)
-    _, ident, key, values_text = words
     values = _parse_values(values_text)
     if isinstance(values, BadLine):
         return values
@@ -249,7 +251,7 @@
 
 
 UpstreamLine = Up | Bye | Moved | Fault | Busy | Load | Pong | Other
-LINES_BY_WORD: dict[bytes, UpstreamLine] = {
+MESSAGE_BY_COMMAND: dict[bytes, UpstreamLine] = {
     b"UP": Up(),
     b"BYE": Bye(),
     b"MOVE": Moved(),
@@ -260,14 +262,14 @@
 
 def parse_upstream_line(line: bytes) -> UpstreamLine:
     """Return the message that a line of an upstream stands for; `Other` for an unknown one."""
-    word, _, rest = line.rstrip(b"\r\n").partition(b" ")
-    if word == b"LOAD":
-        load = _parse_figure(rest.decode("latin-1"))
+    command, _, arguments = line.rstrip(b"\r\n").partition(b" ")
+    if command == b"LOAD":
+        load = _parse_figure(arguments.decode("latin-1"))
         return Other() if load is None else Load(load)
-    if word == b"PONG":
-        figures = _parse_load_report(rest.decode("latin-1"))
+    if command == b"PONG":
+        figures = _parse_load_report(arguments.decode("latin-1"))
         return Pong(figures.get(UTILIZATION), figures.get(SESSION_COUNT))
-    return LINES_BY_WORD.get(word, Other())
+    return MESSAGE_BY_COMMAND.get(command, Other())
 
 
 def _parse_load_report(text: str) -> dict[str, float]:
--- a/larchlatch/policy/backoff.py
+++ b/larchlatch/policy/backoff.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 # Backoff of one upstream.
-JUDGED_OUTCOMES = 3  # one failure alone does not eject it
+RECENT_OUTCOMES = 3  # one failure alone does not eject it
 BACKOFF_US = 100_000  # about as long as a full queue takes to move on
 LONGEST_BACKOFF_US = 6_000_000  # an upstream that has returned is found within this
 
@@ -17,7 +17,7 @@
 RESET_TRIAL_INTERVAL_US = 250_000  # all nodes together try such an upstream once in this
 
 # Backoff of a node, over its attempts at all upstreams.
-NODE_JUDGED_OUTCOMES = 8
+NODE_RECENT_OUTCOMES = 8
 NODE_BACKOFF_US = 20_000
 LONGEST_NODE_BACKOFF_US = 1_000_000
 NODE_TRIAL_INTERVAL_US = 2_000_000  # all nodes together establish one session an upstream in this
@@ -35,8 +35,8 @@
         doubled_at: When the delay was last doubled, in microseconds; -1 before.
     """
 
-    def __init__(self, *, judged_outcomes: int, initial_us: int, longest_us: int) -> None:
-        self.recent: deque[bool] = deque(maxlen=judged_outcomes)
+    def __init__(self, *, recent_outcomes: int, initial_us: int, longest_us: int) -> None:
+        self.recent: deque[bool] = deque(maxlen=recent_outcomes)
         self.initial_us = initial_us
         self.longest_us = longest_us
         self.delay_us = 0
@@ -46,13 +46,13 @@
     @classmethod
     def of_upstream(cls) -> Backoff:
         """Return the backoff of one upstream."""
-        return cls(judged_outcomes=JUDGED_OUTCOMES, initial_us=BACKOFF_US, longest_us=LONGEST_BACKOFF_US)
+        return cls(recent_outcomes=RECENT_OUTCOMES, initial_us=BACKOFF_US, longest_us=LONGEST_BACKOFF_US)
 
     @classmethod
     def of_node(cls) -> Backoff:
         """Return the backoff of a node, which spaces its attempts at all upstreams."""
         return cls(
-            judged_outcomes=NODE_JUDGED_OUTCOMES,
+            recent_outcomes=NODE_RECENT_OUTCOMES,
             initial_us=NODE_BACKOFF_US,
             longest_us=LONGEST_NODE_BACKOFF_US,
         )
--- a/larchlatch/policy/load.py
+++ b/larchlatch/policy/load.py
@@ -24,7 +24,7 @@
 CROWDED_RATIO = 2.0  # an upstream with a higher ratio is crowded
 
 # Load reports.
-REPORT_FRESH_US = 2_000_000  # about the time in which load shifts
+REPORT_CURRENT_US = 2_000_000  # about the time in which load shifts
 REPORT_EXPIRES_US = 10_000_000
 REPORT_WEIGHT = 0.5  # per node, against the node's own sessions: a report sees the sessions of all nodes
 
@@ -46,9 +46,9 @@
     return now < upstream.utilization_at + REPORT_EXPIRES_US
 
 
-def has_fresh_report(now: int, upstream: Upstream) -> bool:
+def has_current_report(now: int, upstream: Upstream) -> bool:
     """Return whether a load report is so recent that it shows the present load."""
-    return now < upstream.utilization_at + REPORT_FRESH_US
+    return now < upstream.utilization_at + REPORT_CURRENT_US
 
 
 def with_recent_reports(now: int, upstreams: Iterable[Upstream]) -> list[Upstream]:
@@ -112,7 +112,7 @@
         self, now: int, upstream: Upstream, fleet_load: FleetLoad, *, max_utilization: float
     ) -> bool:
         """Return whether an upstream reports more than this utilization, or bears far more than the mean."""
-        if has_fresh_report(now, upstream) and upstream.utilization > max_utilization:
+        if has_current_report(now, upstream) and upstream.utilization > max_utilization:
             return True
         # The estimate counts the lesser capacity in slow start, for which the turn's budget accounts already.
         own_load = self._own_load(now, upstream, fleet_load.mean_sessions)
--- a/larchlatch/policy/outcomes.py
+++ b/larchlatch/policy/outcomes.py
@@ -22,11 +22,11 @@
 
 # Outcomes that show the state of what all attempts depend on. A failed connection shows only that of one
 # upstream, or of its network.
-JUDGED_BY_NODE = frozenset(
+RECORDED_FOR_NODE = frozenset(
     {Outcome.COMPLETED, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET}
 )
 # Outcomes that say nothing of the upstream.
-NOT_JUDGED_BY_UPSTREAM = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED})
+IGNORED_FOR_UPSTREAM = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED})
 
 SETTLE_US = 1_000_000  # an established session is a success after this: overload resets new ones sooner
 
@@ -72,8 +72,8 @@
         self.retries.attempt_ended(session)
         self.fleet.check_now(now)
         upstream.remove(session)
-        self._judge_upstream(now, session, upstream, outcome)
-        if outcome in JUDGED_BY_NODE and not _has_settled(now, session):
+        self._record_for_upstream(now, session, upstream, outcome)
+        if outcome in RECORDED_FOR_NODE and not _has_settled(now, session):
             succeeded = outcome is Outcome.COMPLETED
             self.node_backoff.record(now, session.sent_at, succeeded=succeeded)
         session.attempt_ended(outcome, self.settings.class_of(session))
@@ -94,7 +94,7 @@
         upstream.backoff.record(now, session.established_at, succeeded=succeeded)
         self.node_backoff.record(now, session.established_at, succeeded=succeeded)
 
-    def _judge_upstream(self, now: int, session: Session, upstream: Upstream, outcome: Outcome) -> None:
+    def _record_for_upstream(self, now: int, session: Session, upstream: Upstream, outcome: Outcome) -> None:
         backoff = upstream.backoff
         if outcome is Outcome.RESET:
             self.load.penalize(now, upstream)
@@ -102,7 +102,7 @@
             backoff.escalate(now, session.sent_at, least_us=RESET_BACKOFF_US, longest_us=longest_us)
         elif outcome is Outcome.REJECTED:
             backoff.escalate(now, session.sent_at, least_us=BACKOFF_US, longest_us=backoff.longest_us)
-        elif not session.established and outcome not in NOT_JUDGED_BY_UPSTREAM:
+        elif not session.established and outcome not in IGNORED_FOR_UPSTREAM:
             upstream.unreachable = outcome is Outcome.CONNECT_FAILED
             backoff.record(now, session.sent_at, succeeded=outcome is Outcome.COMPLETED)
 
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, NamedTuple
 
-from larchlatch.policy.load import NEARLY_FULL, REPORT_FRESH_US
+from larchlatch.policy.load import NEARLY_FULL, REPORT_CURRENT_US
 from larchlatch.policy.types import NO_END
 
 if TYPE_CHECKING:
@@ -20,7 +20,7 @@
 
 # A report is doubtful where many sessions have come since.
 DOUBTFUL_GROWTH = 4  # own sessions more than at the last probe; fewer differ by chance
-DOUBTFUL_FRESH_US = 500_000  # for so long such a report still shows the load: reports lag a few tenths
+DOUBTFUL_CURRENT_US = 500_000  # for so long such a report counts as current
 
 # Polls of the endpoint list.
 FIRST_POLL_PAUSE_US = 1_000_000  # bound of the pause after the first failure; it doubles
@@ -47,7 +47,7 @@
         """
         if not self.settings.probes_report_load or session.mid_flow or session.attempt_count:
             return False
-        unknown = [other for other in upstreams if now >= other.probed_at + _fresh_us(other)]
+        unknown = [other for other in upstreams if now >= other.probed_at + _current_us(other)]
         for upstream in unknown:
             upstream.probe_requested = True
             self.fleet.check_now(now)
@@ -71,9 +71,9 @@
     def _interval_us(self, upstream: Upstream) -> int | None:
         """Return the time between two probes of an upstream; None if it is not probed."""
         if upstream.probe_requested:
-            return _fresh_us(upstream)
+            return _current_us(upstream)
         if upstream.backoff.delay_us:
-            return REPORT_FRESH_US
+            return REPORT_CURRENT_US
         if upstream.sessions and self._only_probes_show_load:
             is_relieved = upstream.slow_until > upstream.utilization_at
             return RELIEF_INTERVAL_US if is_relieved or _is_doubtful(upstream) else WATCH_INTERVAL_US
@@ -84,9 +84,9 @@
         return self.settings.probes_report_load and not self.settings.reports_delay
 
 
-def _fresh_us(upstream: Upstream) -> int:
+def _current_us(upstream: Upstream) -> int:
     """Return for how long the last report of an upstream shows its present load."""
-    return DOUBTFUL_FRESH_US if _is_doubtful(upstream) else REPORT_FRESH_US
+    return DOUBTFUL_CURRENT_US if _is_doubtful(upstream) else REPORT_CURRENT_US
 
 
 def _is_doubtful(upstream: Upstream) -> bool:
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -28,16 +28,16 @@
 MASTER_TIE = 1.2  # the second is chosen if the master bears more than this times its load
 
 # Utilizations, as load reports state them.
-SPARE_UTILIZATION = 0.5  # up to this, any upstream takes sessions
-ROOMY_UTILIZATION = 0.6  # healthy upstreams with a lower mean have room for others' sessions
+LEAST_CROWDED_UTILIZATION = 0.5  # lowest threshold that a placement draws; CROWDED_UTILIZATION is the highest
+STRAY_UTILIZATION = 0.6  # in wide trouble, sessions stray only if the mean of healthy upstreams is lower
 
 
 class Preference(IntEnum):
     """The order in which upstreams are preferred where no candidate is free."""
 
-    CANDIDATE_WITH_ROOM = 0
-    WITH_ROOM = 1
-    CROWDED = 2
+    CANDIDATE_NOT_FULL = 0
+    NOT_FULL = 1
+    FULL = 2
 
 
 @dataclass(eq=False)
@@ -117,7 +117,7 @@
         present = [upstream for upstream in self.fleet.ready if not is_unreachable(now, upstream)]
         healthy = [upstream for upstream in present if is_healthy(now, upstream)]
         trouble_is_wide = 4 * len(healthy) <= 3 * len(present)
-        if trouble_is_wide and not _have_room(now, healthy):
+        if trouble_is_wide and not _have_capacity(now, healthy):
             return near
         return chain(near, beyond)
 
@@ -134,9 +134,9 @@
         Many nodes read the same report within a short time. So that they don't all act on it alike, each
         placement draws its threshold, unless the other upstreams lack room or one is in slow start.
         """
-        has_room = fleet_load.reports_below(NEARLY_FULL)
-        if has_room and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
-            return self.random.uniform(SPARE_UTILIZATION, CROWDED_UTILIZATION)
+        has_capacity = fleet_load.reports_below(NEARLY_FULL)
+        if has_capacity and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
+            return self.random.uniform(LEAST_CROWDED_UTILIZATION, CROWDED_UTILIZATION)
         return CROWDED_UTILIZATION
 
     def _less_loaded(self, now: int, free: list[Upstream], fleet_load: FleetLoad) -> Upstream:
@@ -163,9 +163,9 @@
         def preference(upstream: Upstream) -> tuple[Preference, float]:
             load = self.load.estimate(now, upstream, fleet_load)
             if self.load.is_crowded(now, upstream, fleet_load, max_utilization=CROWDED_UTILIZATION):
-                return Preference.CROWDED, load
+                return Preference.FULL, load
             is_candidate = upstream in pair
-            return (Preference.CANDIDATE_WITH_ROOM if is_candidate else Preference.WITH_ROOM), load
+            return (Preference.CANDIDATE_NOT_FULL if is_candidate else Preference.NOT_FULL), load
 
         return min(upstreams, key=preference, default=None)
 
@@ -175,7 +175,7 @@
     return session.mid_flow and not session.attempt_count
 
 
-def _have_room(now: int, healthy: list[Upstream]) -> bool:
+def _have_capacity(now: int, healthy: list[Upstream]) -> bool:
     """Return whether these upstreams report that they have room; False without reports."""
     reports = [upstream.utilization for upstream in with_recent_reports(now, healthy)]
-    return sum(reports) < ROOMY_UTILIZATION * len(reports)
+    return sum(reports) < STRAY_UTILIZATION * len(reports)
