--- a/larchlatch/node/wire/__init__.py
+++ b/larchlatch/node/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols: lines with clients and upstreams, discovery and the admin API over HTTP."""
+"""Protocols and sockets: lines with clients and upstreams, HTTP with discovery and for the admin API."""
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -1,10 +1,10 @@
-"""The HTTP client of discovery: fetches the whole endpoint list, or watches its changes."""
+"""The HTTP client of discovery: fetches the complete endpoint list, or watches its changes."""
 
 from __future__ import annotations
 
 from collections import deque
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING, Any, NamedTuple
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 import h11
@@ -21,21 +21,22 @@
 
     from anyio.abc import SocketStream
 
-READ_BYTES = 65536  # bytes read at a time: a list of usual size in a few reads
-UNREAD_GRACE_S = 0.02  # seconds for the event loop to read what has arrived already: one turn of it
+READ_BYTES = 65536  # read at a time: enough for a list of usual size in a few reads
+HTTP_OK = 200
+UNREAD_GRACE_S = 0.02  # for the event loop to read what has arrived already
 
 
 class DiscoveryRefusedError(LarchlatchError):
-    """Discovery has answered a call with an HTTP status other than 200."""
+    """Discovery has answered a call with an HTTP status other than OK."""
 
 
 class CallTimeouts(NamedTuple):
     """How long each step of a call to discovery may take.
 
     Attributes:
-        connect_s: seconds for the connection.
-        answer_s: seconds from then on until the response begins.
-        silence_s: seconds until the next complete object or keep-alive line, again after each.
+        connect_s: seconds for connecting.
+        answer_s: seconds from then until the response begins.
+        silence_s: seconds until the next complete object or keep-alive line, each time anew.
 
     """
 
@@ -49,7 +50,7 @@
 
     Attributes:
         endpoints: the entries that could be read.
-        faults: what is wrong with each of the others.
+        faults: what is wrong with each of the other entries.
 
     """
 
@@ -58,7 +59,7 @@
 
 
 class ResponseBody:
-    """The response to one GET, read piece by piece as it arrives."""
+    """The response to one GET, read in parts as it arrives."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
@@ -76,25 +77,19 @@
         Raises:
             TimeoutError: no head came in time.
             ConnectionError: the connection ended before.
-            DiscoveryRefusedError: its status is not 200.
+            DiscoveryRefusedError: its status is not OK.
 
         """
-        event: Any = None
-        # A second, short wait when the time is up: where this node's own loop was late, the answer has
-        # arrived and lies unread.
-        for wait_s in (timeout_s, UNREAD_GRACE_S):
-            with anyio.move_on_after(wait_s):
-                event = await self._next_event()
-                break
+        event = await self._first_event(timeout_s)
         if event is None:
             raise TimeoutError("no answer")
         if not isinstance(event, h11.Response):
             raise ConnectionError("no answer")
-        if event.status_code != 200:
+        if event.status_code != HTTP_OK:
             raise DiscoveryRefusedError(f"status {event.status_code}")
 
     async def read_some(self) -> bytes | None:
-        """Return the next bytes of the body; None at its end."""
+        """Return the next part of the body; None at its end."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -102,7 +97,15 @@
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 return None
 
-    async def _next_event(self) -> Any:
+    async def _first_event(self, timeout_s: float) -> h11.Event | type[h11.PAUSED] | None:
+        """Return the first event of the response; None if none came in time."""
+        # A second, short wait: if this node's own event loop was late, the answer has arrived and is unread.
+        for wait_s in (timeout_s, UNREAD_GRACE_S):
+            with anyio.move_on_after(wait_s):
+                return await self._next_event()
+        return None
+
+    async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
         return await next_event(self._http, self._stream, READ_BYTES)
 
 
@@ -114,7 +117,7 @@
 
     Raises:
         OSError: no connection, or no answer in time.
-        DiscoveryRefusedError: the status of the response is not 200.
+        DiscoveryRefusedError: the status of the response is not OK.
 
     """
     sock = await dial(address, timeouts.connect_s)
@@ -128,11 +131,11 @@
 
 
 async def fetch_list(address: tuple[str, int], path: str, timeouts: CallTimeouts) -> EndpointUpdate:
-    """Fetch the whole endpoint list.
+    """Fetch the complete endpoint list.
 
     Raises:
         OSError: no connection, or not complete in time (TimeoutError).
-        DiscoveryRefusedError: the status of the response is not 200.
+        DiscoveryRefusedError: the status of the response is not OK.
         ProtocolError: the response is no endpoint list, or too long.
 
     """
@@ -161,11 +164,11 @@
         Raises:
             TimeoutError: nothing complete came in time.
             anyio.EndOfStream: the watch has ended.
-            ProtocolError: what came is no endpoint list.
+            ProtocolError: what was received is no endpoint list.
 
         """
-        # Bytes alone don't restart the timeout: a watch that trickles, or stops in the middle of a line,
-        # brings no change.
+        # Only a complete object or line restarts the timeout: a watch that stops in the middle of a line
+        # brings no changes.
         with anyio.fail_after(self._silence_s):
             while not self._pieces:
                 chunk = await self._body.read_some()
@@ -177,5 +180,5 @@
 
 
 def watch_target(path: str, revision: int) -> str:
-    """Return the request target of a watch on all changes after this revision."""
+    """Return the request target of a watch on all changes after a revision."""
     return f"{path}?watch=1&from={revision}"
--- a/larchlatch/node/wire/http.py
+++ b/larchlatch/node/wire/http.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import anyio
 import h11
@@ -11,17 +11,26 @@
     from anyio.abc import SocketStream
 
 
-async def next_event(http: h11.Connection, stream: SocketStream, max_bytes: int) -> Any:
-    """Return the next h11 event, reading at most so many bytes at a time.
+async def next_event(
+    http: h11.Connection, stream: SocketStream, max_bytes: int
+) -> h11.Event | type[h11.PAUSED]:
+    """Return the next h11 event, after reading from the stream what it needs.
+
+    Args:
+        http: the state of the HTTP connection.
+        stream: the stream below it.
+        max_bytes: how many bytes are read at a time.
 
     Raises:
-        h11.RemoteProtocolError: the other side does not keep to HTTP/1.1.
+        h11.RemoteProtocolError: the other side violates HTTP/1.1.
         anyio.BrokenResourceError, anyio.ClosedResourceError: the connection is broken.
 
     """
-    while (event := http.next_event()) is h11.NEED_DATA:
+    while True:
+        event = http.next_event()
+        if event is not h11.NEED_DATA:
+            return event
         try:
             http.receive_data(await stream.receive(max_bytes))
         except anyio.EndOfStream:
             http.receive_data(b"")
-    return event
--- a/larchlatch/node/wire/json_framing.py
+++ b/larchlatch/node/wire/json_framing.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of bytes into the JSON objects of a discovery watch. No I/O."""
+"""Splits the bytes of a discovery watch into JSON objects. No I/O."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 
 from larchlatch.errors import ProtocolError
 
-MAX_LIST_BYTES = 8 * 1024 * 1024  # one endpoint list: enough for thousands of upstreams, bounded in memory
+MAX_LIST_BYTES = 8 * 1024 * 1024  # of one endpoint list: enough for thousands of upstreams
 JSON_STRING = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
 
 
 class JsonObjectFramer:
-    """Finds where each object of a watch ends, whether it is on one line or indented over many.
+    """Finds where each object of a watch ends, on one line or indented over several.
 
-    It counts brackets outside of strings and does not parse: a complete piece may still be invalid JSON.
+    It counts brackets outside of strings and does not parse: a complete object may still be invalid JSON.
     """
 
     def __init__(self) -> None:
         self._partial_line = b""
-        self._open_lines: list[bytes] = []  # the lines so far of an object that is not complete
-        self._open_size = 0  # their bytes
-        self._depth = 0  # brackets that are open
+        self._open_lines: list[bytes] = []  # of the object that is not complete yet
+        self._open_size = 0  # of those lines, in bytes
+        self._depth = 0  # how many brackets are open
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Add received bytes and return the objects that they complete.
 
         Returns:
-            The complete objects, and an empty piece for each empty line between them: the keep-alive of a
-            watch.
+            The complete objects, and an empty one for each empty line between them, which is the keep-alive
+            of a watch.
 
         Raises:
             ProtocolError: an object is cut short or longer than `MAX_LIST_BYTES`.
@@ -56,15 +56,17 @@
         return piece
 
     def _check_not_cut_short(self, text: bytes) -> None:
-        """Raise ProtocolError where this line can't belong to the object that is open."""
-        # An empty line is only sent between objects, and directly within an object a line begins with a key,
-        # not with another object. The open object was cut short and would swallow all that follows.
+        """Raise ProtocolError if this line can't belong to the object that is not complete yet.
+
+        An empty line is only sent between objects, and a line directly within an object begins with a key and
+        not with another object. An object that was cut short would otherwise swallow all that follows.
+        """
         if not text or (self._depth <= 1 and text.startswith(b"{")):
             raise ProtocolError("list", "broken off within an object")
 
 
 def bracket_balance(text: bytes) -> int:
-    """Return how many brackets a line opens beyond those that it closes, leaving out strings.
+    """Return how many brackets outside of strings a line opens, less those that it closes.
 
     Raises:
         ProtocolError: a string does not end on the line that it began on.
--- a/larchlatch/node/wire/listen.py
+++ b/larchlatch/node/wire/listen.py
@@ -10,7 +10,7 @@
 
 from larchlatch.errors import LarchlatchError
 
-# Errors of accept that pass: no descriptor or memory at the moment, or a client that has left already.
+# Errors of accept that are temporary: no descriptor or memory, or a client that has left already.
 TRANSIENT_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -22,7 +22,7 @@
 
 
 class AcceptError(LarchlatchError):
-    """No connection could be accepted at the moment; a later try may succeed.
+    """No connection could be accepted now; a later call may succeed.
 
     Attributes:
         errno: the system's error number.
@@ -39,7 +39,7 @@
     """Accepts connections from a listening socket.
 
     Attributes:
-        sock: the listening socket, non-blocking; whoever has the listener closes it.
+        sock: the listening socket, non-blocking; the owner of the listener closes it.
 
     """
 
@@ -53,11 +53,11 @@
 
         Args:
             address: host and port; port 0 for any that is free.
-            backlog: connections that the system holds until they are accepted.
-            shared: whether another process of the same user may listen there too (SO_REUSEPORT).
+            backlog: how many connections the system holds until they are accepted.
+            shared: whether another process of the same user may listen there as well (SO_REUSEPORT).
 
         Raises:
-            OSError: the address can't be had.
+            OSError: the address is not available.
 
         """
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -80,7 +80,7 @@
         return str(host), int(port)
 
     def accept_nowait(self) -> socket.socket | None:
-        """Accept a connection that is waiting; None where there is none, or it can't be accepted."""
+        """Accept a connection that is waiting; return None if there is none or it can't be accepted."""
         try:
             connection, _ = self.sock.accept()
         except OSError:
@@ -92,12 +92,12 @@
         """Wait for the next connection and accept it.
 
         Raises:
-            AcceptError: it could not be accepted at the moment.
-            OSError: the listening socket is of no more use.
+            AcceptError: it could not be accepted now.
+            OSError: the listening socket can no longer be used.
 
         """
-        # Cancellation is only possible while it waits. Between accept and return it would drop an accepted
-        # connection, and a client would be turned away without an answer.
+        # Only the wait can be cancelled: between accept and return, a cancellation would drop an accepted
+        # connection without an answer.
         while True:
             try:
                 connection, _ = self.sock.accept()
