--- /dev/null
+++ b/larchlatch/node/cluster_adapter.py
@@ -0,0 +1,106 @@
+"""What the balancer actor asks of the cluster and reports to it; without a cluster every call does nothing.
+
+The balancer knows upstreams and traffic classes by number, the cluster by name: this module translates.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from larchlatch.node.ports import TokenRequest
+from larchlatch.node.upstream_registry import slow_start_left_us
+
+if TYPE_CHECKING:
+    from collections.abc import Mapping, Sequence
+
+    from larchlatch.node.ports import ClusterPort
+    from larchlatch.node.upstream_registry import UpstreamRegistry
+    from larchlatch.policy.types import DeploymentSettings, Session, TokenCandidates
+
+
+class ClusterAdapter:
+    """Passes calls to the cluster on, by names in place of numbers."""
+
+    def __init__(
+        self,
+        cluster: ClusterPort | None,
+        upstreams: UpstreamRegistry,
+        traffic_classes: Sequence[str],
+        settings: DeploymentSettings,
+    ) -> None:
+        """Connect the balancer actor with a cluster.
+
+        Args:
+            cluster: the cluster; None for a node that knows no others.
+            upstreams: the upstreams by number and name.
+            traffic_classes: names of the traffic classes, by number.
+            settings: the deployment settings.
+
+        """
+        self._cluster = cluster
+        self._upstreams = upstreams
+        self._traffic_classes = traffic_classes
+        self._settings = settings
+
+    def charge_quota(self, session: Session) -> int | None:
+        """Charge a new session to the quota of its traffic class.
+
+        Returns:
+            None if it fits; otherwise after how many microseconds its client is advised to try again, or 0
+            for no advice.
+
+        """
+        # A session in mid-flow is not new: it was charged where it was first requested.
+        if self._cluster is None or session.mid_flow:
+            return None
+        retry_after_us = self._cluster.admit(self._traffic_classes[session.traffic_class])
+        return min(retry_after_us, self._settings.max_retry_after_us) if retry_after_us else None
+
+    def request_token(self, session_number: int, candidates: TokenCandidates) -> None:
+        """Ask for a slow-start token that lets a session go to one of these warming upstreams."""
+        if self._cluster is None or not candidates:
+            return
+        actors = self._upstreams.actors
+        requests = [TokenRequest(actors[candidate.upstream].name, candidate) for candidate in candidates]
+        self._cluster.request_token(session_number, requests)
+
+    def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
+        """Report whether an upstream could be connected to; None if sessions there broke off or stall."""
+        actor = self._upstreams.actors.get(upstream)
+        if self._cluster is not None and actor is not None:
+            self._cluster.observe_reachability(actor.name, reached=reached)
+
+    def update_endpoints(self, now: int) -> None:
+        """Report which upstreams are ready, and for how long at most one of them is still warming up."""
+        if self._cluster is None:
+            return
+        ready = self._upstreams.ready_entries()
+        self._cluster.update_endpoints(
+            [entry.name for entry in ready],
+            slow_start_us=slow_start_left_us(ready, self._settings.slow_start_us, now),
+            overload_window_us=self._settings.overload_window_us,
+        )
+
+    def hand_over(self) -> dict[str, int] | None:
+        """Stop admitting sessions, as the successor does from now on.
+
+        Returns:
+            What this process has spent of each quota in the last window; None without a cluster.
+
+        """
+        return None if self._cluster is None else self._cluster.hand_over()
+
+    def resume(self) -> None:
+        """Admit sessions again, as the successor has ended."""
+        if self._cluster is not None:
+            self._cluster.resume()
+
+    def take_over(self, quota_usage: Mapping[str, int] | None) -> None:
+        """Admit sessions in place of the predecessor.
+
+        Args:
+            quota_usage: what it has spent of each quota in the last window; None if it had no cluster.
+
+        """
+        if self._cluster is not None and quota_usage is not None:
+            self._cluster.take_over(quota_usage)
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -164,4 +164,5 @@
     | SlowStartTokens
 )
 Message = SessionMessage | EnvironmentMessage
+DecisionWanted = SessionArrived | HoldExpired | AttemptFinished  # a session waits for what is decided on it
 Post = Callable[[Message], Awaitable[None]]
--- a/larchlatch/node/metrics.py
+++ b/larchlatch/node/metrics.py
@@ -1,6 +1,6 @@
 """Counters of what the node has received, sent and answered.
 
-The names stand as constants in the module that counts; operators' alert rules refer to them.
+The names stand in an enumeration of the module that counts; operators' alert rules refer to them.
 """
 
 from __future__ import annotations
@@ -25,4 +25,4 @@
 
     def snapshot(self) -> dict[str, int]:
         """Return all counts so far, sorted by name, for a report."""
-        return dict(sorted(self.counts.items()))
+        return {str(name): count for name, count in sorted(self.counts.items())}
