--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -34,7 +34,7 @@
     from larchlatch.node.discovery import DiscoveryClient
     from larchlatch.node.mailbox import Mailbox
     from larchlatch.node.metrics import Counters
-    from larchlatch.node.ports import ClusterPort
+    from larchlatch.node.ports import ClusterRequests
     from larchlatch.node.upstream_registry import UpstreamRegistry
     from larchlatch.policy.balancer import Balancer
 
@@ -75,7 +75,7 @@
         counters: Counters,
         *,
         discovery: DiscoveryClient | None = None,
-        cluster: ClusterPort | None = None,
+        cluster: ClusterRequests | None = None,
     ) -> None:
         """Prepare the actor; `run` starts it.
 
--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -48,8 +48,13 @@
         self._opened = anyio.Event()
         self._accept_scope = anyio.CancelScope()
 
+    @property
+    def address(self) -> tuple[str, int]:
+        """The address at which clients connect."""
+        return self._listener.address
+
     def open(self) -> None:
-        """Accept from now on."""
+        """Accept connections from now on."""
         self._opened.set()
 
     def pause(self) -> None:
--- a/larchlatch/node/cluster_adapter.py
+++ b/larchlatch/node/cluster_adapter.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Mapping, Sequence
 
-    from larchlatch.node.ports import ClusterPort
+    from larchlatch.node.ports import ClusterRequests
     from larchlatch.node.upstream_registry import UpstreamRegistry
     from larchlatch.policy.types import DeploymentSettings, Session, TokenCandidates
 
@@ -23,7 +23,7 @@
 
     def __init__(
         self,
-        cluster: ClusterPort | None,
+        cluster: ClusterRequests | None,
         upstreams: UpstreamRegistry,
         traffic_classes: Sequence[str],
         settings: DeploymentSettings,
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -24,11 +24,8 @@
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.balancer_actor import BalancerActor
     from larchlatch.node.client_listener import ClientListener
-    from larchlatch.node.clients.connections import ClientConnections
-    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.components import NodeComponents
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
-    from larchlatch.node.lifecycle_state import LifecycleState
-    from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.wire.stream import Lines
     from larchlatch.policy.types import Outcome
@@ -66,21 +63,26 @@
         self,
         configuration: NodeConfiguration,
         rendezvous: Rendezvous,
-        lifecycle: LifecycleState,
-        balancer_actor: BalancerActor,
-        connections: ClientConnections,
         client_listener: ClientListener,
-        descriptors: DescriptorBudget,
-        counters: Counters,
+        components: NodeComponents,
     ) -> None:
+        """Prepare to be followed; `run` waits for a successor.
+
+        Args:
+            configuration: says which node this is.
+            rendezvous: where a successor finds this process.
+            client_listener: accepts clients; its socket is shared with the successor.
+            components: the parts of the node.
+
+        """
         self._configuration = configuration
         self._rendezvous = rendezvous
-        self._lifecycle = lifecycle
-        self._balancer_actor = balancer_actor
-        self._connections = connections
         self._client_listener = client_listener
-        self._descriptors = descriptors
-        self._counters = counters
+        self._lifecycle = components.lifecycle
+        self._balancer_actor = components.balancer_actor
+        self._connections = components.connections
+        self._descriptors = components.descriptors
+        self._counters = components.counters
 
     async def run(self) -> None:
         """Wait for a successor again and again, until cancelled or no socket can be had."""
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -20,11 +20,9 @@
 
     from larchlatch.config.endpoints import EndpointList
     from larchlatch.config.node import NodeConfiguration
-    from larchlatch.node.balancer_actor import BalancerActor
     from larchlatch.node.clients.connections import ClientConnections
-    from larchlatch.node.descriptor_budget import DescriptorBudget
+    from larchlatch.node.components import NodeComponents
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
-    from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
 CONNECTIONS_OF_SESSION = 2  # its client's and its upstream's
@@ -71,14 +69,8 @@
                 await channel.close()
                 return None
 
-    async def take_over_state(
-        self,
-        descriptors: DescriptorBudget,
-        lifecycle: LifecycleState,
-        balancer_actor: BalancerActor,
-        connections: ClientConnections,
-    ) -> None:
-        """Say that this process serves, and restore what the predecessor knows."""
+    async def take_over_state(self, components: NodeComponents) -> None:
+        """Tell the predecessor that this process serves, and restore the state that it hands over."""
         await self._channel.send(Serving())
         received = await receive_within(self._channel, ANSWER_S)
         if received is None or not isinstance(received.packet, StateHandover):
@@ -86,12 +78,12 @@
             return
         state = received.packet
         self._predecessor_descriptors = state.descriptor_count
-        descriptors.lend(state.descriptor_count)
-        connections.requests.ids.reserve(state.session_ids)
+        components.descriptors.lend(state.descriptor_count)
+        components.connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
             # No operator has ended the drain: it goes on, and the sessions' time runs from its beginning.
-            lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
-        balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
+            components.lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
+        components.balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
 
     async def run(self, connections: ClientConnections, tasks: TaskGroup) -> None:
         """Take over sessions until the predecessor has ended."""
--- a/larchlatch/node/ports.py
+++ b/larchlatch/node/ports.py
@@ -5,9 +5,9 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping
+from collections.abc import Callable, Iterable, Mapping, Sequence
 from random import Random
-from typing import TYPE_CHECKING, Any, NamedTuple, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from larchlatch.node.metrics import Counters
 
@@ -15,6 +15,8 @@
     from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
     from larchlatch.policy.types import TokenCandidate
 
+StatusRow = Mapping[str, object]  # one log row for operators, by field name
+
 
 class TokenRequest(NamedTuple):
     """A warming upstream that a session would go to, and what a token for it would permit."""
@@ -27,20 +29,20 @@
     """What the cluster tells its node. Neither call waits."""
 
     def advise_ejection(self, advice: EjectionAdvised) -> None:
-        """Pass on advice; it may be dropped, as the cluster repeats it while it holds."""
+        """Pass advice on; it may be dropped, as the cluster repeats it for as long as it applies."""
 
     def receive_tokens(self, tokens: SlowStartTokens) -> bool:
-        """Pass on the issuer's decision; return whether it was taken."""
+        """Pass the token issuer's decision on; return whether the node had room for it."""
 
 
-class ClusterPort(Protocol):
-    """What the balancer actor asks of the cluster, and reports to it."""
+class ClusterRequests(Protocol):
+    """What the balancer actor asks of the cluster and reports to it."""
 
     def admit(self, traffic_class: str) -> int:
         """Charge one new session to its quotas.
 
         Returns:
-            0 if it fits, otherwise after how many microseconds its client had better come back.
+            0 if it fits, otherwise after how many microseconds its client is advised to try again.
 
         """
 
@@ -61,7 +63,7 @@
         """Report whether an upstream could be connected to; None if sessions there broke off or stall."""
 
     def hand_over(self) -> dict[str, int]:
-        """Stop admitting sessions, as another process of this node does from now on.
+        """Stop admitting sessions, as the successor does so from now on.
 
         Returns:
             What this process has spent of each quota in the last window.
@@ -69,14 +71,14 @@
         """
 
     def resume(self) -> None:
-        """Admit sessions again: the other process has gone."""
+        """Admit sessions again, as the successor has ended."""
 
     def take_over(self, used: Mapping[str, int]) -> None:
-        """Admit sessions in place of the process before this one, which has spent so much of each quota."""
+        """Admit sessions in place of the predecessor, which has spent so much of each quota."""
 
 
-class ClusterService(ClusterPort, Protocol):
-    """The cluster's part in a node, as its runtime drives it."""
+class ClusterPort(ClusterRequests, Protocol):
+    """A node's part in its cluster, as the runtime starts and stops it and reports on it."""
 
     async def run(self) -> None:
         """Take part until cancelled."""
@@ -85,16 +87,16 @@
         """Read the cluster file again, as it may have changed."""
 
     def resign(self) -> None:
-        """Leave the node's roles to others, as it is about to stop."""
+        """Hand the node's roles over to others, as it is about to stop."""
 
-    def role_rows(self) -> list[dict[str, Any]]:
-        """Return one row a role, for operators."""
+    def role_rows(self) -> Sequence[StatusRow]:
+        """Return one row for each role, for operators."""
 
-    def member_rows(self) -> list[dict[str, Any]]:
-        """Return one row a member, for operators."""
+    def member_rows(self) -> Sequence[StatusRow]:
+        """Return one row for each other member, for operators."""
 
-    def quota_rows(self) -> list[dict[str, Any]]:
-        """Return one row a quota, for operators."""
+    def quota_rows(self) -> Sequence[StatusRow]:
+        """Return one row for each quota, for operators."""
 
 
-ClusterFactory = Callable[[Counters, Random, ClusterEvents], ClusterService]
+ClusterFactory = Callable[[Counters, Random, ClusterEvents], ClusterPort]
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -1,9 +1,8 @@
-"""Composes a node from its parts, starts them in order, and runs them until it is told to stop."""
+"""Makes the parts of a node, starts them in order, and runs them until a signal stops the node."""
 
 from __future__ import annotations
 
 import random
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import anyio
@@ -16,6 +15,7 @@
 from larchlatch.node.client_listener import ClientListener
 from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
+from larchlatch.node.components import NodeComponents
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.event_loop_lag import EventLoopLagMonitor
@@ -39,49 +39,15 @@
 
     from larchlatch.config.endpoints import EndpointList
     from larchlatch.config.node import NodeConfiguration
-    from larchlatch.node.ports import ClusterFactory, ClusterService
+    from larchlatch.node.ports import ClusterFactory, ClusterPort
 
-CLIENT_BACKLOG = 4096  # connections that wait to be accepted: all clients of a node that has died, at once
-FIRST_LIST_WAIT_S = 1.0  # a node waits so long for the present list before it serves with the one it had
+CLIENT_BACKLOG = 4096  # connections: all clients of another node may come at once when it has died
+FIRST_LIST_WAIT_S = 1.0  # for the present endpoint list; then the node serves with the list it started with
 CLUSTER_SEED_BITS = 64
 
 log = structlog.get_logger()
 
 
-@dataclass(frozen=True, slots=True)
-class NodeComponents:
-    """The parts of a node that live as long as it does.
-
-    Attributes:
-        counters: what the node has done, by kind.
-        lag_monitor: how late the event loop runs.
-        descriptors: the file descriptors that the node may hold.
-        lifecycle: ready, draining, stopping.
-        ready: set once the node can serve.
-        discovery: follows the endpoint list.
-        cluster: the other nodes; None where this one knows of none.
-        balancer_actor: places sessions.
-        connections: the clients' connections.
-        drainer: makes established sessions leave.
-
-    """
-
-    counters: Counters
-    lag_monitor: EventLoopLagMonitor
-    descriptors: DescriptorBudget
-    lifecycle: LifecycleState
-    ready: anyio.Event
-    discovery: DiscoveryClient
-    cluster: ClusterService | None
-    balancer_actor: BalancerActor
-    connections: ClientConnections
-    drainer: SessionDrainer
-
-    def figures(self) -> dict[str, int]:
-        """Return all counters, and the worst lag since the last call."""
-        return {**self.counters.snapshot(), "lag_ms": self.lag_monitor.take_worst_ms()}
-
-
 async def run_node(
     configuration: NodeConfiguration,
     path: Path,
@@ -89,32 +55,29 @@
     *,
     task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until told to stop.
+    """Serve until a signal stops the node.
 
     Args:
         configuration: the node's own.
         path: the file that it was read from, which SIGHUP has read again.
-        join: how the node joins its cluster; None without one.
+        join: makes the node's part in its cluster; None for a node that knows no others.
         task_status: started with the port for clients once the node can serve.
 
     """
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with anyio.create_task_group() as tasks:
-            # Before all else: operators are answered from the start, if only that it can't serve yet.
+            # First of all: operators are answered from the start, if only that the node can't serve yet.
             admin_listener = bind_admin_listener(configuration)
             components = build_components(configuration, join, tasks)
-            start_admin_api(admin_listener, components, tasks)
+            start_background_tasks(admin_listener, components, tasks)
             rendezvous = Rendezvous.for_node(configuration)
             successor = await connect_predecessor(configuration, rendezvous, components.counters)
             start_balancing(newest_endpoint_list(configuration.known_endpoints, successor), components, tasks)
-            listener = listener_for_clients(configuration, successor)
-            client_listener = ClientListener(listener, components.connections, components.descriptors, tasks)
-            tasks.start_soon(client_listener.run)
+            client_listener = start_client_listener(configuration, successor, components, tasks)
             await open_to_clients(client_listener, successor, components, tasks)
-            if rendezvous is not None:
-                start_predecessor(configuration, rendezvous, client_listener, components, tasks)
-            announce_ready(configuration, listener, components)
-            task_status.started(listener.address[1])
+            start_predecessor(configuration, rendezvous, client_listener, components, tasks)
+            announce_ready(configuration, client_listener.address, components)
+            task_status.started(client_listener.address[1])
             shutdown = build_shutdown(client_listener, components, tasks)
             await SignalHandler(configuration, path, components, shutdown, tasks).run(signals)
     log.info("stopped", **components.figures())
@@ -139,33 +102,23 @@
     counters = Counters()
     descriptors = DescriptorBudget(configuration.descriptor_limit)
     # Shared by balancer and discovery client: their draws come in the order of events.
-    chance = random.Random(configuration.seed)
+    random_source = random.Random(configuration.seed)
     mailbox = Mailbox(counters)
-    discovery = build_discovery_client(configuration, chance, mailbox, counters)
-    cluster = join_cluster(join, counters, chance, mailbox)
-    upstreams = UpstreamRegistry(
-        configuration.zones, configuration.upstream_settings, descriptors, counters, mailbox.post
-    )
+    discovery = build_discovery_client(configuration, random_source, mailbox, counters)
+    cluster = join_cluster(join, counters, random_source, mailbox)
     balancer_actor = BalancerActor(
-        Balancer(configuration.settings, chance),
+        Balancer(configuration.settings, random_source),
         configuration.traffic_class_names,
         mailbox,
-        upstreams,
+        build_upstream_registry(configuration, descriptors, counters, mailbox),
         counters,
         discovery=discovery,
         cluster=cluster,
     )
     lifecycle = build_lifecycle_state(configuration)
     ready = anyio.Event()
-    connections = ClientConnections(
-        balancer_actor,
-        configuration.traffic_class_names,
-        configuration.tenants,
-        configuration.max_deadline_us,
-        descriptors,
-        counters,
-        ready,
-        lifecycle,
+    connections = build_client_connections(
+        configuration, balancer_actor, descriptors, counters, ready, lifecycle
     )
     return NodeComponents(
         counters=counters,
@@ -182,7 +135,7 @@
 
 
 def build_discovery_client(
-    configuration: NodeConfiguration, chance: random.Random, mailbox: Mailbox, counters: Counters
+    configuration: NodeConfiguration, random_source: random.Random, mailbox: Mailbox, counters: Counters
 ) -> DiscoveryClient:
     """Make the client that follows the endpoint list from the configuration's revision on."""
     return DiscoveryClient(
@@ -191,7 +144,46 @@
         pushed=configuration.discovery_pushes_changes,
         counters=counters,
         post=mailbox.post,
-        uniform=chance.uniform,
+        uniform=random_source.uniform,
+    )
+
+
+def join_cluster(
+    join: ClusterFactory | None, counters: Counters, random_source: random.Random, mailbox: Mailbox
+) -> ClusterPort | None:
+    """Make this node's part in its cluster, with a random source seeded by the node's."""
+    if join is None:
+        return None
+    return join(counters, random.Random(random_source.getrandbits(CLUSTER_SEED_BITS)), mailbox)
+
+
+def build_upstream_registry(
+    configuration: NodeConfiguration, descriptors: DescriptorBudget, counters: Counters, mailbox: Mailbox
+) -> UpstreamRegistry:
+    """Make the registry, which makes an actor for each upstream that the endpoint list names."""
+    return UpstreamRegistry(
+        configuration.zones, configuration.upstream_settings, descriptors, counters, mailbox.post
+    )
+
+
+def build_client_connections(
+    configuration: NodeConfiguration,
+    balancer_actor: BalancerActor,
+    descriptors: DescriptorBudget,
+    counters: Counters,
+    ready: anyio.Event,
+    lifecycle: LifecycleState,
+) -> ClientConnections:
+    """Make what serves the clients' connections."""
+    return ClientConnections(
+        balancer_actor,
+        configuration.traffic_class_names,
+        configuration.tenants,
+        configuration.max_deadline_us,
+        descriptors,
+        counters,
+        ready,
+        lifecycle,
     )
 
 
@@ -204,20 +196,13 @@
     )
 
 
-def join_cluster(
-    join: ClusterFactory | None, counters: Counters, chance: random.Random, mailbox: Mailbox
-) -> ClusterService | None:
-    """Make this node's side of its cluster; the cluster draws from a stream of its own."""
-    if join is None:
-        return None
-    return join(counters, random.Random(chance.getrandbits(CLUSTER_SEED_BITS)), mailbox)
-
-
-def start_admin_api(listener: Listener | None, components: NodeComponents, tasks: TaskGroup) -> None:
-    """Answer operators, watch the event loop, and talk with the cluster."""
-    if listener is not None:
+def start_background_tasks(
+    admin_listener: Listener | None, components: NodeComponents, tasks: TaskGroup
+) -> None:
+    """Answer operators, measure the event loop's lag, and take part in the cluster."""
+    if admin_listener is not None:
         admin_api = AdminApi(components.lifecycle, components.drainer.start, components.counters)
-        tasks.start_soon(admin_api.run, listener)
+        tasks.start_soon(admin_api.run, admin_listener)
     tasks.start_soon(components.lag_monitor.run)
     if components.cluster is not None:
         tasks.start_soon(components.cluster.run)
@@ -226,31 +211,42 @@
 async def connect_predecessor(
     configuration: NodeConfiguration, rendezvous: Rendezvous | None, counters: Counters
 ) -> Successor | None:
-    """Reach the process of this node that serves now; None where there is none to follow."""
+    """Connect with the process of this node that serves now; return None if there is none to follow."""
     if rendezvous is None:
         return None
     return await Successor.connect(configuration, rendezvous, counters)
 
 
 def newest_endpoint_list(known: EndpointList, successor: Successor | None) -> EndpointList:
-    """Return the configuration's list, or the predecessor's where that is as new."""
+    """Return the predecessor's list if it is at least as new as the configuration's, else the latter."""
     if successor is not None and successor.endpoints.revision >= known.revision:
         return successor.endpoints
     return known
 
 
 def start_balancing(endpoints: EndpointList, components: NodeComponents, tasks: TaskGroup) -> None:
-    """Start balancer and discovery client with a list held before, by which sessions can be placed."""
+    """Start balancer actor and discovery client with a known list, so that sessions can be placed at once."""
     components.discovery.revision = endpoints.revision
     components.balancer_actor.handle(now_us(), EndpointsChanged(endpoints, from_discovery=False))
     tasks.start_soon(components.balancer_actor.run)
     tasks.start_soon(components.discovery.run)
 
 
-def listener_for_clients(configuration: NodeConfiguration, successor: Successor | None) -> Listener:
-    """Return the predecessor's listener, or a new one, which a process of this node may share."""
-    if successor is not None:
-        return successor.listener
+def start_client_listener(
+    configuration: NodeConfiguration,
+    successor: Successor | None,
+    components: NodeComponents,
+    tasks: TaskGroup,
+) -> ClientListener:
+    """Start the client listener, which is paused, on the predecessor's listening socket or on a new one."""
+    listener = bind_client_listener(configuration) if successor is None else successor.listener
+    client_listener = ClientListener(listener, components.connections, components.descriptors, tasks)
+    tasks.start_soon(client_listener.run)
+    return client_listener
+
+
+def bind_client_listener(configuration: NodeConfiguration) -> Listener:
+    """Listen at the address for clients, which another process of this node may share."""
     return Listener.bind(
         configuration.listen_address, CLIENT_BACKLOG, shared=configuration.admin_address is not None
     )
@@ -262,17 +258,15 @@
     components: NodeComponents,
     tasks: TaskGroup,
 ) -> None:
-    """Accept clients, once the predecessor does no more, and wait a moment for the present list."""
+    """Accept clients once the predecessor has stopped, and wait a moment for the present endpoint list."""
     if successor is None:
         client_listener.open()
     with anyio.move_on_after(FIRST_LIST_WAIT_S):
         await components.discovery.first_update.wait()
     if successor is None:
         return
-    # The predecessor has gone on taking what is new up to now, with an event loop that is warm.
-    await successor.take_over_state(
-        components.descriptors, components.lifecycle, components.balancer_actor, components.connections
-    )
+    # Up to now the predecessor has served new clients: this process was still starting.
+    await successor.take_over_state(components)
     tasks.start_soon(successor.run, components.connections, tasks)
     client_listener.open()
     if components.lifecycle.draining:
@@ -281,42 +275,35 @@
 
 def start_predecessor(
     configuration: NodeConfiguration,
-    rendezvous: Rendezvous,
+    rendezvous: Rendezvous | None,
     client_listener: ClientListener,
     components: NodeComponents,
     tasks: TaskGroup,
 ) -> None:
-    """Wait for a process of this node that is to follow this one."""
-    predecessor = Predecessor(
-        configuration,
-        rendezvous,
-        components.lifecycle,
-        components.balancer_actor,
-        components.connections,
-        client_listener,
-        components.descriptors,
-        components.counters,
-    )
-    tasks.start_soon(predecessor.run)
+    """Wait for a successor, unless this node has no place to meet one."""
+    if rendezvous is not None:
+        tasks.start_soon(Predecessor(configuration, rendezvous, client_listener, components).run)
 
 
 def build_shutdown(
     client_listener: ClientListener, components: NodeComponents, tasks: TaskGroup
 ) -> GracefulShutdown:
-    """Make what ends the node."""
+    """Make what stops the node gracefully."""
     return GracefulShutdown(
         components.lifecycle, components.connections, components.drainer, client_listener, tasks
     )
 
 
-def announce_ready(configuration: NodeConfiguration, listener: Listener, components: NodeComponents) -> None:
-    """Tell operators, waiting clients and the log that the node serves."""
+def announce_ready(
+    configuration: NodeConfiguration, address: tuple[str, int], components: NodeComponents
+) -> None:
+    """Make operators, waiting clients and the log aware that the node serves."""
     components.lifecycle.ready = True
     components.ready.set()
     log.info(
         "serving",
         node=configuration.name,
-        listen=listener.address,
+        listen=address,
         upstreams=len(components.balancer_actor.upstreams.actors),
         passes_through=configuration.passes_through,
     )
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -17,17 +17,17 @@
     from anyio.abc import TaskGroup
 
     from larchlatch.config.node import NodeConfiguration
-    from larchlatch.node.runtime import NodeComponents
+    from larchlatch.node.components import NodeComponents
     from larchlatch.node.shutdown import GracefulShutdown
 
-# Each has its handler before the first session is taken: by default a process ends at them.
+# They are handled from before the first session on, as by default a process ends when it receives one.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 log = structlog.get_logger()
 
 
 class SignalHandler:
-    """Handles signals one after the other."""
+    """Handles signals, each completely before the next one."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
         shutdown: GracefulShutdown,
         tasks: TaskGroup,
     ) -> None:
-        self._configuration = configuration  # what the node goes by now
+        self._configuration = configuration  # which is in force now
         self._path = path  # of the configuration file
         self._components = components
         self._shutdown = shutdown
