--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -1,14 +1,16 @@
-"""Attempts: one try each to establish a session at an upstream."""
+"""Attempts to establish sessions at one upstream."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
 import structlog
 
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.messages import AttemptFinished, LoadReported, Post, SessionAdopted
+from larchlatch.node.fault_barrier import FaultBarrier
+from larchlatch.node.messages import AttemptFinished, LoadReported, SessionAdopted
 from larchlatch.node.session_record import Delivered, Failed
 from larchlatch.node.wire import lines as wire
 from larchlatch.node.wire.stream import Ending, Lines, Unconnected, dial, lines_of, written
@@ -17,53 +19,68 @@
 if TYPE_CHECKING:
     import socket
 
-    from larchlatch.config.upstream import UpstreamSettings
-    from larchlatch.node.descriptor_budget import DescriptorBudget
-    from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
-    from larchlatch.node.upstream_target import UpstreamTarget
+    from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-TRANSIT_US = 20_000  # a line is under way to another zone for less than this
-DESCRIPTOR_RETRY_S = 0.005  # pause before the next look for a descriptor, while all are held
+TRANSIT_US = 20_000  # upper bound of the time that a line takes to an upstream in another zone
+DESCRIPTOR_RETRY_S = 0.005  # pause before the next look for a descriptor while none is free
 
 # Outcomes with which the connection has passed to the client's side.
 CONNECTION_DELIVERED = frozenset({Outcome.ESTABLISHED, Outcome.COMPLETED})
 
-# Counters.
-ATTEMPT_OUTCOME = "attempt_{outcome}"
-NOT_BEGUN_CLIENT_GONE = "attempt_not_begun_client_gone"
-NOT_BEGUN_UPSTREAM_DRAINING = "attempt_not_begun_upstream_draining"
-NOT_BEGUN_TOO_LATE = "attempt_not_begun_too_late"
-NOT_BEGUN_DEDUP_WINDOW_OVER = "attempt_not_begun_dedup_window_over"
-
 log = structlog.get_logger()
 
 
+class AttemptCounter(StrEnum):
+    """Names of the counters of attempts: one for each outcome, and one for each reason not to send one."""
+
+    ESTABLISHED = "attempt_established"
+    COMPLETED = "attempt_completed"
+    REJECTED = "attempt_rejected"
+    CONNECT_FAILED = "attempt_connect_failed"
+    NOT_SENT = "attempt_not_sent"
+    ERROR = "attempt_error"
+    TIMED_OUT = "attempt_timed_out"
+    RESET = "attempt_reset"
+    CANCELLED = "attempt_cancelled"
+    FAILED = "attempt_failed"
+    NOT_BEGUN_CLIENT_GONE = "attempt_not_begun_client_gone"
+    NOT_BEGUN_UPSTREAM_DRAINING = "attempt_not_begun_upstream_draining"
+    NOT_BEGUN_TOO_LATE = "attempt_not_begun_too_late"
+    NOT_BEGUN_DEDUP_WINDOW_OVER = "attempt_not_begun_dedup_window_over"
+
+
+COUNTER_BY_OUTCOME = {
+    Outcome.ESTABLISHED: AttemptCounter.ESTABLISHED,
+    Outcome.COMPLETED: AttemptCounter.COMPLETED,
+    Outcome.REJECTED: AttemptCounter.REJECTED,
+    Outcome.CONNECT_FAILED: AttemptCounter.CONNECT_FAILED,
+    Outcome.NOT_SENT: AttemptCounter.NOT_SENT,
+    Outcome.ERROR: AttemptCounter.ERROR,
+    Outcome.TIMED_OUT: AttemptCounter.TIMED_OUT,
+    Outcome.RESET: AttemptCounter.RESET,
+    Outcome.CANCELLED: AttemptCounter.CANCELLED,
+}
+
+
 class Attempts:
     """Runs the attempts at one upstream.
 
-    It owns each attempt's socket and descriptor until the outcome is one of CONNECTION_DELIVERED; from then
-    on the one who takes the final answer does.
+    It owns the socket and the descriptor of each attempt until the outcome is one of CONNECTION_DELIVERED.
+    From then on they belong to whoever takes the session's final answer.
 
     Attributes:
         in_flight: how many attempts are under way.
 
     """
 
-    def __init__(
-        self,
-        target: UpstreamTarget,
-        settings: UpstreamSettings,
-        descriptors: DescriptorBudget,
-        counters: Counters,
-        post: Post,
-    ) -> None:
+    def __init__(self, target: UpstreamTarget, context: UpstreamContext) -> None:
         self.in_flight = 0
         self._target = target
-        self._settings = settings
-        self._descriptors = descriptors
-        self._counters = counters
-        self._post = post
+        self._settings = context.settings
+        self._descriptors = context.descriptors
+        self._counters = context.counters
+        self._post = context.post
 
     async def run(self, record: SessionRecord, give_up_at: int) -> None:
         """Make one attempt and report its outcome.
@@ -77,13 +94,13 @@
         outcome = Outcome.NOT_SENT
         if self._may_send(record, give_up_at):
             outcome = await self._attempt_cancellable(record, give_up_at)
-        self._counters.add(ATTEMPT_OUTCOME.format(outcome=outcome.name.lower()))
+        self._counters.add(COUNTER_BY_OUTCOME[outcome])
         log.debug(
             "attempt_finished",
             upstream=self._target.name,
             key=record.opening.key,
             outcome=outcome.name,
-            us=now_us() - started_at,
+            duration_us=now_us() - started_at,
         )
         await self._report(record, outcome)
 
@@ -97,22 +114,21 @@
             record.set_final_answer(Failed())
 
     async def _attempt_cancellable(self, record: SessionRecord, give_up_at: int) -> Outcome:
-        """Make one attempt that the record's scope can cancel."""
+        """Make one attempt that can be cancelled by the record's scope."""
         outcome = Outcome.CANCELLED
         self.in_flight += 1
         with anyio.CancelScope() as scope:
             record.attempt_scope = scope
-            try:
+            with FaultBarrier(self._counters, AttemptCounter.FAILED, "attempt_failed") as barrier:
                 outcome = await self._attempt(record, give_up_at)
-            except Exception:  # a fault costs this attempt alone, not the node and its sessions
-                outcome = Outcome.ERROR  # how far it had come is not known: it may have run
-                log.exception("attempt_failed")
+            if barrier.caught:
+                outcome = Outcome.ERROR  # it is not known how far the attempt had come: it may have run
         record.attempt_scope = None
         self.in_flight -= 1
         return outcome
 
     async def _attempt(self, record: SessionRecord, give_up_at: int) -> Outcome:
-        # Without a descriptor nothing has left this node: another attempt may follow in any traffic class.
+        # Without a descriptor nothing has been sent: another attempt may follow in any traffic class.
         if not await self._take_descriptor(self._connect_s(give_up_at)):
             return Outcome.NOT_SENT
         delivered = False
@@ -128,11 +144,11 @@
         return min(self._settings.connect_timeout_us / 1e6, seconds_until(give_up_at))
 
     async def _take_descriptor(self, within_s: float) -> bool:
-        """Take a descriptor for one more connection; return whether one could be had in time."""
-        # A connection that makes way takes a moment to close: if this gave up at once, all attempts of a
-        # session would be spent within that moment.
+        """Reserve a descriptor for one more connection; return whether one became free in time."""
+        # An evicted connection takes a moment to close: giving up at once would spend all attempts of a
+        # session within that moment.
         with anyio.move_on_after(within_s):
-            # The descriptor budget has no event of a descriptor given back, so this polls.
+            # The descriptor budget has no event for a descriptor that is released, so it is polled.
             while not self._descriptors.reserve(anyio.current_time()):  # noqa: ASYNC110
                 await anyio.sleep(DESCRIPTOR_RETRY_S)
             return True
@@ -150,7 +166,7 @@
 
     async def _request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> Outcome:
         """Send the session's request over a new connection and read the answer to it."""
-        # What was true at the decision may not be by now: connecting took time, and so did the event loop.
+        # What held at the decision may have changed while the connection was being established.
         if not self._may_send(record, give_up_at):
             sock.close()
             return Outcome.NOT_SENT
@@ -162,7 +178,7 @@
             outcome = await self._read_answer(record, connection)
             return outcome
         finally:
-            # An answer that comes after this finds the connection closed: it can never reach the client.
+            # A later answer must never reach the client, so the connection is closed.
             if outcome not in CONNECTION_DELIVERED:
                 await connection.close()
 
@@ -173,22 +189,22 @@
             self._counters.add(obstacle)
         return obstacle is None
 
-    def _obstacle(self, record: SessionRecord, give_up_at: int) -> str | None:
-        """Return the counter of what keeps an attempt from being sent now, or None."""
+    def _obstacle(self, record: SessionRecord, give_up_at: int) -> AttemptCounter | None:
+        """Return the counter of the reason why an attempt must not be sent now, or None."""
         now = now_us()
         if record.check_finished():
-            return NOT_BEGUN_CLIENT_GONE
+            return AttemptCounter.NOT_BEGUN_CLIENT_GONE
         if record.opening.established_upstream is None and not self._target.accepts_sessions:
-            return NOT_BEGUN_UPSTREAM_DRAINING
+            return AttemptCounter.NOT_BEGUN_UPSTREAM_DRAINING
         if now >= give_up_at:
-            return NOT_BEGUN_TOO_LATE
-        # By its arrival the upstream would no longer recognise it as a repeat.
+            return AttemptCounter.NOT_BEGUN_TOO_LATE
+        # When it arrives, the upstream would no longer recognise it as a repeat.
         if now + TRANSIT_US >= record.session.repeat_until:
-            return NOT_BEGUN_DEDUP_WINDOW_OVER
+            return AttemptCounter.NOT_BEGUN_DEDUP_WINDOW_OVER
         return None
 
     async def _send_request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> bool:
-        """Write the request line; return whether it was written whole: if not, it can't have run."""
+        """Write the request line; return whether all of it was written. Otherwise it can't have run."""
         whole = False
         try:
             whole = await written(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
@@ -198,7 +214,7 @@
         return whole
 
     async def _read_answer(self, record: SessionRecord, connection: Lines) -> Outcome:
-        """Read lines until one decides what has become of the request."""
+        """Read lines until one determines the outcome of the request."""
         while True:
             line = await connection.line()
             if line is Ending.TOO_LONG:
@@ -212,7 +228,7 @@
 
     @staticmethod
     def _outcome_of(answer: wire.UpstreamLine, record: SessionRecord, delivered: Delivered) -> Outcome:
-        """Return the outcome that an answer means, after giving it to a client that is to have it."""
+        """Return the outcome that an answer means; an answer for the client becomes its final answer."""
         match answer:
             case wire.Busy():
                 return Outcome.REJECTED
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -2,57 +2,51 @@
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
 import structlog
 
 from larchlatch.node.clock import now_us
-from larchlatch.node.messages import Post, ProbeFinished
+from larchlatch.node.messages import ProbeFinished
 from larchlatch.node.wire import lines as wire
 from larchlatch.node.wire.stream import Ending, Lines, Unconnected, connect
 
 if TYPE_CHECKING:
-    from larchlatch.config.upstream import UpstreamSettings
-    from larchlatch.node.descriptor_budget import DescriptorBudget
-    from larchlatch.node.metrics import Counters
-    from larchlatch.node.upstream_target import UpstreamTarget
+    from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-ANSWER_TIMEOUT_S = 0.4  # an answer takes a round trip; by then the next probe is nearly due
-
-# Counters.
-PROBE_ALREADY_RUNNING = "probe_already_running"
-PROBE_ANSWERED = "probe_answered"
-PROBE_FAILED = "probe_failed"
+ANSWER_TIMEOUT_S = 0.4  # for an answer, which takes a round trip; shorter than the time between two probes
 
 log = structlog.get_logger()
 
 
+class ProbeCounter(StrEnum):
+    """Names of the counters of probes."""
+
+    ALREADY_RUNNING = "probe_already_running"
+    ANSWERED = "probe_answered"
+    FAILED = "probe_failed"
+
+
 class Prober:
-    """Probes one upstream over a connection that it keeps from probe to probe, and owns."""
-
-    def __init__(
-        self,
-        target: UpstreamTarget,
-        settings: UpstreamSettings,
-        descriptors: DescriptorBudget,
-        counters: Counters,
-        post: Post,
-    ) -> None:
+    """Probes one upstream. It owns the connection, which it keeps from probe to probe."""
+
+    def __init__(self, target: UpstreamTarget, context: UpstreamContext) -> None:
         self._target = target
-        self._settings = settings
-        self._descriptors = descriptors
-        self._counters = counters
-        self._post = post
+        self._settings = context.settings
+        self._descriptors = context.descriptors
+        self._counters = context.counters
+        self._post = context.post
         self._running = False
         self._connection: Lines | None = None
 
     async def run(self) -> None:
         """Probe once and report the result; do nothing while a probe is under way."""
-        # Two at once would read from the one connection, which would end the node. An upstream that does not
-        # answer holds a probe for longer than others may want the next one: its result serves both.
+        # Two probes at once would read from the same connection, which raises an exception. A probe of an
+        # upstream that does not answer may last until the next one is ordered: its result serves both.
         if self._running:
-            self._counters.add(PROBE_ALREADY_RUNNING)
+            self._counters.add(ProbeCounter.ALREADY_RUNNING)
             return
         started_at = now_us()
         self._running = True
@@ -60,28 +54,28 @@
             report = await self.query()
         finally:
             self._running = False
-        await self._finish(report, us=now_us() - started_at)
+        await self._finish(report, duration_us=now_us() - started_at)
 
-    async def _finish(self, report: wire.Pong | None, *, us: int) -> None:
+    async def _finish(self, report: wire.Pong | None, *, duration_us: int) -> None:
         answered = report is not None
         utilization, session_count = report if report is not None else (None, None)
-        self._counters.add(PROBE_ANSWERED if answered else PROBE_FAILED)
+        self._counters.add(ProbeCounter.ANSWERED if answered else ProbeCounter.FAILED)
         log.debug(
             "probe_finished",
             upstream=self._target.name,
             answered=answered,
             utilization=utilization,
             session_count=session_count,
-            us=us,
+            duration_us=duration_us,
         )
         await self._post(ProbeFinished(self._target.number, answered, utilization, session_count))
 
     async def query(self) -> wire.Pong | None:
-        """Send one probe, connecting if need be; return the answer, or None if there is none."""
+        """Send one probe, after connecting if necessary; return the answer, or None if there is none."""
         if self._connection is not None:
             answer = await self._exchange(self._connection)
-            # A connection kept from the last probe may have died unseen: that says nothing of the upstream
-            # now, so a new one is tried.
+            # That a connection from an earlier probe has broken says nothing about the upstream now, so a
+            # new connection is tried.
             if not isinstance(answer, Ending):
                 return answer
         connection = await self._connect()
@@ -95,12 +89,12 @@
         if isinstance(connection, Unconnected):
             return None
         self._connection = connection
-        # Charged beside sessions and clients: many upstreams would use up the reserve.
+        # Charged to the budget: the connections of many upstreams would exceed its headroom.
         self._descriptors.lend(1)
         return connection
 
     async def _exchange(self, connection: Lines) -> wire.Pong | Ending | None:
-        """Probe over a connection, and give it up if the answer is not a report.
+        """Probe over a connection, and close it if the answer is not a report.
 
         Returns:
             The report; how the connection ended, if it did; None if the answer is late or not understood.
--- a/larchlatch/node/session_watch.py
+++ b/larchlatch/node/session_watch.py
@@ -1,43 +1,47 @@
-"""The watch on an upstream's established sessions: silence, delays of messages, and clients that stall."""
+"""Watches an upstream's established sessions for silence, delays of messages, and clients that stall."""
 
 from __future__ import annotations
 
 import statistics
 from collections import deque
+from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 import structlog
 
 from larchlatch.node.clock import now_us
-from larchlatch.node.messages import DelayObserved, Post, UpstreamUnresponsive
+from larchlatch.node.messages import DelayObserved, UpstreamUnresponsive
 
 if TYPE_CHECKING:
-    from larchlatch.config.upstream import UpstreamSettings
-    from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
-    from larchlatch.node.upstream_target import UpstreamTarget
-
-CHECK_INTERVAL_S = 0.25  # short against the silence that counts
-# A check that comes so long after the last one shows that this node was stopped, or had no processor.
-NODE_LAG_US = 500_000
-REPORT_INTERVAL_US = 1_000_000  # delays are reported once a second
-SILENCE_LIMIT_US = 1_500_000  # a session without an answer for so long migrates: sound ones get one at once
-CLIENT_STALL_LIMIT_US = 10_000_000  # a client that reads nothing for so long is cut off: sound ones read
-# No answer on any session for so long is reported at once: that is many round trips between zones.
-UNRESPONSIVE_US = 500_000
-DELAYS_KEPT = 256  # answers of the last second are looked at: more tell nothing new of their median
-REPORTED_SHARE = 3  # delays over a third of the strictest objective are reported
-
-# Counters.
-CLIENT_NOT_READING = "client_not_reading"
-DELAY_REPORTED = "delay_reported"
-UPSTREAM_NOT_JUDGED_NODE_LAG = "upstream_not_judged_node_lag"
-UPSTREAM_UNRESPONSIVE = "upstream_unresponsive"
+    from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
+
+CHECK_INTERVAL_S = 0.25  # short compared with the limits below
+REPORT_INTERVAL_US = 1_000_000  # between two reports of delays
+
+# Limits.
+UNRESPONSIVE_US = 500_000  # without an answer on any session, an upstream is reported: many round trips
+SILENCE_LIMIT_US = 1_500_000  # without an answer, a session migrates: upstreams in order answer at once
+CLIENT_STALL_LIMIT_US = 10_000_000  # without reading, a client is disconnected
+NODE_LAG_US = 500_000  # between two checks: this node was stopped, or had no processor time
+
+# Delays.
+DELAYS_KEPT = 256  # answers of one upstream: enough for their median over the report interval
+REPORTED_SHARE = 3  # a delay over one third of the strictest message objective is reported
 
 log = structlog.get_logger()
 
 
+class SessionWatchCounter(StrEnum):
+    """Names of the counters of watches on sessions."""
+
+    CLIENT_NOT_READING = "client_not_reading"
+    DELAY_REPORTED = "delay_reported"
+    NOT_JUDGED_NODE_LAG = "upstream_not_judged_node_lag"
+    UNRESPONSIVE = "upstream_unresponsive"
+
+
 class AnswerDelay(NamedTuple):
     """When a message was answered, and how long the answer took; both in microseconds."""
 
@@ -48,32 +52,26 @@
 class SessionWatch:
     """Watches the sessions that are established at one upstream.
 
-    It reads no socket itself: the relay of each session tells it what comes back.
+    It reads no socket: the relay of each session reports the lines that the upstream sends.
 
     Attributes:
         sessions: the established sessions by number; whoever relays a session adds and removes it.
 
     """
 
-    def __init__(
-        self,
-        target: UpstreamTarget,
-        settings: UpstreamSettings,
-        counters: Counters,
-        post: Post,
-    ) -> None:
+    def __init__(self, target: UpstreamTarget, context: UpstreamContext) -> None:
         self.sessions: dict[int, SessionRecord] = {}
         self._target = target
-        self._settings = settings
-        self._counters = counters
-        self._post = post
+        self._settings = context.settings
+        self._counters = context.counters
+        self._post = context.post
         self._delays: deque[AnswerDelay] = deque(maxlen=DELAYS_KEPT)
         self._reported_at = 0
         self._reported_slow = False
         self._line_received_at = 0  # on any of the sessions
         self._checked_at = now_us()
-        self._resumed_at = 0  # when this node went on after a lag of its own
-        self._suspects: set[int] = set()  # sessions that were over the limit of silence at the last check
+        self._resumed_at = 0  # when this node continued after it had been stopped
+        self._suspects: set[int] = set()  # sessions that exceeded the silence limit at the last check
 
     def line_received(self, record: SessionRecord) -> None:
         """Note that the upstream has sent a line on a session."""
@@ -110,28 +108,28 @@
             await self._report_delay(now)
 
     def _notice_node_lag(self, now: int) -> None:
-        # A node that was stopped has not read what upstreams answered meanwhile. It would take them all for
-        # unresponsive or slow, migrate their sessions and shed clients: but the silence was its own.
+        # A node that was stopped has not read what upstreams answered meanwhile. It would judge them all as
+        # unresponsive or slow, migrate their sessions and shed clients.
         if now > self._checked_at + NODE_LAG_US:
             self._resumed_at = self._checked_at = now
-            self._counters.add(UPSTREAM_NOT_JUDGED_NODE_LAG)
+            self._counters.add(SessionWatchCounter.NOT_JUDGED_NODE_LAG)
 
     def _waiting_since(self, record: SessionRecord) -> int:
-        """Return since when the upstream owes a session its answer."""
+        """Return since when a session waits for its upstream, less any time before this node was resumed."""
         return max(record.awaiting_answer_since, self._resumed_at)
 
     def _cut_off_stalled_clients(self, now: int) -> None:
-        # Such a client holds two descriptors and the memory of what waits for it.
+        # Such a client uses two descriptors, and memory for what waits to be sent to it.
         for record in self.sessions.values():
             stalled_since = record.client_stalled_since
             over_limit = stalled_since and now >= stalled_since + CLIENT_STALL_LIMIT_US
             if over_limit and not record.migration_requested.is_set():
-                self._counters.add(CLIENT_NOT_READING)
+                self._counters.add(SessionWatchCounter.CLIENT_NOT_READING)
                 record.migration_requested.set()
 
     def _migrate_silent_sessions(self, now: int, waiting: dict[int, SessionRecord]) -> None:
-        # An upstream that has vanished resets nothing: its sessions would stay open and silent for good. Each
-        # has to be over the limit at two checks: after a lag of this node, answers lie here unread.
+        # An upstream that has vanished resets nothing: its sessions would stay open and silent forever. Each
+        # has to exceed the limit at two checks, as answers may be unread here after this node was stopped.
         silent = {
             number
             for number, record in waiting.items()
@@ -153,17 +151,17 @@
             return
         self._reported_at = now
         self._reported_slow = True
-        self._counters.add(UPSTREAM_UNRESPONSIVE)
+        self._counters.add(SessionWatchCounter.UNRESPONSIVE)
         log.debug(
             "upstream_unresponsive",
             upstream=self._target.name,
-            us=now - oldest,
+            silent_us=now - oldest,
             sessions=len(self.sessions),
         )
         await self._post(UpstreamUnresponsive(self._target.number))
 
     async def _report_delay(self, now: int) -> None:
-        """Report what a message takes now: each second while that is long, and once when it is over."""
+        """Report the delay of messages: at each interval while it is long, and once when it no longer is."""
         if not self.sessions:
             return
         threshold_us = self._settings.strictest_message_objective_us // REPORTED_SHARE
@@ -176,18 +174,18 @@
         log.debug(
             "delay_observed",
             upstream=self._target.name,
-            us=delay_us,
+            delay_us=delay_us,
             answers=len(delays),
             waits=len(waits),
             sessions=len(self.sessions),
         )
         if delay_us > threshold_us or self._reported_slow:
             self._reported_slow = delay_us > threshold_us
-            self._counters.add(DELAY_REPORTED)
+            self._counters.add(SessionWatchCounter.DELAY_REPORTED)
             await self._post(DelayObserved(next(iter(self.sessions.values())), delay_us))
 
     def _pending_waits(self, now: int) -> list[int]:
-        """Return for how long each message has waited that has no answer yet, in microseconds."""
+        """Return for how long each message without an answer has waited, in microseconds."""
         return [
             now - self._waiting_since(record)
             for record in self.sessions.values()
--- a/larchlatch/node/upstream_actor.py
+++ b/larchlatch/node/upstream_actor.py
@@ -1,4 +1,4 @@
-"""The actor of one upstream: it carries out orders for attempts and probes, and watches sessions there."""
+"""The actor of one upstream: it makes attempts and probes as ordered, and watches the sessions there."""
 
 from __future__ import annotations
 
@@ -9,22 +9,24 @@
 from larchlatch.node.attempts import Attempts
 from larchlatch.node.probes import Prober
 from larchlatch.node.session_watch import SessionWatch
-from larchlatch.node.upstream_target import UpstreamTarget
 
 if TYPE_CHECKING:
     from anyio.abc import TaskGroup
 
-    from larchlatch.config.upstream import UpstreamSettings
-    from larchlatch.node.descriptor_budget import DescriptorBudget
-    from larchlatch.node.messages import Post
-    from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
+    from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-MAILBOX_CAPACITY = 4096  # orders: all clients of a node may come to one upstream at once
+MAILBOX_CAPACITY = 4096  # orders: all clients of a node may be placed on one upstream at once
 
 
 class StartAttempt(NamedTuple):
-    """Order: make one attempt for a session, which times out at `give_up_at` of the node's clock."""
+    """Order: make one attempt for a session.
+
+    Attributes:
+        record: the session.
+        give_up_at: when the attempt times out, in microseconds of the node's clock.
+
+    """
 
     record: SessionRecord
     give_up_at: int
@@ -38,32 +40,23 @@
 
 
 class UpstreamActor:
-    """Takes orders for one upstream; each runs in a task of its own.
+    """Carries out orders for one upstream, each in a separate task.
 
     Attributes:
         target: the upstream's name and address.
-        attempts: the attempts, which own their sockets.
-        prober: the probes, which own theirs.
-        session_watch: the established sessions; their relays own the sockets.
+        attempts: makes the attempts, and owns their sockets.
+        prober: makes the probes, and owns their connection.
+        session_watch: watches the established sessions, whose relays own the sockets.
         post: sends a message to the balancer actor.
 
     """
 
-    def __init__(
-        self,
-        number: int,
-        name: str,
-        address: tuple[str, int],
-        settings: UpstreamSettings,
-        descriptors: DescriptorBudget,
-        counters: Counters,
-        post: Post,
-    ) -> None:
-        self.target = UpstreamTarget(number, name, address)
-        self.attempts = Attempts(self.target, settings, descriptors, counters, post)
-        self.prober = Prober(self.target, settings, descriptors, counters, post)
-        self.session_watch = SessionWatch(self.target, settings, counters, post)
-        self.post = post
+    def __init__(self, target: UpstreamTarget, context: UpstreamContext) -> None:
+        self.target = target
+        self.attempts = Attempts(target, context)
+        self.prober = Prober(target, context)
+        self.session_watch = SessionWatch(target, context)
+        self.post = context.post
         self._sender, self._orders = anyio.create_memory_object_stream[Order](MAILBOX_CAPACITY)
 
     @property
@@ -72,16 +65,16 @@
         return self.target.name
 
     def follow(self, address: tuple[str, int], *, accepts_sessions: bool) -> None:
-        """Take over what the endpoint list says of the upstream."""
+        """Use the address and the state that the endpoint list now gives for the upstream."""
         self.target.address = address
         self.target.accepts_sessions = accepts_sessions
 
     def refuse_sessions(self) -> None:
-        """Begin no new attempts: the endpoint list no longer has the upstream."""
+        """Begin no new attempts, as the endpoint list no longer has the upstream."""
         self.target.accepts_sessions = False
 
     def offer(self, order: Order) -> bool:
-        """Put an order into the mailbox; return False if it is full, as the balancer actor never waits."""
+        """Put an order into the mailbox without waiting; return False if the mailbox is full."""
         try:
             self._sender.send_nowait(order)
         except anyio.WouldBlock:
--- a/larchlatch/node/upstream_registry.py
+++ b/larchlatch/node/upstream_registry.py
@@ -8,6 +8,7 @@
 
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 from larchlatch.policy.types import Endpoint, EndpointState
 
 if TYPE_CHECKING:
@@ -26,9 +27,9 @@
 
 
 class UpstreamRegistry:
-    """Follows the endpoint list, and has an actor for each upstream that the list ever named.
+    """Follows the endpoint list, and keeps an actor for each upstream that the list ever named.
 
-    An upstream that is gone keeps its number and its actor: sessions may still be established there.
+    An upstream that is gone keeps its number and its actor, as sessions may still be established there.
 
     Attributes:
         actors: the upstreams' actors by number.
@@ -45,16 +46,13 @@
     ) -> None:
         self.actors: dict[int, UpstreamActor] = {}
         self._zones = {name: number for number, name in enumerate(zones)}
-        self._settings = settings
-        self._descriptors = descriptors
-        self._counters = counters
-        self._post = post
+        self._context = UpstreamContext(settings, descriptors, counters, post)
         self._numbers: dict[str, int] = {}
-        self._entries: dict[str, EndpointEntry] = {}  # what the list last said of each
-        self._tasks: TaskGroup | None = None  # where actors run, once they do
+        self._entries: dict[str, EndpointEntry] = {}  # the last entry of each upstream
+        self._tasks: TaskGroup | None = None  # where actors run; None until `start`
 
     def start(self, tasks: TaskGroup) -> None:
-        """Run the actors in a task group, those that are known now and those that come later."""
+        """Run the actors in a task group: those that exist now, and those that are made later."""
         self._tasks = tasks
         for actor in self.actors.values():
             tasks.start_soon(actor.run)
@@ -77,8 +75,8 @@
         return [entry for entry in self._entries.values() if entry.state is EndpointState.READY]
 
     def update(self, endpoints: EndpointList) -> list[Endpoint]:
-        """Take over a list, or the changes to one; return what the balancer is to know of it."""
-        # An entry that can't be read says nothing: a whole list without it would have its upstream gone.
+        """Follow a complete list, or changes to it; return the endpoints that the balancer is to follow."""
+        # Without the known entry of an upstream whose new entry is unreadable, it would count as gone.
         kept = [self._entries[name] for name in endpoints.unreadable if name in self._entries]
         entries = [*endpoints.endpoints, *kept]
         for entry in entries:
@@ -103,15 +101,7 @@
         actor.follow(entry.address, accepts_sessions=entry.state is EndpointState.READY)
 
     def _create_actor(self, number: int, entry: EndpointEntry) -> UpstreamActor:
-        actor = UpstreamActor(
-            number,
-            entry.name,
-            entry.address,
-            self._settings,
-            self._descriptors,
-            self._counters,
-            self._post,
-        )
+        actor = UpstreamActor(UpstreamTarget(number, entry.name, entry.address), self._context)
         self.actors[number] = actor
         if self._tasks is not None:
             self._tasks.start_soon(actor.run)
--- a/tests/node/test_races.py
+++ b/tests/node/test_races.py
@@ -34,6 +34,7 @@
 from larchlatch.node.metrics import Counters
 from larchlatch.node.session_record import Delivered, Failed, SessionRecord
 from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 from larchlatch.node.wire import lines as say
 from larchlatch.node.wire import stream
 from larchlatch.node.wire.stream import Unconnected
@@ -282,7 +283,8 @@
         self.counters = Counters()
         reach = UpstreamSettings(250_000, False, False, 0)
         self.upstream_actor = UpstreamActor(
-            0, "s-0", (name, int(port)), reach, self.descriptors, self.counters, self.post
+            UpstreamTarget(0, "s-0", (name, int(port))),
+            UpstreamContext(reach, self.descriptors, self.counters, self.post),
         )
 
     async def post(self, word: Message) -> None:
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -12,11 +12,13 @@
 from anyio.abc import SocketStream, TaskGroup
 
 from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.node import session_watch, upstream_actor
+from larchlatch.node import session_watch
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.discovery import DiscoveryClient
 from larchlatch.node.messages import EndpointsChanged, Message, ProbeFinished
 from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 from tests.support.clients import CLIENT_IDS, connect, open_session, read_to_end
 from tests.support.configuration import endpoint_row, node_configuration
 from tests.support.loopback import port_of, run_on_loopback, wait_until
@@ -208,8 +210,9 @@
             pass
 
         upstream_settings = UpstreamSettings(250_000, False, False, 0)
-        upstream = upstream_actor.UpstreamActor(
-            0, "s-0", ("127.0.0.1", port_of(listener)), upstream_settings, descriptors, Counters(), post
+        upstream = UpstreamActor(
+            UpstreamTarget(0, "s-0", ("127.0.0.1", port_of(listener))),
+            UpstreamContext(upstream_settings, descriptors, Counters(), post),
         )
         free = descriptors.free
         assert await upstream.prober.query() is not None and descriptors.free == free - 1
@@ -229,14 +232,9 @@
             posted.append(message)
 
         upstream_settings = UpstreamSettings(250_000, False, False, 0)
-        upstream = upstream_actor.UpstreamActor(
-            0,
-            "s-0",
-            ("127.0.0.1", port_of(listener)),
-            upstream_settings,
-            DescriptorBudget(100),
-            Counters(),
-            post,
+        upstream = UpstreamActor(
+            UpstreamTarget(0, "s-0", ("127.0.0.1", port_of(listener))),
+            UpstreamContext(upstream_settings, DescriptorBudget(100), Counters(), post),
         )
         await upstream.prober.run()
         async with anyio.create_task_group() as both:
