--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -1,14 +1,16 @@
-"""The admin API: HTTP/1.1, one call to a connection. It reads and changes nothing but the lifecycle state."""
+"""The admin API: HTTP/1.1 with one call for each connection. It reads and changes the lifecycle state."""
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from enum import StrEnum
+from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
 import h11
 import orjson
 import structlog
 
+from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.wire.http import next_event
 from larchlatch.node.wire.listen import AcceptError, Listener, stream_of
 from larchlatch.node.wire.stream import GONE, Ending, Lines
@@ -21,30 +23,37 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-BACKLOG = 64  # callers that wait to be accepted
-MAX_CALLERS = 16  # calls at once: each holds a descriptor, so the oldest makes way for the next
-CALL_TIMEOUT_S = 5.0  # seconds for a whole call: a caller that sends nothing holds nothing for longer
+BACKLOG = 64  # connections that wait to be accepted
+MAX_CALLERS = 16  # at once, as each uses a descriptor: beyond it the oldest caller is evicted
+CALL_TIMEOUT_S = 5.0  # for a whole call, its response included
 MAX_HEAD_BYTES = 8192  # of a call's head
-MAX_BODY_BYTES = 4096  # of a call's body, which has no meaning here
-READ_BYTES = 4096  # bytes read at a time
-ACCEPT_RETRY_S = 0.02  # seconds before the next try after a connection could not be accepted
-
-# Counters.
-CALLER_EVICTED = "admin_caller_evicted"  # the oldest caller made way for a new one
-CALL_UNFINISHED = "admin_call_unfinished"  # evicted, or not complete within its time
-CALL_ERROR = "admin_call_error"  # a fault of the node while it answered
-RESPONSE = "admin_response_{status}"  # responses by HTTP status
+MAX_BODY_BYTES = 4096  # of a call's body, which is ignored
+READ_BYTES = 4096  # read at a time
+ACCEPT_RETRY_S = 0.02  # pause after a connection could not be accepted
 
 log = structlog.get_logger()
 
 
+class AdminCounter(StrEnum):
+    """Names of the counters of the admin API."""
+
+    CALLER_EVICTED = "admin_caller_evicted"  # the oldest caller was ended for a new one
+    CALL_UNFINISHED = "admin_call_unfinished"  # evicted, or not complete within CALL_TIMEOUT_S
+    CALL_ERROR = "admin_call_error"  # a fault of the node while it answered
+
+
+def response_counter(status: int) -> str:
+    """Return the name of the counter of responses with an HTTP status."""
+    return f"admin_response_{status}"
+
+
 class Reply(NamedTuple):
     """The response to a call.
 
     Attributes:
         status: the HTTP status.
         body: sent as JSON.
-        headers: sent beside those that each response has.
+        headers: sent besides those of every response.
 
     """
 
@@ -54,7 +63,7 @@
 
 
 class Route(NamedTuple):
-    """What a path does, and by which method it is called."""
+    """The HTTP method of a path, and what a call of it does."""
 
     method: str
     handler: Callable[[], Reply]
@@ -65,7 +74,7 @@
 
     Args:
         lifecycle: the node's lifecycle state.
-        drain: begins to send clients away, once the state says so.
+        drain: starts to release sessions, called once the state is draining.
         counters: where calls are counted.
 
     """
@@ -98,33 +107,30 @@
             scope = anyio.CancelScope()
             self._callers[scope] = None
             tasks.start_soon(self._serve, await stream_of(sock), scope)
-            # A crowd that waits to be accepted must not keep those from being served who are accepted.
+            # While many callers wait to be accepted, the accepted ones have to be served too.
             await anyio.lowlevel.checkpoint()
 
     def _evict_oldest(self) -> None:
         oldest = next(iter(self._callers))
         del self._callers[oldest]
         oldest.cancel()
-        self._counters.add(CALLER_EVICTED)
+        self._counters.add(AdminCounter.CALLER_EVICTED)
 
     async def _serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
         """Serve one connection, until its call is answered or its scope is cancelled."""
         connection = Lines(stream)
         try:
-            with scope:
+            with FaultBarrier(self._counters, AdminCounter.CALL_ERROR, "admin_call_error"), scope:
                 scope.deadline = anyio.current_time() + CALL_TIMEOUT_S
                 await self._answer(connection)
             if scope.cancelled_caught:
-                self._counters.add(CALL_UNFINISHED)
-        except Exception:  # a fault in one call must not end the node, which holds clients' sessions
-            self._counters.add(CALL_ERROR)
-            log.exception("admin_call_error")
+                self._counters.add(AdminCounter.CALL_UNFINISHED)
         finally:
             self._callers.pop(scope, None)
             await connection.close()
 
     async def _answer(self, connection: Lines) -> None:
-        """Read one call and send its response; nothing where the caller has left."""
+        """Read one call and send its response, unless the caller has left."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
             reply = await self._reply(http, connection)
@@ -132,12 +138,12 @@
             reply = Reply(error.error_status_hint, {"error": str(error)})
         if reply is None:
             return
-        self._counters.add(RESPONSE.format(status=reply.status))
+        self._counters.add(response_counter(reply.status))
         if await connection.send(encode_response(http, reply)):
             await connection.finish(Ending.END)
 
     async def _reply(self, http: h11.Connection, connection: Lines) -> Reply | None:
-        """Read one call to its end and carry it out; None where the caller has left before."""
+        """Read one call completely and carry it out; return None if the caller has left before."""
         request: h11.Request | None = None
         body_size = 0
         while (event := await receive_event(http, connection)) is not None:
@@ -157,19 +163,19 @@
         return None
 
     def _rejection(self, request: h11.Request) -> Reply | None:
-        """Return the response to a call whose head alone shows that it is wrong."""
+        """Return the response to a call that can be rejected by its head, or None."""
         route = self._routes.get(path_of(request))
         if route is None:
             return Reply(404, {"error": "no such call", "calls": sorted(self._routes)})
         if request.method.decode() != route.method:
             return Reply(405, {"error": f"this call is a {route.method}"}, (("Allow", route.method),))
         length = dict(request.headers).get(b"content-length", b"0")
-        if int(length) > MAX_BODY_BYTES:  # h11 has made sure that it is a whole number
+        if int(length) > MAX_BODY_BYTES:  # h11 has checked that it is a number
             return Reply(413, {"error": "the body is too large"})
         return None
 
     def _readiness(self) -> Reply:
-        # Readiness is of the process. A drained node is in order and only wants no clients.
+        # Readiness concerns the process: a drained node works, though no clients are sent to it.
         return Reply(200 if self._lifecycle.ready else 503, self._state())
 
     def _start_drain(self) -> Reply:
@@ -193,11 +199,11 @@
     return request.target.decode("latin-1").partition("?")[0]
 
 
-async def receive_event(http: h11.Connection, connection: Lines) -> Any:
-    """Return the next h11 event of a call; None where the connection is broken.
+async def receive_event(http: h11.Connection, connection: Lines) -> object | None:
+    """Return the next h11 event of a call; None if the connection is broken.
 
     Raises:
-        h11.RemoteProtocolError: the caller does not keep to HTTP/1.1.
+        h11.RemoteProtocolError: the caller violates HTTP/1.1.
 
     """
     try:
@@ -207,7 +213,7 @@
 
 
 def encode_response(http: h11.Connection, reply: Reply) -> bytes:
-    """Return head and body of a response after which the connection is closed."""
+    """Return the bytes of a response, after which the connection is closed."""
     body = orjson.dumps(reply.body) + b"\n"
     headers = [
         ("Content-Type", "application/json"),
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -19,6 +19,7 @@
 from larchlatch.node.decision_executor import DecisionExecutor
 from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.held_sessions import HeldSessions
+from larchlatch.node.hot_restart.packets import BalancerState
 from larchlatch.node.session_record import Failed, SessionRecord, Shed
 from larchlatch.node.status import upstream_rows
 from larchlatch.node.upstream_actor import StartProbe
@@ -41,7 +42,6 @@
 MIN_TIMER_US = 4_000  # shorter timers would wake the event loop for each of hundreds of held sessions
 RETRY_AFTER_FAULT_US = 100_000  # pause before the balancer is asked again after it has raised an exception
 UNKNOWN_UPSTREAM = -1  # for the balancer: an upstream that the endpoint list never named
-QUOTAS_KEY = "budgets"  # in the state that one process hands to the next; never to be renamed
 
 log = structlog.get_logger()
 
@@ -271,19 +271,17 @@
         revision = self._discovery.revision if self._discovery is not None else 0
         return self.upstreams.endpoint_list(revision)
 
-    def hand_over(self) -> dict[str, Any]:
+    def hand_over(self) -> BalancerState:
         """Stop placing new sessions, as the successor does so from now on; return the state that it needs."""
         self.balancer.release_slow_start_budget(released=True)
-        state = export_state(self.balancer)
-        quota_usage = self._cluster.hand_over()
-        return state if quota_usage is None else {**state, QUOTAS_KEY: quota_usage}
+        return BalancerState(export_state(self.balancer), self._cluster.hand_over())
 
     def resume(self) -> None:
         """Place new sessions again, as the successor has ended."""
         self.balancer.release_slow_start_budget(released=False)
         self._cluster.resume()
 
-    def restore(self, state: dict[str, Any], clock_shift_us: int) -> None:
+    def restore(self, state: BalancerState, clock_shift_us: int) -> None:
         """Go on from the predecessor's state; without what can't be read, the balancer learns it anew.
 
         Args:
@@ -292,10 +290,8 @@
 
         """
         try:
-            restore_state(self.balancer, state, clock_shift_us)
+            restore_state(self.balancer, state.learned, clock_shift_us)
         except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
             self._counters.add(BalancerCounter.RESTORED_STATE_UNREADABLE)
             log.warning("restored_state_unreadable", error=repr(error))
-        used = state.get(QUOTAS_KEY)
-        if isinstance(used, dict):
-            self._cluster.take_over({name: int(number) for name, number in used.items()})
+        self._cluster.take_over(state.quota_usage)
--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -1,7 +1,8 @@
-"""Accepts clients' connections for as long as it is open and the node has file descriptors."""
+"""Accepts clients' connections while it is open and file descriptors are free."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -18,14 +19,18 @@
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.wire.listen import Listener
 
-RETRY_S = 0.02  # before the next look when no descriptor is free or nothing could be accepted
+RETRY_S = 0.02  # pause after no descriptor was free or no connection could be accepted
 
-ACCEPT_PAUSED = "accept_paused"
-ACCEPT_FAILED = "accept_failed"
+
+class ListenerCounter(StrEnum):
+    """Names of the counters of the client listener."""
+
+    ACCEPT_PAUSED = "accept_paused"
+    ACCEPT_FAILED = "accept_failed"
 
 
 class ClientListener:
-    """Accepts connections and starts a task for each; it is made paused.
+    """Accepts connections and starts a task for each. It is paused until it is opened.
 
     Attributes:
         idle: set while nothing is being accepted.
@@ -58,7 +63,7 @@
         self._opened.set()
 
     def pause(self) -> None:
-        """Accept no more until it is opened again; clients wait in the backlog."""
+        """Accept no connections until it is opened again; clients wait in the backlog."""
         self._opened = anyio.Event()
         self._accept_scope.cancel()
 
@@ -76,12 +81,12 @@
             self.idle.set()
 
     async def close(self) -> None:
-        """Serve what the system has accepted, then close: clients that come later are refused."""
+        """Serve the connections that wait in the backlog, then close; later clients are refused."""
         self.pause()
-        # Closed while the event loop still waits on it, the socket would go on accepting, for nobody.
+        # Closed while the event loop still waits on it, the socket would continue to accept connections.
         await self.idle.wait()
         while (sock := self._listener.accept_nowait()) is not None:
-            # The connection's task gives it back. Short of descriptors or not: it is answered now or never.
+            # Reserved even if none is free, as this client must be answered now. The task releases it.
             self._descriptors.lend(1)
             self._tasks.start_soon(self._connections.serve, sock)
         self._listener.sock.close()
@@ -94,25 +99,25 @@
                 await anyio.sleep(RETRY_S)
                 continue
             self._start(sock)
-            # A crowd that waits must not keep those from work who have been accepted.
+            # While many clients wait to be accepted, the accepted ones have to be served too.
             await anyio.lowlevel.checkpoint()
 
     async def _take_descriptor(self) -> None:
         paused = False
         while not self._descriptors.reserve(anyio.current_time()):
-            # Clients that come now wait in the backlog, which costs nothing.
+            # Meanwhile clients wait in the backlog.
             if not paused:
                 paused = True
-                self._connections.counters.add(ACCEPT_PAUSED)
+                self._connections.counters.add(ListenerCounter.ACCEPT_PAUSED)
             await anyio.sleep(RETRY_S)
 
     async def _accept(self) -> socket.socket | None:
-        """Accept a connection; its descriptor is given back where there is none, also by cancellation."""
+        """Accept a connection; without one, also after cancellation, its descriptor is released."""
         sock = None
         try:
             sock = await self._listener.accept()
         except AcceptError:
-            self._connections.counters.add(ACCEPT_FAILED)
+            self._connections.counters.add(ListenerCounter.ACCEPT_FAILED)
         finally:
             if sock is None:
                 self._descriptors.release()
--- a/larchlatch/node/clock.py
+++ b/larchlatch/node/clock.py
@@ -1,11 +1,10 @@
-"""The node's clock: whole microseconds that never run back, close to Unix time."""
+"""The node's clock: whole microseconds close to Unix time, which never run backwards."""
 
 from __future__ import annotations
 
 import time
 
-# Unix time minus the monotonic clock. Read once: a wall clock that is set anew while the node runs must not
-# move a timeout.
+# Unix time minus the monotonic clock. It is read once: setting the wall clock must not move a timeout.
 UNIX_OFFSET_US = (time.time_ns() - time.monotonic_ns()) // 1000
 
 
@@ -15,5 +14,5 @@
 
 
 def seconds_until(at_us: int) -> float:
-    """Return the seconds until a time of this clock, and 0.0 where it is past."""
+    """Return the seconds until a time of this clock, or 0.0 if it is past."""
     return max(0.0, (at_us - now_us()) / 1e6)
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -1,6 +1,6 @@
-"""The file descriptors that the node may hold, and which idle connection is evicted when they run short.
+"""The file descriptors that the node may have open, and which idle connection is evicted if none is free.
 
-It decides only, without I/O. Times are seconds of one monotonic clock, passed in by the caller.
+No I/O. Times are seconds of one monotonic clock, which the caller passes in.
 """
 
 from __future__ import annotations
@@ -10,21 +10,19 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Descriptors kept out of the budget: for the event loop, the log, the listener, discovery, and probes of a
-# fleet of the first size.
-HEADROOM = 48
-IDLE_DIVISOR = 3  # idle connections may hold one part in so many; sessions and upstreams have the others
-MIN_IDLE_CONNECTIONS = 8  # may be held however few descriptors there are
-MAX_FRAGMENTS = 3  # fragments of a line after which a further one no longer protects its client
+HEADROOM = 48  # descriptors outside of the budget: event loop, log, listeners, discovery, hot restart
+IDLE_DIVISOR = 3  # idle connections may use one part in this many of the budget
+MIN_IDLE_CONNECTIONS = 8  # may be open however small the budget is
+MAX_FRAGMENTS = 3  # further fragments of a line no longer make the eviction of its client later
 
 
 class IdleConnection:
-    """A client's connection that holds a descriptor and has no session yet.
+    """A client's connection that has no session yet.
 
     Attributes:
         evict: ends the connection.
-        fragments: the fragments received of a line that is not complete, `MAX_FRAGMENTS` at most.
-        last_received_at: when it connected or last sent something, in seconds.
+        fragments: how many fragments of an incomplete line were received, at most `MAX_FRAGMENTS`.
+        last_received_at: when the client connected or last sent something, in seconds.
 
     """
 
@@ -35,15 +33,15 @@
 
 
 class DescriptorBudget:
-    """Counts descriptors in use and evicts idle connections where none is free.
+    """Counts the descriptors in use, and evicts an idle connection if none is free.
 
     Args:
-        max_descriptors: what the process may hold in all; `HEADROOM` of these stay out of the budget.
+        max_descriptors: how many the process may have open; `HEADROOM` of them are not part of the budget.
 
     Attributes:
         capacity: descriptors that may be in use.
         free: descriptors that may still be reserved; negative after more were lent than were free.
-        idle_limit: idle connections that may be held.
+        idle_limit: how many idle connections may be open.
 
     """
 
@@ -51,7 +49,7 @@
         self.capacity = max(2, max_descriptors - HEADROOM)
         self.free = self.capacity
         self.idle_limit = max(MIN_IDLE_CONNECTIONS, self.capacity // IDLE_DIVISOR)
-        # By number of fragments; each in the order in which they last sent something.
+        # A group for each number of fragments, ordered by the time of the last fragment.
         self._idle_by_fragments: list[dict[IdleConnection, None]] = [{} for _ in range(MAX_FRAGMENTS + 1)]
 
     @property
@@ -61,29 +59,29 @@
 
     @property
     def scarce(self) -> bool:
-        """Whether sessions may soon need the descriptors that idle connections hold."""
+        """Whether sessions may soon need the descriptors of idle connections."""
         return self.free < self.capacity // IDLE_DIVISOR
 
     def reserve(self, now: float) -> bool:
-        """Reserve one descriptor, if need be by evicting an idle connection; False where none is left."""
+        """Reserve a descriptor, if necessary by evicting an idle connection; return False if none is left."""
         if self.free <= 0 and not self.evict_idle(now):
             return False
         self.free -= 1
         return True
 
     def release(self) -> None:
-        """Give one reserved descriptor back."""
+        """Release one reserved descriptor."""
         self.free += 1
 
     def lend(self, count: int) -> None:
-        """Move capacity to another process of this node; a negative count moves it back."""
+        """Move capacity to another process of this node, or back by a negative count."""
         self.capacity -= count
         self.free -= count
 
     def add_idle(self, connection: IdleConnection, now: float) -> None:
         """Add a connection that may be evicted until it is removed again."""
-        # A crowd that sends nothing would otherwise shut out sound clients. A client that sends its line at
-        # once is never evicted.
+        # Otherwise many clients that send nothing would leave no descriptor for others. A client that sends
+        # its line at once is never evicted.
         if sum(map(len, self._idle_by_fragments)) >= self.idle_limit:
             self.evict_idle(now)
         self._idle_by_fragments[0][connection] = None
@@ -91,29 +89,29 @@
     def record_received(
         self, connection: IdleConnection, now: float, *, is_complete_line: bool = False
     ) -> None:
-        """Note that a connection has sent a fragment of a line, or a complete line that opens no session."""
+        """Record that a fragment of a line, or a complete line that opens no session, was received."""
         if self.remove_idle(connection):
             connection.fragments = 0 if is_complete_line else min(MAX_FRAGMENTS, connection.fragments + 1)
             connection.last_received_at = now
             self._idle_by_fragments[connection.fragments][connection] = None
 
     def remove_idle(self, connection: IdleConnection) -> bool:
-        """Remove a connection that opens a session or has ended; False where it was evicted before."""
+        """Remove a connection that opens a session or has ended; return False if it was evicted before."""
         group = self._idle_by_fragments[connection.fragments]
         was_idle = connection in group
         group.pop(connection, None)
         return was_idle
 
     def evict_idle(self, now: float) -> bool:
-        """Evict the connection that has been silent for longest; False where there is none.
+        """Evict the connection that has been silent for the longest time; return False if there is none.
 
-        Its descriptor is released a moment later, when its task has closed it.
+        Its descriptor is released later, once the connection's task has closed it.
         """
         candidates = [next(iter(group)) for group in self._idle_by_fragments if group]
         if not candidates:
             return False
 
-        # A sound client may be slow, but goes on: each fragment of its line halves its silence.
+        # A slow client in order continues to send: each fragment of its line halves its silence.
         def weighted_silence(connection: IdleConnection) -> float:
             silence_s = now - connection.last_received_at
             return silence_s / (1 << connection.fragments)
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -1,7 +1,8 @@
-"""Follows the endpoint list: a watch on its changes, opened anew whenever it ends, with backoff."""
+"""Follows the endpoint list by a watch on its changes, which is opened again with backoff when it ends."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -9,6 +10,7 @@
 import structlog
 
 from larchlatch.errors import InvalidInputError
+from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.messages import DiscoveryFailed, EndpointsChanged, Post
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import CallTimeouts, DiscoveryRefusedError, EndpointUpdate, Watch
@@ -20,52 +22,49 @@
 
 PATH = "/catalog/members"
 
-# A change counts as known to this node 6 s after discovery had it and could be reached. In the worst case it
-# comes right after a call has begun that fails: the next call follows MAX_CYCLE_S after that beginning at the
-# latest and takes connect_s to connect. What remains of the 6 s is for this node's own lateness.
-#
-# A sound watch sends something complete every 2 s and may be a little late; a watch that is silent for longer
-# counts as broken.
-WATCH_SILENCE_S = 2.6  # seconds
-MAX_CYCLE_S = 4.0  # seconds from the last progress, or from the beginning of a call without any, to the next
-
-# Where changes are pushed, discovery is an agent on this machine: it answers at once, and calls cost nothing.
-# What the agent has counts as known whether or not a watch is open: an upstream may drain in the instant in
-# which a watch breaks or the agent comes back. A call that it does not answer at once will not be answered,
-# so the next one follows right away: answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S lie within the grace that
-# a drain leaves.
+# Both kinds of discovery. A change counts as known to this node 6 s after discovery had it and could be
+# reached. In the worst case it comes right after a failing call has begun: the next call begins at most
+# MAX_CYCLE_S after that one, and needs connect_s. The rest of the 6 s allows for delays in this node.
+WATCH_SILENCE_S = 2.6  # a watch sends a keep-alive every 2 s; if silent for longer it counts as broken
+MAX_CYCLE_S = 4.0  # from the last progress, or from the start of a call without progress, to the next call
+
+# Discovery that pushes changes: an agent on this machine, which answers at once and serves this node alone.
+# What it has counts as known at once, whether or not a watch is open, so a call without an answer is repeated
+# soon: answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S are shorter than the grace period of a drain.
 AGENT_TIMEOUTS = CallTimeouts(connect_s=0.12, answer_s=0.12, silence_s=WATCH_SILENCE_S)
-MAX_AGENT_PAUSE_S = 0.05  # seconds before an agent is called again: it serves this node alone
+MAX_AGENT_PAUSE_S = 0.05  # longest pause before an agent is called again
 
-# Otherwise discovery is one service for all nodes: calls wait for their turn there, and pauses double up to
-# MAX_CYCLE_S.
+# Discovery that is polled: one service for all nodes, where calls queue. Pauses double up to MAX_CYCLE_S.
 SERVICE_TIMEOUTS = CallTimeouts(connect_s=0.5, answer_s=WATCH_SILENCE_S, silence_s=WATCH_SILENCE_S)
-FIRST_SERVICE_PAUSE_S = 0.5  # seconds, the longest first pause; also before an agent that refuses is called
+FIRST_SERVICE_PAUSE_S = 0.5  # longest first pause, also before a call of an agent that has refused one
 
-# What a call ends with when discovery is out of reach, or stops in the middle of its answer.
+# How a call ends if discovery can't be reached, or breaks off its answer.
 CONNECTION_FAILURES = (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.RemoteProtocolError)
 
-# Counters.
-ENDPOINT_LIST_FULL = "endpoint_list_full"  # whole lists that were received
-ENDPOINT_LIST_CHANGE = "endpoint_list_change"  # changes to the list that were received
-ENDPOINT_LIST_INVALID = "endpoint_list_invalid"  # answers that were no endpoint list
-ENDPOINT_LIST_WENT_BACK = "endpoint_list_went_back"  # changes with a lower revision than the one before
-ENDPOINT_ENTRY_INVALID = "endpoint_entry_invalid"  # entries of lists that could not be read
-DISCOVERY_CALL_FAILED = "discovery_call_failed"  # no connection or answer, a refusal, a watch that ended
-
 log = structlog.get_logger()
 
 
+class DiscoveryCounter(StrEnum):
+    """Names of the counters of the discovery client."""
+
+    LIST_FULL = "endpoint_list_full"  # complete lists that were received
+    LIST_CHANGE = "endpoint_list_change"  # changes to the list that were received
+    LIST_INVALID = "endpoint_list_invalid"  # answers that were no endpoint list
+    LIST_WENT_BACK = "endpoint_list_went_back"  # changes with a lower revision than the one before
+    ENTRY_INVALID = "endpoint_entry_invalid"  # entries of lists that could not be read
+    CALL_FAILED = "discovery_call_failed"  # no connection or answer, a refusal, or a watch that ended
+
+
 class EndpointSource:
     """An address of discovery with the state of the list that was received from there.
 
-    A call keeps the source that it began with. When the address changes during the call, what still comes in
-    can only alter the state of the old one.
+    A call keeps the source that it began with: if the address changes during the call, what is still received
+    changes only the state of the former source.
 
     Attributes:
         address: host and port.
         revision: the revision up to which the list is known.
-        needs_full_list: whether the next call has to fetch the whole list before it watches.
+        needs_full_list: whether the next call has to fetch the complete list before it watches.
 
     """
 
@@ -78,12 +77,12 @@
 class DiscoveryClient:
     """Follows the endpoint list and posts each update to the balancer actor.
 
-    It begins at once where the deployment settings say that changes are pushed, otherwise when `start` is
-    called. From then on it keeps a watch open for as long as the node lives.
+    It begins at once if the deployment settings say that changes are pushed, otherwise once `start` was
+    called. From then on it keeps a watch open for as long as the node runs.
 
     Args:
         address: host and port of discovery.
-        revision: the revision of the list that the node holds already.
+        revision: the revision of the list that the node already has.
         pushed: whether discovery is an agent that pushes changes; otherwise it is a shared service.
         counters: where calls and updates are counted.
         post: sends a message to the balancer actor.
@@ -140,26 +139,25 @@
 
     def change_address(self, address: tuple[str, int]) -> None:
         """Follow the list at another address from now on; the present call is cancelled."""
-        # The revisions there need not continue the ones here, and an upstream that the new list lacks would
-        # stay: the whole list is fetched first.
+        # Revisions at the new address may be unrelated to those known here, and by changes alone an upstream
+        # that the new list lacks would stay. So the complete list is fetched first.
         self.source = EndpointSource(address, revision=0, needs_full_list=True)
         self.max_pause_s = FIRST_SERVICE_PAUSE_S
         if self._call_scope is not None:
             self._call_scope.cancel()
 
     async def run(self) -> None:
-        """Call discovery again and again, with a pause after each call, until cancelled."""
+        """Call discovery repeatedly, with a pause after each call, until cancelled."""
         await self._started.wait()
         while True:
-            # Only `change_address` cancels this scope, also during the pause: the new address is called at
-            # once.
+            # Only `change_address` cancels this scope, also in the pause, to call the new address at once.
             with anyio.CancelScope() as self._call_scope:
                 await self._call(self.source)
                 await self._post(DiscoveryFailed())
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
-        """Draw the pause before the next call, in seconds; doubles the bound of the one after it.
+        """Draw the pause before the next call in seconds, and double the bound of the one after it.
 
         Args:
             now: seconds of `anyio.current_time`.
@@ -167,34 +165,30 @@
         """
         if self._pushed and not self.refused:
             return self._uniform(0, MAX_AGENT_PAUSE_S)
-        # All nodes lose a shared service at the same time. Without a random pause they would go on calling
-        # it at the same time.
+        # All nodes lose a shared service at the same time, and would call it again at the same time.
         pause_s = self._uniform(0, self.max_pause_s)
         self.max_pause_s = min(MAX_CYCLE_S, 2 * self.max_pause_s)
         return max(0.0, min(pause_s, self.last_progress_at + MAX_CYCLE_S - now))
 
     async def _call(self, source: EndpointSource) -> None:
-        """Follow the list by one call until it ends, and record how it ended."""
+        """Follow the list by one call until the call ends, and record how it ended."""
         self.last_progress_at, self.refused = anyio.current_time(), False
-        try:
-            await self._follow(source)
-        except DiscoveryRefusedError as error:
-            self.refused = True
-            self._record_failure(error)
-        except InvalidInputError as error:
-            # The node goes on with the list that it has. Discovery was there and answered: the next answer
-            # is no better for being asked for at once.
-            self.refused = True
-            self._counters.add(ENDPOINT_LIST_INVALID)
-            log.warning("endpoint_list_invalid", reason=str(error))
-        except CONNECTION_FAILURES as error:
-            self._record_failure(error)
-        except Exception:  # a fault in this code must not end the node, which serves by the list it has
-            self._counters.add(DISCOVERY_CALL_FAILED)
-            log.exception("discovery_call_error")
+        with FaultBarrier(self._counters, DiscoveryCounter.CALL_FAILED, "discovery_call_error"):
+            try:
+                await self._follow(source)
+            except DiscoveryRefusedError as error:
+                self.refused = True
+                self._record_failure(error)
+            except InvalidInputError as error:
+                # Discovery could be reached, and would probably answer the same if it were called at once.
+                self.refused = True
+                self._counters.add(DiscoveryCounter.LIST_INVALID)
+                log.warning("endpoint_list_invalid", reason=str(error))
+            except CONNECTION_FAILURES as error:
+                self._record_failure(error)
 
     async def _follow(self, source: EndpointSource) -> None:
-        """Fetch the whole list if it is needed, then watch it."""
+        """Fetch the complete list if that is necessary, then watch it."""
         if source.needs_full_list:
             update = await discovery_client.fetch_list(source.address, PATH, self._timeouts)
             await self._publish(source, update)
@@ -205,20 +199,18 @@
             await self._consume(source, Watch(body, self._timeouts.silence_s))
 
     async def _consume(self, source: EndpointSource, watch: Watch) -> None:
-        """Publish the changes of a watch until one shows that the whole list is needed."""
+        """Publish the changes of a watch until the complete list is needed."""
         while True:
             update = await watch.next()
             self._record_progress()
             if update is None:
                 continue
-            # A line holds all changes since the line before, however many revisions lie between. Fetching
-            # the whole list after each jump would be one more call to a service that all nodes call, and
-            # while it waits for its turn the watch is not read: a drain that has arrived counts as known.
+            # A line has all changes since the line before, even if the revision jumps. Fetching the list
+            # after each jump would be one more call to a shared service, during which the watch is not read.
             if update.endpoints.revision < source.revision and not update.endpoints.complete:
-                # Revisions have been reset. This node would never learn which of its endpoints the new
-                # count does not have.
+                # Revisions have been reset: changes alone would not tell which known endpoints are gone.
                 source.needs_full_list = True
-                self._counters.add(ENDPOINT_LIST_WENT_BACK)
+                self._counters.add(DiscoveryCounter.LIST_WENT_BACK)
                 return
             await self._publish(source, update)
 
@@ -226,24 +218,24 @@
         """Send an update to the balancer actor and reset the backoff."""
         endpoints, faults = update
         source.revision, self.max_pause_s = endpoints.revision, FIRST_SERVICE_PAUSE_S
-        self._counters.add(ENDPOINT_LIST_FULL if endpoints.complete else ENDPOINT_LIST_CHANGE)
+        self._counters.add(DiscoveryCounter.LIST_FULL if endpoints.complete else DiscoveryCounter.LIST_CHANGE)
         if faults:
-            self._counters.add(ENDPOINT_ENTRY_INVALID, len(faults))
+            self._counters.add(DiscoveryCounter.ENTRY_INVALID, len(faults))
             log.warning("endpoint_entries_invalid", count=len(faults), first=faults[0])
         await self._post(EndpointsChanged(endpoints, from_discovery=True))
         self.first_update.set()
 
     def _record_progress(self) -> None:
-        """Note that something complete has come."""
-        # A single failed call is put right by the next one: that is not worth a line.
+        """Record that a complete object or a keep-alive was received."""
+        # A single failed call that is followed by a successful one is not logged.
         if self._failed_calls > 1:
             log.info("discovery_recovered", failed_calls=self._failed_calls)
         self.last_progress_at, self._failed_calls = anyio.current_time(), 0
 
     def _record_failure(self, error: Exception) -> None:
-        """Count a failed call; only the first of a row is logged."""
-        self._counters.add(DISCOVERY_CALL_FAILED)
-        # An agent that is silent is called several times a second.
+        """Count a failed call, and log it if the call before did not fail."""
+        self._counters.add(DiscoveryCounter.CALL_FAILED)
+        # While an agent is silent, several calls a second fail.
         if not self._failed_calls:
             log.info("discovery_call_failed", reason=repr(error))
         self._failed_calls += 1
--- a/larchlatch/node/event_loop_lag.py
+++ b/larchlatch/node/event_loop_lag.py
@@ -1,14 +1,14 @@
-"""Measures how late the event loop runs: all that waits for it waits as long, also answers to clients."""
+"""Measures how late the event loop runs its timers. Answers to clients are delayed as much."""
 
 from __future__ import annotations
 
 import anyio
 
-SAMPLE_INTERVAL_S = 0.05  # short against the 0.15 s that an answer leaves before its deadline
+SAMPLE_INTERVAL_S = 0.05
 
 
 class EventLoopLagMonitor:
-    """Keeps the longest delay of a timer since it was last asked for."""
+    """Keeps the longest delay of a timer since the last call of `take_worst_ms`."""
 
     def __init__(self) -> None:
         self._worst_s = 0.0
@@ -21,6 +21,6 @@
             self._worst_s = max(self._worst_s, anyio.current_time() - due_at)
 
     def take_worst_ms(self) -> int:
-        """Return the longest delay since the last call, in whole milliseconds, and begin anew."""
+        """Return the longest delay since the last call in whole milliseconds, and reset it."""
         worst_s, self._worst_s = self._worst_s, 0.0
         return int(worst_s * 1000)
--- a/larchlatch/node/hot_restart/__init__.py
+++ b/larchlatch/node/hot_restart/__init__.py
@@ -1,1 +1,1 @@
-"""Hot restart: one process of a node hands its listener, sessions and state over to the next."""
+"""Hot restart: a process of a node hands its listening socket, state and sessions over to its successor."""
--- a/larchlatch/node/hot_restart/channel.py
+++ b/larchlatch/node/hot_restart/channel.py
@@ -16,26 +16,26 @@
     from anyio.abc import UNIXSocketStream
 
 MAGIC = b"LL"
-VERSION = 1  # of the packets: another one is not understood, and each process goes on alone
+VERSION = 1  # of the packets; with a process of another version there is no hand-over
 HEADER = struct.Struct("!2sBBI")  # magic, version, number of descriptors, bytes of the body
-MAX_BODY = 16 * 1024 * 1024  # bytes: an endpoint list of thousands of upstreams
-MAX_DESCRIPTORS = 2  # beside one packet: a session's two connections
-CHUNK = 65536  # bytes that are read at a time
+MAX_BODY = 16 * 1024 * 1024  # bytes, enough for an endpoint list of thousands of upstreams
+MAX_DESCRIPTORS = 2  # with one packet: the two connections of a session
+CHUNK_BYTES = 65536  # read at a time
 
 
 class Received(NamedTuple):
-    """A packet, and the sockets that came beside it: whoever receives them closes them."""
+    """A packet, and the sockets that came with it, which the receiver has to close."""
 
     packet: Packet
     sockets: list[socket.socket]
 
 
 class Header(NamedTuple):
-    """What stands before each body.
+    """What precedes the body of each packet.
 
     Attributes:
-        descriptor_count: descriptors that come beside the packet.
-        body_length: bytes.
+        descriptor_count: how many descriptors come with the packet.
+        body_length: length of the body in bytes.
 
     """
 
@@ -44,16 +44,16 @@
 
 
 def frame(packet: Packet, descriptor_count: int) -> bytes:
-    """Write a packet with its header."""
+    """Return the bytes of a packet with its header."""
     body = encode_packet(packet)
     return HEADER.pack(MAGIC, VERSION, descriptor_count, len(body)) + body
 
 
 def parse_header(data: bytes) -> Header:
-    """Read a header.
+    """Return the header in these bytes.
 
     Raises:
-        ProtocolError: it is not of this version, or names a body that is too long.
+        ProtocolError: the header is not of this version, or gives a body length over the limit.
 
     """
     magic, version, descriptor_count, body_length = HEADER.unpack(data)
@@ -63,16 +63,16 @@
 
 
 class Channel:
-    """One side of the conversation; that the other has broken it off is an answer, not an exception."""
+    """One side of the conversation. Its end by the other side is a return value, never an exception."""
 
     def __init__(self, stream: UNIXSocketStream) -> None:
         self.stream = stream
         self._send_lock = anyio.Lock()
 
     async def send(self, packet: Packet, descriptors: list[int] | None = None) -> bool:
-        """Return whether the packet was written; the descriptors stay open in this process."""
+        """Send a packet; return whether it was written. The descriptors stay open in this process."""
         data = frame(packet, len(descriptors or ()))
-        # Whole or not at all: half a packet would make all that follow unreadable.
+        # Not cancelled half-way: after part of a packet all that follows would be unreadable.
         async with self._send_lock:
             with anyio.CancelScope(shield=True):
                 try:
@@ -86,10 +86,10 @@
         return True
 
     async def receive(self) -> Received | None:
-        """Return the next packet; None when the other side has ended or broken off.
+        """Return the next packet; None if the other side has ended the conversation.
 
         Raises:
-            ProtocolError: what came is no packet of this version.
+            ProtocolError: the bytes received are no packet of this version.
 
         """
         descriptors: list[int] = []
@@ -104,11 +104,11 @@
         return Received(packet, [socket.socket(fileno=descriptor) for descriptor in descriptors])
 
     async def close(self) -> None:
-        """End the conversation."""
+        """Close this side, which ends the conversation."""
         await self.stream.aclose()
 
     async def _receive_packet(self, descriptors: list[int]) -> Packet:
-        """Read one packet; descriptors that come are added to the list at once, so that none is lost."""
+        """Read one packet. Descriptors are added to the list as they come, so that each can be closed."""
         header = parse_header(await self._receive_header(descriptors))
         packet = decode_packet(await self._receive_body(header.body_length))
         if header.descriptor_count != len(descriptors):
@@ -126,7 +126,7 @@
     async def _receive_body(self, length: int) -> bytes:
         body = bytearray()
         while len(body) < length:
-            body += await self.stream.receive(min(CHUNK, length - len(body)))
+            body += await self.stream.receive(min(CHUNK_BYTES, length - len(body)))
         return bytes(body)
 
 
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -1,12 +1,14 @@
 """The packets of a hot restart, and their form on the Unix socket between two processes of one node.
 
 A packet is a JSON object. Processes of different versions read each other's packets, so neither a kind nor a
-key in `FORMS` may change: fields and classes may be renamed, what they are written as may not.
+key may change: they stand in this module alone, and classes and fields may be renamed without them.
 """
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING, Any, NamedTuple
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import TYPE_CHECKING, TypeVar
 
 import orjson
 
@@ -17,15 +19,30 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping
 
-WHERE = "packet"  # how an error names the place of what is wrong
-LONGEST_KIND_IN_ERROR = 40  # characters
+JsonObject = dict[str, object]
+Value = TypeVar("Value")
 
+WHERE = "packet"  # what an error message calls the place of the fault
+MAX_QUOTED_CHARACTERS = 40  # of an unknown kind in a message
+QUOTA_USAGE_KEY = "budgets"  # stands inside the balancer's state
 
-class Hello(NamedTuple):
+
+class PacketKind(StrEnum):
+    """The values of the key `kind`."""
+
+    HELLO = "Hello"
+    WELCOME = "Welcome"
+    SERVING = "Serving"
+    STATE_HANDOVER = "Ceded"
+    SESSION_HANDOVER = "Standing"
+
+
+@dataclass(frozen=True, slots=True)
+class Hello:
     """The successor says which node it is.
 
     Attributes:
-        name: of the node.
+        name: the node's name.
         listen: the address for clients, host:port.
 
     """
@@ -34,44 +51,62 @@
     listen: str
 
 
-class Welcome(NamedTuple):
-    """The predecessor's endpoint list; the listening socket's descriptor comes beside it."""
+@dataclass(frozen=True, slots=True)
+class Welcome:
+    """The predecessor's endpoint list. The descriptor of its listening socket comes with it."""
 
     endpoints: EndpointList
 
 
-class Serving(NamedTuple):
-    """The successor can serve: from now on it takes what is new."""
+@dataclass(frozen=True, slots=True)
+class Serving:
+    """The successor can serve: from now on it accepts all new clients."""
+
+
+@dataclass(frozen=True, slots=True)
+class BalancerState:
+    """What a process has learned, from which its successor goes on.
+
+    Attributes:
+        learned: what the balancer has learned, as `policy.state_export` writes it.
+        quota_usage: sessions charged to each quota in the last quota window; None without a cluster.
+
+    """
+
+    learned: JsonObject
+    quota_usage: dict[str, int] | None = None
 
 
-class StateHandover(NamedTuple):
-    """The predecessor takes nothing new any more; what its successor has to know.
+@dataclass(frozen=True, slots=True)
+class StateHandover:
+    """The predecessor no longer accepts clients; this is what the successor has to know.
 
     Attributes:
-        balancer_state: what the balancer has learned, as `policy.state_export` writes it.
-        session_ids: ids of the sessions that the predecessor has in hand.
-        descriptor_count: descriptors that it holds or may come to hold.
-        draining_for_s: for how long a drain has been on; None where there is none.
+        balancer_state: what the predecessor has learned.
+        session_ids: ids of the sessions that are open at the predecessor.
+        descriptor_count: file descriptors that it has open or has reserved.
+        draining_for_s: for how long a drain has lasted, in seconds; None if there is none.
         clock_offset_us: Unix time minus the monotonic clock, as the predecessor read them at its start.
 
     """
 
-    balancer_state: dict[str, Any]
+    balancer_state: BalancerState
     session_ids: list[str]
     descriptor_count: int
     draining_for_s: float | None
     clock_offset_us: int
 
 
-class SessionHandover(NamedTuple):
-    """An established session; its client's and its upstream's connection come beside it, in this order.
+@dataclass(frozen=True, slots=True)
+class SessionHandover:
+    """An established session. The descriptors of its client and its upstream come with it, in this order.
 
     Attributes:
         request_line: the client's first line.
         upstream: the upstream's name.
-        load: that the session makes.
-        unanswered_since_us: when a line was sent that has had no answer yet; 0 where none waits.
-        outcome_at_end: the `Outcome` that the end of the upstream's side would mean.
+        load: the load that the session causes, in microseconds of work a second.
+        unanswered_since_us: when the first line without an answer was sent; 0 if all have been answered.
+        outcome_at_end: number of the `Outcome` that the end of the upstream's side would mean.
         client_unread: bytes that were read from the client and not passed on.
         upstream_unread: bytes that were read from the upstream and not passed on.
 
@@ -89,44 +124,27 @@
 Packet = Hello | Welcome | Serving | StateHandover | SessionHandover
 
 
-class Form(NamedTuple):
-    """How a packet is written.
-
-    Attributes:
-        kind: the value of the key `kind`.
-        keys: the key of each field, in the fields' order.
-
-    """
-
-    kind: str
-    keys: tuple[str, ...] = ()
-
-
-FORMS: dict[type[Packet], Form] = {
-    Hello: Form("Hello", ("name", "listen")),
-    Welcome: Form("Welcome", ("members",)),
-    Serving: Form("Serving"),
-    StateHandover: Form("Ceded", ("learned", "idents", "holds", "drained_s", "clock_us")),
-    SessionHandover: Form(
-        "Standing", ("line", "host", "load", "asked_at", "last", "client_early", "host_early")
-    ),
-}
-
-
 def encode_packet(packet: Packet) -> bytes:
-    """Write a packet as JSON; bytes become text of the same code points (Latin-1)."""
-    form = FORMS[type(packet)]
-    body: dict[str, Any] = {"kind": form.kind}
-    for key, value in zip(form.keys, packet, strict=True):
-        body[key] = _json_value(value)
-    return orjson.dumps(body)
+    """Return the JSON of a packet."""
+    match packet:
+        case Hello():
+            kind, body = PacketKind.HELLO, _write_hello(packet)
+        case Welcome():
+            kind, body = PacketKind.WELCOME, _write_welcome(packet)
+        case Serving():
+            kind, body = PacketKind.SERVING, {}
+        case StateHandover():
+            kind, body = PacketKind.STATE_HANDOVER, _write_state_handover(packet)
+        case SessionHandover():
+            kind, body = PacketKind.SESSION_HANDOVER, _write_session_handover(packet)
+    return orjson.dumps({"kind": kind.value, **body})
 
 
 def decode_packet(body: bytes) -> Packet:
-    """Read a packet.
+    """Return the packet in a JSON text.
 
     Raises:
-        ProtocolError: the bytes are no packet of a known kind with all its keys.
+        ProtocolError: the text is no packet of a known kind with all its keys.
 
     """
     try:
@@ -135,73 +153,118 @@
         raise ProtocolError(WHERE, f"no JSON ({error})") from None
     if not isinstance(raw, dict):
         raise ProtocolError(WHERE, "not an object")
-    kind = required(raw, "kind", str, WHERE, error=ProtocolError)
-    reader = READERS.get(kind)
-    if reader is None:
-        raise ProtocolError(WHERE, f"unknown kind {kind[:LONGEST_KIND_IN_ERROR]!r}")
-    return reader(raw)
+    kind = _required(raw, "kind", str)
+    read = READERS.get(kind)
+    if read is None:
+        raise ProtocolError(WHERE, f"unknown kind {kind[:MAX_QUOTED_CHARACTERS]!r}")
+    return read(raw)
 
 
-def _json_value(value: Any) -> Any:
-    if isinstance(value, bytes):
-        return value.decode("latin-1")
-    return endpoint_list_to_json(value) if isinstance(value, EndpointList) else value
+# Each kind of packet, written and read.
 
 
-def _hello(raw: dict[str, Any]) -> Hello:
-    return Hello(
-        required(raw, "name", str, WHERE, error=ProtocolError),
-        required(raw, "listen", str, WHERE, error=ProtocolError),
-    )
+def _write_hello(packet: Hello) -> JsonObject:
+    return {"name": packet.name, "listen": packet.listen}
 
 
-def _welcome(raw: dict[str, Any]) -> Welcome:
-    return Welcome(
-        parse_endpoint_list(required(raw, "members", dict, WHERE, error=ProtocolError), f"{WHERE}.members")
-    )
+def _read_hello(raw: JsonObject) -> Hello:
+    return Hello(name=_required(raw, "name", str), listen=_required(raw, "listen", str))
+
+
+def _write_welcome(packet: Welcome) -> JsonObject:
+    return {"members": endpoint_list_to_json(packet.endpoints)}
+
 
+def _read_welcome(raw: JsonObject) -> Welcome:
+    return Welcome(parse_endpoint_list(_required(raw, "members", dict), f"{WHERE}.members"))
 
-def _serving(_raw: dict[str, Any]) -> Serving:
+
+def _read_serving(_raw: JsonObject) -> Serving:
     return Serving()
 
 
-def _state_handover(raw: dict[str, Any]) -> StateHandover:
+def _write_state_handover(packet: StateHandover) -> JsonObject:
+    return {
+        "learned": _write_balancer_state(packet.balancer_state),
+        "idents": packet.session_ids,
+        "holds": packet.descriptor_count,
+        "drained_s": packet.draining_for_s,
+        "clock_us": packet.clock_offset_us,
+    }
+
+
+def _read_state_handover(raw: JsonObject) -> StateHandover:
     draining_for_s = raw.get("drained_s")
     return StateHandover(
-        balancer_state=required(raw, "learned", dict, WHERE, error=ProtocolError),
-        session_ids=[
-            str(session_id) for session_id in required(raw, "idents", list, WHERE, error=ProtocolError)
-        ],
-        descriptor_count=required(raw, "holds", int, WHERE, error=ProtocolError),
+        balancer_state=_read_balancer_state(_required(raw, "learned", dict)),
+        session_ids=[str(session_id) for session_id in _required(raw, "idents", list)],
+        descriptor_count=_required(raw, "holds", int),
         draining_for_s=float(draining_for_s) if isinstance(draining_for_s, NUMBER) else None,
-        clock_offset_us=required(raw, "clock_us", int, WHERE, error=ProtocolError),
+        clock_offset_us=_required(raw, "clock_us", int),
     )
 
 
-def _session_handover(raw: dict[str, Any]) -> SessionHandover:
+def _write_balancer_state(state: BalancerState) -> JsonObject:
+    if state.quota_usage is None:
+        return state.learned
+    return {**state.learned, QUOTA_USAGE_KEY: state.quota_usage}
+
+
+def _read_balancer_state(raw: JsonObject) -> BalancerState:
+    learned = {key: value for key, value in raw.items() if key != QUOTA_USAGE_KEY}
+    raw_usage = raw.get(QUOTA_USAGE_KEY)
+    if not isinstance(raw_usage, dict):
+        return BalancerState(learned)
+    return BalancerState(learned, {quota: _required(raw_usage, quota, int) for quota in raw_usage})
+
+
+def _write_session_handover(packet: SessionHandover) -> JsonObject:
+    return {
+        "line": _text_of(packet.request_line),
+        "host": packet.upstream,
+        "load": packet.load,
+        "asked_at": packet.unanswered_since_us,
+        "last": packet.outcome_at_end,
+        "client_early": _text_of(packet.client_unread),
+        "host_early": _text_of(packet.upstream_unread),
+    }
+
+
+def _read_session_handover(raw: JsonObject) -> SessionHandover:
     return SessionHandover(
-        request_line=_bytes(raw, "line"),
-        upstream=required(raw, "host", str, WHERE, error=ProtocolError),
-        load=float(required(raw, "load", NUMBER, WHERE, error=ProtocolError)),
-        unanswered_since_us=required(raw, "asked_at", int, WHERE, error=ProtocolError),
-        outcome_at_end=required(raw, "last", int, WHERE, error=ProtocolError),
-        client_unread=_bytes(raw, "client_early"),
-        upstream_unread=_bytes(raw, "host_early"),
+        request_line=_read_bytes(raw, "line"),
+        upstream=_required(raw, "host", str),
+        load=float(_required(raw, "load", NUMBER)),
+        unanswered_since_us=_required(raw, "asked_at", int),
+        outcome_at_end=_required(raw, "last", int),
+        client_unread=_read_bytes(raw, "client_early"),
+        upstream_unread=_read_bytes(raw, "host_early"),
     )
 
 
-READERS: Mapping[str, Callable[[dict[str, Any]], Packet]] = {
-    FORMS[Hello].kind: _hello,
-    FORMS[Welcome].kind: _welcome,
-    FORMS[Serving].kind: _serving,
-    FORMS[StateHandover].kind: _state_handover,
-    FORMS[SessionHandover].kind: _session_handover,
+READERS: Mapping[str, Callable[[JsonObject], Packet]] = {
+    PacketKind.HELLO: _read_hello,
+    PacketKind.WELCOME: _read_welcome,
+    PacketKind.SERVING: _read_serving,
+    PacketKind.STATE_HANDOVER: _read_state_handover,
+    PacketKind.SESSION_HANDOVER: _read_session_handover,
 }
 
 
-def _bytes(raw: dict[str, Any], key: str) -> bytes:
-    text: str = required(raw, key, str, WHERE, error=ProtocolError)
+# Values.
+
+
+def _required(raw: JsonObject, key: str, kind: type[Value] | tuple[type[Value], ...]) -> Value:
+    return required(raw, key, kind, WHERE, error=ProtocolError)
+
+
+def _text_of(data: bytes) -> str:
+    """Return bytes as text of the same code points."""
+    return data.decode("latin-1")
+
+
+def _read_bytes(raw: JsonObject, key: str) -> bytes:
     try:
-        return text.encode("latin-1")
+        return _required(raw, key, str).encode("latin-1")
     except UnicodeEncodeError:
         raise ProtocolError(WHERE, f"{key} holds no bytes") from None
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -4,6 +4,7 @@
 
 import os
 from contextlib import asynccontextmanager
+from enum import StrEnum
 from typing import TYPE_CHECKING, NamedTuple
 
 import anyio
@@ -14,7 +15,7 @@
 from larchlatch.node.descriptor_budget import HEADROOM
 from larchlatch.node.hot_restart.channel import Channel
 from larchlatch.node.hot_restart.packets import Serving, SessionHandover, StateHandover, Welcome
-from larchlatch.node.hot_restart.rendezvous import ANSWER_S, hello_of, is_same_user, receive_within
+from larchlatch.node.hot_restart.rendezvous import ANSWER_TIMEOUT_S, hello_of, is_same_user, receive_within
 from larchlatch.node.wire import lines as request_lines
 
 if TYPE_CHECKING:
@@ -30,20 +31,24 @@
     from larchlatch.node.wire.stream import Lines
     from larchlatch.policy.types import Outcome
 
-START_S = 30.0  # for a successor until it serves: descriptors lent to it come back then
-
-STATE_HANDED_OVER = "hot_restart_state_handed_over"
-SUCCESSOR_LOST = "hot_restart_successor_lost"
+START_TIMEOUT_S = 30.0  # for a successor until it serves; then the descriptors lent to it are taken back
 
 log = structlog.get_logger()
 
 
+class PredecessorCounter(StrEnum):
+    """Names of the counters of the predecessor's side."""
+
+    STATE_HANDED_OVER = "hot_restart_state_handed_over"
+    SUCCESSOR_LOST = "hot_restart_successor_lost"
+
+
 class DetachedConnection(NamedTuple):
-    """A connection that this process has let go of, to be handed over or taken back.
+    """A connection that was detached from the event loop, to be handed over or attached again.
 
     Attributes:
-        lines: the connection's lines, without a transport now.
-        descriptor: a copy of its descriptor, which is to be closed.
+        lines: the connection, without a transport now.
+        descriptor: a copy of its descriptor, which its owner has to close.
         unread: bytes that were read and not passed on.
 
     """
@@ -56,7 +61,7 @@
 class Predecessor:
     """Waits for successors, one at a time, and hands listener, state and sessions over.
 
-    A successor that fails costs nothing: this process then serves on as before.
+    If a successor fails, this process continues to serve as before.
     """
 
     def __init__(
@@ -85,51 +90,51 @@
         self._counters = components.counters
 
     async def run(self) -> None:
-        """Wait for a successor again and again, until cancelled or no socket can be had."""
+        """Wait for one successor after the other, until cancelled or no rendezvous socket can be made."""
         while (listening := self._rendezvous.listen()) is not None:
             sock = await _accept_one(listening)
             if not is_same_user(sock):
                 sock.close()
                 continue
             channel = Channel(await UNIXSocketStream.from_socket(sock))
-            # The successor needs descriptors to start with, though it has taken nothing yet.
+            # The successor needs descriptors to start, before it has any connection.
             self._descriptors.lend(HEADROOM)
             try:
                 await self._serve_successor(channel)
             finally:
                 self._descriptors.lend(-HEADROOM)
                 await channel.close()
-            self._counters.add(SUCCESSOR_LOST)
+            self._counters.add(PredecessorCounter.SUCCESSOR_LOST)
             log.warning("hot_restart_successor_lost")
 
     async def _serve_successor(self, channel: Channel) -> None:
-        """Hand over what the successor asks for; return when it has ended, and this process goes on."""
-        received = await receive_within(channel, ANSWER_S)
+        """Hand over what the successor asks for; return when it has ended and this process continues."""
+        received = await receive_within(channel, ANSWER_TIMEOUT_S)
         if received is None or received.packet != hello_of(self._configuration):
             return
         log.info("hot_restart_successor_starting")
         welcome = Welcome(self._balancer_actor.endpoint_list())
         if not await channel.send(welcome, [self._client_listener.fileno()]):
             return
-        received = await receive_within(channel, START_S)
+        received = await receive_within(channel, START_TIMEOUT_S)
         if received is None or not isinstance(received.packet, Serving):
             return
         async with self._successor_serving(channel) as state:
             if await channel.send(state):
-                await channel.receive()  # nothing more is said: it ends
+                await channel.receive()  # returns when the successor ends: it sends nothing more
 
     @asynccontextmanager
     async def _successor_serving(self, channel: Channel) -> AsyncIterator[StateHandover]:
-        """Take nothing new for as long as this lasts, and give the state that the successor goes on from."""
+        """Accept nothing new while the block runs; provides the state that the successor needs."""
         self._lifecycle.successor_serves = True
         self._client_listener.pause()
         self._connections.sessions.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
-        # One descriptor more for each session that may yet need its upstream; all others are the successor's.
+        # Each session without an upstream may need one more descriptor; the successor gets all others.
         reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
         lent = self._descriptors.free - reserved
         self._descriptors.lend(lent)
         state = self._state_for_successor(reserved)
-        self._counters.add(STATE_HANDED_OVER)
+        self._counters.add(PredecessorCounter.STATE_HANDED_OVER)
         log.info("hot_restart_successor_serving", sessions=len(self._connections.sessions.established))
         try:
             yield state
@@ -160,29 +165,37 @@
 
 
 class SessionSender:
-    """Hands established sessions to the successor, with both of their connections."""
+    """Hands established sessions over to the successor, with the connections of both sides."""
 
     def __init__(self, channel: Channel, balancer_actor: BalancerActor) -> None:
         self._channel = channel
         self._balancer_actor = balancer_actor
         self._one_at_a_time = anyio.Lock()
 
-    async def send(self, record: SessionRecord, client: Lines, upstream: Lines, last: Outcome) -> bool:
-        """Hand a session over; `last` is what the end of its upstream's side would mean.
+    async def send(
+        self, record: SessionRecord, client: Lines, upstream: Lines, outcome_at_end: Outcome
+    ) -> bool:
+        """Hand a session over.
+
+        Args:
+            record: the session.
+            client: the client's connection.
+            upstream: the upstream's connection.
+            outcome_at_end: what the end of the upstream's side would mean.
 
         Returns:
-            Whether the successor has it; else it is still here, with both connections as they were.
+            Whether the successor has the session. If not, it stays here, with both connections as before.
 
         """
-        # Each has four descriptors here until it is gone, with both processes at their limit.
+        # Each session uses four descriptors here while it is handed over, when few or none are free.
         async with self._one_at_a_time:
             detached: list[DetachedConnection] = []
             try:
                 if _detach(client, detached) and _detach(upstream, detached):
-                    packet = self._packet(record, last, *detached)
+                    packet = self._packet(record, outcome_at_end, *detached)
                     if await self._channel.send(packet, [side.descriptor for side in detached]):
                         return True
-                # It stays here, to be migrated: neither side is to notice but by that.
+                # The session stays here and is migrated; until then neither side notices anything.
                 for side in detached:
                     await side.lines.reattach(os.dup(side.descriptor), side.unread)
                 return False
@@ -193,7 +206,7 @@
     def _packet(
         self,
         record: SessionRecord,
-        last: Outcome,
+        outcome_at_end: Outcome,
         client: DetachedConnection,
         upstream: DetachedConnection,
     ) -> SessionHandover:
@@ -202,7 +215,7 @@
             upstream=self._balancer_actor.upstreams.actors[record.session.upstream].name,
             load=record.session.load,
             unanswered_since_us=record.awaiting_answer_since,
-            outcome_at_end=int(last),
+            outcome_at_end=int(outcome_at_end),
             client_unread=client.unread,
             upstream_unread=upstream.unread,
         )
@@ -218,7 +231,7 @@
 
 
 def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
-    """Take a connection from its transport; False where something waits to be sent, or it has ended."""
+    """Detach a connection from its transport; False if it has ended or data waits to be sent."""
     released = lines.detach()
     if released is None:
         return False
--- a/larchlatch/node/hot_restart/rendezvous.py
+++ b/larchlatch/node/hot_restart/rendezvous.py
@@ -22,15 +22,15 @@
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.hot_restart.channel import Channel, Received
 
-ANSWER_S = 2.0  # for an answer of the other process, whose event loop may lag; then each goes on alone
-LONGEST_PATH = 100  # bytes of a Unix socket's path, which the system limits to 107
+ANSWER_TIMEOUT_S = 2.0  # for an answer of the other process, whose event loop may lag
+MAX_PATH_BYTES = 100  # of a Unix socket's path, which the system limits to 107
 PEER_CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
 
 log = structlog.get_logger()
 
 
 class Rendezvous:
-    """The socket's place: a file, named after the node, in a folder that belongs to this node alone."""
+    """The place of the rendezvous socket: a file named after the node, in a folder of this node alone."""
 
     def __init__(self, folder: Path, configuration: NodeConfiguration) -> None:
         host, port = configuration.listen_address
@@ -43,7 +43,7 @@
         """Return the place in $TMPDIR.
 
         Returns:
-            None without $TMPDIR, or without an admin API, which is to say that the successor serves.
+            None without $TMPDIR, or without an admin API, by which operators learn that the successor serves.
 
         """
         folder = os.environ.get("TMPDIR")
@@ -52,13 +52,13 @@
         return cls(Path(folder), configuration)
 
     def listen(self) -> socket.socket | None:
-        """Return a socket at which the successor finds this process; None where there can be none."""
+        """Return a socket at which a successor finds this process; None if none can be made."""
         sock = _unix_socket()
         if sock is None:
             return None
         try:
             with suppress(FileNotFoundError):
-                # It is of a process that is gone, or that this one follows.
+                # The file is left over from a process that has ended, or belongs to the predecessor.
                 (self._folder / self.name).unlink()
             self._with_path(sock.bind)
             sock.listen(1)
@@ -70,7 +70,7 @@
         return sock
 
     def connect(self) -> socket.socket | None:
-        """Return a connection to the process that serves now; None where there is none."""
+        """Return a connection to the process that serves now; None if there is none."""
         sock = _unix_socket()
         if sock is None:
             return None
@@ -83,9 +83,9 @@
         return sock
 
     def _with_path(self, use: Callable[[str], None]) -> None:
-        """Call `use` with a path to the socket that is short enough, however long the folder's own is."""
+        """Call `use` with a path to the socket that the system accepts, however long the folder's path is."""
         path = str(self._folder / self.name)
-        if len(path.encode()) <= LONGEST_PATH:
+        if len(path.encode()) <= MAX_PATH_BYTES:
             use(path)
             return
         folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
@@ -103,13 +103,13 @@
 
 
 def hello_of(configuration: NodeConfiguration) -> Hello:
-    """Return what processes of this node know each other by."""
+    """Return the packet by which processes of this node recognise each other."""
     host, port = configuration.listen_address
     return Hello(configuration.name, f"{host}:{port}")
 
 
 async def receive_within(channel: Channel, timeout_s: float) -> Received | None:
-    """Return the other process's next packet; None where none comes in time that can be understood."""
+    """Return the other process's next packet; None if none comes in time, or it is invalid."""
     try:
         with anyio.move_on_after(timeout_s):
             return await channel.receive()
@@ -119,7 +119,7 @@
 
 
 def _unix_socket() -> socket.socket | None:
-    """Return None where the platform has no Unix sockets: a node must start and serve there all the same."""
+    """Return a Unix socket; None on a platform without them, where a node serves without hot restart."""
     try:
         return socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError as error:
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -1,7 +1,8 @@
-"""The side of the new process: it takes over from the process that serves now."""
+"""The part of a process that starts: it takes over from the predecessor, the process that serves now."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -10,9 +11,9 @@
 
 from larchlatch.errors import InvalidInputError
 from larchlatch.node.clock import UNIX_OFFSET_US
-from larchlatch.node.hot_restart.channel import Channel
+from larchlatch.node.hot_restart.channel import Channel, Received
 from larchlatch.node.hot_restart.packets import Serving, SessionHandover, StateHandover, Welcome
-from larchlatch.node.hot_restart.rendezvous import ANSWER_S, hello_of, receive_within
+from larchlatch.node.hot_restart.rendezvous import ANSWER_TIMEOUT_S, hello_of, receive_within
 from larchlatch.node.wire.listen import Listener
 
 if TYPE_CHECKING:
@@ -25,19 +26,24 @@
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.metrics import Counters
 
-CONNECTIONS_OF_SESSION = 2  # its client's and its upstream's
+CONNECTIONS_PER_SESSION = 2  # the client's and the upstream's
 
-WITHOUT_PREDECESSOR = "hot_restart_nothing_handed_over"
 
 log = structlog.get_logger()
 
 
+class SuccessorCounter(StrEnum):
+    """Names of the counters of the successor's side."""
+
+    NOTHING_HANDED_OVER = "hot_restart_nothing_handed_over"
+
+
 class Successor:
-    """Goes on with the predecessor's listener, state and sessions.
+    """Takes over the predecessor's listening socket, state and sessions.
 
     Attributes:
         endpoints: the predecessor's endpoint list.
-        listener: the socket for clients, which both processes share.
+        listener: the listening socket for clients, which both processes share.
 
     """
 
@@ -48,23 +54,25 @@
         self.listener = listener
         self._channel = channel
         self._counters = counters
-        self._predecessor_descriptors = 0  # that the predecessor holds or may come to hold
+        self._predecessor_descriptors = 0  # which the predecessor has open or reserved
 
     @classmethod
     async def connect(
         cls, configuration: NodeConfiguration, rendezvous: Rendezvous, counters: Counters
     ) -> Successor | None:
-        """Reach the process that serves now; None where there is none that can be understood."""
+        """Connect with the process that serves now; return None if there is none of a known version."""
         sock = rendezvous.connect()
         if sock is None:
             return None
         channel = Channel(await UNIXSocketStream.from_socket(sock))
         await channel.send(hello_of(configuration))
-        match await receive_within(channel, ANSWER_S):
-            case Welcome(endpoints), [shared] if shared.getsockname()[:2] == configuration.listen_address:
+        match await receive_within(channel, ANSWER_TIMEOUT_S):
+            case Received(Welcome(endpoints), [shared]) if (
+                shared.getsockname()[:2] == configuration.listen_address
+            ):
                 return cls(channel, endpoints, Listener(shared), counters)
             case _:
-                counters.add(WITHOUT_PREDECESSOR)
+                counters.add(SuccessorCounter.NOTHING_HANDED_OVER)
                 log.warning("hot_restart_nothing_handed_over")
                 await channel.close()
                 return None
@@ -72,36 +80,36 @@
     async def take_over_state(self, components: NodeComponents) -> None:
         """Tell the predecessor that this process serves, and restore the state that it hands over."""
         await self._channel.send(Serving())
-        received = await receive_within(self._channel, ANSWER_S)
+        received = await receive_within(self._channel, ANSWER_TIMEOUT_S)
         if received is None or not isinstance(received.packet, StateHandover):
-            self._counters.add(WITHOUT_PREDECESSOR)
+            self._counters.add(SuccessorCounter.NOTHING_HANDED_OVER)
             return
         state = received.packet
         self._predecessor_descriptors = state.descriptor_count
         components.descriptors.lend(state.descriptor_count)
         components.connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
-            # No operator has ended the drain: it goes on, and the sessions' time runs from its beginning.
+            # A drain goes on until an operator stops it. The time for its sessions counts from its start.
             components.lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
         components.balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
 
     async def run(self, connections: ClientConnections, tasks: TaskGroup) -> None:
-        """Take over sessions until the predecessor has ended."""
-        session_count = await self._take_over_sessions(connections, tasks)
+        """Adopt the predecessor's sessions until it has ended."""
+        session_count = await self._adopt_sessions(connections, tasks)
         await self._channel.close()
         connections.requests.ids.release_reserved()
-        # The sessions' own descriptors are given back as they end.
-        taken_descriptors = session_count * CONNECTIONS_OF_SESSION
-        connections.descriptors.lend(taken_descriptors - self._predecessor_descriptors)
+        # The descriptors of adopted sessions are released when these end.
+        adopted_descriptors = session_count * CONNECTIONS_PER_SESSION
+        connections.descriptors.lend(adopted_descriptors - self._predecessor_descriptors)
         log.info("hot_restart_predecessor_ended", sessions=session_count)
 
-    async def _take_over_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
-        """Return how many were taken over."""
+    async def _adopt_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
+        """Adopt each session in a separate task until the predecessor has ended; return how many came."""
         session_count = 0
         try:
             while (received := await self._channel.receive()) is not None:
                 packet, sockets = received
-                if isinstance(packet, SessionHandover) and len(sockets) == CONNECTIONS_OF_SESSION:
+                if isinstance(packet, SessionHandover) and len(sockets) == CONNECTIONS_PER_SESSION:
                     session_count += 1
                     tasks.start_soon(connections.adopt, packet, sockets)
         except InvalidInputError as error:
--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -1,31 +1,30 @@
-"""Whether the node is ready, draining or stopping, and how fast its sessions leave: without I/O.
+"""Whether the node is ready, draining or stopping, and how fast its sessions leave. No I/O.
 
-All times are seconds of the event loop's clock, and are passed in.
+All times are seconds of the event loop's clock, which the caller passes in.
 """
 
 from __future__ import annotations
 
-DRAIN_S = 4.0  # after so long no client's connection may be held that was not told to move
-DISCONNECT_S = 1.0  # part of DRAIN_S for a client that does not read, an event loop that lags included
-HANDOVER_S = 1.5  # established sessions are handed to the successor within this: each costs both some work
-# A front sends new sessions for a moment after the drain began; later ones are shed.
-NEW_SESSIONS_GRACE_S = 1.0
+DRAIN_S = 4.0  # from the start of a drain until the last session that was established before has left
+DISCONNECT_S = 1.0  # the last part of DRAIN_S, for clients that do not read
+HANDOVER_S = 1.5  # from the start of a stop until the successor has all established sessions
+NEW_SESSIONS_GRACE_S = 1.0  # after the start of a drain, which fronts notice late; then new sessions are shed
 
 
 class LifecycleState:
     """The one state that PING, the admin API, graceful shutdown and a hot restart ask and change.
 
-    It alone sets the rate at which established sessions leave, for a drain and a stop alike: with two rates
-    at once sessions would be migrated twice as fast, and neither would know of the other's end.
+    It alone sets the rate at which established sessions leave, for a drain and a stop alike. With two rates
+    at the same time, sessions would be migrated twice as fast.
 
     Attributes:
-        stop_duration_s: all sessions are to have left so long after the stop began.
+        stop_duration_s: time from the start of the stop until all sessions have left.
         sessions_outlive_node: packets pass through, so an established session need not leave.
         ready: the node can serve.
-        drain_started_at: when the drain that is on began; None where there is none.
-        stop_started_at: when the stop began; None before it.
-        rejects_all: the end is near: each client that still comes is rejected at once.
-        successor_serves: another process of this node takes what is new.
+        drain_started_at: when the present drain started; None if there is none.
+        stop_started_at: when the stop started; None before it.
+        rejects_all: the stop is nearly over: each new client is rejected at once.
+        successor_serves: the successor accepts new clients.
 
     """
 
@@ -37,17 +36,17 @@
         self.stop_started_at: float | None = None
         self.rejects_all = False
         self.successor_serves = False
-        self._last_released_at = 0.0  # when sessions were last asked to leave
-        self._fraction_due = 0.0  # the part of one session that is due by now
+        self._last_released_at = 0.0  # when sessions were last released
+        self._fraction_due = 0.0  # the part of one session that is due to leave
 
     @property
     def draining(self) -> bool:
-        """Whether a drain is on."""
+        """Whether the node drains."""
         return self.drain_started_at is not None
 
     @property
     def stopping(self) -> bool:
-        """Whether the stop has begun."""
+        """Whether the stop has started."""
         return self.stop_started_at is not None
 
     @property
@@ -62,52 +61,52 @@
 
     @property
     def hands_over_sessions(self) -> bool:
-        """Whether the sessions that leave go to the successor, which goes on with them."""
+        """Whether the sessions that leave are handed over to the successor."""
         return self.successor_serves and self.stopping
 
     def start_drain(self, now: float) -> None:
-        """Begin a drain; of several calls the first counts, as the sessions' time runs from there."""
+        """Start a drain. While it lasts, further calls change nothing, as its time counts from the first."""
         if self.drain_started_at is None:
             self._begin_release(now)
             self.drain_started_at = now
 
     def end_drain(self) -> None:
-        """Take clients again."""
+        """End the drain: clients are accepted again."""
         self.drain_started_at = None
 
     def start_stop(self, now: float) -> None:
-        """Begin the stop; only the first call counts."""
+        """Start the stop; further calls change nothing."""
         if self.stop_started_at is None:
             self._begin_release(now)
             self.stop_started_at = now
 
     def time_left_s(self, now: float) -> float | None:
-        """Return for how long sessions may still be in hand; None where no end is in sight."""
+        """Return for how long sessions may still be open here, in seconds; None if the node does not stop."""
         return None if self.stop_started_at is None else self.stop_started_at + self.stop_duration_s - now
 
     def sheds_new_sessions(self, now: float) -> bool:
-        """Return whether a new session is shed: it would have to leave at once."""
+        """Return whether a new session is shed, as it would have to leave at once."""
         return self.drain_started_at is not None and now >= self.drain_started_at + NEW_SESSIONS_GRACE_S
 
     def release_deadline(self) -> float | None:
-        """Return when the last session is to have left; None where none has to."""
+        """Return when the last session has to have left; None if none has to leave."""
         deadlines = []
         if self.drain_started_at is not None:
             deadlines.append(self.drain_started_at + DRAIN_S - DISCONNECT_S)
         if self.stop_started_at is not None:
             deadlines.append(self.stop_started_at + self.stop_duration_s)
         if self.hands_over_sessions and self.stop_started_at is not None:
-            # The successor goes on with a drain.
+            # A drain is continued by the successor.
             return min([*deadlines, self.stop_started_at + HANDOVER_S])
         return min(deadlines) if deadlines and not self.sessions_outlive_node else None
 
     def release_sessions(self, now: float, established_count: int) -> int:
-        """Return how many of the established sessions are to leave now."""
+        """Return how many of the established sessions have to leave now."""
         deadline = self.release_deadline()
         if deadline is None:
             return 0
-        # All at once they would come back as one crowd at the other nodes: spread evenly, by the time that
-        # has really passed, or an event loop that lags would hold them all until the end.
+        # Sessions leave evenly, as all at once would overload the other nodes. The rate follows the time that
+        # has passed, so that a lagging event loop does not keep all of them until the deadline.
         elapsed_s, self._last_released_at = now - self._last_released_at, now
         if now >= deadline:
             return established_count
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -1,7 +1,7 @@
 """Messages in the balancer actor's mailbox: immutable values, one type for each kind of event.
 
-Times are microseconds of the node's clock. An upstream is meant by its number in the node's registry, or, in
-messages from the cluster, by its name.
+Times are microseconds of the node's clock. Upstreams are identified by their number in the node's registry,
+or by name in messages from the cluster.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class SessionArrived(NamedTuple):
-    """A client has requested a session, which is to be placed."""
+    """A client has requested a session."""
 
     record: SessionRecord
 
 
 class HoldExpired(NamedTuple):
-    """A session was held until now; the balancer is to be asked again where to place it."""
+    """The time is over for which a session was held: it is placed again."""
 
     record: SessionRecord
 
 
 class SessionAdopted(NamedTuple):
-    """A session was established at an upstream before this process had it."""
+    """A session that was established before has been taken over from another process or node."""
 
     record: SessionRecord
     upstream: int
@@ -39,8 +39,8 @@
 
     Attributes:
         record: the session.
-        outcome: what became of it.
-        done: the client needs no answer any more, so no further attempt may follow.
+        outcome: the outcome.
+        done: the client needs no further answer, so no further attempt may follow.
 
     """
 
@@ -56,21 +56,21 @@
 
 
 class LoadReported(NamedTuple):
-    """An upstream has reported what one session costs, in microseconds of work a second."""
+    """An upstream has reported the load of one session, in microseconds of work a second."""
 
     record: SessionRecord
     load: float
 
 
 class DelayObserved(NamedTuple):
-    """Messages at the upstream of this session take so long now."""
+    """The delay of messages at a session's upstream was observed, in microseconds."""
 
     record: SessionRecord
     delay_us: int
 
 
 class UpstreamUnresponsive(NamedTuple):
-    """Messages wait on sessions of an upstream, and nothing has come back on any of them for a while."""
+    """An upstream has not answered on any of the sessions on which messages wait."""
 
     upstream: int
 
@@ -82,7 +82,7 @@
         upstream: the probed upstream.
         answered: whether an answer came.
         utilization: its load over its capacity, if reported.
-        session_count: the sessions it holds, if reported.
+        session_count: the number of its sessions, if reported.
 
     """
 
@@ -93,11 +93,11 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The endpoint list is known, or has changed.
+    """The endpoint list was received, or has changed.
 
     Attributes:
-        endpoints: the whole list, or the changes to it.
-        from_discovery: whether discovery has sent it now; False for a list kept from before.
+        endpoints: the complete list, or the changes to it.
+        from_discovery: whether discovery has sent it; False for the list that the node started with.
 
     """
 
@@ -110,18 +110,18 @@
 
 
 class UnreachableUpstream(NamedTuple):
-    """An upstream that other nodes fail to connect to, and how many of them do."""
+    """An upstream to which other nodes can't connect, and how many nodes report so."""
 
     name: str
     witness_count: int
 
 
 class EjectionAdvised(NamedTuple):
-    """Advice made of other nodes' health observations.
+    """Advice derived from other nodes' health observations.
 
     Attributes:
         probe: names of upstreams to probe now.
-        unreachable: upstreams that enough other nodes fail to connect to.
+        unreachable: upstreams to which enough other nodes can't connect.
 
     """
 
@@ -130,13 +130,13 @@
 
 
 class SlowStartTokens(NamedTuple):
-    """The token issuer decides on sessions to warming upstreams, and may have issued a token.
+    """The token issuer decides on sessions to warming upstreams for a while, and may have issued a token.
 
     Attributes:
-        issuer_until: until then the issuer decides, and nodes take no turns of their own.
+        issuer_until: until when the issuer decides, and nodes send no sessions by their own turns.
         upstream: name of the upstream that the token is for; empty if there is no token.
         session: number of the session that the token is for.
-        expires_at: until when the token holds.
+        expires_at: until when the token is valid.
 
     """
 
@@ -164,5 +164,5 @@
     | SlowStartTokens
 )
 Message = SessionMessage | EnvironmentMessage
-DecisionWanted = SessionArrived | HoldExpired | AttemptFinished  # a session waits for what is decided on it
+DecisionWanted = SessionArrived | HoldExpired | AttemptFinished  # a session waits for the decision
 Post = Callable[[Message], Awaitable[None]]
--- a/larchlatch/node/metrics.py
+++ b/larchlatch/node/metrics.py
@@ -24,5 +24,5 @@
         self.counts[name] += amount
 
     def snapshot(self) -> dict[str, int]:
-        """Return all counts so far, sorted by name, for a report."""
+        """Return all counts so far, sorted by name."""
         return {str(name): count for name, count in sorted(self.counts.items())}
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -1,4 +1,4 @@
-"""Relays an established session: lines pass both ways until one side ends it or it has to leave."""
+"""Relays an established session: lines pass in both directions until the session ends at this node."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 
 class Side(Enum):
-    """Who ended a session here; the values go into names of counters."""
+    """Who ended a session at this node. The values are parts of counter names."""
 
     CLIENT = "client"
     UPSTREAM = "upstream"
     NODE = "node"
-    SUCCESSOR = "successor"  # the next process of this node goes on with it
+    SUCCESSOR = "successor"  # the successor continues it
 
 
 class RelayEnd(NamedTuple):
-    """How a session ended here.
+    """How a session ended at this node.
 
     Attributes:
-        side: which side ended it.
-        ending: in which way.
-        outcome: what that means for the balancer.
+        side: who ended it.
+        ending: how the connection was ended.
+        outcome: what the balancer records.
 
     """
 
@@ -46,10 +46,10 @@
 
 
 class Relay:
-    """Passes lines between a client and its upstream; it leaves both connections open.
+    """Passes lines between a client and its upstream. It does not close their connections.
 
     Attributes:
-        outcome_at_end: what the end of the upstream's side would mean.
+        outcome_at_end: what the balancer records if the upstream's side ends next.
 
     """
 
@@ -69,11 +69,11 @@
         self._end: RelayEnd | None = None
         self._tasks = anyio.create_task_group()
         self._reading: dict[Side, anyio.CancelScope] = {}
-        self._stopping = False  # both directions are to stop at the end of a line
+        self._stopping = False  # both directions stop at the end of a line
         self._stopped: set[Side] = set()
 
     async def run(self) -> RelayEnd:
-        """Pass lines on until the session ends here; both sides are open then as far as they were."""
+        """Pass lines on until the session ends at this node; return how it ended."""
         async with self._tasks:
             self._tasks.start_soon(self._wait_for_migration)
             self._tasks.start_soon(self._run_direction, Side.CLIENT, self._relay_to_upstream)
@@ -82,8 +82,8 @@
         return self._end
 
     def stop_between_lines(self) -> None:
-        """Stop both directions between two lines, so that the successor can go on."""
-        # Only waiting is cancelled: a line that has been read is sent before its direction stops.
+        """Stop both directions between two lines, so that the successor can continue."""
+        # Only reading is cancelled: a line that has been read is sent before its direction stops.
         self._stopping = True
         for scope in self._reading.values():
             scope.cancel()
@@ -108,7 +108,7 @@
             self._finish(RelayEnd(Side.SUCCESSOR, Ending.END, Outcome.CANCELLED))
 
     async def _next_lines(self, side: Side, source: Lines) -> list[bytes] | Ending | None:
-        """Return the next lines of a side, or how it ended; None where the successor is to read them."""
+        """Return the next lines of a side, or how it ended; None if the direction has to stop."""
         if self._stopping:
             return None
         with anyio.CancelScope() as self._reading[side]:
@@ -131,7 +131,7 @@
                 return RelayEnd(Side.UPSTREAM, received, self.outcome_at_end)
             for line in received:
                 await self._observe(line)
-            # While a client does not read, its upstream is not read: that must not be taken for silence.
+            # While a client does not read, its upstream is not read and must not count as silent.
             self._record.client_stalled_since = now_us()
             sent = await self._client.send(b"".join(received))
             self._record.client_stalled_since = 0
@@ -140,7 +140,7 @@
         return None
 
     async def _observe(self, line: bytes) -> None:
-        """Note what a line of the upstream says of the session."""
+        """Record what a line of the upstream reports about the session."""
         match lines.parse_upstream_line(line):
             case lines.Load(load):
                 await self._upstream_actor.post(LoadReported(self._record, load))
--- a/larchlatch/node/session_record.py
+++ b/larchlatch/node/session_record.py
@@ -1,4 +1,4 @@
-"""What a node holds of a session: the client's request, its final answer, its connections' state."""
+"""What a node keeps for each session: the client's request, its final answer, its connections' state."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class Delivered(NamedTuple):
-    """Final answer: an upstream has taken the session.
+    """Final answer: an upstream has accepted the session.
 
     Attributes:
-        connection: the connection to the upstream; whoever takes the answer owns it, and its descriptor.
-        line: the line with which the upstream took the session.
+        connection: the connection to the upstream, which the receiver of the answer owns with its descriptor.
+        line: the upstream's answer; empty for a session that was adopted.
         upstream: number of the upstream.
 
     """
@@ -31,10 +31,10 @@
 
 
 class Shed(NamedTuple):
-    """Final answer: nothing has run, so trying again is harmless.
+    """Final answer: no attempt has run, so the client may repeat its request.
 
     Attributes:
-        retry_after_us: wait advised to the client in microseconds; 0 for no advice.
+        retry_after_us: the wait that the client is advised, in microseconds; 0 for no advice.
 
     """
 
@@ -42,7 +42,7 @@
 
 
 class Failed(NamedTuple):
-    """Final answer without a promise: an attempt may have run."""
+    """Final answer: an attempt may have run."""
 
 
 FinalAnswer = Delivered | Shed | Failed
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True, eq=False)
 class SessionRecord:
-    """One session from its request until its client's connection has ended.
+    """One session from its request until the client's connection has ended.
 
     Times are microseconds of the node's clock. Records are compared by identity.
 
@@ -62,11 +62,11 @@
         client_gone: the client has left, or its session is over.
         client_hung_up: asks the operating system whether the client has closed its connection.
         attempt_scope: cancels the attempt that is in flight, if one is.
-        migration_requested: set when the session has to leave its upstream, or its client be cut off.
-        request_handover: stops the relay between two lines, so that a hot restart's successor can go on.
-        upstream_silent: the session migrates because its upstream no longer answers.
-        client_stalled_since: when the client began not to read what is sent to it; 0 while it reads.
-        awaiting_answer_since: when the client sent the first line that has no answer yet; 0 if none waits.
+        migration_requested: set when the session has to leave its upstream, or its client is disconnected.
+        request_handover: stops the relay between two lines, so that the successor can continue the session.
+        upstream_silent: the session migrates because its upstream does not answer.
+        client_stalled_since: when the client stopped reading what is sent to it; 0 while it reads.
+        awaiting_answer_since: when the client sent the first line without an answer; 0 if all have one.
 
     """
 
@@ -87,7 +87,7 @@
         """Give the session its one final answer.
 
         Returns:
-            False if it has one already, or if its client is gone: the answer was not taken then.
+            False if it already has one or its client has left. The answer is then not used.
 
         """
         if self.final_answer is not None or self.client_gone:
@@ -97,14 +97,14 @@
         return True
 
     def mark_client_gone(self) -> None:
-        """Note that the client has left: no attempt may start for it, and nobody waits for an answer."""
+        """Record that the client has left: no attempt may start any more."""
         self.client_gone = True
         self.finished.set()
 
     def check_finished(self) -> bool:
-        """Return whether no attempt may start any more: it is answered, or its client has left.
+        """Return whether no attempt may start any more, as the session is answered or its client has left.
 
-        Asks the operating system as well: the client's end may lie there behind bytes that nobody has read.
+        The operating system is asked too, as the client's end may follow bytes that have not been read.
         """
         unfinished = not self.client_gone and self.final_answer is None
         if unfinished and self.client_hung_up is not None and self.client_hung_up():
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -1,7 +1,8 @@
-"""Drain and graceful shutdown: sessions migrate bit by bit, and attempts end before the node does."""
+"""Drain and graceful shutdown: sessions leave gradually, and requests are answered before the node ends."""
 
 from __future__ import annotations
 
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import anyio
@@ -16,21 +17,24 @@
     from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
 
-STOP_GRACE_S = 0.7  # what the protocol grants a node beyond the longest deadline before it is ended
-STOP_MARGIN_S = 0.4  # all is over this long before that: a migrated session takes a moment to close
-LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines: well under the second that one may be held
-ROUND_INTERVAL_S = 0.05  # between two rounds of migrations
-# Waiting clients without a request are rejected so long before the last answers are due.
-EARLY_REJECTION_S = 0.1
-LAST_ANSWERS_S = 0.4  # for the last answers and connection ends: within EARLY_REJECTION_S and STOP_MARGIN_S
-
-SESSIONS_RELEASED = "session_released"
+STOP_GRACE_S = 0.7  # after the longest deadline: then the protocol allows that the process is killed
+STOP_MARGIN_S = 0.4  # sessions have left so long before the end of the grace, to allow for closing them
+EARLY_REJECTION_S = 0.1  # waiting clients without a request are rejected so long before sessions have left
+LAST_ANSWERS_S = 0.4  # for the last answers; shorter than EARLY_REJECTION_S and STOP_MARGIN_S together
+LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines; a session may be paused for 1 s
+ROUND_INTERVAL_S = 0.05  # between two rounds of releasing sessions
 
 log = structlog.get_logger()
 
 
+class DrainCounter(StrEnum):
+    """Names of the counters of draining."""
+
+    SESSION_RELEASED = "session_released"
+
+
 class SessionDrainer:
-    """Makes established sessions leave at the rate of the lifecycle state, for a drain and a stop alike."""
+    """Makes established sessions leave at the rate that the lifecycle state sets, for a drain or a stop."""
 
     def __init__(
         self, lifecycle: LifecycleState, connections: ClientConnections, counters: Counters, tasks: TaskGroup
@@ -42,13 +46,13 @@
         self._running = False
 
     def start(self) -> None:
-        """Release sessions for as long as the lifecycle state wants it; again and again changes nothing."""
+        """Release sessions while the lifecycle state requires it; calls while this runs change nothing."""
         if not self._running:
             self._running = True
             self._tasks.start_soon(self._run)
 
     async def _run(self) -> None:
-        handed_over_at: dict[SessionRecord, float] = {}  # when the hand-over to the successor was asked for
+        handed_over_at: dict[SessionRecord, float] = {}  # when its hand-over was requested
         while self._lifecycle.releasing_sessions:
             now = anyio.current_time()
             self._release_due(now, handed_over_at)
@@ -62,18 +66,18 @@
             for record in self._connections.sessions.established.values()
             if not record.migration_requested.is_set() and record not in handed_over_at
         ]
-        # Where packets pass through none is due: sessions go on through other nodes.
+        # None is due where packets pass through, as sessions continue through other nodes.
         due_count = self._lifecycle.release_sessions(now, len(established))
         for record in established[:due_count]:
             if not self._lifecycle.hands_over_sessions:
-                self._counters.add(SESSIONS_RELEASED)
+                self._counters.add(DrainCounter.SESSION_RELEASED)
                 record.migration_requested.set()
             elif record.request_handover is not None:
                 handed_over_at[record] = now
                 record.request_handover()
 
     def _migrate_unready(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
-        # A side that does not read keeps its session from stopping between two lines: it has to be migrated.
+        # A session does not stop between two lines while one side does not read: then it is migrated.
         overdue = [record for record, at in handed_over_at.items() if now >= at + LINE_BOUNDARY_S]
         for record in overdue:
             del handed_over_at[record]
@@ -81,7 +85,7 @@
 
 
 class GracefulShutdown:
-    """Ends the node once all that it has in hand is answered and the time granted is over."""
+    """Ends the node once all requests are answered and the time for the stop is over."""
 
     def __init__(
         self,
@@ -102,27 +106,28 @@
         log.info("stopping", sessions=len(self._connections.sessions.established))
         self._drainer.start()
         await self._finish_requests()
-        # Cut off as it is, a connection whose request has just come would be reset: each gets an answer
-        # first, also those that the system has accepted for this node and that it has not taken yet.
+        # A connection closed over an unread request would be reset, so each is answered first, also those in
+        # the backlog.
         self._connections.reject_all()
-        # Where a successor goes on, what waits to be accepted is its own.
+        # The successor accepts the connections in the backlog.
         if not self._lifecycle.hands_over_sessions:
             await self._listener.close()
         with anyio.move_on_after(LAST_ANSWERS_S):
-            while self._connections.connection_count > 0:  # noqa: ASYNC110 - a count, which sets no event
+            while self._connections.connection_count > 0:  # noqa: ASYNC110 - a count has no event
                 await anyio.sleep(ROUND_INTERVAL_S)
         self._tasks.cancel_scope.cancel()
 
     async def _finish_requests(self) -> None:
         reject_at = anyio.current_time() + self._lifecycle.stop_duration_s - EARLY_REJECTION_S
-        # Until the time is up new sessions may come through a front that has not noticed, unless a successor
-        # takes them; those that have connected here get their answer here.
+        # Until then a front that has not noticed the stop may send new sessions, unless the successor accepts
+        # them. Clients that have connected here get their answer here.
         while self._connections.sessions.open_count > 0 or (
-            anyio.current_time() < reject_at and not self._nothing_more_comes()
+            anyio.current_time() < reject_at and not self._all_requests_received()
         ):
             if anyio.current_time() >= reject_at:
                 self._connections.reject_all()
             await anyio.sleep(ROUND_INTERVAL_S)
 
-    def _nothing_more_comes(self) -> bool:
+    def _all_requests_received(self) -> bool:
+        """Return whether the successor accepts new clients, and each client here has sent its request."""
         return self._lifecycle.hands_over_sessions and not self._connections.reader.without_line
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -30,12 +30,15 @@
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.hot_restart.channel import Channel, frame
 from larchlatch.node.hot_restart.packets import (
+    BalancerState,
     Hello,
     Packet,
     Serving,
     SessionHandover,
     StateHandover,
     Welcome,
+    decode_packet,
+    encode_packet,
 )
 from larchlatch.node.hot_restart.rendezvous import Rendezvous, hello_of
 from larchlatch.node.lifecycle_state import LifecycleState
@@ -503,14 +506,15 @@
         )
     ),
     Serving(),
-    StateHandover({"hosts": {}, "asked": [], "noted": 0.0}, ["id1", "idé"], 12, 0.5, 17),
+    StateHandover(BalancerState({"hosts": {}, "asked": [], "noted": 0.0}), ["id1", "idé"], 12, 0.5, 17),
+    StateHandover(BalancerState({"noted": 0.0}, {"all": 5}), [], 0, None, 0),
     SessionHandover(
         b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, 0, int(Outcome.RESET), b"half a l\xff", b"one\r\ntwo"
     ),
 ]
 
 
-@pytest.mark.parametrize("packet", PACKETS, ids=[type(packet).__name__ for packet in PACKETS])
+@pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: type(packet).__name__)
 def test_a_packet_cut_at_any_byte_is_no_packet_and_leaves_no_descriptor(packet: Packet) -> None:
     async def body(tasks: TaskGroup) -> None:
         data = frame(packet, 1)
@@ -558,6 +562,21 @@
     run_on_loopback(body)
 
 
+def test_quota_usage_is_written_inside_the_balancers_state() -> None:
+    """A process of an earlier version reads it there."""
+    written = orjson.loads(
+        encode_packet(StateHandover(BalancerState({"noted": 0.5}, {"all": 5}), [], 0, None, 0))
+    )
+    assert written["learned"] == {"noted": 0.5, "budgets": {"all": 5}}
+
+
+@pytest.mark.parametrize("usage", ['{"all":"5"}', '{"all":null}', '{"all":true}'])
+def test_quota_usage_that_is_no_number_makes_the_packet_invalid(usage: str) -> None:
+    text = f'{{"kind":"Ceded","learned":{{"budgets":{usage}}},"idents":[],"holds":0,"clock_us":0}}'
+    with pytest.raises(InvalidInputError, match="all has the wrong type"):
+        decode_packet(text.encode())
+
+
 # What Brain hands on.
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -78,8 +78,14 @@
         passing.Hello("n1", "127.0.0.1:3000"),
         passing.Welcome(MemberList(41, True, [listed])),
         passing.Serving(),
-        passing.StateHandover({"hosts": {}, "asked": [1], "noted": 0.5}, ["id-1", "id-2"], 60, 1.25, 123456),
-        passing.StateHandover({}, [], 0, None, 0),
+        passing.StateHandover(
+            passing.BalancerState({"hosts": {}, "asked": [1], "noted": 0.5}),
+            ["id-1", "id-2"],
+            60,
+            1.25,
+            123456,
+        ),
+        passing.StateHandover(passing.BalancerState({}), [], 0, None, 0),
         passing.SessionHandover(
             b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.RESET), b"\xff", b"x"
         ),
