--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -8,7 +8,6 @@
 DRAIN_S = 4.0  # from the start of a drain until the last session that was established before has left
 DISCONNECT_S = 1.0  # the last part of DRAIN_S, for clients that do not read
 HANDOVER_S = 1.5  # from the start of a stop until the successor has all established sessions
-NEW_SESSIONS_GRACE_S = 1.0  # after the start of a drain, which fronts notice late; then new sessions are shed
 
 
 class LifecycleState:
@@ -84,10 +83,6 @@
         """Return for how long sessions may still be open here, in seconds; None if the node does not stop."""
         return None if self.stop_started_at is None else self.stop_started_at + self.stop_duration_s - now
 
-    def sheds_new_sessions(self, now: float) -> bool:
-        """Return whether a new session is shed, as it would have to leave at once."""
-        return self.drain_started_at is not None and now >= self.drain_started_at + NEW_SESSIONS_GRACE_S
-
     def release_deadline(self) -> float | None:
         """Return when the last session has to have left; None if none has to leave."""
         deadlines = []
