--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -22,6 +22,26 @@
 WHERE = "configuration"  # what messages call the file
 ADMIN_ADDRESS_VARIABLE = "EDGE_CONTROL"
 
+# The key of the file that each attribute of `NodeConfiguration` is read from. Attributes that are derived
+# from several keys of an object have the key of that object.
+FILE_KEYS = {
+    "name": "name",
+    "listen_address": "listen",
+    "discovery_address": "discovery",
+    "admin_address": "control",
+    "seed": "seed",
+    "descriptor_limit": "limits.sockets",
+    "known_endpoints": "known",
+    "settings": "settings",
+    "traffic_class_names": "settings.tariffs",
+    "tenants": "settings.tenants",
+    "zones": "settings.areas",
+    "upstream_settings": "settings",
+    "discovery_pushes_changes": "settings.discovery",
+    "passes_through": "settings.domain.mode",
+    "max_deadline_us": "settings.tariffs",
+}
+
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 DEFAULT_DESCRIPTOR_LIMIT = 1024  # what most systems grant a process
 
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from enum import StrEnum
-from typing import TYPE_CHECKING, Any
+from typing import TYPE_CHECKING
 
 import anyio
 import structlog
@@ -21,7 +21,7 @@
 from larchlatch.node.held_sessions import HeldSessions
 from larchlatch.node.hot_restart.packets import BalancerState
 from larchlatch.node.session_record import Failed, SessionRecord, Shed
-from larchlatch.node.status import upstream_rows
+from larchlatch.node.status import UpstreamRow, upstream_rows
 from larchlatch.node.upstream_actor import StartProbe
 from larchlatch.policy import types
 from larchlatch.policy.state_export import export_state, restore_state
@@ -119,7 +119,7 @@
         else:
             self._handle_environment_message(now, message)
 
-    def upstream_rows(self) -> list[dict[str, Any]]:
+    def upstream_rows(self) -> list[UpstreamRow]:
         """Return one row for each upstream, for operators."""
         return upstream_rows(upstream_statuses(self.balancer, now_us()), self.upstreams.actors)
 
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -5,12 +5,13 @@
 
 from __future__ import annotations
 
-from dataclasses import fields, replace
+from dataclasses import replace
+from enum import StrEnum
 from typing import TYPE_CHECKING
 
 import structlog
 
-from larchlatch.config.node import NodeConfiguration, read_node_configuration
+from larchlatch.config.node import FILE_KEYS, NodeConfiguration, read_node_configuration
 from larchlatch.errors import InvalidInputError
 
 if TYPE_CHECKING:
@@ -21,16 +22,19 @@
 
 # Attributes of NodeConfiguration that a running node follows.
 RELOADABLE = frozenset({"discovery_address"})
-# Attributes that are used at the start alone: a change to them makes no difference while the node runs.
+# Attributes that only matter at the start: a change to them makes no difference to a running node.
 STARTUP_ONLY = frozenset({"seed", "known_endpoints"})
 
-# Counters.
-CONFIGURATION_RELOADED = "configuration_reloaded"
-CONFIGURATION_REJECTED = "configuration_rejected"
-
 log = structlog.get_logger()
 
 
+class ReloadCounter(StrEnum):
+    """Names of the counters of reloading."""
+
+    RELOADED = "configuration_reloaded"
+    REJECTED = "configuration_rejected"
+
+
 def reload_configuration(
     current: NodeConfiguration, path: Path, discovery: DiscoveryClient, counters: Counters
 ) -> NodeConfiguration:
@@ -39,35 +43,35 @@
     Args:
         current: The configuration that the node runs with.
         path: The file to read.
-        discovery: Told of a new discovery address.
-        counters: Count reloads and rejected files.
+        discovery: Follows a new discovery address.
+        counters: Where reloads and rejected files are counted.
 
     Returns:
-        The configuration that the node runs with from now on: the current one where the file is wrong.
+        The configuration that the node runs with from now on: the current one if the file is wrong.
 
     """
     try:
         new = read_node_configuration(path)
     except InvalidInputError as error:
-        # A wrong file must not end a node that holds sessions.
-        counters.add(CONFIGURATION_REJECTED)
-        log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - the message says all, no traceback
+        counters.add(ReloadCounter.REJECTED)
+        log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - a wrong file is no fault of the node
         return current
-    counters.add(CONFIGURATION_RELOADED)
-    waiting = _changes_that_need_restart(current, new)
-    if waiting:
-        log.warning("configuration_needs_restart", keys=waiting)
+    counters.add(ReloadCounter.RELOADED)
+    keys = _keys_that_need_restart(current, new)
+    if keys:
+        log.warning("configuration_needs_restart", keys=keys)
     if new.discovery_address != current.discovery_address:
         discovery.change_address(new.discovery_address)
     log.info("configuration_reloaded", discovery=new.discovery_address)
     return replace(current, discovery_address=new.discovery_address)
 
 
-def _changes_that_need_restart(current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
-    """Return the names of the attributes that differ and are not followed."""
-    names = [field.name for field in fields(NodeConfiguration)]
-    return [
-        name
-        for name in names
-        if name not in RELOADABLE | STARTUP_ONLY and getattr(new, name) != getattr(current, name)
-    ]
+def _keys_that_need_restart(current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
+    """Return the keys of the file whose values differ and are not followed, each once."""
+    changed = {
+        key: None
+        for attribute, key in FILE_KEYS.items()
+        if attribute not in RELOADABLE | STARTUP_ONLY
+        and getattr(new, attribute) != getattr(current, attribute)
+    }
+    return list(changed)
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import signal
+from dataclasses import asdict
 from typing import TYPE_CHECKING
 
 import anyio
@@ -68,7 +69,7 @@
 
     def _log_status(self) -> None:
         for row in self._components.balancer_actor.upstream_rows():
-            log.info("upstream_status", **row)
+            log.info("upstream_status", **asdict(row))
         cluster = self._components.cluster
         if cluster is None:
             return
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -4,7 +4,7 @@
 
 import copy
 from collections.abc import Iterator
-from dataclasses import replace
+from dataclasses import fields, replace
 from pathlib import Path
 from typing import Any
 
@@ -15,7 +15,12 @@
 from hypothesis import strategies as st
 
 from larchlatch.config.endpoints import decode_endpoint_list, parse_address
-from larchlatch.config.node import NodeConfiguration, parse_node_configuration, read_node_configuration
+from larchlatch.config.node import (
+    FILE_KEYS,
+    NodeConfiguration,
+    parse_node_configuration,
+    read_node_configuration,
+)
 from larchlatch.config.reading import EXACT_INTEGER_LIMIT, non_negative_int, one_of, optional, required
 from larchlatch.errors import ConfigurationError, InvalidInputError, ProtocolError
 from larchlatch.node.discovery import DiscoveryClient
@@ -100,8 +105,12 @@
     [
         ({"seed": "2"}, None),
         ({"discovery": "127.0.0.1:2"}, None),
-        ({"name": "other", "listen": "127.0.0.1:9"}, ["name", "listen_address"]),
-        ({"limits": {"sockets": 9}}, ["descriptor_limit"]),
+        ({"name": "other", "listen": "127.0.0.1:9"}, ["name", "listen"]),
+        ({"limits": {"sockets": 9}}, ["limits.sockets"]),
+        ({"control": "127.0.0.1:8"}, ["control"]),
+        ({"settings": {**GOOD["settings"], "me": 7}}, ["settings"]),
+        ({"settings": {**GOOD["settings"], "areas": ["x"]}}, ["settings.areas"]),
+        ({"settings": {**GOOD["settings"], "tenants": [{"name": "x"}]}}, ["settings.tenants"]),
     ],
 )
 def test_changes_that_need_a_restart_are_named_and_not_followed(
@@ -118,6 +127,10 @@
     assert replace(new, discovery_address=current.discovery_address) == current
 
 
+def test_each_attribute_of_the_configuration_has_its_key_of_the_file() -> None:
+    assert list(FILE_KEYS) == [field.name for field in fields(NodeConfiguration)]
+
+
 @pytest.mark.parametrize(
     ("value", "kind", "problem"),
     [
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -182,11 +182,13 @@
                 assert await client.line() == b"UP r1\r\n"
             running.signal(signal.SIGUSR1)
             rows = {
-                row["host"]: row for row in [await running.next_event("upstream_status") for _ in range(2)]
+                row["upstream"]: row
+                for row in [await running.next_event("upstream_status") for _ in range(2)]
             }
-        assert sum(row["links"] for row in rows.values()) == 3
+        assert sum(row["sessions"] for row in rows.values()) == 3
         for row in rows.values():
-            assert row["links"] == row["links_open"] and row["tries"] == row["tries_open"] == 0
+            assert row["sessions"] == row["sessions_open"]
+            assert row["attempts"] == row["attempts_open"] == 0
         assert rows["s-0"]["left_out"] == "" and rows["s-1"]["left_out"] == "draining"
 
     run_on_loopback(body)
