--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -120,7 +120,8 @@
         """Serve one connection, until its call is answered or its scope is cancelled."""
         connection = Lines(stream)
         try:
-            with FaultBarrier(self._counters, AdminCounter.CALL_ERROR, "admin_call_error"), scope:
+            barrier = FaultBarrier(self._counters, counter=AdminCounter.CALL_ERROR, event="admin_call_error")
+            with barrier, scope:
                 scope.deadline = anyio.current_time() + CALL_TIMEOUT_S
                 await self._answer(connection)
             if scope.cancelled_caught:
--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -119,7 +119,9 @@
         self.in_flight += 1
         with anyio.CancelScope() as scope:
             record.attempt_scope = scope
-            with FaultBarrier(self._counters, AttemptCounter.FAILED, "attempt_failed") as barrier:
+            with FaultBarrier(
+                self._counters, counter=AttemptCounter.FAILED, event="attempt_failed"
+            ) as barrier:
                 outcome = await self._attempt(record, give_up_at)
             if barrier.caught:
                 outcome = Outcome.ERROR  # it is not known how far the attempt had come: it may have run
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -133,7 +133,7 @@
 
     def _fault_barrier(self, message: str) -> FaultBarrier:
         return FaultBarrier(
-            self._counters, BalancerCounter.DECISIONS_FAILED, "decision_failed", message=message
+            self._counters, counter=BalancerCounter.DECISIONS_FAILED, event="decision_failed", message=message
         )
 
     # Messages of sessions.
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -2,9 +2,8 @@
 
 from __future__ import annotations
 
-from collections.abc import Awaitable, Callable
 from contextlib import asynccontextmanager
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Protocol
 
 import anyio
 import structlog
@@ -47,12 +46,19 @@
 SESSION_HANDOVER_INVALID = "session_handover_invalid"
 REJECTED_SECOND_LINE = "request_rejected_more_than_one_line"
 
-# Hands an established session over to the successor; False where that failed and the session is still here.
-SendSession = Callable[[SessionRecord, Lines, Lines, Outcome], Awaitable[bool]]
-
 log = structlog.get_logger()
 
 
+class SendSession(Protocol):
+    """How an established session is handed over to the successor."""
+
+    async def __call__(
+        self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
+    ) -> bool:
+        """Hand the session over; return False if that failed and the session is still here."""
+        ...
+
+
 class SessionHandler:
     """Runs sessions; each owns its client's and its upstream's connection until both have ended.
 
@@ -255,13 +261,17 @@
         if delivered.line and not await client.send(delivered.line):
             return RelayEnd(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         actor = self._balancer_actor.upstreams.actors[delivered.upstream]
-        relay = Relay(record, client, delivered.connection, actor, outcome_at_end)
+        relay = Relay(
+            record, actor, client=client, upstream=delivered.connection, outcome_at_end=outcome_at_end
+        )
         record.request_handover = relay.stop_between_lines
         end = await relay.run()
         if end.side is not Side.SUCCESSOR:
             return end
         send = self._send_to_successor
-        if send is not None and await send(record, client, delivered.connection, relay.outcome_at_end):
+        if send is not None and await send(
+            record, client=client, upstream=delivered.connection, outcome_at_end=relay.outcome_at_end
+        ):
             self._counters.add(SESSIONS_HANDED_OVER)
             return None
         return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
--- a/larchlatch/node/cluster_adapter.py
+++ b/larchlatch/node/cluster_adapter.py
@@ -77,7 +77,7 @@
         ready = self._upstreams.ready_entries()
         self._cluster.update_endpoints(
             [entry.name for entry in ready],
-            slow_start_us=slow_start_left_us(ready, self._settings.slow_start_us, now),
+            slow_start_us=slow_start_left_us(ready, slow_start_us=self._settings.slow_start_us, now=now),
             overload_window_us=self._settings.overload_window_us,
         )
 
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -173,7 +173,7 @@
     async def _call(self, source: EndpointSource) -> None:
         """Follow the list by one call until the call ends, and record how it ended."""
         self.last_progress_at, self.refused = anyio.current_time(), False
-        with FaultBarrier(self._counters, DiscoveryCounter.CALL_FAILED, "discovery_call_error"):
+        with FaultBarrier(self._counters, counter=DiscoveryCounter.CALL_FAILED, event="discovery_call_error"):
             try:
                 await self._follow(source)
             except DiscoveryRefusedError as error:
--- a/larchlatch/node/fault_barrier.py
+++ b/larchlatch/node/fault_barrier.py
@@ -30,7 +30,7 @@
 
     __slots__ = ("_counter", "_counters", "_event", "_fields", "caught")
 
-    def __init__(self, counters: Counters, counter: str, event: str, **fields: object) -> None:
+    def __init__(self, counters: Counters, *, counter: str, event: str, **fields: object) -> None:
         """Prepare a barrier.
 
         Args:
--- a/larchlatch/node/hot_restart/channel.py
+++ b/larchlatch/node/hot_restart/channel.py
@@ -98,7 +98,7 @@
         except (anyio.EndOfStream, *GONE):
             _close_all(descriptors)
             return None
-        except BaseException:
+        except BaseException:  # also when cancelled: the descriptors received so far have no other owner
             _close_all(descriptors)
             raise
         return Received(packet, [socket.socket(fileno=descriptor) for descriptor in descriptors])
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -173,7 +173,7 @@
         self._one_at_a_time = anyio.Lock()
 
     async def send(
-        self, record: SessionRecord, client: Lines, upstream: Lines, outcome_at_end: Outcome
+        self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
     ) -> bool:
         """Hand a session over.
 
@@ -192,7 +192,7 @@
             detached: list[DetachedConnection] = []
             try:
                 if _detach(client, detached) and _detach(upstream, detached):
-                    packet = self._packet(record, outcome_at_end, *detached)
+                    packet = self._packet(record, outcome_at_end, client=detached[0], upstream=detached[1])
                     if await self._channel.send(packet, [side.descriptor for side in detached]):
                         return True
                 # The session stays here and is migrated; until then neither side notices anything.
@@ -207,6 +207,7 @@
         self,
         record: SessionRecord,
         outcome_at_end: Outcome,
+        *,
         client: DetachedConnection,
         upstream: DetachedConnection,
     ) -> SessionHandover:
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -56,9 +56,10 @@
     def __init__(
         self,
         record: SessionRecord,
+        upstream_actor: UpstreamActor,
+        *,
         client: Lines,
         upstream: Lines,
-        upstream_actor: UpstreamActor,
         outcome_at_end: Outcome,
     ) -> None:
         self.outcome_at_end = outcome_at_end
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -57,7 +57,7 @@
         log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - a wrong file is no fault of the node
         return current
     counters.add(ReloadCounter.RELOADED)
-    keys = _keys_that_need_restart(current, new)
+    keys = _keys_that_need_restart(current=current, new=new)
     if keys:
         log.warning("configuration_needs_restart", keys=keys)
     if new.discovery_address != current.discovery_address:
@@ -66,7 +66,7 @@
     return replace(current, discovery_address=new.discovery_address)
 
 
-def _keys_that_need_restart(current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
+def _keys_that_need_restart(*, current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
     """Return the keys of the file whose values differ and are not followed, each once."""
     changed = {
         key: None
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -106,11 +106,13 @@
     mailbox = Mailbox(counters)
     discovery = build_discovery_client(configuration, random_source, mailbox, counters)
     cluster = join_cluster(join, counters, random_source, mailbox)
+    upstreams = build_upstream_registry(configuration, descriptors, counters, mailbox)
+    balancer = Balancer(configuration.settings, random_source)
     balancer_actor = BalancerActor(
-        Balancer(configuration.settings, random_source),
+        balancer,
         configuration.traffic_class_names,
         mailbox,
-        build_upstream_registry(configuration, descriptors, counters, mailbox),
+        upstreams,
         counters,
         discovery=discovery,
         cluster=cluster,
--- a/larchlatch/node/upstream_registry.py
+++ b/larchlatch/node/upstream_registry.py
@@ -125,7 +125,7 @@
         )
 
 
-def slow_start_left_us(entries: Sequence[EndpointEntry], slow_start_us: int, now: int) -> int:
+def slow_start_left_us(entries: Sequence[EndpointEntry], *, slow_start_us: int, now: int) -> int:
     """Return for how long at most one of these upstreams is still warming up, in microseconds."""
     ends = [entry.started_at + slow_start_us for entry in entries if entry.started_at]
     return max(0, max(ends, default=now) - now)
