--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -108,14 +108,9 @@
     cluster = join_cluster(join, counters, random_source, mailbox)
     upstreams = build_upstream_registry(configuration, descriptors, counters, mailbox)
     balancer = Balancer(configuration.settings, random_source)
+    classes = configuration.traffic_class_names
     balancer_actor = BalancerActor(
-        balancer,
-        configuration.traffic_class_names,
-        mailbox,
-        upstreams,
-        counters,
-        discovery=discovery,
-        cluster=cluster,
+        balancer, classes, mailbox, upstreams, counters, discovery=discovery, cluster=cluster
     )
     lifecycle = build_lifecycle_state(configuration)
     ready = anyio.Event()
