--- a/larchlatch/node/metrics.py
+++ b/larchlatch/node/metrics.py
@@ -1,6 +1,6 @@
 """Counters of what the node has received, sent and answered.
 
-The names stand as constants in the module that counts; operators' alert rules refer to them.
+The names stand in an enumeration of the module that counts; operators' alert rules refer to them.
 """
 
 from __future__ import annotations
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import signal
+from dataclasses import asdict
 from typing import TYPE_CHECKING
 
 import anyio
@@ -17,17 +18,17 @@
     from anyio.abc import TaskGroup
 
     from larchlatch.config.node import NodeConfiguration
-    from larchlatch.node.runtime import NodeComponents
+    from larchlatch.node.components import NodeComponents
     from larchlatch.node.shutdown import GracefulShutdown
 
-# Each has its handler before the first session is taken: by default a process ends at them.
+# They are handled from before the first session on, as by default a process ends when it receives one.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 log = structlog.get_logger()
 
 
 class SignalHandler:
-    """Handles signals one after the other."""
+    """Handles signals, each completely before the next one."""
 
     def __init__(
         self,
@@ -37,7 +38,7 @@
         shutdown: GracefulShutdown,
         tasks: TaskGroup,
     ) -> None:
-        self._configuration = configuration  # what the node goes by now
+        self._configuration = configuration  # which is in force now
         self._path = path  # of the configuration file
         self._components = components
         self._shutdown = shutdown
@@ -67,17 +68,17 @@
             components.cluster.reload()
 
     def _log_status(self) -> None:
-        for row in self._components.balancer_actor.upstream_rows():
-            log.info("upstream_status", **row)
+        for upstream in self._components.balancer_actor.upstream_rows():
+            log.info("upstream_status", **asdict(upstream))
         cluster = self._components.cluster
         if cluster is None:
             return
-        for row in cluster.member_rows():
-            log.info("member_status", **row)
-        for row in cluster.quota_rows():
-            log.info("quota_status", **row)
-        for row in cluster.role_rows():
-            log.info("role_status", **row)
+        for member in cluster.member_rows():
+            log.info("member_status", **member)
+        for quota in cluster.quota_rows():
+            log.info("quota_status", **quota)
+        for role in cluster.role_rows():
+            log.info("role_status", **role)
 
     def _begin_stop(self) -> None:
         lifecycle = self._components.lifecycle
--- a/larchlatch/policy/types.py
+++ b/larchlatch/policy/types.py
@@ -335,13 +335,13 @@
 class Exclusion(Enum):
     """Why an upstream gets no new session before others do."""
 
-    NOT_READY = "not ready"
+    NOT_READY = "not_ready"
     UNREACHABLE = "unreachable"
     UNRESPONSIVE = "unresponsive"
     SLOW = "slow"
     EJECTED = "ejected"
     CROWDED = "crowded"
-    WARMING_UP = "warming up"
+    WARMING_UP = "warming_up"
 
 
 class UpstreamStatus(NamedTuple):
