--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -12,7 +12,7 @@
 from larchlatch.config.endpoints import EndpointList, decode_endpoint_list
 from larchlatch.errors import LarchlatchError, ProtocolError
 from larchlatch.node.wire.dialing import Unconnected, dial
-from larchlatch.node.wire.http import next_event
+from larchlatch.node.wire.http import HttpEvent, next_event
 from larchlatch.node.wire.json_framing import MAX_LIST_BYTES, JsonObjectFramer
 from larchlatch.node.wire.listen import stream_of
 
@@ -97,7 +97,7 @@
             if isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                 return None
 
-    async def _first_event(self, timeout_s: float) -> h11.Event | type[h11.PAUSED] | None:
+    async def _first_event(self, timeout_s: float) -> HttpEvent | None:
         """Return the first event of the response; None if none came in time."""
         # A second, short wait: if this node's own event loop was late, the answer has arrived and is unread.
         for wait_s in (timeout_s, UNREAD_GRACE_S):
@@ -105,7 +105,7 @@
                 return await self._next_event()
         return None
 
-    async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
+    async def _next_event(self) -> HttpEvent:
         return await next_event(self._http, self._stream, READ_BYTES)
 
 
--- a/larchlatch/node/wire/http.py
+++ b/larchlatch/node/wire/http.py
@@ -10,10 +10,11 @@
 if TYPE_CHECKING:
     from anyio.abc import SocketStream
 
+# What h11 returns: an event, or one of its two markers for a connection that has none.
+HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
-async def next_event(
-    http: h11.Connection, stream: SocketStream, max_bytes: int
-) -> h11.Event | type[h11.PAUSED]:
+
+async def next_event(http: h11.Connection, stream: SocketStream, max_bytes: int) -> HttpEvent:
     """Return the next h11 event, after reading from the stream what it needs.
 
     Args:
