--- a/larchlatch/node/status.py
+++ b/larchlatch/node/status.py
@@ -64,8 +64,8 @@
         return ""
     if status.exclusion is Exclusion.NOT_READY:
         return status.state.value
-    word: str = status.exclusion.value
-    return word
+    reason: str = status.exclusion.value
+    return reason
 
 
 def upstream_rows(
