--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -6,9 +6,8 @@
 from tests.support.balancer_harness import SECOND_US, BalancerHarness, endpoint
 
 
-def test_sessions_are_moved_off_a_slow_upstream_but_not_when_all_are_slow() -> None:
-    """An upstream with late messages earns nothing; a slowdown of everything must not set all sessions
-    moving."""
+def test_sessions_migrate_off_one_slow_upstream_but_not_if_all_are_slow() -> None:
+    """A slow upstream serves nobody in time, but a slowdown of all must not move all sessions."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -19,8 +18,7 @@
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
         moved += harness.balancer.wait(harness.now).migrations
         harness.now += SECOND_US
-    # A tenth of the upstream's sessions a round and all nodes: one from each node with few would empty it
-    # at once.
+    # A tenth of the upstream's sessions a round over all nodes: one from each node would empty it at once.
     assert 1 <= len(moved) <= 12 and all(
         sessions[number].upstream == sessions[0].upstream for number in moved
     )
@@ -30,9 +28,8 @@
     assert not harness.balancer.wait(harness.now).migrations
 
 
-def test_slow_upstreams_take_no_new_session_even_when_all_are_slow() -> None:
-    """Sessions added to upstreams that are late for everybody keep all of them late: the fleet never
-    recovers."""
+def test_slow_upstreams_take_no_new_session_even_if_all_are_slow() -> None:
+    """New sessions on slow upstreams would keep all sessions there late, and the fleet would not recover."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -49,8 +46,8 @@
     assert soon.number in harness.attempt_upstreams
 
 
-def test_more_sessions_are_moved_the_later_an_upstream_is() -> None:
-    """An upstream with seconds of work piled up keeps all its sessions late while a tenth of them leaves."""
+def test_more_sessions_migrate_the_later_messages_are() -> None:
+    """An upstream with a backlog of seconds would keep all its sessions late while only a tenth migrates."""
     moved = []
     for delay in (51_000, 900_000):
         harness = BalancerHarness(upstreams=6)
@@ -62,8 +59,8 @@
     assert 2 * moved[0] < moved[1] <= 30
 
 
-def test_sessions_leave_an_upstream_that_only_probes_show_to_be_full() -> None:
-    """It answers at once and serves nobody in time: without a look now and then its sessions would stay."""
+def test_sessions_migrate_off_an_upstream_that_only_load_reports_show_to_be_full() -> None:
+    """It answers at once and serves nobody in time: without probes its sessions would stay."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     sessions = []
     for key in range(1, 60):
@@ -88,8 +85,8 @@
     assert {sessions[number].upstream for number in moved} == {full}
 
 
-def test_no_session_is_moved_where_probes_show_all_upstreams_to_be_as_full() -> None:
-    """Sessions would be handed round, each move costing its client, and no upstream be better off."""
+def test_no_session_migrates_if_load_reports_show_all_upstreams_equally_full() -> None:
+    """Sessions would be handed round at a cost for each client, and no upstream would be relieved."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
         session = harness.arrive(key=key)
@@ -106,9 +103,8 @@
         assert not due.migrations
 
 
-def test_all_sessions_leave_an_upstream_that_is_unresponsive_and_out_of_reach_at_once() -> None:
-    """A vanished upstream resets nothing: moved off bit by bit, its sessions would earn nothing for
-    seconds."""
+def test_all_sessions_migrate_at_once_off_an_unresponsive_and_unreachable_upstream() -> None:
+    """A vanished upstream resets nothing: most of its sessions would stay silent for seconds."""
     for answered in (True, False):
         harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
         sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
@@ -124,8 +120,8 @@
         assert not answered or moved == due.migrations
 
 
-def test_a_vanished_upstream_neither_holds_up_relief_of_others_nor_costs_sessions_their_attempts() -> None:
-    """Its sessions fill others: were it counted as slow with these, most would be, and none be relieved."""
+def test_vanished_upstream_delays_no_relief_of_others_and_gets_no_attempts() -> None:
+    """Its sessions fill others. If it counted as slow too, most would be slow and none be relieved."""
     harness = BalancerHarness(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
         harness.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 5)
@@ -147,8 +143,8 @@
             harness.finish_attempt(session, Outcome.ESTABLISHED)
 
 
-def test_a_small_upstream_over_its_capacity_is_relieved_where_a_large_one_has_room() -> None:
-    """Among a few upstreams its own figure lifts the mean: held against that it would stay full for good."""
+def test_small_full_upstream_is_relieved_if_a_large_one_has_capacity() -> None:
+    """Among a few upstreams its own report raises the mean: by the mean alone it would stay full."""
     for large, relieved in ((0.4, True), (0.9, False)):
         harness = BalancerHarness(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         harness.update_endpoints(endpoint(0, size=1.5), endpoint(1, size=1.5), endpoint(2, size=6.0))
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -7,8 +7,8 @@
 from tests.support.balancer_harness import SECOND_US, BalancerHarness
 
 
-def test_silent_upstream_is_passed_over_and_tried_again_with_care() -> None:
-    """A silent upstream must not take every session of its keys, nor a crowd when it may be back."""
+def test_unreachable_upstream_is_passed_over_and_tried_by_one_session_per_delay() -> None:
+    """It must not take every session of its keys, nor a crowd once it may be back."""
     harness = BalancerHarness()
     bad = harness.arrive(key=5).upstream
     harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
@@ -22,8 +22,8 @@
     assert attempt_count <= 1
 
 
-def test_an_upstream_that_drops_sessions_is_not_given_them_back_at_once() -> None:
-    """Dropped clients return at once: placed where they were dropped, they would be dropped again."""
+def test_sessions_do_not_return_at_once_to_an_upstream_that_reset_them() -> None:
+    """Their clients return at once, and would be reset there again."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=5) for _ in range(6)]
     for session in sessions:
@@ -36,16 +36,15 @@
     assert all(harness.arrive(key=5).upstream != worst for _ in range(6))
 
 
-def test_sessions_that_stand_only_to_be_dropped_or_to_stand_late_are_no_success() -> None:
-    """Upstreams over capacity let sessions stand: credited for that, nodes would feed the storm at full
-    speed."""
+def test_sessions_that_are_soon_reset_or_late_count_as_failed() -> None:
+    """Upstreams over capacity establish sessions. Counted as successes, they would end the backoff."""
     for late in (False, True):
         harness = BalancerHarness(upstreams=40)
-        tried = 0
+        attempt_count = 0
         for key in range(1, 60):
             session = harness.arrive(key=key, deadline=4 * SECOND_US)
             if session.number in harness.attempt_upstreams:
-                tried += 1
+                attempt_count += 1
                 harness.finish_attempt(session, Outcome.ESTABLISHED)
                 if late:
                     harness.balancer.record_delay(harness.now, session, 900_000)
@@ -56,11 +55,11 @@
             harness.now += 150_000
             harness.sessions.clear()
             harness.held_until.clear()
-        assert tried < 40
+        assert attempt_count < 40
 
 
-def test_setups_are_spaced_out_while_most_upstreams_that_bear_sessions_are_slow() -> None:
-    """Let in as fast as they are moved off, sessions only go round between upstreams that are all late."""
+def test_node_spaces_attempts_while_most_used_upstreams_are_slow() -> None:
+    """Admitted as fast as they migrate, sessions would only move between upstreams that are all late."""
     harness = BalancerHarness(upstreams=40)
     sessions = [harness.arrive(key=key) for key in range(1, 9)]
     for session in sessions:
@@ -73,24 +72,25 @@
     assert sent <= 1
 
 
-def test_an_attempt_that_later_ones_have_overtaken_is_cancelled_for_another_upstream() -> None:
-    """An upstream that has lost a setup never answers it: its client would wait till the deadline, and
-    fail."""
-    for traffic_class, overtaken, withdrawn in ((0, True, True), (0, False, False), (4, True, False)):
+def test_superseded_attempt_is_cancelled_and_sent_to_another_upstream() -> None:
+    """An upstream that has lost an attempt never answers it: its client would wait until the deadline."""
+    for traffic_class, later_established, cancelled in ((0, True, True), (0, False, False), (4, True, False)):
         harness = BalancerHarness(can_cancel=True)
-        stuck = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
-        first = harness.attempt_upstreams[stuck.number]
+        lost = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
+        first = harness.attempt_upstreams[lost.number]
         for wait in (SECOND_US // 10, SECOND_US // 2):
-            assert not harness.balancer.wait(harness.now).superseded, "a little later is no sign"
+            assert not harness.balancer.wait(harness.now).superseded, (
+                "less than an objective later does not supersede"
+            )
             harness.advance(wait)
             later = harness.arrive(key=2, deadline=3 * SECOND_US)
-            if overtaken:
+            if later_established:
                 harness.finish_attempt(later, Outcome.ESTABLISHED)
         harness.now += SUPERSEDED_CHECK_US
         due = harness.balancer.wait(harness.now)
-        assert (stuck.number in due.superseded) is withdrawn
-        if withdrawn:
-            harness.finish_attempt(stuck, Outcome.CANCELLED)
-            assert harness.attempt_upstreams[stuck.number] != first
+        assert (lost.number in due.superseded) is cancelled
+        if cancelled:
+            harness.finish_attempt(lost, Outcome.CANCELLED)
+            assert harness.attempt_upstreams[lost.number] != first
             harness.now += SUPERSEDED_CHECK_US
             assert not harness.balancer.wait(harness.now).superseded
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -10,8 +10,8 @@
 from tests.support.balancer_harness import SECOND_US, BalancerHarness
 
 
-def test_a_new_session_waits_briefly_for_its_candidates_load() -> None:
-    """Probes that never answer must not hold a session: it waits once, then is placed."""
+def test_new_session_waits_once_for_load_reports_of_its_candidates() -> None:
+    """Probes that are never answered must not hold a session."""
     harness = BalancerHarness(probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     assert session.number in harness.held_until and len(harness.balancer.wait(harness.now).probes) == 2
@@ -19,8 +19,8 @@
     assert session.number in harness.attempt_upstreams
 
 
-def test_an_upstream_that_may_have_filled_up_is_probed_again_before_the_next_session() -> None:
-    """A crowd comes within the time that a probe serves: the figure is from before, and the upstream full."""
+def test_upstream_that_may_have_filled_up_is_probed_before_the_next_session() -> None:
+    """A crowd comes within the time that a report is current: it shows the load before the crowd."""
     for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
         harness = BalancerHarness(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
         probed = {0: 0, 1: 0}
@@ -31,12 +31,12 @@
                 probed[number] += 1
             harness.advance(SECOND_US // 20)
             harness.finish_attempt(session, Outcome.ESTABLISHED)
-        # Where there is much room a probe serves its time: looks at every few sessions would scatter groups.
+        # Where capacity is plentiful a report stays current: probes every few sessions would scatter groups.
         assert all(least <= number <= most for number in probed.values())
 
 
-def test_asked_list_is_asked_for_until_it_answers() -> None:
-    """Without a subscription drains are never heard of, yet count as told."""
+def test_endpoint_list_is_polled_until_a_poll_is_answered() -> None:
+    """Without a subscription no drain is heard of, yet the node counts as notified."""
     harness = BalancerHarness(polls_discovery=True)
     harness.balancer.discovery_failed(harness.now)
     at = [harness.now]
@@ -50,20 +50,20 @@
 
 
 @pytest.mark.parametrize("nodes", [10, 40, 200])
-def test_nodes_that_lose_the_list_together_get_through_an_overbooked_service(nodes: int) -> None:
-    """One that serves a call for every seven nodes a second, dead ones too: asked on and on by all, it
-    would answer each call too late, and nobody would hear of a drain."""
-    grounds = [BalancerHarness(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
-    for harness in grounds:
+def test_nodes_that_lose_their_subscriptions_together_get_through_an_overloaded_service(nodes: int) -> None:
+    """It serves one call for every seven nodes a second, calls that were given up included. If all nodes
+    polled on at once, it would answer each call too late, and no node would hear of a drain."""
+    harnesses = [BalancerHarness(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
+    for harness in harnesses:
         harness.balancer.discovery_failed(harness.now)
-    start = grounds[0].now
-    free_at, through = 0.0, 0
+    start = harnesses[0].now
+    free_at, answered_count = 0.0, 0
     waiting: list[tuple[float, BalancerHarness]] = []  # when a call is answered, and whose it is
     for now in range(start, start + 60 * SECOND_US, SECOND_US // 20):
         for answer in [answer for answer in waiting if answer[0] <= now]:
             waiting.remove(answer)
             answer[1].balancer.discovery_failed(now)
-        for harness in grounds:
+        for harness in harnesses:
             harness.now = now
             if not harness.balancer.polling.subscribed and harness.balancer.wait(now).poll_list:
                 free_at = max(free_at, now) + 7 * SECOND_US / nodes
@@ -71,5 +71,5 @@
                     waiting.append((now + 2 * SECOND_US, harness))
                 else:
                     harness.balancer.update_endpoints(now, [], whole=False, asked=True)
-                    through += 1
-    assert through >= 0.9 * nodes
+                    answered_count += 1
+    assert answered_count >= 0.9 * nodes
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -15,7 +15,7 @@
 from tests.support.balancer_harness import SECOND_US, SETTINGS, BalancerHarness, endpoint, forwarded_to
 
 
-def test_same_ring_on_every_node_and_local_remapping() -> None:
+def test_ring_is_the_same_on_every_node_and_changes_remap_locally() -> None:
     one, other = BalancerHarness(seed=1, upstreams=8), BalancerHarness(seed=2, upstreams=8, me=1)
     before = {key: one.arrive(key).upstream for key in range(1, 200)}
     assert before == {key: other.arrive(key).upstream for key in range(1, 200)}
@@ -25,7 +25,7 @@
     assert len(moved) < len(before) // 3
 
 
-def test_less_loaded_of_two_candidates() -> None:
+def test_sessions_of_one_group_stay_on_two_candidates() -> None:
     harness = BalancerHarness()
     upstreams = []
     for _ in range(5):
@@ -51,9 +51,8 @@
         assert there == [upstream.number for upstream in fresh.balancer.ring.successors(session)]
 
 
-def test_a_node_with_hardly_a_session_goes_by_probed_load() -> None:
-    """One node of hundreds holds a session or two an upstream: counted alone, these say nothing of its
-    load."""
+def test_node_with_hardly_a_session_chooses_by_load_reports() -> None:
+    """One node of hundreds has a session or two at an upstream, which say nothing of its load."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     master, second = harness.balancer.wait(harness.now).probes
@@ -64,9 +63,8 @@
     assert harness.attempt_upstreams[session.number] not in (-1, first)
 
 
-def test_a_group_too_large_for_two_upstreams_spreads_and_a_small_one_does_not() -> None:
-    """Two upstreams of a large fleet drop the sessions of a group that makes up a tenth of all, over and
-    over."""
+def test_large_group_spreads_and_small_one_does_not() -> None:
+    """Two upstreams of a large fleet would reset the sessions of a group that makes up a tenth of all."""
     harness = BalancerHarness(upstreams=60)
     placed = {}
     for number in range(120):
@@ -82,8 +80,8 @@
     assert len({session.upstream for session in map(small.arrive, keys) if session.key == 7}) <= 3
 
 
-def test_a_session_passes_over_candidates_whose_probes_say_that_they_are_full() -> None:
-    """Both candidates full, the less loaded of them would only be late a little less."""
+def test_session_passes_over_candidates_that_report_to_be_full() -> None:
+    """If both candidates are full, the less loaded of them would serve it late as well."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     full = harness.balancer.wait(harness.now).probes
@@ -93,46 +91,47 @@
     assert harness.attempt_upstreams[session.number] not in full
 
 
-def guess(balancer: Balancer, now: int, number: int, key: int) -> int:
-    """Where a session in mid-flow is taken."""
+def upstream_of_handed_over(balancer: Balancer, now: int, number: int, key: int) -> int:
+    """Return the upstream that a session handed over in mid-flow goes to."""
     return forwarded_to(balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND_US, mid_flow=True)))
 
 
-def test_a_session_in_mid_flow_is_not_looked_for_at_an_upstream_that_came_after_it() -> None:
+def test_handed_over_session_does_not_go_to_an_upstream_that_started_after_it() -> None:
     now = 100 * SECOND_US
-    for fresh_up, holds in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
+    for started_at, holds in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
         before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
         old = [endpoint(number) for number in range(4)]
         before.update_endpoints(now, old, whole=True, asked=True)
-        after.update_endpoints(now, [*old, endpoint(4, started_at=fresh_up)], whole=True, asked=True)
-        pairs = [(guess(before, now, key, key), guess(after, now, key, key)) for key in range(1, 200)]
+        after.update_endpoints(now, [*old, endpoint(4, started_at=started_at)], whole=True, asked=True)
+        pairs = [
+            (upstream_of_handed_over(before, now, key, key), upstream_of_handed_over(after, now, key, key))
+            for key in range(1, 200)
+        ]
         assert all(was == now_at for was, now_at in pairs) == holds
 
 
-def test_sessions_in_mid_flow_are_not_all_looked_for_at_the_few_upstreams_past_slow_start() -> None:
+def test_handed_over_sessions_do_not_all_go_to_a_few_warm_upstreams() -> None:
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, overload_multiple=100.0), random.Random(1))
-    cold = [endpoint(number, started_at=now - 4 * SECOND_US) for number in range(1, 6)]
-    balancer.update_endpoints(now, [endpoint(0), *cold], whole=True, asked=True)
-    places = [guess(balancer, now, key, key) for key in range(1, 60)]
+    warming = [endpoint(number, started_at=now - 4 * SECOND_US) for number in range(1, 6)]
+    balancer.update_endpoints(now, [endpoint(0), *warming], whole=True, asked=True)
+    places = [upstream_of_handed_over(balancer, now, key, key) for key in range(1, 60)]
     assert places.count(0) < len(places) / 2
 
 
-def test_a_session_in_mid_flow_finds_an_upstream_in_slow_start_where_all_are_cold_and_none_that_drains() -> (
-    None
-):
+def test_handed_over_session_goes_to_a_warming_upstream_if_all_are_and_to_no_draining_one() -> None:
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, me=0), random.Random(1))
-    cold = [endpoint(number, started_at=now - SECOND_US) for number in range(3)]
-    balancer.update_endpoints(now, [*cold, endpoint(3, EndpointState.DRAINING)], whole=True, asked=True)
-    assert {guess(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
+    warming = [endpoint(number, started_at=now - SECOND_US) for number in range(3)]
+    balancer.update_endpoints(now, [*warming, endpoint(3, EndpointState.DRAINING)], whole=True, asked=True)
+    assert {upstream_of_handed_over(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
 
 
 @pytest.mark.parametrize(("load", "strays"), [(0.3, True), (0.8, False), (None, False)])
-def test_sessions_stray_in_wide_trouble_only_where_the_upstreams_that_are_well_show_room(
+def test_sessions_stray_in_wide_trouble_only_if_healthy_upstreams_report_capacity(
     load: float | None, strays: bool
 ) -> None:
-    now, went = 100 * SECOND_US, []
+    now, placed_at = 100 * SECOND_US, []
     for key in range(1, 40):
         balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
         balancer.update_endpoints(now, [endpoint(number) for number in range(8)], whole=True, asked=True)
@@ -146,16 +145,17 @@
             balancer.record_probe(now, upstream.number, ProbeResult(True, load))
             if upstream.number in bad:
                 upstream.slow_until = now + 2 * SECOND_US
-        went.append(forwarded_to(balancer.place(now, session)))
-        assert went[-1] not in bad
-    assert all(upstream >= 0 for upstream in went) == strays, (
-        "three of eight are slow, both of each link's own too"
+        placed_at.append(forwarded_to(balancer.place(now, session)))
+        assert placed_at[-1] not in bad
+    assert all(upstream >= 0 for upstream in placed_at) == strays, (
+        "three of eight are slow, both candidates of each session among them"
     )
 
 
-def placed_by_many(figure: float, room: float, nodes: int = 60, cold: bool = False) -> list[int]:
-    """Where so many nodes put a session, all having read the same figures of its candidates and of the
-    others."""
+def sessions_placed_by_many_nodes(
+    candidate_load: float, other_load: float, nodes: int = 60, warming: bool = False
+) -> list[int]:
+    """Return how many nodes place a session on each of its candidates, all with the same load reports."""
     chosen = []
     for me in range(nodes):
         harness = BalancerHarness(
@@ -168,9 +168,9 @@
         for number in range(8):
             harness.balancer.fleet.upstreams[number].probed_at = harness.now
             harness.balancer.record_probe(
-                harness.now, number, ProbeResult(True, figure if number in pair else room, 20.0)
+                harness.now, number, ProbeResult(True, candidate_load if number in pair else other_load, 20.0)
             )
-        if cold:
+        if warming:
             harness.balancer.fleet.upstreams[
                 next(n for n in range(8) if n not in pair)
             ].started_at = harness.now
@@ -179,11 +179,17 @@
     return [chosen.count(number) for number in pair]
 
 
-def test_nodes_that_read_one_figure_do_not_all_act_on_it() -> None:
-    # An upstream just relieved reads as fit at every node at once, gets all back, and is full again.
-    assert sum(placed_by_many(0.8, 0.2)) < 40, "its candidates stand at the edge, and others have room"
-    assert sum(placed_by_many(0.3, 0.2)) == 60, "it has room: the ordinary path"
-    assert sum(placed_by_many(0.8, 0.85)) == 60, "nobody has room: straying would gain nothing"
-    assert sum(placed_by_many(0.8, 0.2, cold=True)) == 60, (
-        "strays would crowd before a cold host's small budget"
+def test_nodes_that_read_the_same_load_reports_do_not_all_act_alike() -> None:
+    # An upstream just relieved would look healthy to all nodes at once, and be full again.
+    assert sum(sessions_placed_by_many_nodes(0.8, 0.2)) < 40, (
+        "its candidates are nearly crowded, and others have capacity"
+    )
+    assert sum(sessions_placed_by_many_nodes(0.3, 0.2)) == 60, (
+        "its candidates have capacity: the ordinary choice"
+    )
+    assert sum(sessions_placed_by_many_nodes(0.8, 0.85)) == 60, (
+        "no upstream has capacity: straying would gain nothing"
+    )
+    assert sum(sessions_placed_by_many_nodes(0.8, 0.2, warming=True)) == 60, (
+        "stray sessions would exceed the small budget of a warming upstream"
     )
--- a/tests/policy/test_session_rules.py
+++ b/tests/policy/test_session_rules.py
@@ -52,7 +52,7 @@
     assert not [n for n in harness.sessions if n not in harness.established]
 
 
-def test_no_upstream_at_all_is_answered_in_time() -> None:
+def test_session_without_any_upstream_is_answered_in_time() -> None:
     harness = BalancerHarness(upstreams=1)
     harness.update_endpoints(endpoint(0, EndpointState.GONE))
     session = harness.arrive()
@@ -60,14 +60,14 @@
     assert session.number not in harness.sessions
 
 
-def test_shed_advice_stays_within_what_clients_honour() -> None:
+def test_retry_advice_stays_within_what_clients_follow() -> None:
     harness = BalancerHarness(max_retry_after_us=1000)
     session = harness.arrive(deadline=1000)
     answer = harness.balancer.retries.final_answer(harness.now, session)
     assert isinstance(answer, Shed) and 0 < answer.retry_after_us <= 1000
 
 
-def test_a_session_whose_attempt_is_in_flight_gets_no_second_one() -> None:
+def test_session_with_attempt_in_flight_gets_no_second_attempt() -> None:
     harness = BalancerHarness()
     session = harness.arrive()
     assert harness.balancer.place(harness.now, session) == Nothing()
@@ -75,15 +75,15 @@
     assert harness.balancer.place(harness.now, session) == Nothing()
 
 
-def test_a_setup_that_takes_long_is_waited_for() -> None:
-    """Given up in a shared queue, it is served all the same: time-outs fill the queue with dead work."""
+def test_attempt_may_last_until_the_deadline() -> None:
+    """An attempt given up in a shared queue is served all the same: time-outs would fill the queue."""
     harness = BalancerHarness()
     session = harness.arrive(key=1, deadline=4 * SECOND_US)
     assert harness.attempt_deadlines[session.number] == session.deadline
 
 
-def test_a_session_standing_on_an_upstream_that_no_list_names() -> None:
-    """A node that restarts with an old list is handed sessions on upstreams that the list has never named."""
+def test_session_established_at_an_upstream_that_no_list_names_is_taken_over() -> None:
+    """A node restarted with an old list is handed sessions at upstreams that this list never named."""
     harness = BalancerHarness()
     session = Session(500, 0, 1, 1, 0)
     harness.balancer.add_established(session, 77)
@@ -91,8 +91,9 @@
     assert harness.balancer.outcome(harness.now, session, Outcome.RESET, answered=True) == Nothing()
 
 
-def test_odd_fleets_and_numbers_leave_every_session_with_its_answer() -> None:
-    """A list that empties and comes back, names hundreds at once, a node beyond the stated number."""
+def test_unusual_fleets_and_node_numbers_leave_every_session_with_its_answer() -> None:
+    """A list that empties and comes back, one that names hundreds at once, a node number beyond the number of
+    nodes."""
     for upstreams, me in ((0, 0), (1, 7), (300, 500)):
         harness = BalancerHarness(upstreams=upstreams, me=me)
         sessions = [harness.arrive(key=key) for key in (1, 2)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -33,11 +33,11 @@
 
 @pytest.mark.parametrize("calm", [True, False])
 @pytest.mark.parametrize(("nodes", "sessions", "least"), [(10, 30, 8), (40, 8, 8), (200, 2, 2), (200, 8, 8)])
-def test_an_upstream_in_slow_start_is_filled_where_each_node_sees_few_sessions_but_never_over(
+def test_warming_upstream_is_filled_but_not_overloaded_if_nodes_see_few_sessions(
     nodes: int, sessions: int, least: int, calm: bool
 ) -> None:
-    """By turns alone it stays empty beside full ones; were each node's own sessions all that counted, a crowd
-    at all nodes at once would push it over."""
+    """By turns alone it would stay empty beside full ones. If only the own sessions of each node counted, a
+    crowd at all nodes at once would overload it."""
     full, sends = 100.0, []
     for me in range(nodes):
         harness = BalancerHarness(
@@ -73,15 +73,14 @@
     assert not calm or len(sends) >= least
 
 
-def test_a_client_that_comes_again_draws_no_second_time_for_an_upstream_in_slow_start() -> None:
-    """Held sessions are asked again many times a second, and a shed client comes to the next node: were it a
-    new chance each time, the crowd that waits would all get in."""
+def test_returning_client_gets_the_same_draw_for_a_warming_upstream() -> None:
+    """Held sessions are placed many times a second, and a shed client comes to the next node. If each time
+    were a new chance, all sessions that wait would get in."""
     rows = []
     for key in range(1, 21):
         taken = []
-        for me in range(
-            1, 5
-        ):  # the fifth has its turn at the upstream in slow start, and about half of all sessions a chance
+        # The fifth node has its turn; with the others about half of all sessions are admitted by chance.
+        for me in range(1, 5):
             harness = BalancerHarness(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
             harness.balancer.record_probe(harness.now, 0, ProbeResult(True, 0.5, 50))
             harness.update_endpoints(endpoint(9, started_at=harness.now - 10 * SECOND_US))
@@ -95,10 +94,9 @@
     assert 4 <= sum(rows) <= 16
 
 
-def test_what_a_probe_shows_of_an_upstream_in_slow_start_counts_where_it_warms_faster_than_stated() -> None:
-    """The stated warm-up is the slowest: a fleet half of whose upstreams are new can't wait for it. An
-    upstream is
-    never held to be able to do more than a warm one of its size, nor what it could before a new start."""
+def test_budget_follows_probes_of_an_upstream_that_warms_faster_than_stated() -> None:
+    """The stated slow start is the slowest. An upstream is never taken to do more than a warm one of its
+    size, nor what it could do before a new start."""
     harness = BalancerHarness(nodes=40, upstreams=4, probes=True, probes_report_load=True)
     balancer, start = harness.balancer, harness.now
     for number in range(4):
@@ -110,7 +108,8 @@
         return balancer.slow_start.turn_budget(now, upstream, balancer.slow_start.reported_capacity(upstream))
 
     stated = budget(start)
-    balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))  # too few to tell by
+    # The utilization is too low to derive a capacity.
+    balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))
     assert budget(start) == stated
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 20))
     assert budget(start) == pytest.approx(2 * stated)
@@ -120,8 +119,8 @@
     assert budget(start + SECOND_US) == stated
 
 
-def test_sessions_are_not_moved_towards_an_upstream_in_slow_start_that_can_not_take_them() -> None:
-    """They would come back to the upstream that they were moved off, and cost a setup each time."""
+def test_sessions_do_not_migrate_towards_a_warming_upstream_without_budget() -> None:
+    """They would come back to the upstream that they left, at the cost of a setup each time."""
     harness = BalancerHarness(upstreams=1, nodes=2, me=0)
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -138,9 +137,9 @@
         harness.now += SECOND_US
 
 
-def test_what_counts_sessions_asked_for_forgets_those_of_earlier_windows() -> None:
-    """It would grow with every session for as long as the node lives, on a fleet that has no upstream in
-    slow start."""
+def test_arrivals_of_earlier_windows_are_forgotten() -> None:
+    """On a fleet without an upstream in slow start the count would otherwise grow for as long as the node
+    runs."""
     harness = BalancerHarness()
     for number in range(200):
         harness.finish_attempt(harness.arrive(key=number), Outcome.COMPLETED)
