--- /dev/null
+++ b/tests/policy/test_outcomes.py
@@ -0,0 +1,96 @@
+"""What failed, reset and superseded attempts mean for upstreams and for the node."""
+
+from __future__ import annotations
+
+from larchlatch.policy.retries import SUPERSEDED_CHECK_US
+from larchlatch.policy.types import Outcome
+from tests.support.balancer_harness import SECOND_US, BalancerHarness
+
+
+def test_unreachable_upstream_is_passed_over_and_tried_by_one_session_per_delay() -> None:
+    """It must not take every session of its keys, nor a crowd once it may be back."""
+    harness = BalancerHarness()
+    bad = harness.arrive(key=5).upstream
+    harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
+    for _ in range(3):
+        session = harness.arrive(key=5)
+        while (
+            session.number in harness.attempt_upstreams and harness.attempt_upstreams[session.number] == bad
+        ):
+            harness.finish_attempt(session, Outcome.CONNECT_FAILED)
+    attempt_count = sum(harness.arrive(key=5).upstream == bad for _ in range(20))
+    assert attempt_count <= 1
+
+
+def test_sessions_do_not_return_at_once_to_an_upstream_that_reset_them() -> None:
+    """Their clients return at once, and would be reset there again."""
+    harness = BalancerHarness()
+    sessions = [harness.arrive(key=5) for _ in range(6)]
+    for session in sessions:
+        harness.finish_attempt(session, Outcome.ESTABLISHED)
+    worst = sessions[0].upstream
+    for session in sessions:
+        if session.upstream == worst:
+            harness.finish_attempt(session, Outcome.RESET)
+            harness.established.discard(session.number)
+    assert all(harness.arrive(key=5).upstream != worst for _ in range(6))
+
+
+def test_sessions_that_are_soon_reset_or_late_count_as_failed() -> None:
+    """Upstreams over capacity establish sessions. Counted as successes, they would end the backoff."""
+    for late in (False, True):
+        harness = BalancerHarness(upstreams=40)
+        attempt_count = 0
+        for key in range(1, 60):
+            session = harness.arrive(key=key, deadline=4 * SECOND_US)
+            if session.number in harness.attempt_upstreams:
+                attempt_count += 1
+                harness.finish_attempt(session, Outcome.ESTABLISHED)
+                if late:
+                    harness.balancer.record_delay(harness.now, session, 900_000)
+                else:
+                    harness.now += 100_000
+                    harness.finish_attempt(session, Outcome.RESET)
+                    harness.established.discard(session.number)
+            harness.now += 150_000
+            harness.sessions.clear()
+            harness.held_until.clear()
+        assert attempt_count < 40
+
+
+def test_node_spaces_attempts_while_most_used_upstreams_are_slow() -> None:
+    """Admitted as fast as they migrate, sessions would only move between upstreams that are all late."""
+    harness = BalancerHarness(upstreams=40)
+    sessions = [harness.arrive(key=key) for key in range(1, 9)]
+    for session in sessions:
+        harness.finish_attempt(session, Outcome.ESTABLISHED)
+    harness.advance(2 * SECOND_US)
+    for _ in range(8):
+        for session in sessions:
+            harness.balancer.record_delay(harness.now, session, 400_000)
+    sent = sum(harness.arrive(key=key).number in harness.attempt_upstreams for key in range(100, 120))
+    assert sent <= 1
+
+
+def test_superseded_attempt_is_cancelled_and_sent_to_another_upstream() -> None:
+    """An upstream that has lost an attempt never answers it: its client would wait until the deadline."""
+    for traffic_class, later_established, cancelled in ((0, True, True), (0, False, False), (4, True, False)):
+        harness = BalancerHarness(can_cancel=True)
+        lost = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
+        first = harness.attempt_upstreams[lost.number]
+        for wait in (SECOND_US // 10, SECOND_US // 2):
+            assert not harness.balancer.wait(harness.now).superseded, (
+                "less than an objective later does not supersede"
+            )
+            harness.advance(wait)
+            later = harness.arrive(key=2, deadline=3 * SECOND_US)
+            if later_established:
+                harness.finish_attempt(later, Outcome.ESTABLISHED)
+        harness.now += SUPERSEDED_CHECK_US
+        due = harness.balancer.wait(harness.now)
+        assert (lost.number in due.superseded) is cancelled
+        if cancelled:
+            harness.finish_attempt(lost, Outcome.CANCELLED)
+            assert harness.attempt_upstreams[lost.number] != first
+            harness.now += SUPERSEDED_CHECK_US
+            assert not harness.balancer.wait(harness.now).superseded
