--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -208,9 +208,10 @@
 
     """
     try:
-        return await next_event(http, connection.stream, READ_BYTES)
+        event: object = await next_event(http, connection.stream, READ_BYTES)
     except GONE:
         return None
+    return event
 
 
 def encode_response(http: h11.Connection, reply: Reply) -> bytes:
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -68,8 +68,8 @@
             components.cluster.reload()
 
     def _log_status(self) -> None:
-        for row in self._components.balancer_actor.upstream_rows():
-            log.info("upstream_status", **asdict(row))
+        for upstream_row in self._components.balancer_actor.upstream_rows():
+            log.info("upstream_status", **asdict(upstream_row))
         cluster = self._components.cluster
         if cluster is None:
             return
