--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -11,7 +11,8 @@
 from larchlatch.node.clock import now_us
 from larchlatch.node.messages import ProbeFinished
 from larchlatch.node.wire import lines as wire
-from larchlatch.node.wire.stream import Ending, Lines, Unconnected, connect
+from larchlatch.node.wire.dialing import Unconnected, connect
+from larchlatch.node.wire.stream import Ending, Lines
 
 if TYPE_CHECKING:
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -68,17 +68,17 @@
             components.cluster.reload()
 
     def _log_status(self) -> None:
-        for upstream_row in self._components.balancer_actor.upstream_rows():
-            log.info("upstream_status", **asdict(upstream_row))
+        for upstream in self._components.balancer_actor.upstream_rows():
+            log.info("upstream_status", **asdict(upstream))
         cluster = self._components.cluster
         if cluster is None:
             return
-        for row in cluster.member_rows():
-            log.info("member_status", **row)
-        for row in cluster.quota_rows():
-            log.info("quota_status", **row)
-        for row in cluster.role_rows():
-            log.info("role_status", **row)
+        for member in cluster.member_rows():
+            log.info("member_status", **member)
+        for quota in cluster.quota_rows():
+            log.info("quota_status", **quota)
+        for role in cluster.role_rows():
+            log.info("role_status", **role)
 
     def _begin_stop(self) -> None:
         lifecycle = self._components.lifecycle
--- a/larchlatch/node/status.py
+++ b/larchlatch/node/status.py
@@ -5,6 +5,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
+from larchlatch.policy.types import Exclusion
+
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
@@ -19,7 +21,7 @@
     Attributes:
         upstream: the upstream's name; its number if the endpoint list never named it.
         state: its state by the endpoint list.
-        left_out: why the balancer sends no new sessions there; empty if it sends some.
+        exclusion: why the balancer sends no new sessions there; empty if it sends some.
         attempts: attempts in flight, as the balancer counts them.
         attempts_open: attempts whose sockets are open.
         sessions: established sessions, as the balancer counts them.
@@ -31,7 +33,7 @@
 
     upstream: str | int
     state: str
-    left_out: str
+    exclusion: str
     attempts: int
     attempts_open: int
     sessions: int
@@ -46,7 +48,7 @@
     return UpstreamRow(
         upstream=actor.name if actor is not None else status.upstream,
         state=status.state.value,
-        left_out=status.left_out,
+        exclusion=_exclusion_word(status),
         attempts=status.attempts,
         attempts_open=actor.attempts.in_flight if actor is not None else 0,
         sessions=status.established,
@@ -56,6 +58,16 @@
     )
 
 
+def _exclusion_word(status: UpstreamStatus) -> str:
+    """Return why an upstream gets no new sessions; the state of one that is not ready, or empty."""
+    if status.exclusion is None:
+        return ""
+    if status.exclusion is Exclusion.NOT_READY:
+        return status.state.value
+    word: str = status.exclusion.value
+    return word
+
+
 def upstream_rows(
     statuses: Iterable[UpstreamStatus], actors: Mapping[int, UpstreamActor]
 ) -> list[UpstreamRow]:
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -189,7 +189,7 @@
         for row in rows.values():
             assert row["sessions"] == row["sessions_open"]
             assert row["attempts"] == row["attempts_open"] == 0
-        assert rows["s-0"]["left_out"] == "" and rows["s-1"]["left_out"] == "draining"
+        assert rows["s-0"]["exclusion"] == "" and rows["s-1"]["exclusion"] == "draining"
 
     run_on_loopback(body)
 
