--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -22,6 +22,7 @@
 
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
+    from larchlatch.node.wire.http import HttpEvent
 
 BACKLOG = 64  # connections that wait to be accepted
 MAX_CALLERS = 16  # at once, as each uses a descriptor: beyond it the oldest caller is evicted
@@ -200,7 +201,7 @@
     return request.target.decode("latin-1").partition("?")[0]
 
 
-async def receive_event(http: h11.Connection, connection: Lines) -> object | None:
+async def receive_event(http: h11.Connection, connection: Lines) -> HttpEvent | None:
     """Return the next h11 event of a call; None if the connection is broken.
 
     Raises:
@@ -208,10 +209,9 @@
 
     """
     try:
-        event: object = await next_event(http, connection.stream, READ_BYTES)
+        return await next_event(http, connection.stream, READ_BYTES)
     except GONE:
         return None
-    return event
 
 
 def encode_response(http: h11.Connection, reply: Reply) -> bytes:
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -11,6 +11,7 @@
 from larchlatch.node.clients.requests import RejectionReason, RequestChecker, UnreadRequest
 from larchlatch.node.clients.session_handler import SessionHandler
 from larchlatch.node.clock import now_us
+from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.wire import lines
 from larchlatch.node.wire.listen import stream_of
 from larchlatch.node.wire.raw_socket import (
@@ -122,13 +123,10 @@
         client: Lines | None = None
         self.connection_count += 1
         try:
-            client = Lines(await stream_of(sock))
-            await self._serve(client, request)
-        except Exception:
-            # A fault in serving one connection must not end the node, and its client gets an answer.
-            self.counters.add(ConnectionCounter.FAILED)
-            log.exception("connection_failed")
-            if client is not None and not client.spoken_to:
+            with self._fault_barrier("connection_failed") as barrier:
+                client = Lines(await stream_of(sock))
+                await self._serve(client, request)
+            if barrier.caught and client is not None and not client.spoken_to:
                 await client.send(lines.FAILED)
                 await client.finish(Ending.END)
         finally:
@@ -139,6 +137,9 @@
             self.connection_count -= 1
             self.descriptors.release()
 
+    def _fault_barrier(self, event: str) -> FaultBarrier:
+        return FaultBarrier(self.counters, counter=ConnectionCounter.FAILED, event=event)
+
     async def _serve(self, client: Lines, request: UnreadRequest | None) -> None:
         if request is not None and request.opening is not None:
             await self._handle_request(client, request.opening, request.received_us)
@@ -198,15 +199,12 @@
         """
         sides: list[Lines] = []
         try:
-            for sock, unread in zip(sockets, (packet.client_unread, packet.upstream_unread), strict=True):
-                sides.append(Lines(await stream_of(sock)))
-                sides[-1].feed(unread)
-            client, upstream = sides
-            await self.sessions.adopt(packet, client, upstream)
-        except Exception:
-            # A fault in adopting one session must not end the node.
-            self.counters.add(ConnectionCounter.FAILED)
-            log.exception("session_adoption_failed")
+            with self._fault_barrier("session_adoption_failed"):
+                for sock, unread in zip(sockets, (packet.client_unread, packet.upstream_unread), strict=True):
+                    sides.append(Lines(await stream_of(sock)))
+                    sides[-1].feed(unread)
+                client, upstream = sides
+                await self.sessions.adopt(packet, client, upstream)
         finally:
             for side in sides:
                 await side.close(reset=side is sides[-1])
