--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -25,7 +25,7 @@
 from larchlatch.invariants.upstream_avoidance import Avoidance
 from larchlatch.policy.types import TokenCandidate
 from larchlatch.scenario.amounts import us
-from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
 from larchlatch.scenario.puppets import Drift, Lying
 from larchlatch.scenario.scenario import Day
 
@@ -203,7 +203,7 @@
         self.tenures = tenures_of(stage.day, stage.clock.now)
         self.spending = spending_of(stage.day)
         self.drifts = [Drift(stage.clock.now) for _ in range(count)]
-        self.paths = Paths(stage.chance)
+        self.paths = DatagramPaths(stage.chance)
         self.agreement = Agreement(count, stage.clock.now)
         self.avoidance = Avoidance()
         self.starts = [0] * count
@@ -243,9 +243,9 @@
     def judge(self) -> None:
         runs = [voice.alive and not voice.stopped for voice in self.voices]
         now = self.stage.clock.now
-        self.agreement.is_so(now, runs, self.paths.apart)
+        self.agreement.is_so(now, runs, self.paths.is_blocked)
         for tenures in self.tenures.values():
-            tenures.is_so(now, runs, self.paths.apart)
+            tenures.is_so(now, runs, self.paths.is_blocked)
         for number, running in enumerate(runs):
             self.avoidance.runs(now, number, running)
 
@@ -270,7 +270,7 @@
         self.bytes += len(data)
         zones = self.stage.day.zones
         way = self.stage.latency(one % zones, other % zones)
-        for delay in self.paths.fate(one, other):
+        for delay in self.paths.delays_of_next(one, other):
             self.stage.clock.at(self.stage.clock.now + way + delay, TOLD, self.comes, other, data)
 
     def comes(self, other: int, data: bytes) -> None:
@@ -279,15 +279,15 @@
     # What befalls it.
 
     def part(self, nodes: Sequence[Node], oneway: bool) -> None:
-        self.paths.parts.append(Part(frozenset(node.number for node in nodes), oneway))
+        self.paths.partitions.append(PartitionedNodes(frozenset(node.number for node in nodes), oneway))
         self.judge()
 
     def join(self, nodes: Sequence[Node], oneway: bool) -> None:
-        self.paths.parts.remove(Part(frozenset(node.number for node in nodes), oneway))
+        self.paths.partitions.remove(PartitionedNodes(frozenset(node.number for node in nodes), oneway))
         self.judge()
 
-    def treat(self, manner: Manner) -> None:
-        self.paths.manner = manner
+    def treat(self, manner: PathImpairment) -> None:
+        self.paths.impairment = manner
 
     def kill(self, number: int) -> None:
         self.voices[number].alive = False
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -19,8 +19,9 @@
 from larchlatch.policy.types import DeploymentSettings, Endpoint
 from larchlatch.scenario.amounts import us
 from larchlatch.scenario.clients import demand
-from larchlatch.scenario.faults import AnyFault, strike, trace_name
-from larchlatch.scenario.paths import Manner
+from larchlatch.scenario.datagram_paths import PathImpairment
+from larchlatch.scenario.fault_injection import FaultInjector
+from larchlatch.scenario.faults import AnyFault, trace_name
 from larchlatch.scenario.scenario import Day, settings_for
 from larchlatch.scenario.upstreams import Condition, Upstream
 
@@ -83,40 +84,41 @@
 
     def befall(self, place: int, fault: AnyFault) -> None:
         self.stage.note("fault", trace_name(fault))
-        strike(self, fault, self.stage.chance.stream(f"fault {place}"))
+        injector = FaultInjector(upstreams=self, nodes=self, network=self, clients=self, scheduler=self)
+        fault.apply(injector, self.stage.chance.stream(f"fault {place}"))
 
     def fall(self, upstream: Upstream) -> None:
         self.crash(upstream)
-        self.later(FALLEN_S, self.rise, upstream)
+        self.call_later(FALLEN_S, self.bring_up, upstream)
 
-    def later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
+    def call_later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
         self.clock.at(self.clock.now + us(after_s), WORLD, what, *args)
 
-    def well(self) -> list[Upstream]:
+    def ready_upstreams(self) -> list[Upstream]:
         return [
             upstream
             for upstream in self.upstreams
             if upstream.condition is Condition.WELL and not upstream.draining
         ]
 
-    def absent(self) -> list[Upstream]:
+    def absent_upstreams(self) -> list[Upstream]:
         return [
             upstream
             for upstream in self.upstreams
             if upstream.condition is Condition.ABSENT and not upstream.life
         ]
 
-    def alive(self) -> list[Node]:
+    def serving_nodes(self) -> list[Node]:
         return [node for node in self.nodes if node.alive]
 
-    def holding(self) -> list[Node]:
+    def role_holders(self) -> list[Node]:
         held = self.company.tenures.values() if self.company is not None else ()
         return [self.nodes[number] for number in holders_of(held)]
 
-    def slow(self, upstream: Upstream, factor: float) -> None:
+    def slow_down(self, upstream: Upstream, factor: float) -> None:
         self.yard.slow(upstream, factor)
 
-    def vanish(self, upstream: Upstream) -> None:
+    def silence(self, upstream: Upstream) -> None:
         self.lost(upstream)
         self.yard.vanish(upstream)
 
@@ -128,7 +130,7 @@
         if self.company is not None:
             self.company.avoidance.gone(self.clock.now, upstream.number)
 
-    def rise(self, upstream: Upstream) -> None:
+    def bring_up(self, upstream: Upstream) -> None:
         if self.company is not None:
             self.company.avoidance.back(self.clock.now, upstream.number)
         self.yard.rise(upstream)
@@ -136,21 +138,21 @@
     def drain(self, upstream: Upstream) -> None:
         self.yard.drain(upstream)
 
-    def depart(self, upstream: Upstream) -> None:
+    def retire(self, upstream: Upstream) -> None:
         self.yard.depart(upstream)
 
-    def sever(self, zone: int) -> None:
+    def isolate_zone(self, zone: int) -> None:
         stage = self.stage
         stage.cut.add(zone)
         self.yard.hush([held for held in stage.where.values() if stage.parted(*held)], stage.parted)
 
-    def mend(self, zone: int) -> None:
+    def reconnect_zone(self, zone: int) -> None:
         self.stage.cut.discard(zone)
 
-    def store(self, factor: float) -> None:
+    def slow_shared_store(self, factor: float) -> None:
         self.network.slowness *= factor
 
-    def scatter(self, share: float, chance: Random) -> None:
+    def disconnect_clients(self, share: float, chance: Random) -> None:
         standing = list(self.stage.where.values())
         for record, node in chance.sample(standing, round(len(standing) * share)):
             if record.session.number not in self.stage.where:
@@ -159,25 +161,25 @@
             node.left(record.session.number)
             self.crowd.back(record.client)
 
-    def deafen(self, for_s: float) -> None:
+    def suspend_discovery(self, for_s: float) -> None:
         self.listing.deaf_until = self.clock.now + us(for_s)
 
-    def of_zone(self, zone: int) -> list[Node]:
+    def nodes_in_zone(self, zone: int) -> list[Node]:
         return [node for node in self.nodes if node.zone == zone]
 
-    def part(self, nodes: Sequence[Node], oneway: bool) -> None:
+    def partition(self, nodes: Sequence[Node], *, oneway: bool) -> None:
         if self.company is not None:
             self.company.part(nodes, oneway)
 
-    def join(self, nodes: Sequence[Node], oneway: bool) -> None:
+    def heal_partition(self, nodes: Sequence[Node], *, oneway: bool) -> None:
         if self.company is not None:
             self.company.join(nodes, oneway)
 
-    def treat(self, manner: Manner) -> None:
+    def impair_paths(self, manner: PathImpairment) -> None:
         if self.company is not None:
             self.company.treat(manner)
 
-    def stall(self, node: Node) -> None:
+    def pause(self, node: Node) -> None:
         """Its process is stopped: what comes to it waits."""
         node.stall()
         for record in node.records.values():
@@ -186,7 +188,7 @@
         if self.company is not None:
             self.company.stall(node.number)
 
-    def wake(self, node: Node) -> None:
+    def resume(self, node: Node) -> None:
         if not node.alive or self.nodes[node.number] is not node:
             return  # killed meanwhile
         if not node.goes_on():
@@ -195,22 +197,22 @@
             self.company.wake(node.number)
         node.wake()
 
-    def skew(self, node: Node, share: float) -> None:
+    def set_clock_gain(self, node: Node, share: float) -> None:
         if self.company is not None:
             self.company.skew(node.number, share)
 
-    def end_for_good(self, node: Node) -> None:
+    def decommission(self, node: Node) -> None:
         self.gone.add(node.number)
         self.kill(node)
 
-    def refile(self, gone: Sequence[Node], after_s: Callable[[], float]) -> None:
+    def update_cluster_files(self, gone: Sequence[Node], after_s: Callable[[], float]) -> None:
         if self.company is not None:
             self.company.expelled |= {node.number for node in gone}
             for number in range(len(self.nodes)):
                 if number not in self.gone:
-                    self.later(after_s(), self.company.reread, number)
+                    self.call_later(after_s(), self.company.reread, number)
 
-    def lie(self, node: Node, about: str) -> None:
+    def send_false_reports(self, node: Node, about: str) -> None:
         if self.company is not None:
             self.company.lie(node.number, about)
 
@@ -221,9 +223,9 @@
         stage, crowd = self.stage, self.crowd
         nodes, known = self.day.nodes, list(node.list.values())
         self.checker.forgot(node.number)
-        self.later(nodes.noticed_s, self.noticed, node)
+        self.call_later(nodes.noticed_s, self.noticed, node)
         if node.number not in self.gone:
-            self.later(nodes.back_s, self.restart, node, known)
+            self.call_later(nodes.back_s, self.restart, node, known)
         for record in node.stop():
             number, attempt, client = record.session.number, record.attempt, record.client
             self.checker.over(number)
--- a/larchlatch/loadtest/company.py
+++ b/larchlatch/loadtest/company.py
@@ -22,8 +22,8 @@
 from larchlatch.loadtest.sites import number_of
 from larchlatch.node.clock import now_us
 from larchlatch.scenario.amounts import SECOND, us
-from larchlatch.scenario.faults import PUPPETS
-from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
+from larchlatch.scenario.faults import SELF_INFLICTED
 from larchlatch.scenario.puppets import ORDERS
 from larchlatch.scenario.scenario import Day
 
@@ -58,7 +58,7 @@
         self.names = [f"n{number}" for number in range(len(nodes))]
         self.places = {name: number for number, name in enumerate(self.names)}
         self.board = Board("larchlatch.loadtest.switchboard")
-        self.paths = Paths(None)  # as ordered: what the switchboard does by now
+        self.paths = DatagramPaths(None)  # as ordered: what the switchboard does by now
         self.running = [False] * len(nodes)
         self.agreement = Agreement(len(nodes), now_us())
         self.read_upto = [0] * len(nodes)
@@ -134,7 +134,7 @@
     @property
     def module(self) -> str:
         """What is run as a node: where the day wants it, one that can be made to do wrong, and tells more."""
-        puppets = self.day.cluster.pace or any(isinstance(fault, PUPPETS) for fault in self.day.faults)
+        puppets = self.day.cluster.pace or any(isinstance(fault, SELF_INFLICTED) for fault in self.day.faults)
         return "larchlatch.loadtest.puppet" if puppets else "larchlatch"
 
     def environment(self, number: int) -> dict[str, str]:
@@ -155,9 +155,9 @@
     # What befalls it.
 
     def judge(self) -> None:
-        self.agreement.is_so(now_us(), self.running, self.paths.apart)
+        self.agreement.is_so(now_us(), self.running, self.paths.is_blocked)
         for tenures in self.tenures.values():
-            tenures.is_so(now_us(), self.running, self.paths.apart)
+            tenures.is_so(now_us(), self.running, self.paths.is_blocked)
 
     def starts(self, number: int) -> None:
         """A node's process is about to start: what it says from then on is of a new life."""
@@ -174,15 +174,15 @@
 
     async def part(self, nodes: Sequence[int], oneway: bool) -> None:
         await self.board.ask({"part": list(nodes), "oneway": oneway})
-        self.paths.parts.append(Part(frozenset(nodes), oneway))
+        self.paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
         self.judge()
 
     async def join(self, nodes: Sequence[int], oneway: bool) -> None:
         await self.board.ask({"join": list(nodes), "oneway": oneway})
-        self.paths.parts.remove(Part(frozenset(nodes), oneway))
+        self.paths.partitions.remove(PartitionedNodes(frozenset(nodes), oneway))
         self.judge()
 
-    async def treat(self, manner: Manner) -> None:
+    async def treat(self, manner: PathImpairment) -> None:
         await self.board.ask({"manner": asdict(manner)})
 
     # What nodes say.
--- a/larchlatch/loadtest/play.py
+++ b/larchlatch/loadtest/play.py
@@ -28,8 +28,9 @@
 from larchlatch.scenario.amounts import SECOND, us
 from larchlatch.scenario.chance import Chance
 from larchlatch.scenario.clients import RETURN_US, Client, demand, front_of
-from larchlatch.scenario.faults import AnyFault, Cut, strike
-from larchlatch.scenario.paths import Manner
+from larchlatch.scenario.datagram_paths import PathImpairment
+from larchlatch.scenario.fault_injection import FaultInjector
+from larchlatch.scenario.faults import AnyFault, ZoneIsolation
 from larchlatch.scenario.scenario import Day
 from larchlatch.scenario.upstreams import Condition, upstreams_of
 
@@ -187,7 +188,7 @@
             address = own_address(self.turn, number)
             place = Place(number, address, await free_port(address))
             self.places.append(place)
-        if any(isinstance(fault, Cut) for fault in self.day.faults):
+        if any(isinstance(fault, ZoneIsolation) for fault in self.day.faults):
             await self.between()
         if self.day.cluster.on:
             nodes = [(place.address, await free_udp_port(place.address)) for place in self.places]
@@ -470,32 +471,33 @@
 
     async def befall(self, number: int, fault: AnyFault) -> None:
         await self.until(fault.at_s)
-        strike(self, fault, self.chance.stream(f"fault {number}"))
+        injector = FaultInjector(upstreams=self, nodes=self, network=self, clients=self, scheduler=self)
+        fault.apply(injector, self.chance.stream(f"fault {number}"))
 
-    def later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
+    def call_later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
         async def then() -> None:
             await asyncio.sleep(after_s)
             what(*args)
 
         self.spawn(then())
 
-    def well(self) -> list[Site]:
+    def ready_upstreams(self) -> list[Site]:
         return [s for s in self.sites if s.upstream.condition is Condition.WELL and not s.upstream.draining]
 
-    def absent(self) -> list[Site]:
+    def absent_upstreams(self) -> list[Site]:
         return [s for s in self.sites if s.upstream.condition is Condition.ABSENT and not s.upstream.life]
 
-    def alive(self) -> list[Place]:
+    def serving_nodes(self) -> list[Place]:
         return [place for place in self.places if place.front]
 
-    def holding(self) -> list[Place]:
+    def role_holders(self) -> list[Place]:
         held = self.company.tenures.values() if self.company is not None else ()
         return [self.places[number] for number in holders_of(held)]
 
-    def slow(self, site: Site, factor: float) -> None:
+    def slow_down(self, site: Site, factor: float) -> None:
         site.upstream.slowness *= factor
 
-    def vanish(self, site: Site) -> None:
+    def silence(self, site: Site) -> None:
         self.lost(site)
         site.upstream.condition = Condition.SILENT
 
@@ -512,7 +514,7 @@
         if self.company is not None:
             self.company.avoidance.gone(now_us(), site.upstream.number)
 
-    def rise(self, site: Site) -> None:
+    def bring_up(self, site: Site) -> None:
         if self.company is not None:
             self.company.avoidance.back(now_us(), site.upstream.number)
 
@@ -528,54 +530,54 @@
         site.upstream.draining = True
         self.spawn(self.directory.change(site, EndpointState.DRAINING))
 
-    def depart(self, site: Site) -> None:
+    def retire(self, site: Site) -> None:
         self.shut(site)
         site.crash()
         site.upstream.condition = Condition.ABSENT
         self.spawn(self.directory.change(site, EndpointState.GONE))
 
-    def sever(self, zone: int) -> None:
+    def isolate_zone(self, zone: int) -> None:
         assert self.ways is not None
         self.severed.append(zone)
         self.spawn(self.ways.ask({"sever": zone}))
 
-    def mend(self, zone: int) -> None:
+    def reconnect_zone(self, zone: int) -> None:
         assert self.ways is not None
         self.severed.remove(zone)
         self.spawn(self.ways.ask({"mend": zone}))
 
-    def store(self, factor: float) -> None:
+    def slow_shared_store(self, factor: float) -> None:
         for site in self.sites:
             site.slowness *= factor
 
-    def scatter(self, share: float, chance: Random) -> None:
+    def disconnect_clients(self, share: float, chance: Random) -> None:
         standing = list(self.writers)
         for client in chance.sample(standing, round(len(standing) * share)):
             self.writers.pop(client).transport.abort()
 
-    def deafen(self, for_s: float) -> None:
+    def suspend_discovery(self, for_s: float) -> None:
         self.directory.deaf_until = now_us() / SECOND + for_s
 
-    def of_zone(self, zone: int) -> list[Place]:
+    def nodes_in_zone(self, zone: int) -> list[Place]:
         return [place for place in self.places if place.number % self.day.zones == zone]
 
-    def part(self, nodes: Sequence[Place], oneway: bool) -> None:
+    def partition(self, nodes: Sequence[Place], *, oneway: bool) -> None:
         if self.company is not None:
             self.spawn(self.company.part([place.number for place in nodes], oneway))
 
-    def join(self, nodes: Sequence[Place], oneway: bool) -> None:
+    def heal_partition(self, nodes: Sequence[Place], *, oneway: bool) -> None:
         if self.company is not None:
             self.spawn(self.company.join([place.number for place in nodes], oneway))
 
-    def treat(self, manner: Manner) -> None:
+    def impair_paths(self, manner: PathImpairment) -> None:
         if self.company is not None:
             self.spawn(self.company.treat(manner))
 
-    def stall(self, place: Place) -> None:
+    def pause(self, place: Place) -> None:
         place.stops += 1
         self.send(place, signal.SIGSTOP)
 
-    def wake(self, place: Place) -> None:
+    def resume(self, place: Place) -> None:
         place.stops = max(0, place.stops - 1)
         if not place.stops:
             self.send(place, signal.SIGCONT)
@@ -590,22 +592,22 @@
         if self.company is not None:
             self.company.runs(place.number, what is signal.SIGCONT)
 
-    def skew(self, place: Place, share: float) -> None:
+    def set_clock_gain(self, place: Place, share: float) -> None:
         self.order(place, skew=share)
 
-    def lie(self, place: Place, about: str) -> None:
+    def send_false_reports(self, place: Place, about: str) -> None:
         self.order(place, about=about)
 
-    def end_for_good(self, place: Place) -> None:
+    def decommission(self, place: Place) -> None:
         place.gone = True
         self.kill(place)
 
-    def refile(self, gone: Sequence[Place], after_s: Callable[[], float]) -> None:
+    def update_cluster_files(self, gone: Sequence[Place], after_s: Callable[[], float]) -> None:
         assert self.company is not None
         self.company.expelled |= {place.number for place in gone}
         for place in self.places:
             if not place.gone:
-                self.later(after_s(), self.reread, place)
+                self.call_later(after_s(), self.reread, place)
 
     def reread(self, place: Place) -> None:
         assert self.company is not None
--- a/larchlatch/loadtest/switchboard.py
+++ b/larchlatch/loadtest/switchboard.py
@@ -10,7 +10,7 @@
 
 from larchlatch.loadtest.board import serve
 from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
 
 
 class Relay(asyncio.DatagramProtocol):
@@ -28,7 +28,7 @@
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
         self.board.came += 1
         self.board.bytes += len(data)
-        delays = self.board.paths.fate(self.one, self.other)
+        delays = self.board.paths.delays_of_next(self.one, self.other)
         self.board.dropped += not delays
         for delay in delays:
             if delay:
@@ -49,13 +49,13 @@
     def __init__(self) -> None:
         self.address = ""
         self.nodes: list[tuple[str, int]] = []  # where each listens
-        self.paths = Paths(None)
+        self.paths = DatagramPaths(None)
         self.came = self.passed = self.dropped = self.bytes = 0
 
     async def begin(self, first: dict[str, Any]) -> list[list[int]]:
         """The relays' ports: row by sender, column by receiver; 0 from a node to itself."""
         self.address, self.nodes = first["address"], [(host, port) for host, port in first["nodes"]]
-        self.paths = Paths(Chance(first["seed"]))
+        self.paths = DatagramPaths(Chance(first["seed"]))
         return [
             [0 if one == other else await self.relay(one, other) for other in range(len(self.nodes))]
             for one in range(len(self.nodes))
@@ -71,11 +71,11 @@
     async def order(self, line: dict[str, Any]) -> None:
         match line:
             case {"part": nodes, "oneway": oneway}:
-                self.paths.parts.append(Part(frozenset(nodes), oneway))
+                self.paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
             case {"join": nodes, "oneway": oneway}:
-                self.paths.parts.remove(Part(frozenset(nodes), oneway))
+                self.paths.partitions.remove(PartitionedNodes(frozenset(nodes), oneway))
             case {"manner": manner}:
-                self.paths.manner = Manner(**manner)
+                self.paths.impairment = PathImpairment(**manner)
 
     def told(self) -> dict[str, int]:
         return {"came": self.came, "passed": self.passed, "dropped": self.dropped, "bytes": self.bytes}
--- a/larchlatch/scenario/drawing.py
+++ b/larchlatch/scenario/drawing.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.faults import AnyFault, Crash, Kill, Part, Stall
+from larchlatch.scenario.faults import AnyFault, NodeCrash, Partition, ProcessPause, UpstreamCrash
 from larchlatch.scenario.scenario import Day
 
 MARGIN_S = 8.0  # at both ends of a day: until all have begun, and until all is over
@@ -33,14 +33,14 @@
         kinds.append("holder")
     match chance.choice(kinds):
         case "stall":
-            return Stall(at_s, nodes=min(2, some), for_s=for_s)
+            return ProcessPause(at_s, nodes=min(2, some), for_s=for_s)
         case "holder":
-            return Stall(at_s, holder=True, for_s=for_s)
+            return ProcessPause(at_s, role_holders=True, for_s=for_s)
         case "kill":
-            return Kill(at_s, nodes=some)
+            return NodeCrash(at_s, nodes=some)
         case "zone":
-            return Part(at_s, zone=chance.randrange(day.zones), for_s=for_s)
+            return Partition(at_s, zone=chance.randrange(day.zones), for_s=for_s)
         case "oneway":
-            return Part(at_s, nodes=some, oneway=True, for_s=for_s)
+            return Partition(at_s, nodes=some, oneway=True, for_s=for_s)
         case _:
-            return Crash(at_s, upstreams=1, for_s=min(for_s, 2.0))
+            return UpstreamCrash(at_s, upstreams=1, for_s=min(for_s, 2.0))
--- /dev/null
+++ b/larchlatch/scenario/fault_injection.py
@@ -0,0 +1,155 @@
+"""What a player of scenarios offers to faults: four protocols, one for each kind of target.
+
+The emulator and the load test implement all four. A fault (`faults.py`) is written against them once.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass
+from random import Random
+from typing import Generic, Protocol, TypeVar
+
+from larchlatch.scenario.datagram_paths import PathImpairment
+
+UpstreamT = TypeVar("UpstreamT")
+NodeT = TypeVar("NodeT")
+
+
+class UpstreamFaults(Protocol[UpstreamT]):
+    """Faults of upstreams, and of the store that all of them use to establish sessions."""
+
+    def ready_upstreams(self) -> Sequence[UpstreamT]:
+        """Return the upstreams that are healthy and listed as ready."""
+        ...
+
+    def absent_upstreams(self) -> Sequence[UpstreamT]:
+        """Return the upstreams that have not been started yet."""
+        ...
+
+    def slow_down(self, upstream: UpstreamT, factor: float) -> None:
+        """Multiply the time that an upstream takes for its work; a factor below 1 speeds it up."""
+        ...
+
+    def silence(self, upstream: UpstreamT) -> None:
+        """Let an upstream answer nothing any more."""
+        ...
+
+    def crash(self, upstream: UpstreamT) -> None:
+        """End an upstream's process, so that its connections are reset."""
+        ...
+
+    def bring_up(self, upstream: UpstreamT) -> None:
+        """Start an upstream anew: cold, without sessions, and listed as ready."""
+        ...
+
+    def drain(self, upstream: UpstreamT) -> None:
+        """List an upstream as draining; it refuses new sessions and keeps those that it has."""
+        ...
+
+    def retire(self, upstream: UpstreamT) -> None:
+        """End an upstream, and take it out of the endpoint list."""
+        ...
+
+    def slow_shared_store(self, factor: float) -> None:
+        """Multiply the time that the shared store takes for each session that is established."""
+        ...
+
+
+class NodeFaults(Protocol[NodeT]):
+    """Faults of the nodes' processes, clocks and cluster files."""
+
+    def serving_nodes(self) -> Sequence[NodeT]:
+        """Return the nodes that clients are sent to."""
+        ...
+
+    def role_holders(self) -> Sequence[NodeT]:
+        """Return the nodes that hold any role."""
+        ...
+
+    def nodes_in_zone(self, zone: int) -> Sequence[NodeT]:
+        """Return the nodes of a zone."""
+        ...
+
+    def kill(self, node: NodeT) -> None:
+        """Kill a node's process; it is started again after the scenario's time."""
+        ...
+
+    def pause(self, node: NodeT) -> None:
+        """Stop a node's process, which keeps its connections; pauses of one node may overlap."""
+        ...
+
+    def resume(self, node: NodeT) -> None:
+        """End one pause of a node; its process goes on after the last one."""
+        ...
+
+    def set_clock_gain(self, node: NodeT, gain: float) -> None:
+        """Let a node's clock gain this share from now on; a negative one loses, 0 is right."""
+        ...
+
+    def send_false_reports(self, node: NodeT, subject: str) -> None:
+        """Let a node tell other nodes false things of a subject; an empty subject ends it."""
+        ...
+
+    def decommission(self, node: NodeT) -> None:
+        """End a node for good."""
+        ...
+
+    def update_cluster_files(self, removed: Sequence[NodeT], draw_delay_s: Callable[[], float]) -> None:
+        """Take nodes out of the cluster file; each remaining node rereads it after a delay of its own."""
+        ...
+
+
+class NetworkFaults(Protocol[NodeT]):
+    """Faults of the paths between zones and between nodes, and of discovery."""
+
+    def isolate_zone(self, zone: int) -> None:
+        """Block everything between a zone and the others, except for datagrams between nodes."""
+        ...
+
+    def reconnect_zone(self, zone: int) -> None:
+        """End the isolation of a zone."""
+        ...
+
+    def partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+        """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
+        ...
+
+    def heal_partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+        """End a partition that was made with the same arguments."""
+        ...
+
+    def impair_paths(self, impairment: PathImpairment) -> None:
+        """Treat all datagrams between nodes in this way from now on."""
+        ...
+
+    def suspend_discovery(self, for_s: float) -> None:
+        """Let no node hear of changes of the endpoint list for so many seconds."""
+        ...
+
+
+class ClientFaults(Protocol):
+    """Faults of clients."""
+
+    def disconnect_clients(self, share: float, rng: Random) -> None:
+        """Break the established sessions of a share of the clients, which come back at once."""
+        ...
+
+
+class Scheduler(Protocol):
+    """The player's clock."""
+
+    def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
+        """Call an action with these arguments after so many seconds."""
+        ...
+
+
+@dataclass(frozen=True, slots=True)
+class FaultInjector(Generic[UpstreamT, NodeT]):
+    """All that a fault may use of the player."""
+
+    upstreams: UpstreamFaults[UpstreamT]
+    nodes: NodeFaults[NodeT]
+    network: NetworkFaults[NodeT]
+    clients: ClientFaults
+    scheduler: Scheduler
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -1,284 +1,359 @@
-"""What goes wrong on a day, described once; each player says once what a fault does to it."""
+"""The faults of a scenario, each declared once against the protocols of `fault_injection.py`.
+
+Which upstreams or nodes a fault affects is drawn, when it begins, among those that are there at that time.
+"""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
+from collections.abc import Sequence
+from functools import partial
 from random import Random
-from typing import Annotated, Literal, Protocol, TypeVar
+from typing import Annotated, Literal, TypeVar
 
-from msgspec import Meta
+from msgspec import Meta, field
 
 from larchlatch.config.toml_file import Strict
 from larchlatch.scenario.amounts import Amount, Count, Few, Positive, Share, us
-from larchlatch.scenario.paths import Manner
+from larchlatch.scenario.datagram_paths import PathImpairment
+from larchlatch.scenario.fault_injection import FaultInjector, NodeT, UpstreamT
+
+CLUSTER_FILE_SPREAD_S = 1.0  # within which all nodes have read a new cluster file
 
-REFILED_S = 1.0  # within which all nodes have read a new cluster file
+Target = TypeVar("Target")
 
-H = TypeVar("H")
-N = TypeVar("N")
+
+def sample(targets: Sequence[Target], count: int, rng: Random) -> list[Target]:
+    """Return this many targets by chance, or all in a random order if there are fewer."""
+    return rng.sample(targets, min(count, len(targets)))
 
 
 class Fault(Strict, tag_field="kind", frozen=True):
+    """A fault that begins at a time of the scenario.
+
+    Attributes:
+        at_s: When it begins, in seconds after the scenario's start.
+
+    """
+
     at_s: Amount
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Begin the fault, and schedule its end.
+
+        Args:
+            injector: The player's means to carry it out.
+            rng: Source of the fault's random choices.
+
+        """
+        raise NotImplementedError
 
-class Slow(Fault, tag="slow", frozen=True):
-    """Hosts do their work so many times more slowly."""
+
+class UpstreamFault(Fault, frozen=True):
+    """A fault of some ready upstreams.
+
+    Attributes:
+        upstreams: How many it affects at most.
+
+    """
 
     upstreams: Count = 1
+
+    def draw_upstreams(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> list[UpstreamT]:
+        """Return the upstreams that the fault affects."""
+        return sample(injector.upstreams.ready_upstreams(), self.upstreams, rng)
+
+
+class NodeFault(Fault, frozen=True):
+    """A fault of some serving nodes.
+
+    Attributes:
+        nodes: How many it affects at most.
+
+    """
+
+    nodes: Count = 1
+
+    def draw_nodes(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> list[NodeT]:
+        """Return the nodes that the fault affects."""
+        return sample(injector.nodes.serving_nodes(), self.nodes, rng)
+
+
+class UpstreamSlowdown(UpstreamFault, tag="slow", frozen=True):
+    """Upstreams take a multiple of the time for their work."""
+
     factor: Positive = 4.0
     for_s: Positive = 10.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Slow upstreams down for the fault's time."""
+        for upstream in self.draw_upstreams(injector, rng):
+            injector.upstreams.slow_down(upstream, self.factor)
+            injector.scheduler.call_later(self.for_s, injector.upstreams.slow_down, upstream, 1 / self.factor)
 
-class Silent(Fault, tag="silent", frozen=True):
-    """Hosts vanish without a word; they come back cold, having forgotten all links."""
 
-    upstreams: Count = 1
+class UpstreamSilence(UpstreamFault, tag="silent", frozen=True):
+    """Upstreams stop answering, and come back cold, without their sessions."""
+
     for_s: Positive = 10.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Silence upstreams for the fault's time."""
+        for upstream in self.draw_upstreams(injector, rng):
+            injector.upstreams.silence(upstream)
+            injector.scheduler.call_later(self.for_s, injector.upstreams.bring_up, upstream)
 
-class Crash(Fault, tag="crash", frozen=True):
-    """Hosts' processes die, and come back cold."""
 
-    upstreams: Count = 1
+class UpstreamCrash(UpstreamFault, tag="crash", frozen=True):
+    """Upstreams' processes die, and come back cold."""
+
     for_s: Positive = 2.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Crash upstreams, and start them again after the fault's time."""
+        for upstream in self.draw_upstreams(injector, rng):
+            injector.upstreams.crash(upstream)
+            injector.scheduler.call_later(self.for_s, injector.upstreams.bring_up, upstream)
 
-class Drain(Fault, tag="drain", frozen=True):
-    """Hosts finish what they have, and are gone after that."""
 
-    upstreams: Count = 1
+class UpstreamDrain(UpstreamFault, tag="drain", frozen=True):
+    """Upstreams take no new sessions, and leave after a time."""
+
     for_s: Positive = 10.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Drain upstreams, and retire them after the fault's time."""
+        for upstream in self.draw_upstreams(injector, rng):
+            injector.upstreams.drain(upstream)
+            injector.scheduler.call_later(self.for_s, injector.upstreams.retire, upstream)
 
-class Join(Fault, tag="join", frozen=True):
-    """Hosts that were not there come up, cold."""
 
-    upstreams: Count = 1
+class UpstreamJoin(UpstreamFault, tag="join", frozen=True):
+    """Upstreams that were absent from the start come up, cold."""
+
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Start the first of the absent upstreams."""
+        for upstream in injector.upstreams.absent_upstreams()[: self.upstreams]:
+            injector.upstreams.bring_up(upstream)
 
 
-class Cut(Fault, tag="cut", frozen=True):
-    """A zone can't be reached from the others, nor they from it."""
+class ZoneIsolation(Fault, tag="cut", frozen=True):
+    """A zone and the others do not reach each other, except for datagrams between nodes."""
 
     zone: Few = 0
     for_s: Positive = 8.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Isolate the zone for the fault's time."""
+        injector.network.isolate_zone(self.zone)
+        injector.scheduler.call_later(self.for_s, injector.network.reconnect_zone, self.zone)
 
-class Kill(Fault, tag="kill", frozen=True):
-    """Nodes die, their links with them or, where packets pass through, in mid-flow to other nodes."""
 
-    nodes: Count = 1
+class NodeCrash(NodeFault, tag="kill", frozen=True):
+    """Nodes die with their sessions; where packets pass through nodes, these go on at other nodes."""
+
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Kill nodes."""
+        for node in self.draw_nodes(injector, rng):
+            injector.nodes.kill(node)
 
 
-class Store(Fault, tag="store", frozen=True):
-    """What all setups need takes so many times as long."""
+class SharedStoreSlowdown(Fault, tag="store", frozen=True):
+    """The shared store, which each session's establishment needs, takes a multiple of its time."""
 
     factor: Positive = 10.0
     for_s: Positive = 10.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Slow the store down for the fault's time."""
+        injector.upstreams.slow_shared_store(self.factor)
+        injector.scheduler.call_later(self.for_s, injector.upstreams.slow_shared_store, 1 / self.factor)
 
-class Crowd(Fault, tag="crowd", frozen=True):
-    """A share of the clients loses its links at once, and comes back."""
+
+class ClientReconnectStorm(Fault, tag="crowd", frozen=True):
+    """A share of the clients loses its sessions at once, and reconnects."""
 
     share: Share = 0.5
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Disconnect clients."""
+        injector.clients.disconnect_clients(self.share, rng)
+
 
-class Deaf(Fault, tag="deaf", frozen=True):
-    """No node hears of the list."""
+class DiscoveryOutage(Fault, tag="deaf", frozen=True):
+    """No node hears of changes of the endpoint list."""
 
     for_s: Positive = 10.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Suspend discovery for the fault's time."""
+        injector.network.suspend_discovery(self.for_s)
+
+
+class Partition(Fault, tag="part", frozen=True):
+    """Some nodes and the others do not hear each other; oneway: the others alone do not.
 
-class Part(Fault, tag="part", frozen=True):
-    """Nodes and the others don't hear each other; oneway: they are not heard, but hear. `nodes` or `zone`."""
+    Attributes:
+        nodes: How many nodes, drawn by chance; 0 if `zone` says which.
+        zone: The zone whose nodes are cut off; -1 if `nodes` says how many.
+        oneway: Whether the nodes still hear the others.
+
+    """
 
     nodes: Few = 0
     zone: int = -1
     oneway: bool = False
     for_s: Positive = 8.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Cut nodes off for the fault's time."""
+        cut_off = self._cut_off_nodes(injector, rng)
+        injector.network.partition(cut_off, oneway=self.oneway)
+        heal = partial(injector.network.heal_partition, cut_off, oneway=self.oneway)
+        injector.scheduler.call_later(self.for_s, heal)
+
+    def _cut_off_nodes(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> Sequence[NodeT]:
+        if self.zone >= 0:
+            return injector.nodes.nodes_in_zone(self.zone)
+        return sample(injector.nodes.serving_nodes(), self.nodes, rng)
+
+
+class LossyNetwork(Fault, tag="lossy", frozen=True):
+    """All paths between nodes lose, duplicate, reorder, delay and replay datagrams.
 
-class Lossy(Fault, tag="lossy", frozen=True):
-    """All paths between nodes lose, double, reorder and delay; a share of all comes again much later."""
+    Attributes:
+        loss: The share of datagrams that is lost.
+        duplication: The share that arrives twice.
+        reordering: The share that others overtake.
+        delay_ms: A delay of all datagrams.
+        replay: The share that arrives once more, much later.
+        replay_after_s: How much later.
+
+    """
 
     loss: Share = 0.0
-    double: Share = 0.0
-    reorder: Share = 0.0
+    duplication: Share = field(default=0.0, name="double")
+    reordering: Share = field(default=0.0, name="reorder")
     delay_ms: Amount = 0.0
-    again: Share = 0.0
-    again_s: Positive = 4.0
+    replay: Share = field(default=0.0, name="again")
+    replay_after_s: Positive = field(default=4.0, name="again_s")
     for_s: Positive = 8.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Impair all paths for the fault's time."""
+        impairment = PathImpairment(
+            loss=self.loss,
+            duplication=self.duplication,
+            reordering=self.reordering,
+            delay_us=us(self.delay_ms / 1e3),
+            replay=self.replay,
+            replay_delay_us=us(self.replay_after_s),
+        )
+        injector.network.impair_paths(impairment)
+        injector.scheduler.call_later(self.for_s, injector.network.impair_paths, PathImpairment())
 
-class Skew(Fault, tag="skew", frozen=True):
-    """Nodes' clocks gain that share, or lose it where it is below 0."""
 
-    nodes: Count = 1
-    share: Annotated[float, Meta(ge=-0.5, le=0.5)] = 0.01
+class ProcessPause(NodeFault, tag="stall", frozen=True):
+    """Nodes' processes are stopped, and go on later.
+
+    Attributes:
+        role_holders: Whether the nodes that hold a role are stopped, instead of any.
+
+    """
+
+    role_holders: bool = field(default=False, name="holder")
+    for_s: Positive = 3.0
+
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Pause nodes for the fault's time."""
+        paused = injector.nodes.role_holders() if self.role_holders else self.draw_nodes(injector, rng)
+        for node in paused:
+            injector.nodes.pause(node)
+            injector.scheduler.call_later(self.for_s, injector.nodes.resume, node)
+
+
+class ClockSkew(NodeFault, tag="skew", frozen=True):
+    """Nodes' clocks run fast or slow.
+
+    Attributes:
+        gain: The share that they gain; a negative one is lost.
+
+    """
+
+    gain: Annotated[float, Meta(ge=-0.5, le=0.5)] = field(default=0.01, name="share")
     for_s: Positive = 8.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Let clocks run at a wrong rate for the fault's time."""
+        for node in self.draw_nodes(injector, rng):
+            injector.nodes.set_clock_gain(node, self.gain)
+            injector.scheduler.call_later(self.for_s, injector.nodes.set_clock_gain, node, 0.0)
 
-class Liar(Fault, tag="liar", frozen=True):
-    """Nodes tell others what is not so; what they do themselves is right."""
 
-    nodes: Count = 1
-    about: Literal["hosts", "counts", "budget"] = "hosts"
+class ByzantineNode(NodeFault, tag="liar", frozen=True):
+    """Nodes send false reports; what they do themselves is right.
+
+    Attributes:
+        subject: What the reports are about: health of upstreams, quota usage of others, or what they
+            may lend.
+
+    """
+
+    subject: Literal["hosts", "counts", "budget"] = field(default="hosts", name="about")
     for_s: Positive = 8.0
 
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Let nodes send false reports for the fault's time."""
+        for node in self.draw_nodes(injector, rng):
+            injector.nodes.send_false_reports(node, self.subject)
+            injector.scheduler.call_later(self.for_s, injector.nodes.send_false_reports, node, "")
 
-class Expel(Fault, tag="expel", frozen=True):
-    """Nodes end for good; from `told_s` later on the cluster files of the others lack them."""
 
-    nodes: Count = 1
-    told_s: Positive = 3.0
+class RemoveNode(NodeFault, tag="expel", frozen=True):
+    """Nodes end for good, and the cluster files of the others lack them some time later.
 
+    Attributes:
+        cluster_file_after_s: How much later.
 
-class Stall(Fault, tag="stall", frozen=True):
-    """Nodes' processes are stopped, and go on after that."""
+    """
 
-    nodes: Count = 1
-    holder: bool = False  # whoever holds a duty then, instead of any
-    for_s: Positive = 3.0
+    cluster_file_after_s: Positive = field(default=3.0, name="told_s")
+
+    def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
+        """Decommission nodes, and update the cluster files later."""
+        removed = self.draw_nodes(injector, rng)
+        for node in removed:
+            injector.nodes.decommission(node)
+        draw_delay_s = partial(rng.uniform, 0, CLUSTER_FILE_SPREAD_S)
+        injector.scheduler.call_later(
+            self.cluster_file_after_s, injector.nodes.update_cluster_files, removed, draw_delay_s
+        )
 
 
 AnyFault = (
-    Slow
-    | Silent
-    | Crash
-    | Drain
-    | Join
-    | Cut
-    | Kill
-    | Store
-    | Crowd
-    | Deaf
-    | Part
-    | Lossy
-    | Stall
-    | Skew
-    | Liar
-    | Expel
+    UpstreamSlowdown
+    | UpstreamSilence
+    | UpstreamCrash
+    | UpstreamDrain
+    | UpstreamJoin
+    | ZoneIsolation
+    | NodeCrash
+    | SharedStoreSlowdown
+    | ClientReconnectStorm
+    | DiscoveryOutage
+    | Partition
+    | LossyNetwork
+    | ProcessPause
+    | ClockSkew
+    | ByzantineNode
+    | RemoveNode
 )
 
+# Faults that a node's process must be built to commit.
+SELF_INFLICTED = (ClockSkew, ByzantineNode)
+# Faults of the talk between nodes, which there must be.
+BETWEEN_NODES = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
+
 
 def trace_name(fault: Fault) -> str:
-    """Return a fault's name in a trace: its kind in the day's file, capitalised. Digests depend on it."""
+    """Return a fault's name in a trace: its kind in the scenario file, capitalised. Digests depend on it."""
     return str(fault.__struct_config__.tag).capitalize()
-
-
-PUPPETS = (Skew, Liar)  # what nodes do only when they are made to
-BETWEEN = (Part, Lossy, Expel, *PUPPETS)  # what befalls the talk between nodes, where there is any
-
-
-class Player(Protocol[H, N]):
-    """Who plays a day: what each fault does there. Times are seconds."""
-
-    def later(self, after_s: float, what: Callable[..., None], *args: object) -> None: ...
-
-    def well(self) -> Sequence[H]:
-        """Hosts that are well and listed as such."""
-
-    def absent(self) -> Sequence[H]:
-        """Hosts that have not been there yet."""
-
-    def alive(self) -> Sequence[N]:
-        """Nodes to which clients are sent."""
-
-    def holding(self) -> Sequence[N]:
-        """Nodes that hold a duty."""
-
-    def slow(self, upstream: H, factor: float) -> None: ...
-    def vanish(self, upstream: H) -> None: ...
-    def crash(self, upstream: H) -> None: ...
-    def rise(self, upstream: H) -> None: ...
-    def drain(self, upstream: H) -> None: ...
-    def depart(self, upstream: H) -> None: ...
-    def kill(self, node: N) -> None: ...
-    def sever(self, zone: int) -> None: ...
-    def mend(self, zone: int) -> None: ...
-    def store(self, factor: float) -> None: ...
-    def scatter(self, share: float, chance: Random) -> None: ...
-    def deafen(self, for_s: float) -> None: ...
-    def of_zone(self, zone: int) -> Sequence[N]: ...
-    def part(self, nodes: Sequence[N], oneway: bool) -> None: ...
-    def join(self, nodes: Sequence[N], oneway: bool) -> None: ...
-    def treat(self, manner: Manner) -> None: ...
-    def stall(self, node: N) -> None: ...
-    def wake(self, node: N) -> None: ...
-    def skew(self, node: N, share: float) -> None: ...
-    def lie(self, node: N, about: str) -> None: ...
-    def end_for_good(self, node: N) -> None: ...
-    def refile(self, gone: Sequence[N], after_s: Callable[[], float]) -> None:
-        """The cluster files lack these from now on; each other node hears of it so much later."""
-
-
-def strike(player: Player[H, N], fault: AnyFault, chance: Random) -> None:
-    """A fault begins; what ends it is arranged. Who it hits is drawn among those that are there then."""
-
-    def some(number: int) -> list[H]:
-        well = player.well()
-        return chance.sample(well, min(number, len(well)))
-
-    def some_nodes(number: int) -> list[N]:
-        alive = player.alive()
-        return chance.sample(alive, min(number, len(alive)))
-
-    match fault:
-        case Slow():
-            for upstream in some(fault.upstreams):
-                player.slow(upstream, fault.factor)
-                player.later(fault.for_s, player.slow, upstream, 1 / fault.factor)
-        case Silent():
-            for upstream in some(fault.upstreams):
-                player.vanish(upstream)
-                player.later(fault.for_s, player.rise, upstream)
-        case Crash():
-            for upstream in some(fault.upstreams):
-                player.crash(upstream)
-                player.later(fault.for_s, player.rise, upstream)
-        case Drain():
-            for upstream in some(fault.upstreams):
-                player.drain(upstream)
-                player.later(fault.for_s, player.depart, upstream)
-        case Join():
-            for upstream in player.absent()[: fault.upstreams]:
-                player.rise(upstream)
-        case Cut():
-            player.sever(fault.zone)
-            player.later(fault.for_s, player.mend, fault.zone)
-        case Kill():
-            for node in some_nodes(fault.nodes):
-                player.kill(node)
-        case Store():
-            player.store(fault.factor)
-            player.later(fault.for_s, player.store, 1 / fault.factor)
-        case Crowd():
-            player.scatter(fault.share, chance)
-        case Deaf():
-            player.deafen(fault.for_s)
-        case Part():
-            cut = player.of_zone(fault.zone) if fault.zone >= 0 else some_nodes(fault.nodes)
-            player.part(cut, fault.oneway)
-            player.later(fault.for_s, player.join, cut, fault.oneway)
-        case Lossy():
-            again_us = us(fault.again_s)
-            delay_us = us(fault.delay_ms / 1e3)
-            player.treat(Manner(fault.loss, fault.double, fault.reorder, delay_us, fault.again, again_us))
-            player.later(fault.for_s, player.treat, Manner())
-        case Stall():
-            for node in player.holding() if fault.holder else some_nodes(fault.nodes):
-                player.stall(node)
-                player.later(fault.for_s, player.wake, node)
-        case Skew():
-            for node in some_nodes(fault.nodes):
-                player.skew(node, fault.share)
-                player.later(fault.for_s, player.skew, node, 0.0)
-        case Expel():
-            gone = some_nodes(fault.nodes)
-            for node in gone:
-                player.end_for_good(node)
-            player.later(fault.told_s, player.refile, gone, lambda: chance.uniform(0, REFILED_S))
-        case Liar():
-            for node in some_nodes(fault.nodes):
-                player.lie(node, fault.about)
-                player.later(fault.for_s, player.lie, node, "")
--- a/larchlatch/scenario/scenario.py
+++ b/larchlatch/scenario/scenario.py
@@ -12,7 +12,15 @@
 from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 from larchlatch.scenario.amounts import SECOND, Amount, Count, Few, Positive, Share, us
-from larchlatch.scenario.faults import BETWEEN, AnyFault, Cut, Join, Kill, Liar, Part, Skew, Stall
+from larchlatch.scenario.faults import (
+    BETWEEN_NODES,
+    AnyFault,
+    NodeFault,
+    Partition,
+    RemoveNode,
+    UpstreamJoin,
+    ZoneIsolation,
+)
 
 
 class Nodes(Strict, frozen=True):
@@ -133,20 +141,21 @@
     for place, fault in enumerate(day.faults):
         where = f"{top}: faults[{place}]"
         upstreams = getattr(fault, "upstreams", 0)
-        if upstreams > (absent if isinstance(fault, Join) else day.places):
+        if upstreams > (absent if isinstance(fault, UpstreamJoin) else day.places):
             raise ConfigurationError(f"{where}.hosts", f"more than there are ({upstreams})")
-        if isinstance(fault, Kill | Stall | Part | Skew | Liar) and fault.nodes > day.nodes.count:
+        counts_nodes = isinstance(fault, NodeFault | Partition) and not isinstance(fault, RemoveNode)
+        if counts_nodes and fault.nodes > day.nodes.count:
             raise ConfigurationError(f"{where}.nodes", f"more than there are ({fault.nodes})")
-        if isinstance(fault, BETWEEN) and not day.cluster.on:
+        if isinstance(fault, BETWEEN_NODES) and not day.cluster.on:
             raise ConfigurationError(where, "cluster.on is false: nodes don't talk to each other")
-        if isinstance(fault, Part):
+        if isinstance(fault, Partition):
             if (fault.nodes > 0) is (fault.zone >= 0):
                 raise ConfigurationError(where, "one of nodes and zone says who is cut off")
             if fault.zone >= day.zones:
                 raise ConfigurationError(
                     f"{where}.zone", f"there are {day.zones}, counted from 0 ({fault.zone})"
                 )
-        if isinstance(fault, Cut) and fault.zone >= day.zones:
+        if isinstance(fault, ZoneIsolation) and fault.zone >= day.zones:
             raise ConfigurationError(f"{where}.zone", f"there are {day.zones}, counted from 0 ({fault.zone})")
     return day
 
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -44,7 +44,7 @@
 from larchlatch.errors import InvalidInputError
 from larchlatch.invariants.membership_agreement import SETTLED_US, Agreement
 from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.paths import Manner, Part, Paths
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
 from larchlatch.scenario.scenario import checked
 
 HEARTBEAT_US = 200_000
@@ -478,26 +478,33 @@
 
 
 def test_paths_are_cut_each_way_and_each_draws_by_itself() -> None:
-    paths = Paths(Chance(1))
-    paths.parts.append(Part(frozenset({0, 1})))
-    assert [paths.apart(*pair) for pair in ((0, 1), (0, 2), (2, 0), (2, 3))] == [False, True, True, False]
-    paths.parts.append(Part(frozenset({1}), oneway=True))
-    assert paths.apart(1, 0) and not paths.apart(0, 1), "it is not heard, but hears"
-    paths.parts.clear()
-    paths.manner = Manner(loss=0.2, double=0.1, reorder=0.1, delay_us=1000)
-    fates = [paths.fate(0, 1) for _ in range(4000)]
+    paths = DatagramPaths(Chance(1))
+    paths.partitions.append(PartitionedNodes(frozenset({0, 1})))
+    assert [paths.is_blocked(*pair) for pair in ((0, 1), (0, 2), (2, 0), (2, 3))] == [
+        False,
+        True,
+        True,
+        False,
+    ]
+    paths.partitions.append(PartitionedNodes(frozenset({1}), oneway=True))
+    assert paths.is_blocked(1, 0) and not paths.is_blocked(0, 1), "it is not heard, but hears"
+    paths.partitions.clear()
+    paths.impairment = PathImpairment(loss=0.2, duplication=0.1, reordering=0.1, delay_us=1000)
+    fates = [paths.delays_of_next(0, 1) for _ in range(4000)]
     assert 0.17 < sum(not fate for fate in fates) / 4000 < 0.23
     assert 0.06 < sum(len(fate) == 2 for fate in fates) / 4000 < 0.10
     assert min(delay for fate in fates for delay in fate) == 1000
-    other = Paths(Chance(1))
-    other.manner = paths.manner
+    other = DatagramPaths(Chance(1))
+    other.impairment = paths.impairment
     for number in range(50):
-        other.fate(1, 0)
-        assert other.fate(0, 1) == fates[number], "another path's datagrams shift none of this one's"
+        other.delays_of_next(1, 0)
+        assert other.delays_of_next(0, 1) == fates[number], (
+            "another path's datagrams shift none of this one's"
+        )
 
 
 def test_the_judge_tells_wrong_verdicts_and_how_long_agreement_took() -> None:
-    judge, cut = Agreement(3, 0), Part(frozenset({2}))
+    judge, cut = Agreement(3, 0), PartitionedNodes(frozenset({2}))
     judge.is_so(0, [True] * 3, lambda one, other: False)
     for one in range(3):
         for other in range(3):
@@ -507,13 +514,13 @@
     judge.said(SETTLED_US + 1, 0, 1, False)
     assert judge.wrong == 1, "it could be heard all the time"
     judge.said(SETTLED_US + 2, 0, 1, True)
-    judge.is_so(SETTLED_US + 10, [True] * 3, cut.stops)
+    judge.is_so(SETTLED_US + 10, [True] * 3, cut.blocks)
     assert judge.row()["agreed_s"] is None
     for one, other in ((0, 2), (1, 2), (2, 0), (2, 1)):
         judge.said(SETTLED_US + 50, one, other, False)
     assert judge.took_us == [300, 40] and judge.wrong == 1, "a cut is no wrong verdict"
-    chain = Part(frozenset({0}), oneway=True)
-    judge.is_so(SETTLED_US + 60, [True] * 3, chain.stops)
+    chain = PartitionedNodes(frozenset({0}), oneway=True)
+    judge.is_so(SETTLED_US + 60, [True] * 3, chain.blocks)
     assert not judge.truth[1][0] and judge.truth[0][1], "not heard, but hears"
 
 
