--- a/larchlatch/cli/emulator.py
+++ b/larchlatch/cli/emulator.py
@@ -25,7 +25,7 @@
 from larchlatch.emulator.world import World
 
 if TYPE_CHECKING:
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 MAX_SEEDS = 10_000
 MAX_JOBS = 1024
@@ -57,7 +57,7 @@
         sys.exit(EXIT_RULE_BROKEN)
 
 
-def play_scenario(scenario: Day, policy: str, trace: Path | None) -> tuple[World, dict[str, Any]]:
+def play_scenario(scenario: Scenario, policy: str, trace: Path | None) -> tuple[World, dict[str, Any]]:
     """Play a scenario to its end, and return the world and its figures; the trace goes into a file."""
     if trace is None:
         world = World(scenario, policy)
--- a/larchlatch/cli/scenario_options.py
+++ b/larchlatch/cli/scenario_options.py
@@ -4,13 +4,16 @@
 
 import json
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from larchlatch.emulator.sweep import varied
-from larchlatch.scenario.drawing import with_drawn
-from larchlatch.scenario.scenario import Day, day_of
+from larchlatch.scenario.random_faults import with_random_faults
+from larchlatch.scenario.scenario_file import read_scenario_file
+
+if TYPE_CHECKING:
+    from larchlatch.scenario.scenario import Scenario
 
 EXIT_RULE_BROKEN = 3
 EXIT_VOID = 4  # the tool itself was late: its figures can't be trusted
@@ -30,7 +33,7 @@
 )
 
 
-def read_scenario(path: Path, changes: tuple[str, ...], seed: int | None, draw: int) -> Day:
+def read_scenario(path: Path, changes: tuple[str, ...], seed: int | None, draw: int) -> Scenario:
     """Return the scenario of a file.
 
     Args:
@@ -46,7 +49,7 @@
     values = {key: alternatives[0] for key, alternatives in map(varied, changes)}
     if seed is not None:
         values["seed"] = seed
-    return with_drawn(day_of(path, values), draw)
+    return with_random_faults(read_scenario_file(path, values), draw)
 
 
 def result_line(result: dict[str, Any]) -> str:
--- a/larchlatch/emulator/company.py
+++ b/larchlatch/emulator/company.py
@@ -19,15 +19,25 @@
 from larchlatch.emulator.clock import CHECK, TIMER, TOLD
 from larchlatch.emulator.nodes import Node
 from larchlatch.emulator.stage import START_US, Stage
-from larchlatch.invariants.membership_agreement import Agreement
-from larchlatch.invariants.quota_safety import spending_of
-from larchlatch.invariants.single_leader import row_of, tenures_of
-from larchlatch.invariants.upstream_avoidance import Avoidance
+from larchlatch.invariants.observations import (
+    FleetChanged,
+    MemberReported,
+    NodeStarted,
+    OrderExecuted,
+    QuotaUsageReported,
+    RoleChanged,
+    SessionAdmitted,
+    SessionRequested,
+    UpstreamEjected,
+    UpstreamFailureDetected,
+)
+from larchlatch.invariants.scenario_checkers import ClusterCheckers
 from larchlatch.policy.types import TokenCandidate
 from larchlatch.scenario.amounts import us
+from larchlatch.scenario.byzantine_exchange import ByzantineExchange
 from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
-from larchlatch.scenario.puppets import Drift, Lying
-from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.drifting_clock import DriftingClock
+from larchlatch.scenario.scenario import Scenario
 
 ROOM = 1000  # datagrams that lie unread at a node that is stopped; the system's buffer holds about so many
 APART_US = 200_000  # by which the wall clocks of nodes may differ, as they are told
@@ -78,7 +88,9 @@
         self.budgets, self.counts, self.evidence, self.duties, self.pacing = shared
         shared.open(own)
         trust = Plain(names[number])
-        self.exchange = Lying(self.members, shared, company.sites, company.keys, trust, trust, company.count)
+        self.exchange = ByzantineExchange(
+            self.members, shared, company.sites, company.keys, trust, trust, company.count
+        )
         self.exchange.upstreams = range(len(stage.upstreams))
         self.alive = True
         self.stopped = False
@@ -95,19 +107,18 @@
 
     def admit(self, session: int, traffic_class: int) -> int:
         company = self.company
-        if company.spending is not None:
-            company.spending.asked(company.stage.clock.now, str(session))
+        company.checkers.observe(SessionRequested(company.stage.clock.now, str(session)))
         back_us = self.budgets.admit(self.now, f"t{traffic_class}")
-        if not back_us and company.spending is not None:
-            company.spending.seen(company.stage.clock.now, str(session))
+        if not back_us:
+            company.checkers.observe(SessionAdmitted(company.stage.clock.now, str(session)))
         return back_us
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
         self.evidence.set_upstreams(upstreams)
-        cold = self.company.stage.day.cold
-        slow_start_us = started_at + us(cold.warm_s) - self.company.stage.clock.now if started_at else 0
+        cold = self.company.stage.day.slow_start
+        slow_start_us = started_at + us(cold.duration_s) - self.company.stage.clock.now if started_at else 0
         self.pacing.update_upstreams(
-            self.now, upstreams, slow_start_us=max(0, slow_start_us), window_us=us(cold.tip_s)
+            self.now, upstreams, slow_start_us=max(0, slow_start_us), window_us=us(cold.overload_window_s)
         )
 
     def request_token(self, session: int, wants: Sequence[TokenCandidate]) -> None:
@@ -151,7 +162,7 @@
         self.pace(beat.token_updates)
         self.send(beat.datagrams)
         for upstream in beat.advice.newly_unreachable:
-            company.avoidance.found(now, self.number, upstream)
+            company.checkers.observe(UpstreamFailureDetected(now, self.number, upstream))
         if beat.advice.probes or beat.advice.failures:
             company.advised(self.number, beat.advice.probes, beat.advice.failures)
         self.beat_at = now + company.beat_us
@@ -174,10 +185,11 @@
         events = self.duties.take_events()
         for order in orders:
             company.stage.note("order", self.number, order.lease)
-            company.tenures[order.role].carried_out(order.lease)
+            company.checkers.observe(OrderExecuted(now, order.role, order.lease))
         for event in events:
             company.stage.note("duty", self.number, event.change.value, event.lease)
-            company.tenures[event.role].held(now, self.number, event.change is RoleChange.HELD)
+            held = event.change is RoleChange.HELD
+            company.checkers.observe(RoleChanged(now, event.role, self.number, held))
 
     def send(self, datagrams: list[OutgoingDatagram]) -> None:
         for name, data in datagrams:
@@ -188,31 +200,29 @@
         for change in changes:
             other = company.places[change.name]
             company.stage.note("member", self.number, other, change.state.value)
-            company.agreement.said(now, self.number, other, change.state is MemberState.PRESENT)
+            present = change.state is MemberState.PRESENT
+            company.checkers.observe(MemberReported(now, self.number, other, present))
 
 
 class Company:
     def __init__(self, stage: Stage) -> None:
         count, cluster = stage.day.nodes.count, stage.day.cluster
         self.stage = stage
-        self.beat_us = cluster.beat_ms * 1000
+        self.beat_us = cluster.heartbeat_ms * 1000
         self.names = [f"n{number}" for number in range(count)]
         self.places = {name: number for number, name in enumerate(self.names)}
         self.expelled: set[int] = set()  # nodes that the files lack
         self.refile()
-        self.tenures = tenures_of(stage.day, stage.clock.now)
-        self.spending = spending_of(stage.day)
-        self.drifts = [Drift(stage.clock.now) for _ in range(count)]
+        self.checkers = ClusterCheckers(stage.day, stage.clock.now)
+        self.drifts = [DriftingClock(stage.clock.now) for _ in range(count)]
         self.paths = DatagramPaths(stage.chance)
-        self.agreement = Agreement(count, stage.clock.now)
-        self.avoidance = Avoidance()
         self.starts = [0] * count
         self.counts: dict[str, int] = {}
         self.bytes = 0
         self.spent_s = 0.0  # processor time of the decisions and of reading and writing datagrams
         self.voices = [Voice(self, number) for number in range(count)]
         self.judge()
-        if self.spending is not None:
+        if self.checkers.quota is not None:
             stage.clock.at(stage.clock.now + TELL_US, CHECK, self.look)
 
     def refile(self) -> None:
@@ -243,27 +253,23 @@
     def judge(self) -> None:
         runs = [voice.alive and not voice.stopped for voice in self.voices]
         now = self.stage.clock.now
-        self.agreement.is_so(now, runs, self.paths.is_blocked)
-        for tenures in self.tenures.values():
-            tenures.is_so(now, runs, self.paths.is_blocked)
-        for number, running in enumerate(runs):
-            self.avoidance.runs(now, number, running)
+        self.checkers.observe(FleetChanged(now, runs, self.paths.is_blocked))
 
     def look(self) -> None:
         """Compare what each node takes the fleet's use to be with what it is."""
         now = self.stage.clock.now
-        assert self.spending is not None
         for voice in self.voices:
             if voice.alive and not voice.stopped:
                 [known] = voice.counts.ranges(now)
-                self.spending.told(now, known.least, known.most, voice.counts.span_us)
+                report = QuotaUsageReported(now, known.least, known.most, voice.counts.span_us)
+                self.checkers.observe(report)
         self.stage.clock.at(now + TELL_US, CHECK, self.look)
 
     def advised(self, number: int, looks: list[int], failed: Sequence[tuple[int, int]]) -> None:
         node = self.stage.nodes[number]
         for upstream, _ in failed:
             reached = self.stage.reach(node, self.stage.upstreams[upstream])
-            self.avoidance.left_out(self.stage.clock.now, upstream, reached)
+            self.checkers.observe(UpstreamEjected(self.stage.clock.now, upstream, reached))
         node.advised(looks, failed)
 
     def send(self, one: int, other: int, data: bytes) -> None:
@@ -291,13 +297,13 @@
 
     def kill(self, number: int) -> None:
         self.voices[number].alive = False
-        for tenures in self.tenures.values():
-            tenures.held(self.stage.clock.now, number, False)
+        for role in self.checkers.leaders:
+            self.checkers.observe(RoleChanged(self.stage.clock.now, role, number, held=False))
         self.judge()
 
     def restart(self, number: int) -> None:
         self.voices[number] = Voice(self, number)
-        self.agreement.began(self.stage.clock.now, number)
+        self.checkers.observe(NodeStarted(self.stage.clock.now, number))
         self.judge()
 
     def stall(self, number: int) -> None:
@@ -316,40 +322,37 @@
             voice.take(data)
 
     def skew(self, number: int, share: float) -> None:
-        self.drifts[number].run(self.stage.clock.now, share)
+        self.drifts[number].set_gain(self.stage.clock.now, share)
 
     def lie(self, number: int, about: str) -> None:
-        self.voices[number].exchange.about = about
+        self.voices[number].exchange.false_subject = about
 
     def row(self) -> dict[str, float | int | None]:
         span_s = (self.stage.clock.now - START_US) / 1e6 * len(self.voices)
         return {
-            **self.agreement.row(),
-            **(self.spending.row() if self.spending is not None else {}),
-            **self.avoidance.row(self.stage.clock.now),
-            **row_of(self.tenures, self.stage.clock.now),
+            **self.checkers.figures(self.stage.clock.now),
             "cluster_bytes_s": round(self.bytes / span_s),
             "cluster_cpu": round(self.spent_s / span_s, 5),
         }
 
 
-def dealing_for(day: Day, names: Sequence[str], mark: int) -> QuotaSettings:
+def dealing_for(day: Scenario, names: Sequence[str], mark: int) -> QuotaSettings:
     """How the day's budget, if it has one, is dealt out: as its cluster file would say it."""
     cluster = day.cluster
-    spans = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.skew)
+    spans = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.max_clock_skew)
     limits: tuple[Quota, ...] = ()
     if cluster.sessions_per_s:
-        traffic_classes = tuple(f"t{place}" for place in range(len(day.sessions.effects)))
+        traffic_classes = tuple(f"t{place}" for place in range(len(day.sessions.idempotencies)))
         limits = (Quota("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
-    return QuotaSettings(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.allot)
+    return QuotaSettings(limits, tuple(sorted(names)), cluster.floor, spans, mark, cluster.quota_allocator)
 
 
-def roster_for(day: Day, names: Sequence[str], mark: int) -> Electorate:
+def roster_for(day: Scenario, names: Sequence[str], mark: int) -> Electorate:
     """Who elects on this day: the first nodes, which are of all sites in turn."""
     cluster = day.cluster
-    if not (cluster.allot or cluster.pace):
+    if not (cluster.quota_allocator or cluster.token_issuer):
         return Electorate()
-    tenure = LeaseTerms(us(cluster.term_s), cluster.skew, APART_US)
+    tenure = LeaseTerms(us(cluster.term_s), cluster.max_clock_skew, APART_US)
     electors = tuple(sorted(names[: cluster.electors]))
-    duties = (QUOTA_ALLOCATOR,) * cluster.allot + (TOKEN_ISSUER,) * cluster.pace
+    duties = (QUOTA_ALLOCATOR,) * cluster.quota_allocator + (TOKEN_ISSUER,) * cluster.token_issuer
     return Electorate(electors, tuple(sorted(names)), duties, tenure, mark)
--- a/larchlatch/emulator/crowd.py
+++ b/larchlatch/emulator/crowd.py
@@ -10,7 +10,7 @@
 from larchlatch.emulator.stage import START_US, Parked, Stage
 from larchlatch.policy.types import Session
 from larchlatch.scenario.amounts import SECOND, us
-from larchlatch.scenario.clients import RETURN_US, Client, front_of
+from larchlatch.scenario.clients import MAX_RECONNECT_US, MIN_RECONNECT_US, Client, entry_node_index
 
 PARKED_US = SECOND  # a link in mid-flow that finds no node looks for one again after this
 
@@ -40,7 +40,7 @@
         if not near:
             return None
         draw = self.stage.chance.draw("front", client.number, client.sessions)
-        return near[front_of(draw, len(near), self.stage.day.sessions.uneven)]
+        return near[entry_node_index(draw, len(near), self.stage.day.sessions.imbalance)]
 
     def come(self, client: Client, parked: Parked | None = None) -> None:
         """A client opens a link, or one in mid-flow comes through another node."""
@@ -103,18 +103,18 @@
     def again(self, client: Client, back_us: int) -> None:
         """After a refusal: when it was told to, else after a pause of its own."""
         client.rejections += 1
-        if client.rejections > self.stage.day.sessions.retries:
+        if client.rejections > self.stage.day.sessions.max_retries:
             self.stage.tally.counts["abandoned"] += 1
             client.done = True
             return
-        mean = us(self.stage.day.sessions.back_ms / 1e3)
+        mean = us(self.stage.day.sessions.retry_pause_ms / 1e3)
         pause = back_us or round(mean * 2 * self.stage.chance.draw("back", client.number, client.sessions))
         self.stage.clock.at(self.stage.clock.now + max(1, pause), WORLD, self.come, client)
 
     def back(self, client: Client) -> None:
         """Its link broke or was moved: it wants it again."""
         client.rejections = 0
-        low, high = RETURN_US
+        low, high = MIN_RECONNECT_US, MAX_RECONNECT_US
         pause = low + round((high - low) * self.stage.chance.draw("return", client.number, client.sessions))
         self.stage.clock.at(self.stage.clock.now + pause, WORLD, self.come, client)
 
@@ -133,7 +133,7 @@
         now, session, client = self.stage.clock.now, record.session, record.client
         self.stage.note("stands", session.number, attempt.upstream)
         self.stage.checker.answered(now, session.number, shed=False)
-        self.stage.tally.stood(now - client.due)
+        self.stage.tally.record_established(now - client.due)
         client.rejections = 0
         self.stage.where[session.number] = (record, attempt.node)
         attempt.node.policy.record_load(now, session, client.load)
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -7,13 +7,14 @@
 from larchlatch.emulator.clock import TIMER, TOLD, WORLD
 from larchlatch.emulator.nodes import Attempt, Node, SessionRecord
 from larchlatch.emulator.stage import Stage
+from larchlatch.invariants.observations import SessionArrived
 from larchlatch.policy.types import Outcome, ProbeResult
 from larchlatch.scenario.amounts import us
-from larchlatch.scenario.upstreams import Condition, Upstream
+from larchlatch.scenario.upstreams import Condition, SimulatedUpstream
 
 
 class Network:
-    def __init__(self, stage: Stage, falls: Callable[[Upstream], None]) -> None:
+    def __init__(self, stage: Stage, falls: Callable[[SimulatedUpstream], None]) -> None:
         self.stage = stage
         self.clock = stage.clock
         self.falls = falls  # a cold host was pushed over
@@ -21,7 +22,7 @@
 
     @property
     def store_us(self) -> int:
-        return round(us(self.stage.day.store_ms / 1e3) * self.slowness)
+        return round(us(self.stage.day.shared_store_ms / 1e3) * self.slowness)
 
     def tried(self, record: SessionRecord, attempt: Attempt) -> None:
         now, node, upstream = self.clock.now, attempt.node, self.stage.upstreams[attempt.upstream]
@@ -29,13 +30,13 @@
         self.stage.note("try", attempt.session, node.number, upstream.number)
         self.stage.checker.sent(now, attempt.session, node.number, upstream.number)
         way = self.stage.latency(node.zone, upstream.zone)
-        dial = us(self.stage.day.network.dial_ms / 1e3)
+        dial = us(self.stage.day.network.connect_timeout_ms / 1e3)
         self.clock.at(attempt.ends_at, TIMER, self.timed_out, attempt, Outcome.TIMED_OUT)
         if not self.stage.reach(node, upstream):
             self.clock.at(
                 min(now + dial, attempt.ends_at), TIMER, self.timed_out, attempt, Outcome.CONNECT_FAILED
             )
-        elif upstream.condition is Condition.DEAD:
+        elif upstream.condition is Condition.CRASHED:
             self.clock.at(now + 2 * way, TOLD, node.ended, attempt, Outcome.CONNECT_FAILED)
         else:
             self.clock.at(now + way, WORLD, self.reached, record, attempt, way)
@@ -51,8 +52,8 @@
         """The link's line has come to the host."""
         now, upstream, client = self.clock.now, self.stage.upstreams[attempt.upstream], record.client
         tell = self.clock.at
-        if upstream.condition is not Condition.WELL:
-            if upstream.condition is Condition.DEAD:
+        if upstream.condition is not Condition.HEALTHY:
+            if upstream.condition is Condition.CRASHED:
                 tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.RESET)
             return
         parked = self.stage.parked.pop(attempt.session, None)
@@ -63,30 +64,30 @@
             if holds:
                 self.taken(record, attempt, upstream, way)
                 return
-        self.stage.warming.sent(now, upstream, client.load)
-        if upstream.pushed(now, client.load):
+        self.stage.warming.observe(SessionArrived(now, upstream, client.load))
+        if upstream.is_overloaded_by(now, client.load):
             self.stage.checker.tipped(now, upstream.number)
             self.falls(upstream)
             return
-        done = upstream.admit(now, client.work_us)
+        done = upstream.schedule_setup(now, client.work_us)
         if done is None:
             tell(now + way, TOLD, attempt.node.ended, attempt, Outcome.REJECTED)
         else:
-            tell(done + self.store_us, WORLD, self.set_up, record, attempt, upstream.life, way)
+            tell(done + self.store_us, WORLD, self.set_up, record, attempt, upstream.incarnation, way)
 
     def set_up(self, record: SessionRecord, attempt: Attempt, life: int, way: int) -> None:
         upstream = self.stage.upstreams[attempt.upstream]
-        if upstream.life != life or upstream.condition is not Condition.WELL:
+        if upstream.incarnation != life or upstream.condition is not Condition.HEALTHY:
             # Its process died in between: the connection ends, unless the machine says nothing any more.
             if upstream.condition is not Condition.SILENT:
                 self.clock.at(self.clock.now + way, TOLD, attempt.node.ended, attempt, Outcome.RESET)
         elif attempt.live:  # else nobody waits there any more
             self.taken(record, attempt, upstream, way)
 
-    def taken(self, record: SessionRecord, attempt: Attempt, upstream: Upstream, way: int) -> None:
+    def taken(self, record: SessionRecord, attempt: Attempt, upstream: SimulatedUpstream, way: int) -> None:
         """The link stands at its host, which says so."""
         self.stage.count(upstream)
-        upstream.add(attempt.session, record.client.load, record.client.group, self.stage.group_us)
+        upstream.add_session(attempt.session, record.client.load, record.client.group, self.stage.group_us)
         attempt.held = True
         self.clock.at(self.clock.now + way, TOLD, self.up, record, attempt)
 
@@ -106,12 +107,17 @@
         way = self.stage.latency(node.zone, upstream.zone)
         if not self.stage.reach(node, upstream):
             self.clock.at(
-                now + us(self.stage.day.network.dial_ms / 1e3), TOLD, self.report, node, number, None
+                now + us(self.stage.day.network.connect_timeout_ms / 1e3),
+                TOLD,
+                self.report,
+                node,
+                number,
+                None,
             )
-        elif upstream.condition is Condition.DEAD:
+        elif upstream.condition is Condition.CRASHED:
             self.clock.at(now + 2 * way, TOLD, self.report, node, number, None)
         else:
-            figures = (upstream.fullness(now), float(len(upstream.sessions)))
+            figures = (upstream.utilization(now), float(len(upstream.sessions)))
             self.clock.at(now + 2 * way, TOLD, self.report, node, number, figures)
 
     def report(self, node: Node, number: int, figures: tuple[float, float] | None) -> None:
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -13,8 +13,8 @@
 
 from larchlatch.emulator.world import World
 from larchlatch.errors import ConfigurationError
-from larchlatch.scenario.drawing import with_drawn
-from larchlatch.scenario.scenario import day_of
+from larchlatch.scenario.random_faults import with_random_faults
+from larchlatch.scenario.scenario_file import read_scenario_file
 
 # Student's t for a two-sided interval of 95%, by the runs less one; beyond the table it is near enough 1.96.
 T95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12)
@@ -29,7 +29,7 @@
 
 
 def played(run: Run) -> dict[str, Any]:
-    day = with_drawn(day_of(run.path, {**run.changes, "seed": run.seed}), run.draw)
+    day = with_random_faults(read_scenario_file(run.path, {**run.changes, "seed": run.seed}), run.draw)
     row = World(day, run.policy).play()
     return {"day": day.name, "policy": run.policy, "seed": run.seed, **run.changes, **row}
 
@@ -58,9 +58,9 @@
     """Every combination; all are checked before the first is played."""
     keys = [key for key, _ in vary]
     changes = [dict(zip(keys, values, strict=True)) for values in product(*(values for _, values in vary))]
-    first = day_of(path).seed
+    first = read_scenario_file(path).seed
     for change in changes:
-        day_of(path, change)
+        read_scenario_file(path, change)
     return [
         Run(path, change, first + seed, policy, draw)
         for change in changes
--- a/larchlatch/emulator/world.py
+++ b/larchlatch/emulator/world.py
@@ -15,15 +15,16 @@
 from larchlatch.emulator.nodes import Around, Node
 from larchlatch.emulator.stage import START_US, Parked, Stage
 from larchlatch.emulator.yard import TICK_US, Yard
-from larchlatch.invariants.single_leader import holders_of
+from larchlatch.invariants.observations import UpstreamLost, UpstreamReturned
 from larchlatch.policy.types import DeploymentSettings, Endpoint
 from larchlatch.scenario.amounts import us
-from larchlatch.scenario.clients import demand
+from larchlatch.scenario.clients import client_arrivals
 from larchlatch.scenario.datagram_paths import PathImpairment
 from larchlatch.scenario.fault_injection import FaultInjector
 from larchlatch.scenario.faults import AnyFault, trace_name
-from larchlatch.scenario.scenario import Day, settings_for
-from larchlatch.scenario.upstreams import Condition, Upstream
+from larchlatch.scenario.node_settings import deployment_settings
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.upstreams import Condition, SimulatedUpstream
 
 FALLEN_S = 5.0  # a host that was pushed over while cold is down for so long
 
@@ -34,7 +35,7 @@
     """The parts of a day put together, and what each fault does to them (scenario/faults.py)."""
 
     def __init__(
-        self, day: Day, policy: str | Make = "larchlatch", trace: Callable[[bytes], None] | None = None
+        self, day: Scenario, policy: str | Make = "larchlatch", trace: Callable[[bytes], None] | None = None
     ) -> None:
         self.day = day
         self.make: Make = POLICIES[policy] if isinstance(policy, str) else policy
@@ -55,7 +56,7 @@
         self.starts[place] += 1
         seed = self.stage.chance.stream(f"node {place} start {self.starts[place]}")
         node = Node(
-            self.around, place, place % self.day.zones, self.make(settings_for(self.day, place), seed)
+            self.around, place, place % self.day.zones, self.make(deployment_settings(self.day, place), seed)
         )
         if self.company is not None:
             node.cluster = self.company.voices[place]
@@ -64,7 +65,7 @@
     def play(self) -> dict[str, Any]:
         for node in self.nodes:
             node.listed(list(self.listing.list.values()), whole=True)
-        self.crowd.next_client(demand(self.day, self.stage.chance))
+        self.crowd.next_client(client_arrivals(self.day, self.stage.chance))
         for place, fault in enumerate(self.day.faults):
             self.clock.at(START_US + us(fault.at_s), WORLD, self.befall, place, fault)
         self.clock.at(START_US + TICK_US, WORLD, self.yard.tick)
@@ -72,8 +73,8 @@
         for upstream in self.upstreams:
             self.stage.count(upstream)
         return {
-            **self.stage.tally.row(),
-            **self.stage.warming.row(self.clock.now),
+            **self.stage.tally.figures(),
+            **self.stage.warming.figures(self.clock.now),
             **(self.company.row() if self.company is not None else {}),
             "broken": dict(self.checker.broken),
             "events": self.clock.done,
@@ -87,58 +88,58 @@
         injector = FaultInjector(upstreams=self, nodes=self, network=self, clients=self, scheduler=self)
         fault.apply(injector, self.stage.chance.stream(f"fault {place}"))
 
-    def fall(self, upstream: Upstream) -> None:
+    def fall(self, upstream: SimulatedUpstream) -> None:
         self.crash(upstream)
         self.call_later(FALLEN_S, self.bring_up, upstream)
 
     def call_later(self, after_s: float, what: Callable[..., None], *args: object) -> None:
         self.clock.at(self.clock.now + us(after_s), WORLD, what, *args)
 
-    def ready_upstreams(self) -> list[Upstream]:
+    def ready_upstreams(self) -> list[SimulatedUpstream]:
         return [
             upstream
             for upstream in self.upstreams
-            if upstream.condition is Condition.WELL and not upstream.draining
+            if upstream.condition is Condition.HEALTHY and not upstream.draining
         ]
 
-    def absent_upstreams(self) -> list[Upstream]:
+    def absent_upstreams(self) -> list[SimulatedUpstream]:
         return [
             upstream
             for upstream in self.upstreams
-            if upstream.condition is Condition.ABSENT and not upstream.life
+            if upstream.condition is Condition.ABSENT and not upstream.incarnation
         ]
 
     def serving_nodes(self) -> list[Node]:
         return [node for node in self.nodes if node.alive]
 
     def role_holders(self) -> list[Node]:
-        held = self.company.tenures.values() if self.company is not None else ()
-        return [self.nodes[number] for number in holders_of(held)]
+        holders = self.company.checkers.role_holders() if self.company is not None else []
+        return [self.nodes[number] for number in holders]
 
-    def slow_down(self, upstream: Upstream, factor: float) -> None:
+    def slow_down(self, upstream: SimulatedUpstream, factor: float) -> None:
         self.yard.slow(upstream, factor)
 
-    def silence(self, upstream: Upstream) -> None:
+    def silence(self, upstream: SimulatedUpstream) -> None:
         self.lost(upstream)
         self.yard.vanish(upstream)
 
-    def crash(self, upstream: Upstream) -> None:
+    def crash(self, upstream: SimulatedUpstream) -> None:
         self.lost(upstream)
         self.yard.crash(upstream)
 
-    def lost(self, upstream: Upstream) -> None:
+    def lost(self, upstream: SimulatedUpstream) -> None:
         if self.company is not None:
-            self.company.avoidance.gone(self.clock.now, upstream.number)
+            self.company.checkers.observe(UpstreamLost(self.clock.now, upstream.number))
 
-    def bring_up(self, upstream: Upstream) -> None:
+    def bring_up(self, upstream: SimulatedUpstream) -> None:
         if self.company is not None:
-            self.company.avoidance.back(self.clock.now, upstream.number)
+            self.company.checkers.observe(UpstreamReturned(self.clock.now, upstream.number))
         self.yard.rise(upstream)
 
-    def drain(self, upstream: Upstream) -> None:
+    def drain(self, upstream: SimulatedUpstream) -> None:
         self.yard.drain(upstream)
 
-    def retire(self, upstream: Upstream) -> None:
+    def retire(self, upstream: SimulatedUpstream) -> None:
         self.yard.depart(upstream)
 
     def isolate_zone(self, zone: int) -> None:
@@ -223,18 +224,18 @@
         stage, crowd = self.stage, self.crowd
         nodes, known = self.day.nodes, list(node.list.values())
         self.checker.forgot(node.number)
-        self.call_later(nodes.noticed_s, self.noticed, node)
+        self.call_later(nodes.detection_s, self.noticed, node)
         if node.number not in self.gone:
-            self.call_later(nodes.back_s, self.restart, node, known)
+            self.call_later(nodes.restart_after_s, self.restart, node, known)
         for record in node.stop():
             number, attempt, client = record.session.number, record.attempt, record.client
             self.checker.over(number)
             if number in stage.where:
                 assert attempt is not None
                 del stage.where[number]
-                if self.day.passes:
-                    pause = us(nodes.noticed_s) + round(
-                        us(self.day.sessions.beat_s) * stage.chance.draw("beat", number)
+                if self.day.packet_forwarding:
+                    pause = us(nodes.detection_s) + round(
+                        us(self.day.sessions.message_interval_s) * stage.chance.draw("beat", number)
                     )
                     at = self.clock.now + pause
                     self.clock.at(at, WORLD, crowd.come, client, Parked(attempt.upstream, number))
--- a/larchlatch/emulator/yard.py
+++ b/larchlatch/emulator/yard.py
@@ -8,9 +8,10 @@
 from larchlatch.emulator.listing import Listing
 from larchlatch.emulator.nodes import Node, SessionRecord
 from larchlatch.emulator.stage import Stage
+from larchlatch.invariants.observations import UpstreamsSampled
 from larchlatch.policy.types import EndpointState, Outcome
 from larchlatch.scenario.amounts import SECOND, us
-from larchlatch.scenario.upstreams import Condition, Upstream
+from larchlatch.scenario.upstreams import Condition, SimulatedUpstream
 
 TICK_US = SECOND  # hosts are looked at for lateness, and drop links, once in this
 QUIET_US = 500_000  # as real nodes do: a host that has answered nothing for so long is told of as quiet
@@ -28,21 +29,21 @@
         """Lateness is told, and hosts that bear far too much drop links."""
         now, wanted = self.stage.clock.now, us(self.stage.day.sessions.message_ms / 1e3)
         self.stage.clock.at(now + TICK_US, WORLD, self.tick)
-        self.stage.warming.look(now, self.stage.upstreams, TICK_US)
+        self.stage.warming.observe(UpstreamsSampled(now, self.stage.upstreams, TICK_US))
         for upstream in self.stage.upstreams:
-            if upstream.condition is not Condition.WELL:
+            if upstream.condition is not Condition.HEALTHY:
                 continue
             self.stage.count(upstream)  # its speed may change with its warmth
-            took = upstream.message_objective_us(now, wanted)
+            took = upstream.message_latency_us(now, wanted)
             late = took > NEAR * wanted
             if late or self.late:
                 self.tell_delay(upstream, took, late)
-            most = list(upstream.sessions)[: upstream.drops(now)]
+            most = list(upstream.sessions)[: upstream.sessions_to_drop(now)]
             self.reset_sessions(
                 upstream, [self.stage.where[number] for number in most if number in self.stage.where]
             )
 
-    def tell_delay(self, upstream: Upstream, took: int, late: bool) -> None:
+    def tell_delay(self, upstream: SimulatedUpstream, took: int, late: bool) -> None:
         """Each node with links there notes once a second what a message takes, and once when it is over."""
         heard: dict[int, tuple[Node, SessionRecord]] = {}
         for number in upstream.sessions:
@@ -68,7 +69,7 @@
         self, held: list[tuple[SessionRecord, Node]], still: Callable[[SessionRecord, Node], bool]
     ) -> None:
         """Links on which nothing comes back any more: what nodes make of that, as real ones do."""
-        now, beat = self.stage.clock.now, us(self.stage.day.sessions.beat_s)
+        now, beat = self.stage.clock.now, us(self.stage.day.sessions.message_interval_s)
         quiet: dict[tuple[int, int], int] = {}
         for record, node in held:
             assert record.attempt is not None
@@ -93,29 +94,29 @@
 
     # What befalls them.
 
-    def slow(self, upstream: Upstream, factor: float) -> None:
+    def slow(self, upstream: SimulatedUpstream, factor: float) -> None:
         self.stage.count(upstream)
         upstream.slowness *= factor
 
-    def vanish(self, upstream: Upstream) -> None:
+    def vanish(self, upstream: SimulatedUpstream) -> None:
         self.stage.count(upstream)
         upstream.condition = Condition.SILENT
-        life = upstream.life
-        self.hush(self.stage.standing_at(upstream), lambda record, node: upstream.life == life)
+        life = upstream.incarnation
+        self.hush(self.stage.standing_at(upstream), lambda record, node: upstream.incarnation == life)
 
-    def crash(self, upstream: Upstream) -> None:
+    def crash(self, upstream: SimulatedUpstream) -> None:
         held = self.stage.standing_at(upstream)
         self.stage.count(upstream)
-        upstream.condition = Condition.DEAD
+        upstream.condition = Condition.CRASHED
         upstream.stop()
         self.reset_sessions(upstream, held)
 
-    def reset_sessions(self, upstream: Upstream, held: list[tuple[SessionRecord, Node]]) -> None:
+    def reset_sessions(self, upstream: SimulatedUpstream, held: list[tuple[SessionRecord, Node]]) -> None:
         for record, node in held:
             way = self.stage.latency(node.zone, upstream.zone)
             self.stage.clock.at(self.stage.clock.now + way, TOLD, node.ended, record.attempt, Outcome.RESET)
 
-    def rise(self, upstream: Upstream) -> None:
+    def rise(self, upstream: SimulatedUpstream) -> None:
         """A host starts, cold; links that it held before are reset."""
         held = self.stage.standing_at(upstream)
         self.stage.count(upstream)
@@ -123,7 +124,7 @@
         self.reset_sessions(upstream, held)
         self.listing.change(upstream, EndpointState.READY)
 
-    def depart(self, upstream: Upstream) -> None:
+    def depart(self, upstream: SimulatedUpstream) -> None:
         held = self.stage.standing_at(upstream)
         self.stage.count(upstream)
         upstream.stop()
@@ -131,6 +132,6 @@
         self.reset_sessions(upstream, held)
         self.listing.change(upstream, EndpointState.GONE)
 
-    def drain(self, upstream: Upstream) -> None:
+    def drain(self, upstream: SimulatedUpstream) -> None:
         upstream.draining = True
         self.listing.change(upstream, EndpointState.DRAINING)
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -1,106 +1,140 @@
-"""Who could hear of whom, and what each node took the others for: judged from outside. No I/O.
-
-It knows nothing of how nodes decide. News is passed on: a node can hear of another wherever a way leads from
-that one to it over nodes that run.
-"""
+"""Membership agreement: nodes take for present whom they can hear of, soon, and nobody else. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
-
-SETTLED_US = 5_000_000  # who could be heard of for so long and is taken for silent is taken so wrongly
-
-
-class Agreement:
-    def __init__(self, count: int, now: int) -> None:
-        self.count = count
-        self.running = [False] * count
-        self.views = [[False] * count for _ in range(count)]  # whom each takes for present
-        self.truth = [[False] * count for _ in range(count)]
-        self.since = [[now] * count for _ in range(count)]  # when that truth began
-        self.apart = 0  # pairs in which view and truth differ
-        self.changed_at = now
-        self.took_us: list[int] = []  # from each change of the truth until all views were right
-        self.wrong = 0
-        self.pending = False
-
-    # What is so.
-
-    def is_so(self, now: int, running: Iterable[bool], stops: Callable[[int, int], bool]) -> None:
-        """Which nodes run, and between which of them nothing goes directly."""
-        self.running = list(running)
-        reached = self.reached(stops)
-        for one in range(self.count):
-            truth, since, row = self.truth[one], self.since[one], reached[one]
-            for other in range(self.count):
-                if truth[other] is not (other in row):
-                    truth[other], since[other] = other in row, now
-        self.changed_at, self.pending = now, True
-        self.apart = sum(self.views[one][other] is not self.truth[one][other] for one, other in self.pairs())
-        self.look(now)
-
-    def pairs(self) -> Iterable[tuple[int, int]]:
-        """Each node that runs, and each other node."""
-        for one in range(self.count):
-            if self.running[one]:
-                yield from ((one, other) for other in range(self.count) if other != one)
-
-    def reached(self, stops: Callable[[int, int], bool]) -> list[set[int]]:
-        """Of whom each node can hear, by whatever way."""
-        # Nodes that are cut alike are one: days have a few parts, and a thousand nodes.
-        kinds: dict[tuple[bool, ...], list[int]] = {}
-        runs = [node for node in range(self.count) if self.running[node]]
-        for node in runs:
-            alike = tuple(stops(node, k) for k in runs) + tuple(stops(k, node) for k in runs)
-            kinds.setdefault(alike, []).append(node)
-        groups = list(kinds.values())
-        hears: list[set[int]] = []
-        for place in range(len(groups)):
-            found, ahead = {place}, [place]
-            while ahead:
-                at = ahead.pop()
-                for other, members in enumerate(groups):
-                    if other not in found and not stops(members[0], groups[at][0]):
-                        found.add(other)
-                        ahead.append(other)
-            hears.append(found)
-        reached: list[set[int]] = [set() for _ in range(self.count)]
-        for place, members in enumerate(groups):
-            whole = {node for other in hears[place] for node in groups[other]}
-            for node in members:
-                reached[node] = whole - {node}
-        return reached
-
-    # What nodes say.
-
-    def began(self, now: int, node: int) -> None:
-        """A node has started, and knows of nobody."""
-        self.views[node] = [False] * self.count
-
-    def said(self, now: int, node: int, other: int, present: bool) -> None:
-        """A node takes another for present, or no longer."""
-        if self.views[node][other] is present:
+from collections.abc import Callable, Iterable, Iterator, Sequence
+
+from larchlatch.invariants.checker import Figures, Verdict
+from larchlatch.invariants.observations import FleetChanged, MemberReported, NodeStarted, Observation
+
+# A node that could be heard of for so long must not be taken for silent.
+SETTLED_US = 5_000_000
+
+IsBlocked = Callable[[int, int], bool]
+
+
+class MembershipAgreement:
+    """Checks that no node takes for silent whom it could hear of for `SETTLED_US`.
+
+    A node can hear of another wherever a path leads from that one to it over running nodes, as nodes pass on
+    what they hear.
+
+    Attributes:
+        views: For each node, whom it takes for present.
+        reachable: For each node, of whom it can hear.
+        agreed_after_us: For each change of the fleet, the time until all views were right.
+        differing_pairs: How many pairs of a running node and another there are where view and truth differ.
+        wrong_verdicts: How often a node took another for silent whom it could hear of.
+
+    """
+
+    def __init__(self, node_count: int, now: int) -> None:
+        self.views = [[False] * node_count for _ in range(node_count)]
+        self.reachable = [[False] * node_count for _ in range(node_count)]
+        self.agreed_after_us: list[int] = []
+        self.differing_pairs = 0
+        self.wrong_verdicts = 0
+        self._node_count = node_count
+        self._running = [False] * node_count
+        self._reachable_since = [[now] * node_count for _ in range(node_count)]
+        self._changed_at = now
+        self._awaits_agreement = False
+
+    def observe(self, observation: Observation) -> None:
+        """Take an observation."""
+        match observation:
+            case FleetChanged():
+                self._update_fleet(observation)
+            case NodeStarted():
+                self.views[observation.node] = [False] * self._node_count
+            case MemberReported():
+                self._update_view(observation)
+
+    def _update_fleet(self, change: FleetChanged) -> None:
+        self._running = list(change.running)
+        sources = reachable_sources(self._running, change.is_blocked)
+        for node, heard in enumerate(sources):
+            reachable, since = self.reachable[node], self._reachable_since[node]
+            for other in range(self._node_count):
+                if reachable[other] is not (other in heard):
+                    reachable[other], since[other] = other in heard, change.now
+        self._changed_at, self._awaits_agreement = change.now, True
+        self.differing_pairs = sum(
+            self.views[node][other] is not self.reachable[node][other] for node, other in self._pairs()
+        )
+        self._note_agreement(change.now)
+
+    def _pairs(self) -> Iterator[tuple[int, int]]:
+        """Yield each running node with each other node."""
+        for node in range(self._node_count):
+            if self._running[node]:
+                yield from ((node, other) for other in range(self._node_count) if other != node)
+
+    def _update_view(self, report: MemberReported) -> None:
+        node, member = report.node, report.member
+        if self.views[node][member] is report.present:
             return
-        self.views[node][other] = present
-        truth, since = self.truth[node][other], self.since[node][other]
-        if not present and truth and now >= since + SETTLED_US:
-            self.wrong += 1
-        if self.running[node]:
-            self.apart += 1 if present is not truth else -1
-        self.look(now)
-
-    def look(self, now: int) -> None:
-        if self.pending and not self.apart:
-            self.pending = False
-            self.took_us.append(now - self.changed_at)
-
-    def row(self) -> dict[str, float | int | None]:
-        """The longest that it took to agree, None where they did not at the end, and wrong verdicts."""
-        agreed = None if self.pending else max(self.took_us, default=0) / 1e6
+        self.views[node][member] = report.present
+        reachable = self.reachable[node][member]
+        settled = report.now >= self._reachable_since[node][member] + SETTLED_US
+        if reachable and settled and not report.present:
+            self.wrong_verdicts += 1
+        if self._running[node]:
+            self.differing_pairs += 1 if report.present is not reachable else -1
+        self._note_agreement(report.now)
+
+    def _note_agreement(self, now: int) -> None:
+        if self._awaits_agreement and not self.differing_pairs:
+            self._awaits_agreement = False
+            self.agreed_after_us.append(now - self._changed_at)
+
+    def verdict(self) -> Verdict:
+        """Return how often a node was wrongly taken for silent."""
+        return Verdict("membership_agreement", self.wrong_verdicts)
+
+    def figures(self, now: int) -> Figures:
+        """Return wrong verdicts, and the longest times to agreement: None where there was none at the end."""
+        times = self.agreed_after_us
+        agreed = None if self._awaits_agreement else max(times, default=0) / 1e6
+        agreed_later = None if self._awaits_agreement else max(times[1:], default=0) / 1e6
         return {
             "agreed_s": agreed,
-            "agreed_start_s": self.took_us[0] / 1e6 if self.took_us else None,
-            "agreed_later_s": max(self.took_us[1:], default=0) / 1e6 if not self.pending else None,
-            "pairs_apart": self.apart,
-            "members_wrong": self.wrong,
+            "agreed_start_s": times[0] / 1e6 if times else None,
+            "agreed_later_s": agreed_later,
+            "pairs_apart": self.differing_pairs,
+            "members_wrong": self.wrong_verdicts,
         }
+
+
+def reachable_sources(running: Sequence[bool], is_blocked: IsBlocked) -> list[set[int]]:
+    """Return, for each node, the nodes that it can hear of, directly or by others."""
+    groups = list(_equally_connected(running, is_blocked))
+    reachable: list[set[int]] = [set() for _ in running]
+    for place, members in enumerate(groups):
+        sources = {node for other in _sources_of(place, groups, is_blocked) for node in groups[other]}
+        for node in members:
+            reachable[node] = sources - {node}
+    return reachable
+
+
+def _equally_connected(running: Sequence[bool], is_blocked: IsBlocked) -> Iterable[list[int]]:
+    """Return the running nodes in groups with the same blocked paths: few groups among many nodes."""
+    groups: dict[tuple[bool, ...], list[int]] = {}
+    nodes = [node for node, runs in enumerate(running) if runs]
+    for node in nodes:
+        outgoing = tuple(is_blocked(node, other) for other in nodes)
+        incoming = tuple(is_blocked(other, node) for other in nodes)
+        groups.setdefault(outgoing + incoming, []).append(node)
+    return groups.values()
+
+
+def _sources_of(place: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
+    """Return the places of all groups from which a path leads to the group at `place`."""
+    found, unvisited = {place}, [place]
+    while unvisited:
+        receiver = groups[unvisited.pop()][0]
+        for other, members in enumerate(groups):
+            if other not in found and not is_blocked(members[0], receiver):
+                found.add(other)
+                unvisited.append(other)
+    return found
--- a/larchlatch/invariants/quota_safety.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -1,89 +1,115 @@
-"""What was spent of a shared budget: judged from outside, by when links came and were first seen. No I/O.
-
-It knows nothing of how nodes decide. A link was admitted at some time between the two; a stretch as long as
-the window is over the budget for certain only by links that came and were seen within it.
-"""
+"""Quota safety: all nodes together admit no more sessions in a window than the quota allows. No I/O."""
 
 from __future__ import annotations
 
 from bisect import bisect_left, bisect_right
-from collections.abc import Iterator
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.invariants.checker import Figures, Verdict
+from larchlatch.invariants.observations import (
+    Observation,
+    QuotaUsageReported,
+    SessionAdmitted,
+    SessionRequested,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+USAGE_INTERVAL_US = 1_000_000  # usage is reckoned in intervals of this length
+
+
+class Admission(NamedTuple):
+    """A session was admitted at some time between the two."""
 
-from larchlatch.scenario.amounts import us
-from larchlatch.scenario.scenario import Day
+    requested_at: int
+    seen_at: int
 
-TICK_US = 1_000_000  # use is reckoned second by second
 
+class QuotaSafety:
+    """Checks that no window surely holds more admissions than the quota, and that nodes report usage rightly.
+
+    An admission lies surely within a window if its session was requested and seen within it.
+
+    Attributes:
+        limit: Sessions that a window may hold.
+        requests: When sessions were requested.
+        admissions: The admitted sessions.
+        reports: How many reports of usage there were.
+        wrong_reports: How many of them can't be true.
+
+    """
 
-class Spending:
     def __init__(self, sessions_per_s: float, window_us: int) -> None:
         self.limit = int(sessions_per_s * window_us / 1e6)
-        self.window_us = window_us
-        self.came: dict[str, int] = {}  # links that were asked for and not seen yet
-        self.demand: list[int] = []
-        self.admitted: list[tuple[int, int]] = []  # when each came, and when it was seen
-        self.outside = 0
-        self.ranges = 0
-
-    # What is so.
-
-    def asked(self, now: int, ident: str) -> None:
-        """A client asks for a link."""
-        self.came[ident] = now
-        self.demand.append(now)
-
-    def seen(self, now: int, ident: str) -> None:
-        """It has been admitted: for the first time a host sees it, or the node itself says so."""
-        came = self.came.pop(ident, None)
-        if came is not None:
-            self.admitted.append((came, now))
-
-    def told(self, now: int, least: int, most: int, span_us: int) -> None:
-        """A node tells how much was admitted in the stretch that ends now."""
-        surely = sum(now - span_us < came and seen <= now for came, seen in self.admitted)
-        maybe = sum(now - span_us <= seen and came <= now for came, seen in self.admitted)
-        # Of those that nobody has seen some may have been admitted, and have come to no host yet.
-        maybe += sum(now - span_us <= came <= now for came in self.came.values())
-        self.ranges += 1
-        self.outside += not (least <= maybe and surely <= most)
-
-    # What it comes to.
-
-    def over(self) -> int:
-        """The most by which any stretch as long as the window was over the budget."""
-        came, seen = sorted(c for c, _ in self.admitted), sorted(s for _, s in self.admitted)
-        # Of those seen by the end of a stretch, all that came before it are none of its own.
-        sums = (bisect_right(seen, c + self.window_us) - place for place, c in enumerate(came))
+        self.requests: list[int] = []
+        self.admissions: list[Admission] = []
+        self.reports = 0
+        self.wrong_reports = 0
+        self._window_us = window_us
+        self._pending: dict[str, int] = {}  # requests whose session was not seen yet
+
+    def observe(self, observation: Observation) -> None:
+        """Take an observation."""
+        match observation:
+            case SessionRequested():
+                self._pending[observation.session] = observation.now
+                self.requests.append(observation.now)
+            case SessionAdmitted():
+                requested_at = self._pending.pop(observation.session, None)
+                if requested_at is not None:
+                    self.admissions.append(Admission(requested_at, observation.now))
+            case QuotaUsageReported():
+                self._check_report(observation)
+
+    def _check_report(self, report: QuotaUsageReported) -> None:
+        end, begin = report.now, report.now - report.span_us
+        surely = sum(begin < requested and seen <= end for requested, seen in self.admissions)
+        possibly = sum(begin <= seen and requested <= end for requested, seen in self.admissions)
+        # A session that nobody has seen may have been admitted all the same.
+        possibly += sum(begin <= requested <= end for requested in self._pending.values())
+        self.reports += 1
+        self.wrong_reports += not (report.least <= possibly and surely <= report.most)
+
+    def excess(self) -> int:
+        """Return the most by which the sure admissions of any window exceed the quota."""
+        requested = sorted(admission.requested_at for admission in self.admissions)
+        seen = sorted(admission.seen_at for admission in self.admissions)
+        # Of the sessions seen by a window's end, those requested before its begin don't lie within it.
+        sums = (
+            bisect_right(seen, begin + self._window_us) - earlier for earlier, begin in enumerate(requested)
+        )
         return max(0, max(sums, default=0) - self.limit)
 
-    def used(self) -> float:
-        """Of what could have been used second by second, how much was."""
-        could = admitted = 0
-        seen = sorted(came for came, _ in self.admitted)
-        for first in self.seconds():
-            wanted = between(self.demand, first)
-            could += min(wanted, self.limit * TICK_US // self.window_us)
-            admitted += between(seen, first)
-        return admitted / could if could else 1.0
-
-    def seconds(self) -> Iterator[int]:
-        """Whole seconds in which there was demand all the time."""
-        return iter(range(self.demand[0], self.demand[-1], TICK_US) if self.demand else ())
-
-    def row(self) -> dict[str, float | int]:
+    def used_share(self) -> float:
+        """Return how much of what could be used, interval by interval, was used."""
+        usable = admitted = 0
+        requested = sorted(admission.requested_at for admission in self.admissions)
+        for begin in self._intervals():
+            wanted = _count_in_interval(self.requests, begin)
+            usable += min(wanted, self.limit * USAGE_INTERVAL_US // self._window_us)
+            admitted += _count_in_interval(requested, begin)
+        return admitted / usable if usable else 1.0
+
+    def _intervals(self) -> range:
+        """Return the begins of whole intervals between the first and the last request."""
+        if not self.requests:
+            return range(0)
+        return range(self.requests[0], self.requests[-1], USAGE_INTERVAL_US)
+
+    def verdict(self) -> Verdict:
+        """Return by how many sessions the quota was exceeded, plus how many reports were wrong."""
+        return Verdict("quota_safety", self.excess() + self.wrong_reports)
+
+    def figures(self, now: int) -> Figures:
+        """Return excess, used share and wrong reports."""
         return {
-            "over_budget": self.over(),
-            "budget_used": round(self.used(), 4),
-            "outside": self.outside,
+            "over_budget": self.excess(),
+            "budget_used": round(self.used_share(), 4),
+            "outside": self.wrong_reports,
         }
 
 
-def between(times: list[int], first: int) -> int:
-    """How many of these, in their order, are in the second that begins then."""
-    return bisect_left(times, first + TICK_US) - bisect_left(times, first)
-
-
-def spending_of(day: Day) -> Spending | None:
-    """The judge of a day that has a shared budget."""
-    cluster = day.cluster
-    return Spending(cluster.sessions_per_s, us(cluster.window_s)) if cluster.sessions_per_s else None
+def _count_in_interval(times: Sequence[int], begin: int) -> int:
+    """Return how many of these sorted times lie in the interval that begins then."""
+    return bisect_left(times, begin + USAGE_INTERVAL_US) - bisect_left(times, begin)
--- a/larchlatch/invariants/single_leader.py
+++ b/larchlatch/invariants/single_leader.py
@@ -1,92 +1,112 @@
-"""Who held a duty, and whose orders were carried out: judged from outside. No I/O.
-
-It knows nothing of how nodes decide. An order of a lease with a lower number than one of which an order has
-been carried out anywhere says that two were taken for holders.
-"""
+"""Single leader: orders of two holders of one role are never carried out at the same time. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import TYPE_CHECKING
+
+from larchlatch.invariants.checker import Verdict
+from larchlatch.invariants.observations import FleetChanged, Observation, OrderExecuted, RoleChanged
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable, Sequence
+
+UNHELD_KEY = "unheld_s"
 
-from larchlatch.scenario.scenario import Day
 
+class SingleLeader:
+    """Checks that no order is carried out after one with a higher fencing token was, anywhere.
 
-class Tenures:
-    def __init__(self, electors: Sequence[int], now: int) -> None:
-        """electors: the numbers of the nodes that elect."""
-        self.electors = electors
-        self.highest = 0  # lease of which an order was carried out
+    Attributes:
+        role: The role's name.
+        orders: How many orders were carried out.
+        outdated_orders: How many of them were of a lease that another had followed.
+        holders: Nodes that hold the role by their own word, the latest last.
+
+    """
+
+    def __init__(self, role: str, electors: Sequence[int]) -> None:
+        """Judge one role, for which the nodes of these numbers are the electors."""
+        self.role = role
         self.orders = 0
-        self.two_holders = 0
-        self.running: list[bool] = []
-        self.claims: list[int] = []  # nodes that have said that they hold it, and not that it ended
-        self.could_since: int | None = None  # since when nobody has held it who could be elected
-        self.unheld_us: list[int] = []
-        self.able = False
-        self.changes = 0
-        self.now = now
-
-    def carried_out(self, lease: int) -> None:
-        self.orders += 1
-        self.two_holders += lease < self.highest
-        self.highest = max(self.highest, lease)
-
-    def is_so(self, now: int, running: Sequence[bool], stops: Callable[[int, int], bool]) -> None:
-        """Which nodes run, and between which of them nothing goes."""
-        up = [node for node in self.electors if running[node]]
-        heard = [
-            sum(one == other or not (stops(one, other) or stops(other, one)) for other in up) for one in up
-        ]
-        self.able = max(heard, default=0) > len(self.electors) // 2
-        self.running = list(running)
-        self.look(now)
-
-    def held(self, now: int, node: int, holds: bool) -> None:
-        """A node says that it holds the duty from now on, or no longer."""
-        if holds:
-            self.changes += self.claims[-1:] != [node]
-            self.claims = [*(other for other in self.claims if other != node), node]
+        self.outdated_orders = 0
+        self.holders: list[int] = []
+        self._electors = electors
+        self._highest_lease = 0
+        self._running: list[bool] = []
+        self._is_electable = False
+        self._vacant_since: int | None = None
+        self._vacancies_us: list[int] = []
+        self._holder_changes = 0
+
+    def observe(self, observation: Observation) -> None:
+        """Take an observation."""
+        match observation:
+            case FleetChanged():
+                self._running = list(observation.running)
+                self._is_electable = self._has_connected_majority(observation.is_blocked)
+                self._note_vacancy(observation.now)
+            case RoleChanged(role=self.role):
+                self._update_holders(observation)
+                self._note_vacancy(observation.now)
+            case OrderExecuted(role=self.role):
+                self.orders += 1
+                self.outdated_orders += observation.lease < self._highest_lease
+                self._highest_lease = max(self._highest_lease, observation.lease)
+
+    def _has_connected_majority(self, is_blocked: Callable[[int, int], bool]) -> bool:
+        """Return whether any elector exchanges messages with a majority of them."""
+        electors = [node for node in self._electors if self._running[node]]
+
+        def is_connected(node: int, other: int) -> bool:
+            return node == other or not (is_blocked(node, other) or is_blocked(other, node))
+
+        most = max((sum(is_connected(node, other) for other in electors) for node in electors), default=0)
+        return most > len(self._electors) // 2
+
+    def _update_holders(self, change: RoleChanged) -> None:
+        others = [node for node in self.holders if node != change.node]
+        if change.held:
+            self._holder_changes += self.holders[-1:] != [change.node]
+            self.holders = [*others, change.node]
         else:
-            self.claims = [other for other in self.claims if other != node]
-        self.look(now)
+            self.holders = others
 
     @property
     def holder(self) -> int | None:
-        """Whoever has said last that it holds the duty, and runs: stopped for a moment, it does so again."""
-        return next((node for node in reversed(self.claims) if self.running[node]), None)
-
-    def look(self, now: int) -> None:
-        waits = self.able and self.holder is None
-        if waits and self.could_since is None:
-            self.could_since = now
-        elif not waits and self.could_since is not None:
-            self.unheld_us.append(now - self.could_since)
-            self.could_since = None
-
-    def row(self, now: int) -> dict[str, float | int]:
-        """The longest time without a holder while a majority of the electors could hear each other."""
-        waits = [now - self.could_since] if self.could_since is not None else []
+        """The running node that has last said that it holds the role."""
+        return next((node for node in reversed(self.holders) if self._running[node]), None)
+
+    def _note_vacancy(self, now: int) -> None:
+        is_vacant = self._is_electable and self.holder is None
+        if is_vacant and self._vacant_since is None:
+            self._vacant_since = now
+        elif not is_vacant and self._vacant_since is not None:
+            self._vacancies_us.append(now - self._vacant_since)
+            self._vacant_since = None
+
+    def verdict(self) -> Verdict:
+        """Return how many orders of an outdated lease were carried out."""
+        return Verdict("single_leader", self.outdated_orders)
+
+    def figures(self, now: int) -> dict[str, float | int]:
+        """Return counts, and the longest time without a holder while one could be elected."""
+        present = [] if self._vacant_since is None else [now - self._vacant_since]
         return {
-            "two_holders": self.two_holders,
-            "unheld_s": max([*self.unheld_us, *waits], default=0) / 1e6,
-            "duty_changes": self.changes,
+            "two_holders": self.outdated_orders,
+            UNHELD_KEY: max([*self._vacancies_us, *present], default=0) / 1e6,
+            "duty_changes": self._holder_changes,
             "orders": self.orders,
         }
 
 
-def tenures_of(day: Day, now: int) -> dict[str, Tenures]:
-    """The judges of a day's duties."""
-    cluster = day.cluster
-    duties = ("allotter",) * cluster.allot + ("pacer",) * cluster.pace
-    return {duty: Tenures(range(cluster.electors), now) for duty in duties}
-
-
-def holders_of(tenures: Iterable[Tenures]) -> list[int]:
-    """Nodes that hold any duty."""
-    return sorted({judge.holder for judge in tenures if judge.holder is not None})
+def role_holders(checkers: Iterable[SingleLeader]) -> list[int]:
+    """Return the nodes that hold any role, in the order of their numbers."""
+    return sorted({checker.holder for checker in checkers if checker.holder is not None})
 
 
-def row_of(tenures: Mapping[str, Tenures], now: int) -> dict[str, float | int]:
-    """Of all duties: the longest time without a holder, all else added up."""
-    rows = [judge.row(now) for judge in tenures.values()]
-    return {key: (max if key == "unheld_s" else sum)(row[key] for row in rows) for key in (rows or [{}])[0]}
+def merged_figures(checkers: Iterable[SingleLeader], now: int) -> dict[str, float | int]:
+    """Return the figures of all roles: the longest time without a holder, and the sums of all others."""
+    rows = [checker.figures(now) for checker in checkers]
+    if not rows:
+        return {}
+    return {key: (max if key == UNHELD_KEY else sum)(row[key] for row in rows) for key in rows[0]}
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -1,88 +1,131 @@
-"""How soon hosts that came up bear their share, and what was sent to them while cold. No I/O.
-
-Judged from outside: it knows nothing of how nodes decide. A link of mean load counts as 1.
-"""
+"""Slow-start safety: no more is sent to an upstream that warms up than it bears. No I/O."""
 
 from __future__ import annotations
 
 from collections import deque
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 from math import sqrt
+from typing import TYPE_CHECKING
 
+from larchlatch.invariants.checker import Figures, Verdict
+from larchlatch.invariants.observations import Observation, SessionArrived, UpstreamsSampled
 from larchlatch.scenario.amounts import us
-from larchlatch.scenario.scenario import Day
-from larchlatch.scenario.upstreams import Condition, Upstream
 
-SHARE = 0.9  # of what warm hosts bear by their sizes: then a host bears its share
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from larchlatch.scenario.scenario import SlowStart
+    from larchlatch.scenario.upstreams import SimulatedUpstream
+
+FULL_SHARE = 0.9  # of the load of warm upstreams by size: from then on an upstream bears its share
 
 
 @dataclass(slots=True)
-class Start:
-    """A host's start."""
+class WarmUp:
+    """One start of an upstream.
+
+    Attributes:
+        started_at: When it started.
+        full_share_at: When it first bore its share of the load, if it has.
+        recent_arrivals: Time and weight of sessions sent to it within the overload window.
+
+    """
 
     started_at: int
-    bears_at: int | None = None
-    lately: deque[tuple[int, float]] = field(default_factory=deque)  # what was sent to it within a window
-
-
-class Warming:
-    def __init__(self, day: Day) -> None:
-        self.cold = day.cold
-        self.window_us, self.span_us = us(day.cold.tip_s), us(day.cold.warm_s)
-        self.load_us = day.sessions.load_ms * 1000  # work a second of a mean link
-        self.starts: dict[tuple[int, int], Start] = {}
-        self.over = 0
-        self.sent_cold = 0.0
-        self.could = 0.0
-
-    def start(self, upstream: Upstream) -> Start:
-        return self.starts.setdefault((upstream.number, upstream.started_at), Start(upstream.started_at))
-
-    def allowed(self, now: int, upstream: Upstream) -> float:
-        """Links that may come in a window now: the stated multiple of what fills it, over its warm-up."""
-        full = upstream.capacity(now) / self.load_us if self.load_us else 0.0
-        return self.cold.overload_multiple * full * self.window_us / self.span_us if self.span_us else 0.0
-
-    def sent(self, now: int, upstream: Upstream, load: float) -> None:
-        """A link has come to a host."""
-        if not upstream.started_at or now >= upstream.started_at + self.span_us or not self.load_us:
+    full_share_at: int | None = None
+    recent_arrivals: deque[tuple[int, float]] = field(default_factory=deque)
+
+
+class SlowStartSafety:
+    """Checks that an upstream that warms up gets no more sessions in a window than the scenario allows.
+
+    A session of mean load counts as 1. Where each of many nodes keeps to what is allowed on average, chance
+    sends more now and then: three standard deviations are granted.
+
+    Attributes:
+        violations: How often more arrived than is allowed.
+        mean_load_us: Work a second of a mean session, in microseconds.
+
+    """
+
+    def __init__(self, slow_start: SlowStart, mean_load_us: float) -> None:
+        self.violations = 0
+        self.mean_load_us = mean_load_us
+        self._window_us = us(slow_start.overload_window_s)
+        self._warm_up_us = us(slow_start.duration_s)
+        self._overload_multiple = slow_start.overload_multiple
+        self._warm_ups: dict[tuple[int, int], WarmUp] = {}
+        self._sent = 0.0
+        self._allowed = 0.0
+
+    def observe(self, observation: Observation) -> None:
+        """Take an observation."""
+        match observation:
+            case SessionArrived():
+                self._check_arrival(observation)
+            case UpstreamsSampled():
+                self._sample(observation)
+
+    def _warm_up(self, upstream: SimulatedUpstream) -> WarmUp:
+        key = (upstream.number, upstream.started_at)
+        return self._warm_ups.setdefault(key, WarmUp(upstream.started_at))
+
+    def _is_warm(self, now: int, upstream: SimulatedUpstream) -> bool:
+        return not upstream.started_at or now >= upstream.started_at + self._warm_up_us
+
+    def _allowed_now(self, now: int, upstream: SimulatedUpstream) -> float:
+        """Return how many sessions may arrive in a window now."""
+        full = upstream.capacity(now) / self.mean_load_us if self.mean_load_us else 0.0
+        if not self._warm_up_us:
+            return 0.0
+        return self._overload_multiple * full * self._window_us / self._warm_up_us
+
+    def _check_arrival(self, arrival: SessionArrived) -> None:
+        now, upstream = arrival.now, arrival.upstream
+        if self._is_warm(now, upstream) or not self.mean_load_us:
             return
-        lately = self.start(upstream).lately
-        while lately and lately[0][0] <= now - self.window_us:
-            lately.popleft()
-        lately.append((now, load / self.load_us))
-        self.sent_cold += load / self.load_us
-        # As many may come by chance where each of many nodes keeps to what is allowed on the mean.
-        allowed = self.allowed(now, upstream)
-        self.over += sum(weight for _, weight in lately) > allowed + 3 * sqrt(allowed) + 3
-
-    def look(self, now: int, upstreams: Sequence[Upstream], since_us: int) -> None:
-        """Once in a while; since_us: after so long."""
-        there = [
-            upstream
-            for upstream in upstreams
-            if upstream.condition is Condition.WELL and not upstream.draining
-        ]
-        warm = [h for h in there if not h.started_at or now >= h.started_at + self.span_us]
-        size = sum(upstream.size for upstream in warm)
-        mean = sum(upstream.load for upstream in warm) / size if size else 0.0
-        for upstream in there:
+        weight = arrival.load / self.mean_load_us
+        recent = self._warm_up(upstream).recent_arrivals
+        while recent and recent[0][0] <= now - self._window_us:
+            recent.popleft()
+        recent.append((now, weight))
+        self._sent += weight
+        allowed = self._allowed_now(now, upstream)
+        self.violations += sum(sent for _, sent in recent) > allowed + 3 * sqrt(allowed) + 3
+
+    def _sample(self, sample: UpstreamsSampled) -> None:
+        now = sample.now
+        ready = [upstream for upstream in sample.upstreams if upstream.is_ready]
+        mean_load = self._mean_load_of_warm(now, ready)
+        for upstream in ready:
             if not upstream.started_at:
                 continue
-            start = self.start(upstream)
-            if start.bears_at is None and mean and upstream.load >= SHARE * mean * upstream.size:
-                start.bears_at = now
-            if now < upstream.started_at + self.span_us and self.window_us:
-                self.could += self.allowed(now, upstream) * since_us / self.window_us
-
-    def row(self, now: int) -> dict[str, float | int | None]:
-        """The mean and the longest until a host bore its share (to the end, where it never did); how often
-        more came than may be sent to a cold one; and how much of that was used."""
-        took = [(start.bears_at or now) - start.started_at for start in self.starts.values()]
+            warm_up = self._warm_up(upstream)
+            bears_share = mean_load and upstream.load >= FULL_SHARE * mean_load * upstream.size
+            if warm_up.full_share_at is None and bears_share:
+                warm_up.full_share_at = now
+            if not self._is_warm(now, upstream) and self._window_us:
+                self._allowed += self._allowed_now(now, upstream) * sample.interval_us / self._window_us
+
+    def _mean_load_of_warm(self, now: int, upstreams: Sequence[SimulatedUpstream]) -> float:
+        """Return the load of warm upstreams for each unit of size."""
+        warm = [upstream for upstream in upstreams if self._is_warm(now, upstream)]
+        size = sum(upstream.size for upstream in warm)
+        return sum(upstream.load for upstream in warm) / size if size else 0.0
+
+    def verdict(self) -> Verdict:
+        """Return how often more arrived at a warming upstream than is allowed."""
+        return Verdict("slow_start_safety", self.violations)
+
+    def figures(self, now: int) -> Figures:
+        """Return the mean and longest time until an upstream bore its share, violations and used share.
+
+        An upstream that never bore its share counts up to the end.
+        """
+        times = [(warm_up.full_share_at or now) - warm_up.started_at for warm_up in self._warm_ups.values()]
         return {
-            "bears_s": round(sum(took) / len(took) / 1e6, 3) if took else None,
-            "bears_most_s": max(took) / 1e6 if took else None,
-            "cold_over": self.over,
-            "cold_used": round(self.sent_cold / self.could, 4) if self.could else None,
+            "bears_s": round(sum(times) / len(times) / 1e6, 3) if times else None,
+            "bears_most_s": max(times) / 1e6 if times else None,
+            "cold_over": self.violations,
+            "cold_used": round(self._sent / self._allowed, 4) if self._allowed else None,
         }
--- a/larchlatch/invariants/upstream_avoidance.py
+++ b/larchlatch/invariants/upstream_avoidance.py
@@ -1,62 +1,97 @@
-"""How long nodes took to find that a host was gone: judged from outside. No I/O."""
+"""Upstream avoidance: nodes find lost upstreams, and eject none that is there. No I/O."""
 
 from __future__ import annotations
 
-BACK_US = 1_000_000  # a host that came back so lately may still be spoken of as gone
+from larchlatch.invariants.checker import Figures, Verdict
+from larchlatch.invariants.observations import (
+    FleetChanged,
+    Observation,
+    UpstreamEjected,
+    UpstreamFailureDetected,
+    UpstreamLost,
+    UpstreamReturned,
+)
 
+RETURN_GRACE_US = 1_000_000  # an upstream that returned so lately may still be taken for lost
+
+
+class UpstreamAvoidance:
+    """Checks that no upstream is ejected on other nodes' word while it is there and reachable.
+
+    Attributes:
+        ejections: How often a node ejected an upstream on the word of others.
+        wrong_ejections: How often that upstream was there.
+        detected_at: When each node found each lost upstream, by both numbers.
+
+    """
 
-class Avoidance:
     def __init__(self) -> None:
-        self.came_back: dict[int, int] = {}
-        self.heeded = 0  # how often a node left a host out on others' word
-        self.wrong = 0  # and that host was sound
-        self.died: dict[int, int] = {}  # hosts that are gone, and since when
-        self.said: dict[tuple[int, int], int] = {}  # when each node has found each host gone, since then
-        self.since: dict[int, int] = {}  # when a node's process began or went on; not there: it does not run
-        self.took_us: list[int] = []
-        self.missed = 0  # nodes that never found it, though they ran for long enough
-
-    def runs(self, now: int, node: int, running: bool) -> None:
-        if not running:
-            self.since.pop(node, None)
-        else:
-            self.since.setdefault(node, now)
-
-    def gone(self, now: int, upstream: int) -> None:
-        self.died.setdefault(upstream, now)
-
-    def back(self, now: int, upstream: int) -> None:
-        """It is there again, or the day is over."""
-        died = self.died.pop(upstream, None)
-        if died is None:
+        self.ejections = 0
+        self.wrong_ejections = 0
+        self.detected_at: dict[tuple[int, int], int] = {}
+        self._lost_at: dict[int, int] = {}
+        self._returned_at: dict[int, int] = {}
+        self._running_since: dict[int, int] = {}
+        self._detection_times_us: list[int] = []
+        self._undetected = 0
+
+    def observe(self, observation: Observation) -> None:
+        """Take an observation."""
+        match observation:
+            case FleetChanged():
+                self._update_running(observation)
+            case UpstreamLost():
+                self._lost_at.setdefault(observation.upstream, observation.now)
+            case UpstreamReturned():
+                self._end_loss(observation.now, observation.upstream)
+            case UpstreamFailureDetected():
+                if observation.upstream in self._lost_at:
+                    pair = (observation.node, observation.upstream)
+                    self.detected_at.setdefault(pair, observation.now)
+            case UpstreamEjected():
+                self._check_ejection(observation)
+
+    def _update_running(self, change: FleetChanged) -> None:
+        for node, running in enumerate(change.running):
+            if running:
+                self._running_since.setdefault(node, change.now)
+            else:
+                self._running_since.pop(node, None)
+
+    def _end_loss(self, now: int, upstream: int) -> None:
+        """Reckon the detection times of an upstream that has returned, or of which no more will be seen."""
+        lost_at = self._lost_at.pop(upstream, None)
+        if lost_at is None:
             return
-        self.came_back[upstream] = now
-        for node, since in self.since.items():
-            if since <= died:
-                at = self.said.get((node, upstream))
-                self.missed += at is None
-                if at is not None:
-                    self.took_us.append(at - died)
-        self.said = {key: at for key, at in self.said.items() if key[1] != upstream}
-
-    def found(self, now: int, node: int, upstream: int) -> None:
-        """A node has found that it is gone."""
-        if upstream in self.died:
-            self.said.setdefault((node, upstream), now)
-
-    def left_out(self, now: int, upstream: int, reached: bool = True) -> None:
-        """A node leaves a host out on others' word; reached: whether it could have been, were it there."""
-        self.heeded += 1
-        lately = self.came_back.get(upstream, -BACK_US) + BACK_US > now
-        self.wrong += reached and upstream not in self.died and not lately
-
-    def row(self, now: int) -> dict[str, float | int | None]:
-        """The longest that a node took that ran all the time; how many never found it."""
-        for upstream in list(self.died):
-            self.back(now, upstream)
+        self._returned_at[upstream] = now
+        for node, running_since in self._running_since.items():
+            if running_since > lost_at:
+                continue
+            detected_at = self.detected_at.get((node, upstream))
+            if detected_at is None:
+                self._undetected += 1
+            else:
+                self._detection_times_us.append(detected_at - lost_at)
+        self.detected_at = {pair: at for pair, at in self.detected_at.items() if pair[1] != upstream}
+
+    def _check_ejection(self, ejection: UpstreamEjected) -> None:
+        self.ejections += 1
+        returned_at = self._returned_at.get(ejection.upstream, -RETURN_GRACE_US)
+        returned_lately = returned_at + RETURN_GRACE_US > ejection.now
+        is_lost = ejection.upstream in self._lost_at
+        self.wrong_ejections += ejection.reachable and not is_lost and not returned_lately
+
+    def verdict(self) -> Verdict:
+        """Return how many healthy upstreams were ejected."""
+        return Verdict("upstream_avoidance", self.wrong_ejections)
+
+    def figures(self, now: int) -> Figures:
+        """Return the longest detection by a node that ran all the time, missing ones, and ejections."""
+        for upstream in list(self._lost_at):
+            self._end_loss(now, upstream)
         return {
-            "avoided_s": max(self.took_us, default=0) / 1e6,
-            "avoided_not": self.missed,
-            "hearsay": self.heeded,
-            "hearsay_wrong": self.wrong,
+            "avoided_s": max(self._detection_times_us, default=0) / 1e6,
+            "avoided_not": self._undetected,
+            "hearsay": self.ejections,
+            "hearsay_wrong": self.wrong_ejections,
         }
--- a/larchlatch/loadtest/bounds.py
+++ b/larchlatch/loadtest/bounds.py
@@ -6,7 +6,7 @@
 import resource
 
 from larchlatch.errors import ConfigurationError
-from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.scenario import Scenario
 
 MOST_NODES = 16
 MOST_STANDING = 4000  # links at once: each has two descriptors here and two at a node
@@ -26,13 +26,13 @@
     return text
 
 
-def playable(day: Day) -> Day:
+def playable(day: Scenario) -> Scenario:
     """The day, if it can be played on sockets."""
-    if day.passes:
+    if day.packet_forwarding:
         raise ConfigurationError(
             "day", "passes: packets can't be made to pass through another process on sockets"
         )
-    standing = day.sessions.rate * day.sessions.life_s
+    standing = day.sessions.rate * day.sessions.lifetime_s
     for key, asked, most in (
         ("nodes.count", float(day.nodes.count), float(MOST_NODES)),
         ("links.rate", day.sessions.rate, MOST_RATE),
--- a/larchlatch/loadtest/company.py
+++ b/larchlatch/loadtest/company.py
@@ -14,18 +14,25 @@
 
 from larchlatch.cluster.keys import create_secret
 from larchlatch.cluster.quota.counts import WINDOWS
-from larchlatch.invariants.membership_agreement import Agreement
-from larchlatch.invariants.quota_safety import spending_of
-from larchlatch.invariants.single_leader import row_of, tenures_of
-from larchlatch.invariants.upstream_avoidance import Avoidance
+from larchlatch.invariants.observations import (
+    FleetChanged,
+    MemberReported,
+    NodeStarted,
+    OrderExecuted,
+    QuotaUsageReported,
+    RoleChanged,
+    UpstreamEjected,
+    UpstreamFailureDetected,
+)
+from larchlatch.invariants.scenario_checkers import ClusterCheckers
 from larchlatch.loadtest.board import Board
 from larchlatch.loadtest.sites import number_of
 from larchlatch.node.clock import now_us
 from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE
 from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
 from larchlatch.scenario.faults import SELF_INFLICTED
-from larchlatch.scenario.puppets import ORDERS
-from larchlatch.scenario.scenario import Day
+from larchlatch.scenario.scenario import Scenario
 
 # Of the nodes' logs these lines are read.
 FOLLOWED = (
@@ -43,7 +50,7 @@
 class Company:
     def __init__(
         self,
-        day: Day,
+        day: Scenario,
         address: str,
         folder: Path,
         nodes: list[tuple[str, int]],
@@ -60,16 +67,13 @@
         self.board = Board("larchlatch.loadtest.switchboard")
         self.paths = DatagramPaths(None)  # as ordered: what the switchboard does by now
         self.running = [False] * len(nodes)
-        self.agreement = Agreement(len(nodes), now_us())
+        self.checkers = ClusterCheckers(day, now_us())
         self.read_upto = [0] * len(nodes)
         self.told: dict[str, int] = {}
         self.orders: list[dict[str, float | str]] = [{"skew": 0.0, "about": ""} for _ in nodes]
         self.relays: list[list[int]] = []
         self.keys: list[str] = []
         self.expelled: set[int] = set()  # nodes that the files lack
-        self.spending = spending_of(day)
-        self.avoidance = Avoidance()
-        self.tenures = tenures_of(day, now_us())
 
     async def open(self) -> None:
         """Start the switchboard, and write each node's file: it reaches the others by its own relays."""
@@ -99,14 +103,14 @@
         """What the cluster file says beside the nodes."""
         cluster = self.day.cluster
         if not cluster.sessions_per_s:
-            return [f"beat_ms = {cluster.beat_ms}", f"skew = {cluster.skew}", *self.duties()]
-        traffic_classes = ", ".join(f'"t{place}"' for place in range(len(self.day.sessions.effects)))
+            return [f"beat_ms = {cluster.heartbeat_ms}", f"skew = {cluster.max_clock_skew}", *self.duties()]
+        traffic_classes = ", ".join(f'"t{place}"' for place in range(len(self.day.sessions.idempotencies)))
         return [
-            f"beat_ms = {cluster.beat_ms}",
+            f"beat_ms = {cluster.heartbeat_ms}",
             f"floor = {cluster.floor}",
             f"window_ms = {round(cluster.window_s * 1000)}",
             f"term_ms = {round(cluster.term_s * 1000)}",
-            f"skew = {cluster.skew}",
+            f"skew = {cluster.max_clock_skew}",
             "[[budgets]]",
             'name = "all"',
             f"links_per_s = {cluster.sessions_per_s}",
@@ -116,11 +120,11 @@
 
     def duties(self) -> list[str]:
         cluster = self.day.cluster
-        if not (cluster.allot or cluster.pace):
+        if not (cluster.quota_allocator or cluster.token_issuer):
             return []
         electors = ", ".join(f'"{name}"' for name in self.names[: cluster.electors])
         term_ms = round(cluster.term_s * 1000)
-        does = ["allot = true"] * cluster.allot + ["pace = true"] * cluster.pace
+        does = ["allot = true"] * cluster.quota_allocator + ["pace = true"] * cluster.token_issuer
         return ["[duties]", f"electors = [{electors}]", f"term_ms = {term_ms}", *does]
 
     def file(self, name: str) -> Path:
@@ -134,11 +138,13 @@
     @property
     def module(self) -> str:
         """What is run as a node: where the day wants it, one that can be made to do wrong, and tells more."""
-        puppets = self.day.cluster.pace or any(isinstance(fault, SELF_INFLICTED) for fault in self.day.faults)
+        puppets = self.day.cluster.token_issuer or any(
+            isinstance(fault, SELF_INFLICTED) for fault in self.day.faults
+        )
         return "larchlatch.loadtest.puppet" if puppets else "larchlatch"
 
     def environment(self, number: int) -> dict[str, str]:
-        return {ORDERS: str(self.orders_of(number))}
+        return {ORDERS_VARIABLE: str(self.orders_of(number))}
 
     def orders_of(self, number: int) -> Path:
         return self.folder / f"{self.names[number]}.orders.json"
@@ -155,21 +161,18 @@
     # What befalls it.
 
     def judge(self) -> None:
-        self.agreement.is_so(now_us(), self.running, self.paths.is_blocked)
-        for tenures in self.tenures.values():
-            tenures.is_so(now_us(), self.running, self.paths.is_blocked)
+        self.checkers.observe(FleetChanged(now_us(), self.running, self.paths.is_blocked))
 
     def starts(self, number: int) -> None:
         """A node's process is about to start: what it says from then on is of a new life."""
         self.read()
-        self.agreement.began(now_us(), number)
-        for tenures in self.tenures.values():
-            tenures.held(now_us(), number, False)
+        self.checkers.observe(NodeStarted(now_us(), number))
+        for role in self.checkers.leaders:
+            self.checkers.observe(RoleChanged(now_us(), role, number, held=False))
 
     def runs(self, number: int, running: bool) -> None:
         """A node's process runs from now on, or no longer."""
         self.running[number] = running
-        self.avoidance.runs(now_us(), number, running)
         self.judge()
 
     async def part(self, nodes: Sequence[int], oneway: bool) -> None:
@@ -211,29 +214,27 @@
         """One line of a node's log."""
         match row:
             case {"event": "member_state_changed", "name": name, "state": state}:
-                self.agreement.said(now_us(), number, self.places[name], state == "present")
+                member = self.places[name]
+                self.checkers.observe(MemberReported(now_us(), number, member, state == "present"))
             case {"event": "upstream_unreachable", "upstream": upstream}:
-                self.avoidance.found(now_us(), number, number_of(upstream))
+                self.checkers.observe(UpstreamFailureDetected(now_us(), number, number_of(upstream)))
             case {"event": "upstream_ejection_advised", "upstream": upstream}:
                 reached = self.reach(number % self.day.zones, number_of(upstream))
-                self.avoidance.left_out(now_us(), number_of(upstream), reached)
+                self.checkers.observe(UpstreamEjected(now_us(), number_of(upstream), reached))
             case {"event": "order_executed", "role": role, "lease": lease}:
-                self.tenures[role].carried_out(lease)
+                self.checkers.observe(OrderExecuted(now_us(), role, lease))
             case {"event": "role_acquired" | "role_ended" as event, "role": role}:
-                self.tenures[role].held(now_us(), number, event == "role_acquired")
+                held = event == "role_acquired"
+                self.checkers.observe(RoleChanged(now_us(), role, number, held))
             case {"event": "quota_status", "fleet_least": least, "fleet_most": most, "timestamp": at}:
-                assert self.spending is not None
                 # By the line's own time: a range that is read later is not one of later links.
                 told_us = datetime.fromisoformat(at).timestamp() * SECOND
                 span_us = WINDOWS * us(self.day.cluster.window_s)
-                self.spending.told(round(told_us), least, most, span_us)
+                self.checkers.observe(QuotaUsageReported(round(told_us), least, most, span_us))
 
     def row(self) -> dict[str, Any]:
         span = self.day.span_s * len(self.nodes)
         return {
-            **self.agreement.row(),
-            **(self.spending.row() if self.spending is not None else {}),
-            **self.avoidance.row(now_us()),
-            **row_of(self.tenures, now_us()),
+            **self.checkers.figures(now_us()),
             "cluster_bytes_s": round(self.told.get("bytes", 0) / span),
         }
--- a/larchlatch/loadtest/play.py
+++ b/larchlatch/loadtest/play.py
@@ -16,9 +16,14 @@
 
 import orjson
 
-from larchlatch.invariants.single_leader import holders_of
-from larchlatch.invariants.slow_start_safety import Warming
-from larchlatch.invariants.tally import Tally, histogram
+from larchlatch.invariants.observations import (
+    SessionRequested,
+    UpstreamLost,
+    UpstreamReturned,
+    UpstreamsSampled,
+)
+from larchlatch.invariants.scenario_checkers import slow_start_checker
+from larchlatch.invariants.session_figures import SessionFigures, time_histogram
 from larchlatch.loadtest.board import Board
 from larchlatch.loadtest.bounds import MOST_NODES
 from larchlatch.loadtest.company import Company
@@ -26,13 +31,19 @@
 from larchlatch.node.clock import now_us
 from larchlatch.policy.types import EndpointState, Idempotency
 from larchlatch.scenario.amounts import SECOND, us
-from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.clients import RETURN_US, Client, demand, front_of
+from larchlatch.scenario.clients import (
+    MAX_RECONNECT_US,
+    MIN_RECONNECT_US,
+    Client,
+    client_arrivals,
+    entry_node_index,
+)
 from larchlatch.scenario.datagram_paths import PathImpairment
 from larchlatch.scenario.fault_injection import FaultInjector
 from larchlatch.scenario.faults import AnyFault, ZoneIsolation
-from larchlatch.scenario.scenario import Day
-from larchlatch.scenario.upstreams import Condition, upstreams_of
+from larchlatch.scenario.random_streams import RandomStreams
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.upstreams import Condition, create_upstreams
 
 START_S = 20.0  # for all nodes to serve
 LATE_US = 50_000  # clients that this tool has started so late, at the 99th percentile, make a result void
@@ -47,13 +58,13 @@
 }
 
 
-def settings_for(day: Day, me: int) -> dict[str, Any]:
+def settings_for(day: Scenario, me: int) -> dict[str, Any]:
     """What a node's configuration says of this day."""
-    sessions, cold = day.sessions, day.cold
+    sessions, cold = day.sessions, day.slow_start
     return {
         "areas": [f"z{zone}" for zone in range(day.zones)],
         "caps": {
-            "dial_timeout_us": us(day.network.dial_ms / 1e3),
+            "dial_timeout_us": us(day.network.connect_timeout_ms / 1e3),
             "most_setup_tries": 6,
             "probes": day.network.probes,
             "cancel": True,
@@ -63,7 +74,7 @@
         "discovery": "pushed",
         "domain": {
             "groups": True,
-            "message_aim_us": [us(sessions.message_ms / 1e3)] * len(sessions.effects),
+            "message_aim_us": [us(sessions.message_ms / 1e3)] * len(sessions.idempotencies),
             "mode": "proxy",
             "tells_delay": True,
         },
@@ -71,10 +82,10 @@
         "peers_total": day.nodes.count,
         "rules": {
             "ask_within_us": 10 * SECOND,
-            "cold_from": cold.least,
-            "cold_us": us(cold.warm_s),
+            "cold_from": cold.initial_share,
+            "cold_us": us(cold.duration_s),
             "tip_multiple": cold.overload_multiple,
-            "tip_after_us": us(cold.tip_s),
+            "tip_after_us": us(cold.overload_window_s),
         },
         "tariffs": [
             {
@@ -82,9 +93,9 @@
                 "expected_time_us": us(sessions.expected_ms / 1e3),
                 "cut_off_us": us(sessions.wait_ms / 1e3),
                 "effect": EFFECTS[Idempotency(effect)],
-                "repeat_window_us": us(sessions.memory_s),
+                "repeat_window_us": us(sessions.dedup_window_s),
             }
-            for place, effect in enumerate(sessions.effects)
+            for place, effect in enumerate(sessions.idempotencies)
         ],
         "telemetry": {"via": "probe", "fields": ["inflight", "x0"]},
         "weights": "nominal",
@@ -116,24 +127,24 @@
 
 
 class LoadTest:
-    def __init__(self, day: Day, address: str = "127.0.0.1") -> None:
+    def __init__(self, day: Scenario, address: str = "127.0.0.1") -> None:
         self.day = day
         self.address = address
         self.turn = next(DAYS)
-        self.chance = Chance(day.seed)
-        self.clients = list(demand(day, self.chance))
+        self.chance = RandomStreams(day.seed)
+        self.clients = list(client_arrivals(day, self.chance))
         self.watch = Watch()
-        self.warming = self.watch.warming = Warming(day)
+        self.warming = self.watch.warming = slow_start_checker(day)
         by_key = {f"k{client.key}": client for client in self.clients}
-        self.sites = [Site(upstream, day, by_key, self.watch) for upstream in upstreams_of(day)]
+        self.sites = [Site(upstream, day, by_key, self.watch) for upstream in create_upstreams(day)]
         delays = self.chance.stream("list")
-        low, high = day.listing.soon_ms / 1e3, day.listing.late_ms / 1e3
+        low, high = day.discovery.min_delay_ms / 1e3, day.discovery.max_delay_ms / 1e3
         self.directory = Directory(day, lambda: delays.uniform(low, high))
         self.places: list[Place] = []
         self.folder = Path()
-        self.tally = Tally()
-        self.lag = histogram()  # how late this tool itself was
-        self.started_late = histogram()  # clients by when they were due
+        self.tally = SessionFigures()
+        self.lag = time_histogram()  # how late this tool itself was
+        self.started_late = time_histogram()  # clients by when they were due
         self.began = 0.0
         self.idents = 0
         self.writers: dict[int, asyncio.StreamWriter] = {}  # of standing links, by client
@@ -165,8 +176,8 @@
         self.tally.counts["tries"] = sum(site.attempts for site in self.sites)
         self.tally.counts["probes"] = sum(site.probes for site in self.sites)
         return {
-            **self.tally.row(),
-            **self.warming.row(now_us()),
+            **self.tally.figures(),
+            **self.warming.figures(now_us()),
             **(self.company.row() if self.company is not None else {}),
             "broken": dict(self.watch.broken),
             "late_p99_ms": late / 1000,
@@ -193,7 +204,7 @@
         if self.day.cluster.on:
             nodes = [(place.address, await free_udp_port(place.address)) for place in self.places]
             self.company = Company(self.day, self.address, self.folder, nodes, self.reach)
-            self.watch.spending = self.company.spending
+            self.watch.spending = self.company.checkers.quota
             await self.company.open()
             self.spawn(self.company.follow())
             self.spawn(self.ask())
@@ -310,7 +321,8 @@
         while True:
             await asyncio.sleep(TELL_S)
             now = now_us()
-            self.warming.look(now, [site.upstream for site in self.sites], now - looked_at)
+            upstreams = [site.upstream for site in self.sites]
+            self.warming.observe(UpstreamsSampled(now, upstreams, now - looked_at))
             looked_at = now
 
     async def watched(self) -> None:
@@ -337,7 +349,7 @@
         if not near:
             return None
         draw = self.chance.draw("front", client.number, client.sessions)
-        return near[front_of(draw, len(near), self.day.sessions.uneven)]
+        return near[entry_node_index(draw, len(near), self.day.sessions.imbalance)]
 
     def over(self, client: Client) -> bool:
         now = self.now_s() - self.began
@@ -354,16 +366,16 @@
             how, back_us = await self.session(client, due)
             if how == "stood":
                 client.rejections = 0
-                low, high = RETURN_US
+                low, high = MIN_RECONNECT_US, MAX_RECONNECT_US
                 draw = self.chance.draw("return", client.number, client.sessions)
                 await asyncio.sleep((low + (high - low) * draw) / SECOND)
                 due = self.now_s() - self.began
                 continue
             client.rejections += 1
-            if client.rejections > self.day.sessions.retries:
+            if client.rejections > self.day.sessions.max_retries:
                 self.tally.counts["abandoned"] += 1
                 return
-            mean = self.day.sessions.back_ms / 1e3
+            mean = self.day.sessions.retry_pause_ms / 1e3
             own = mean * 2 * self.chance.draw("back", client.number, client.sessions)
             await asyncio.sleep(back_us / SECOND if back_us else own)
 
@@ -388,13 +400,13 @@
         began = now_us()
         try:
             if self.watch.spending is not None:
-                self.watch.spending.asked(began, ident)
+                self.watch.spending.observe(SessionRequested(began, ident))
             writer.write(f"{text}\r\n".encode())
             answer = await self.answered(reader, began)
             word = answer.split()[0] if answer.split() else b""
             if word == b"UP":
                 now = self.now_s() - self.began
-                self.tally.stood(round((now - due_s) * SECOND))
+                self.tally.record_established(round((now - due_s) * SECOND))
                 await self.stands(client, place, reader, writer)
                 return "stood", 0
             # The one final answer, and nothing after it; no answer is right only where the node has died.
@@ -464,7 +476,7 @@
     async def beats(self, writer: asyncio.StreamWriter) -> None:
         with suppress(OSError):
             while True:
-                await asyncio.sleep(self.day.sessions.beat_s)
+                await asyncio.sleep(self.day.sessions.message_interval_s)
                 writer.write(b"still here\r\n")
 
     # What goes wrong.
@@ -482,17 +494,21 @@
         self.spawn(then())
 
     def ready_upstreams(self) -> list[Site]:
-        return [s for s in self.sites if s.upstream.condition is Condition.WELL and not s.upstream.draining]
+        return [
+            s for s in self.sites if s.upstream.condition is Condition.HEALTHY and not s.upstream.draining
+        ]
 
     def absent_upstreams(self) -> list[Site]:
-        return [s for s in self.sites if s.upstream.condition is Condition.ABSENT and not s.upstream.life]
+        return [
+            s for s in self.sites if s.upstream.condition is Condition.ABSENT and not s.upstream.incarnation
+        ]
 
     def serving_nodes(self) -> list[Place]:
         return [place for place in self.places if place.front]
 
     def role_holders(self) -> list[Place]:
-        held = self.company.tenures.values() if self.company is not None else ()
-        return [self.places[number] for number in holders_of(held)]
+        holders = self.company.checkers.role_holders() if self.company is not None else []
+        return [self.places[number] for number in holders]
 
     def slow_down(self, site: Site, factor: float) -> None:
         site.upstream.slowness *= factor
@@ -512,11 +528,11 @@
 
     def lost(self, site: Site) -> None:
         if self.company is not None:
-            self.company.avoidance.gone(now_us(), site.upstream.number)
+            self.company.checkers.observe(UpstreamLost(now_us(), site.upstream.number))
 
     def bring_up(self, site: Site) -> None:
         if self.company is not None:
-            self.company.avoidance.back(now_us(), site.upstream.number)
+            self.company.checkers.observe(UpstreamReturned(now_us(), site.upstream.number))
 
         async def risen() -> None:
             await site.rise()
@@ -631,11 +647,11 @@
             self.company.runs(place.number, False)
         await self.end(place)
         nodes = self.day.nodes
-        await asyncio.sleep(min(nodes.noticed_s, nodes.back_s))
+        await asyncio.sleep(min(nodes.detection_s, nodes.restart_after_s))
         place.front = False
         if place.gone:
             return
-        await asyncio.sleep(max(0.0, nodes.back_s - nodes.noticed_s))
+        await asyncio.sleep(max(0.0, nodes.restart_after_s - nodes.detection_s))
         await self.launch(place, known)
         place.breaks += 1
         place.down = False
@@ -668,7 +684,7 @@
     return port
 
 
-def played(day: Day, address: str) -> tuple[dict[str, Any], list[str]]:
+def played(day: Scenario, address: str) -> tuple[dict[str, Any], list[str]]:
     """Its row, and in words what broke rules."""
     import uvloop
 
--- a/larchlatch/loadtest/puppet.py
+++ b/larchlatch/loadtest/puppet.py
@@ -19,14 +19,15 @@
 from larchlatch.cluster import service as actor
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.cluster.exchange.results import ExecutedOrder
-from larchlatch.scenario.puppets import ORDERS, Drift, Lying
+from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE, ByzantineExchange
+from larchlatch.scenario.drifting_clock import DriftingClock
 
 true_us = actor.steady_us
-drift = Drift(true_us())
+drift = DriftingClock(true_us())
 exchanges: weakref.WeakSet[Puppet] = weakref.WeakSet()
 
 
-class Puppet(Lying):
+class Puppet(ByzantineExchange):
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         exchanges.add(self)
@@ -35,7 +36,7 @@
 class Node(actor.ClusterService):
     def update_endpoints(self, *args: Any, **named: Any) -> None:
         super().update_endpoints(*args, **named)
-        assert isinstance(self.exchange, Lying)
+        assert isinstance(self.exchange, ByzantineExchange)
         self.exchange.upstreams = list(self.upstreams)
 
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
@@ -47,10 +48,10 @@
 
 
 def ordered(*_: object) -> None:
-    orders = orjson.loads(Path(os.environ[ORDERS]).read_bytes())
-    drift.run(true_us(), orders["skew"])
+    orders = orjson.loads(Path(os.environ[ORDERS_VARIABLE]).read_bytes())
+    drift.set_gain(true_us(), orders["skew"])
     for exchange in exchanges:
-        exchange.about = orders["about"]
+        exchange.false_subject = orders["about"]
 
 
 def main() -> None:
--- a/larchlatch/loadtest/sites.py
+++ b/larchlatch/loadtest/sites.py
@@ -10,15 +10,16 @@
 
 import orjson
 
-from larchlatch.invariants.quota_safety import Spending
-from larchlatch.invariants.slow_start_safety import Warming
+from larchlatch.invariants.observations import SessionAdmitted, SessionArrived
+from larchlatch.invariants.quota_safety import QuotaSafety
+from larchlatch.invariants.slow_start_safety import SlowStartSafety
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire.lines import PING, PONG, STATS, Opening, parse_opening
 from larchlatch.policy.types import EndpointState, Idempotency
 from larchlatch.scenario.amounts import SECOND, us
 from larchlatch.scenario.clients import Client
-from larchlatch.scenario.scenario import Day
-from larchlatch.scenario.upstreams import Condition, Upstream
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.upstreams import Condition, SimulatedUpstream
 
 TICK_S = 1.0
 MOST_TOLD = 20  # breaks of rules that are told in words; all are counted
@@ -39,8 +40,8 @@
         self.words: list[str] = []  # what broke them
         self.out: set[str] = set()  # ids with a try out
         self.seen: set[str] = set()  # ids whose tries may have run
-        self.spending: Spending | None = None
-        self.warming: Warming | None = None
+        self.spending: QuotaSafety | None = None
+        self.warming: SlowStartSafety | None = None
 
     def breaks(self, rule: str, what: str) -> None:
         self.broken[rule] += 1
@@ -55,7 +56,7 @@
         self.out.add(ident)
         self.seen.add(ident)
         if self.spending is not None:
-            self.spending.seen(now_us(), ident)
+            self.spending.observe(SessionAdmitted(now_us(), ident))
 
     def ended(self, ident: str, never_ran: bool = False) -> None:
         self.out.discard(ident)
@@ -66,7 +67,9 @@
 class Site:
     """A host's address: what comes there is answered by the host that stands behind it."""
 
-    def __init__(self, upstream: Upstream, day: Day, clients: dict[str, Client], watch: Watch) -> None:
+    def __init__(
+        self, upstream: SimulatedUpstream, day: Scenario, clients: dict[str, Client], watch: Watch
+    ) -> None:
         self.upstream = upstream
         self.day = day
         self.clients = clients
@@ -80,11 +83,11 @@
         self.not_after: int | None = None  # the list has told every node by then to send nothing here
         self.numbers = 0
         self.slowness = 1.0  # of what all setups need
-        self.idempotencies = [Idempotency(effect) for effect in day.sessions.effects]
+        self.idempotencies = [Idempotency(effect) for effect in day.sessions.idempotencies]
 
     @property
     def store_us(self) -> int:
-        return round(us(self.day.store_ms / 1e3) * self.slowness)
+        return round(us(self.day.shared_store_ms / 1e3) * self.slowness)
 
     async def listen(self, address: str) -> None:
         self.address = address
@@ -110,7 +113,7 @@
             pass  # the server's own task: nobody is told of its end
         finally:
             number, group = self.open.pop(writer, (0, 0))
-            self.upstream.remove(number, group, self.day.sessions.group_ms * 1000)
+            self.upstream.remove_session(number, group, self.day.sessions.group_ms * 1000)
             with suppress(OSError, RuntimeError):
                 writer.close()
 
@@ -119,9 +122,8 @@
 
     def stats(self) -> bytes:
         now = now_us()
-        return (
-            f"PONG x0={self.upstream.fullness(now):.4f},inflight={len(self.upstream.sessions)}\r\n".encode()
-        )
+        load, sessions = self.upstream.utilization(now), len(self.upstream.sessions)
+        return f"PONG x0={load:.4f},inflight={sessions}\r\n".encode()
 
     async def opened(
         self, opening: Opening, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -133,10 +135,10 @@
             late = now - self.not_after
             self.watch.breaks("drain", f"link {opening.ident}: to host {upstream.number}, {late} us late")
         if self.watch.warming is not None:
-            self.watch.warming.sent(now, upstream, client.load)
-        if upstream.pushed(now, client.load):
+            self.watch.warming.observe(SessionArrived(now, upstream, client.load))
+        if upstream.is_overloaded_by(now, client.load):
             self.watch.breaks("cold", f"host {upstream.number}: more than it bears while it warms up")
-        done = upstream.admit(now, client.work_us)
+        done = upstream.schedule_setup(now, client.work_us)
         if done is None:
             self.watch.ended(opening.ident, never_ran=True)
             writer.write(b"BUSY\r\n")
@@ -144,7 +146,7 @@
         gone = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait([gone], timeout=(done + self.store_us - now_us()) / 1e6)
-            life = upstream.life
+            life = upstream.incarnation
             if self.silent():
                 # It says nothing; but a try that its node has given up is out no longer, for the judge.
                 await gone
@@ -154,16 +156,16 @@
             self.watch.ended(opening.ident)
             self.numbers += 1
             self.open[writer] = (self.numbers, client.group)
-            upstream.add(self.numbers, client.load, client.group, self.day.sessions.group_ms * 1000)
+            upstream.add_session(self.numbers, client.load, client.group, self.day.sessions.group_ms * 1000)
             writer.write(b"UP stands\r\n" + f"LOAD {client.load:.1f}\r\n".encode())
             first = await gone
             while first and (rest := await reader.readline()):
                 if self.silent():
                     await asyncio.sleep(3600)
-                if upstream.life != life:
+                if upstream.incarnation != life:
                     return
                 await asyncio.sleep(
-                    upstream.message_objective_us(now_us(), us(self.day.sessions.message_ms / 1e3)) / 1e6
+                    upstream.message_latency_us(now_us(), us(self.day.sessions.message_ms / 1e3)) / 1e6
                 )
                 writer.write(first + rest)
                 first = await reader.read(1)
@@ -179,7 +181,7 @@
                 writer.transport.abort()
 
     def crash(self) -> None:
-        self.upstream.condition = Condition.DEAD
+        self.upstream.condition = Condition.CRASHED
         self.upstream.stop()
         if self.server is not None:
             self.server.close()
@@ -196,7 +198,7 @@
         """Drop links where there are far too many."""
         while True:
             await asyncio.sleep(TICK_S)
-            many = self.upstream.drops(now_us())
+            many = self.upstream.sessions_to_drop(now_us())
             self.reset([writer for writer, (number, _) in self.open.items() if number][:many])
 
 
@@ -208,7 +210,7 @@
 class Directory:
     """The list service: each node has a watch, and is told of changes after a delay of its own."""
 
-    def __init__(self, day: Day, delay_s: Callable[[], float]) -> None:
+    def __init__(self, day: Scenario, delay_s: Callable[[], float]) -> None:
         self.day = day
         self.delay_s = delay_s
         self.members: dict[int, dict[str, Any]] = {}
@@ -252,7 +254,7 @@
             del self.members[site.upstream.number]
         self.changes.append(entry)
         if state is not EndpointState.READY:
-            late = us(self.day.listing.late_ms / 1e3)
+            late = us(self.day.discovery.max_delay_ms / 1e3)
             site.not_after = max(now_us() + late, int(self.deaf_until * SECOND) + late)
         async with self.changed:
             self.changed.notify_all()
--- a/larchlatch/loadtest/switchboard.py
+++ b/larchlatch/loadtest/switchboard.py
@@ -9,8 +9,8 @@
 from typing import Any, cast
 
 from larchlatch.loadtest.board import serve
-from larchlatch.scenario.chance import Chance
 from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
+from larchlatch.scenario.random_streams import RandomStreams
 
 
 class Relay(asyncio.DatagramProtocol):
@@ -55,7 +55,7 @@
     async def begin(self, first: dict[str, Any]) -> list[list[int]]:
         """The relays' ports: row by sender, column by receiver; 0 from a node to itself."""
         self.address, self.nodes = first["address"], [(host, port) for host, port in first["nodes"]]
-        self.paths = DatagramPaths(Chance(first["seed"]))
+        self.paths = DatagramPaths(RandomStreams(first["seed"]))
         return [
             [0 if one == other else await self.relay(one, other) for other in range(len(self.nodes))]
             for one in range(len(self.nodes))
--- a/larchlatch/scenario/__init__.py
+++ b/larchlatch/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""What a day is, for whoever plays it: its description, demand, faults, hosts and figures."""
+"""Scenarios as data: nodes, upstreams, demand, network and faults, for whatever plays them."""
--- a/larchlatch/scenario/clients.py
+++ b/larchlatch/scenario/clients.py
@@ -1,66 +1,97 @@
-"""The demand of a day: who comes when, for how long, with what. The same for the emulator and for sockets."""
+"""The demand of a scenario: which clients arrive when, and what they want. Both players use the same."""
 
 from __future__ import annotations
 
 from bisect import bisect
-from collections.abc import Iterator
 from dataclasses import dataclass
 from itertools import accumulate
+from typing import TYPE_CHECKING
 
 from larchlatch.scenario.amounts import us
-from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.scenario import Day
 
-RETURN_US = (50_000, 250_000)  # a client whose link broke or was moved is back between these
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from larchlatch.scenario.random_streams import RandomStreams
+    from larchlatch.scenario.scenario import Scenario
+
+# A client whose session broke or was migrated is back after a time between these.
+MIN_RECONNECT_US = 50_000
+MAX_RECONNECT_US = 250_000
 
 
 @dataclass(slots=True)
 class Client:
-    """One client of the day: what it brings along, and how far it has come."""
+    """A client and how far it has come.
+
+    Attributes:
+        number: Counts clients from 1.
+        due: When it arrives, in microseconds after the start; the emulator sets it to its clock's time, and
+            anew whenever the client wants a session again.
+        life_us: How long it wants to be served, in microseconds.
+        load: Work a second that its session costs, in microseconds.
+        work_us: Work of establishing its session, in microseconds.
+        key: Its key on the ring.
+        group: Its group.
+        traffic_class: Index of its traffic class.
+        zone: Its zone.
+        ends_at: When it has been served for as long as it wanted.
+        rejections: Rejections in a row.
+        sessions: How many sessions it has asked for.
+        done: Whether it has left for good.
+
+    """
 
     number: int
-    due: int  # when it comes for the first time
+    due: int
     life_us: int
-    load: float  # work a second, in microseconds
-    work_us: float  # of a setup
+    load: float
+    work_us: float
     key: int
     group: int
     traffic_class: int
     zone: int
-    ends_at: int = 0  # when it has had what it came for
-    rejections: int = 0  # refusals since it last had its link
-    sessions: int = 0  # ids that it has used
+    ends_at: int = 0
+    rejections: int = 0
+    sessions: int = 0
     done: bool = False
 
 
-def demand(day: Day, chance: Chance) -> Iterator[Client]:
-    """All clients in the order in which they come."""
-    sessions = day.sessions
-    arrivals, kinds = chance.stream("arrivals"), chance.stream("clients")
-    sizes = list(accumulate(1 / (place + 1) ** sessions.skew for place in range(sessions.groups)))
-    now, end, number = 0.0, day.span_s, 0
+def client_arrivals(scenario: Scenario, streams: RandomStreams) -> Iterator[Client]:
+    """Yield all clients in the order of their arrival."""
+    sessions = scenario.sessions
+    arrivals, properties = streams.stream("arrivals"), streams.stream("clients")
+    group_sizes = list(accumulate(1 / (rank + 1) ** sessions.group_skew for rank in range(sessions.groups)))
+    now_s, number = 0.0, 0
     while True:
-        now += arrivals.expovariate(sessions.rate)
-        if now >= end:
+        now_s += arrivals.expovariate(sessions.rate)
+        if now_s >= scenario.span_s:
             return
         number += 1
-        # Each draws as often as every other, so that one changed figure leaves the others' chance alone.
-        life, load, work = (kinds.expovariate(1.0) for _ in range(3))
-        group = bisect(sizes, kinds.random() * sizes[-1])
-        traffic_class, zone = kinds.random(), kinds.random()
+        # Each client takes the same number of draws: a changed setting changes no other property.
+        life, load, work = (properties.expovariate(1.0) for _ in range(3))
+        group = bisect(group_sizes, properties.random() * group_sizes[-1])
+        traffic_class, zone = properties.random(), properties.random()
         yield Client(
             number,
-            us(now),
-            us(life * sessions.life_s),
+            us(now_s),
+            us(life * sessions.lifetime_s),
             load * sessions.load_ms * 1000,
             work * sessions.setup_ms * 1000,
             key=number,
             group=min(group, sessions.groups - 1) + 1,
-            traffic_class=int(traffic_class * len(sessions.effects)),
-            zone=int(zone * day.zones),
+            traffic_class=int(traffic_class * len(sessions.idempotencies)),
+            zone=int(zone * scenario.zones),
         )
 
 
-def front_of(draw: float, count: int, uneven: float) -> int:
-    """To which of so many nodes a client is sent; draw: evenly drawn from 0 to 1."""
-    return int(draw ** (1 + uneven) * count) if uneven else int(draw * count)
+def entry_node_index(draw: float, count: int, imbalance: float) -> int:
+    """Return the index of the node that a client is sent to.
+
+    Args:
+        draw: A number from 0 to 1, drawn evenly.
+        count: How many nodes there are to choose from.
+        imbalance: How unevenly clients fall on them; 0 is evenly.
+
+    """
+    return int(draw ** (1 + imbalance) * count) if imbalance else int(draw * count)
--- a/larchlatch/scenario/datagram_paths.py
+++ b/larchlatch/scenario/datagram_paths.py
@@ -6,8 +6,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
-from larchlatch.scenario.chance import Chance
+if TYPE_CHECKING:
+    from larchlatch.scenario.random_streams import RandomStreams
 
 REORDERING_DELAY_US = 50_000  # enough for later datagrams to overtake
 
@@ -66,7 +68,7 @@
 
     """
 
-    def __init__(self, streams: Chance | None) -> None:
+    def __init__(self, streams: RandomStreams | None) -> None:
         self.streams = streams
         self.impairment = PathImpairment()
         self.partitions: list[PartitionedNodes] = []
--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -5,12 +5,14 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from random import Random
-from typing import Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, Generic, Protocol, TypeVar
 
-from larchlatch.scenario.datagram_paths import PathImpairment
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from random import Random
+
+    from larchlatch.scenario.datagram_paths import PathImpairment
 
 UpstreamT = TypeVar("UpstreamT")
 NodeT = TypeVar("NodeT")
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -5,17 +5,20 @@
 
 from __future__ import annotations
 
-from collections.abc import Sequence
 from functools import partial
-from random import Random
-from typing import Annotated, Literal, TypeVar
+from typing import TYPE_CHECKING, Annotated, Literal, TypeVar
 
 from msgspec import Meta, field
 
 from larchlatch.config.toml_file import Strict
-from larchlatch.scenario.amounts import Amount, Count, Few, Positive, Share, us
+from larchlatch.scenario.amounts import Count, CountOrZero, NonNegative, Positive, Share, us
 from larchlatch.scenario.datagram_paths import PathImpairment
-from larchlatch.scenario.fault_injection import FaultInjector, NodeT, UpstreamT
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from random import Random
+
+    from larchlatch.scenario.fault_injection import FaultInjector, NodeT, UpstreamT
 
 CLUSTER_FILE_SPREAD_S = 1.0  # within which all nodes have read a new cluster file
 
@@ -35,7 +38,7 @@
 
     """
 
-    at_s: Amount
+    at_s: NonNegative
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Begin the fault, and schedule its end.
@@ -139,7 +142,7 @@
 class ZoneIsolation(Fault, tag="cut", frozen=True):
     """A zone and the others do not reach each other, except for datagrams between nodes."""
 
-    zone: Few = 0
+    zone: CountOrZero = 0
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
@@ -199,7 +202,7 @@
 
     """
 
-    nodes: Few = 0
+    nodes: CountOrZero = 0
     zone: int = -1
     oneway: bool = False
     for_s: Positive = 8.0
@@ -233,7 +236,7 @@
     loss: Share = 0.0
     duplication: Share = field(default=0.0, name="double")
     reordering: Share = field(default=0.0, name="reorder")
-    delay_ms: Amount = 0.0
+    delay_ms: NonNegative = 0.0
     replay: Share = field(default=0.0, name="again")
     replay_after_s: Positive = field(default=4.0, name="again_s")
     for_s: Positive = 8.0
--- a/larchlatch/scenario/upstreams.py
+++ b/larchlatch/scenario/upstreams.py
@@ -1,148 +1,212 @@
-"""What a host can do: setups by a queue, standing links by their load. No I/O; time is handed in.
+"""A model of an upstream: it establishes sessions from a queue, and slows down under established ones.
 
-The load tool's stand-ins on sockets are the same hosts, on the machine's clock.
+No I/O: time is handed in. The emulator's upstreams and the load test's upstream stubs are both this model.
+Times are in microseconds, work in microseconds of one core.
 """
 
 from __future__ import annotations
 
 import heapq
 from collections import Counter
-from collections.abc import Iterator
 from enum import Enum
+from typing import TYPE_CHECKING
 
 from larchlatch.scenario.amounts import SECOND, us
-from larchlatch.scenario.scenario import Cold, Day
 
-QUEUE_US = 2 * SECOND  # a setup that would wait longer for its turn is refused
-FAIR = 0.9  # load over capacity up to which messages are answered at once
-STEEP = 8  # the power by which they are later above it
-LATEST = 40.0  # times the wanted time that a message takes at the most
-TOO_MUCH = 1.5  # load over capacity above which links are dropped
-DROPPED = 0.3  # of the links that are too many, so many are dropped in one tick
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+    from larchlatch.scenario.scenario import Scenario, SlowStart
+
+MAX_SETUP_WAIT_US = 2 * SECOND  # a setup that would wait longer for a core is rejected
+
+# Latency of messages over utilization: constant up to a limit, then rising by a power, up to a maximum.
+UNDELAYED_UTILIZATION = 0.9
+LATENCY_EXPONENT = 8
+IDLE_LATENCY_DIVISOR = 10  # of the latency objective
+MAX_LATENCY_MULTIPLE = 40.0  # of the latency objective
+
+# A tick drops this share of the sessions that are too many for an overloaded upstream.
+OVERLOAD_UTILIZATION = 1.5
+DROPPED_SHARE = 0.3
 
 
 class Condition(Enum):
-    """What happens to those who call."""
+    """What happens to whoever connects."""
+
+    HEALTHY = "healthy"
+    CRASHED = "crashed"  # the machine is there, the process is not
+    SILENT = "silent"  # nothing answers
+    ABSENT = "absent"  # there is no such upstream, not yet or no more
 
-    WELL = "well"
-    DEAD = "dead"  # the machine is there, the process is not
-    SILENT = "silent"  # nothing comes back
-    ABSENT = "absent"  # there is no such host, not yet or no more
 
+class SimulatedUpstream:
+    """One upstream.
 
-class Upstream:
-    def __init__(self, number: int, zone: int, cell: int, size: float, cold: Cold) -> None:
+    Attributes:
+        number: Its number, from 0.
+        zone: Its zone.
+        cell: Its cell.
+        size: Its cores.
+        condition: Whether it runs.
+        draining: Whether it takes no new sessions.
+        started_at: When its process started; 0 for long ago.
+        incarnation: Counts starts and ends of its process: work of an earlier one is void.
+        slowness: Multiple of the time that its work takes.
+        load: Work a second of its sessions and their groups.
+        sessions: Load of each of its sessions, by number.
+
+    """
+
+    def __init__(self, number: int, zone: int, cell: int, size: float, slow_start: SlowStart) -> None:
         self.number = number
         self.zone = zone
         self.cell = cell
         self.size = size
-        self.cold = cold
-        self.condition = Condition.WELL
+        self.condition = Condition.HEALTHY
         self.draining = False
-        self.started_at = 0  # 0: long ago
-        self.life = 0  # counts starts: what an earlier process had in hand is void
+        self.started_at = 0
+        self.incarnation = 0
         self.slowness = 1.0
-        self.free_at: list[int] = [0] * max(1, round(size))  # when each of its cores is next free for a setup
-        self.load = 0.0  # work a second of the links that stand there, in microseconds
-        self.sessions: dict[int, float] = {}  # by their numbers
-        self.groups: Counter[int] = Counter()
-        self.sent: list[tuple[int, float]] = []  # load of what was sent to it while it was cold
+        self.load = 0.0
+        self.sessions: dict[int, float] = {}
+        self._slow_start = slow_start
+        self._cores_free_at: list[int] = [0] * max(1, round(size))  # a heap
+        self._group_sizes: Counter[int] = Counter()
+        self._recent_arrivals: list[tuple[int, float]] = []  # time and load, while it warms up
 
     def start(self, now: int) -> None:
-        """A new process: cold, with nothing in hand."""
-        self.condition, self.draining = Condition.WELL, False
+        """Start a new process, cold and without sessions."""
+        self.condition, self.draining = Condition.HEALTHY, False
         self.started_at = max(1, now)
         self.stop()
 
     def stop(self) -> None:
-        self.life += 1
+        """End the process and all that it had."""
+        self.incarnation += 1
         self.sessions.clear()
-        self.groups.clear()
-        self.sent.clear()
+        self._group_sizes.clear()
+        self._recent_arrivals.clear()
         self.load = 0.0
-        self.free_at = [0] * len(self.free_at)
+        self._cores_free_at = [0] * len(self._cores_free_at)
+
+    @property
+    def is_ready(self) -> bool:
+        """Whether it is healthy and takes new sessions."""
+        return self.condition is Condition.HEALTHY and not self.draining
+
+    @property
+    def was_never_started(self) -> bool:
+        """Whether it has been absent from the start."""
+        return self.condition is Condition.ABSENT and not self.incarnation
 
-    def warmth(self, now: int) -> float:
-        span = us(self.cold.warm_s)
-        if not self.started_at or now >= self.started_at + span:
+    # Speed and load.
+
+    def warm_share(self, now: int) -> float:
+        """Return the share of its work that it can do by its warm-up."""
+        warm_up_us = us(self._slow_start.duration_s)
+        if not self.started_at or now >= self.started_at + warm_up_us:
             return 1.0
-        return self.cold.least + (1 - self.cold.least) * (now - self.started_at) / span
+        initial = self._slow_start.initial_share
+        return initial + (1 - initial) * (now - self.started_at) / warm_up_us
 
-    def speed(self, now: int) -> float:
-        """Of a core, against a core that is well."""
-        return self.warmth(now) / self.slowness
+    def core_speed(self, now: int) -> float:
+        """Return the speed of a core, as a share of that of a warm and healthy one."""
+        return self.warm_share(now) / self.slowness
 
     def capacity(self, now: int) -> float:
-        """Work a second, in microseconds."""
-        return self.size * self.speed(now) * SECOND
+        """Return the work that it can do in a second."""
+        return self.size * self.core_speed(now) * SECOND
 
-    def fullness(self, now: int) -> float:
-        """The load asked of it over what it can do."""
+    def utilization(self, now: int) -> float:
+        """Return load over capacity."""
         return self.load / self.capacity(now)
 
-    def admit(self, now: int, work_us: float) -> int | None:
-        """When a setup that has come now is done; None where it is refused."""
-        begin = max(now, self.free_at[0])
-        if self.draining or begin > now + QUEUE_US:
+    def message_latency_us(self, now: int, objective_us: int) -> int:
+        """Return how long a message takes here.
+
+        Args:
+            now: The time.
+            objective_us: The latency objective.
+
+        """
+        excess = max(1.0, self.utilization(now) / UNDELAYED_UTILIZATION)
+        idle_us = objective_us / IDLE_LATENCY_DIVISOR
+        max_multiple = IDLE_LATENCY_DIVISOR * MAX_LATENCY_MULTIPLE
+        return round(idle_us * min(max_multiple, excess**LATENCY_EXPONENT))
+
+    # Sessions.
+
+    def schedule_setup(self, now: int, work_us: float) -> int | None:
+        """Return when a setup that has arrived now is done, or None if it is rejected."""
+        begin = max(now, self._cores_free_at[0])
+        if self.draining or begin > now + MAX_SETUP_WAIT_US:
             return None
-        end = begin + round(work_us / self.speed(now))
-        heapq.heapreplace(self.free_at, end)
+        end = begin + round(work_us / self.core_speed(now))
+        heapq.heapreplace(self._cores_free_at, end)
         return end
 
-    def add(self, session: int, load: float, group: int, group_load: float) -> None:
+    def add_session(self, session: int, load: float, group: int, group_load: float) -> None:
+        """Add an established session, unless it is there.
+
+        Args:
+            session: Its number.
+            load: Its load.
+            group: Its group.
+            group_load: The load of the group itself, added once.
+
+        """
         if session in self.sessions:
             return
-        if group_load and not self.groups[group]:
+        if group_load and not self._group_sizes[group]:
             self.load += group_load
-        self.groups[group] += 1
+        self._group_sizes[group] += 1
         self.sessions[session] = load
         self.load += load
 
-    def remove(self, session: int, group: int, group_load: float) -> bool:
+    def remove_session(self, session: int, group: int, group_load: float) -> None:
+        """Remove a session, if it is there; arguments as those with which it was added."""
         load = self.sessions.pop(session, None)
         if load is None:
-            return False
-        self.groups[group] -= 1
+            return
+        self._group_sizes[group] -= 1
         self.load -= load
-        if not self.groups[group]:
-            del self.groups[group]
+        if not self._group_sizes[group]:
+            del self._group_sizes[group]
             self.load -= group_load
         if not self.sessions:
-            self.load = 0.0  # what rounding has left
-        return True
-
-    def message_objective_us(self, now: int, wanted_us: int) -> int:
-        """What a message takes here."""
-        over = max(1.0, self.fullness(now) / FAIR)
-        return round(wanted_us / 10 * min(10 * LATEST, over**STEEP))
-
-    def drops(self, now: int) -> int:
-        """How many links it drops now, as it bears far too much."""
-        over = self.fullness(now)
-        if self.condition is not Condition.WELL or over <= TOO_MUCH:
+            self.load = 0.0  # removes rounding errors
+
+    def sessions_to_drop(self, now: int) -> int:
+        """Return how many sessions it drops in this tick, as it is overloaded."""
+        utilization = self.utilization(now)
+        if self.condition is not Condition.HEALTHY or utilization <= OVERLOAD_UTILIZATION:
             return 0
-        return int(len(self.sessions) * DROPPED * (1 - TOO_MUCH / over)) + 1
+        return int(len(self.sessions) * DROPPED_SHARE * (1 - OVERLOAD_UTILIZATION / utilization)) + 1
 
-    def pushed(self, now: int, load: float) -> bool:
-        """Count what is sent to it; whether it is more than a cold host bears."""
-        if self.warmth(now) >= 1.0:
-            self.sent.clear()
+    def is_overloaded_by(self, now: int, load: float) -> bool:
+        """Record the load of an arriving session; return whether it makes a warming upstream fall over."""
+        if self.warm_share(now) >= 1.0:
+            self._recent_arrivals.clear()
             return False
-        self.sent.append((now, load))
-        since = now - us(self.cold.tip_s)
-        self.sent = [(at, some) for at, some in self.sent if at > since]
-        # The last one is what tips it: a single link is never too much.
-        before = sum(some for _, some in self.sent[:-1])
-        return before > self.cold.overload_multiple * self.capacity(now) * self.cold.tip_s
+        self._recent_arrivals.append((now, load))
+        since = now - us(self._slow_start.overload_window_s)
+        self._recent_arrivals = [arrival for arrival in self._recent_arrivals if arrival[0] > since]
+        # The arriving session is left out: a single one never makes an upstream fall over.
+        before = sum(earlier for _, earlier in self._recent_arrivals[:-1])
+        slow_start = self._slow_start
+        return before > slow_start.overload_multiple * self.capacity(now) * slow_start.overload_window_s
 
 
-def upstreams_of(day: Day) -> Iterator[Upstream]:
-    """The hosts of a day, those that come later among them."""
+def create_upstreams(scenario: Scenario) -> Iterator[SimulatedUpstream]:
+    """Yield the upstreams of a scenario, the absent ones included."""
     number = 0
-    for entry in day.upstreams:
-        for place in range(entry.count):
-            upstream = Upstream(number, number % day.zones, number % day.cells, entry.size, day.cold)
-            if place >= entry.count - entry.late:
+    for group in scenario.upstreams:
+        for place in range(group.count):
+            upstream = SimulatedUpstream(
+                number, number % scenario.zones, number % scenario.cells, group.size, scenario.slow_start
+            )
+            if place >= group.count - group.absent:
                 upstream.condition = Condition.ABSENT
             yield upstream
             number += 1
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -28,10 +28,11 @@
 from larchlatch.cluster.protocol.messages import BallotRequest, NodeRecord, Promise, Vote
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.single_leader import Tenures
+from larchlatch.invariants.observations import FleetChanged, OrderExecuted, RoleChanged
+from larchlatch.invariants.single_leader import SingleLeader
 from larchlatch.model_checker.search import PLANTED, SOUND, Case, Search
-from larchlatch.scenario.drawing import with_drawn
-from larchlatch.scenario.scenario import checked, day_of
+from larchlatch.scenario.random_faults import with_random_faults
+from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
 
 SECOND = 1_000_000
 LEASE_TERMS = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
@@ -210,7 +211,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 50, 131, 190])
 def test_through_faults_drawn_from_seeds_no_two_hold_a_duty(seed: int) -> None:
     """On the last three nobody held one for 12 to 23 s while lost ballots were not sent again."""
-    row = World(with_drawn(day_of(DUTIES, {"seed": seed}), 12)).play()
+    row = World(with_random_faults(read_scenario_file(DUTIES, {"seed": seed}), 12)).play()
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
     assert row["orders"] > 20 and row["duty_changes"] >= 2, "the duties have work, and change hands"
     assert row["unheld_s"] < 9.0 and row["cold_over"] == 0 and not any(row["broken"].values())
@@ -239,7 +240,7 @@
 def test_what_a_dead_third_leaves_reaches_the_others_by_the_allotter() -> None:
     def used(allot: bool) -> float:
         world = World(
-            checked(
+            parse_scenario(
                 {
                     "span_s": 40.0,
                     "zones": 3,
@@ -254,30 +255,33 @@
         )
         row = world.play()
         assert row["over_budget"] == 0 and world.company is not None
-        judge = world.company.spending
+        judge = world.company.checkers.quota
         assert judge is not None
         late = world.stage.end - 16 * SECOND
-        judge.demand = [at for at in judge.demand if at >= late]
-        judge.admitted = [(came, seen) for came, seen in judge.admitted if came >= late]
-        return judge.used()
+        judge.requests = [at for at in judge.requests if at >= late]
+        judge.admissions = [each for each in judge.admissions if each.requested_at >= late]
+        return judge.used_share()
 
     assert used(True) > used(False) + 0.08
 
 
 def test_the_judge_sees_orders_of_two_leases() -> None:
-    judge = Tenures(range(3), 0)
+    judge = SingleLeader("allotter", range(3))
     for lease in (5, 5, 9, 9):
-        judge.carried_out(lease)
-    assert judge.two_holders == 0
-    judge.carried_out(5)
-    assert judge.two_holders == 1
+        judge.observe(OrderExecuted(0, "allotter", lease))
+    assert judge.verdict().holds
+    judge.observe(OrderExecuted(0, "pacer", 5))
+    assert judge.verdict().holds, "another role's lease"
+    judge.observe(OrderExecuted(0, "allotter", 5))
+    assert judge.verdict().violations == 1
     apart = [False]
-    judge.is_so(0, [True] * 4, lambda one, other: apart[0])
-    judge.held(2 * SECOND, 3, True)
-    judge.is_so(5 * SECOND, [True, True, True, False], lambda one, other: apart[0])
+    judge.observe(FleetChanged(0, [True] * 4, lambda one, other: apart[0]))
+    judge.observe(RoleChanged(2 * SECOND, "allotter", 3, held=True))
+    without_holder = [True, True, True, False]
+    judge.observe(FleetChanged(5 * SECOND, without_holder, lambda one, other: apart[0]))
     apart[0] = True
-    judge.is_so(6 * SECOND, [True, True, True, False], lambda one, other: apart[0])
-    assert judge.row(60 * SECOND)["unheld_s"] == 2.0, "electors that hear nobody can elect nobody"
+    judge.observe(FleetChanged(6 * SECOND, without_holder, lambda one, other: apart[0]))
+    assert judge.figures(60 * SECOND)["unheld_s"] == 2.0, "electors that hear nobody can elect nobody"
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -42,10 +42,11 @@
 from larchlatch.cluster.quota.settings import QuotaSettings
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.membership_agreement import SETTLED_US, Agreement
-from larchlatch.scenario.chance import Chance
+from larchlatch.invariants.membership_agreement import SETTLED_US, MembershipAgreement
+from larchlatch.invariants.observations import FleetChanged, MemberReported
 from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
-from larchlatch.scenario.scenario import checked
+from larchlatch.scenario.random_streams import RandomStreams
+from larchlatch.scenario.scenario_file import parse_scenario
 
 HEARTBEAT_US = 200_000
 SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
@@ -260,7 +261,9 @@
         {"kind": "kill", "at_s": 8.0, "nodes": 3},
     ]
     day = {"span_s": 15.0, "zones": 3, "cluster": {"on": True}, "nodes": {"count": 60, "back_s": 60.0}}
-    row = World(checked({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")).play()
+    row = World(
+        parse_scenario({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
+    ).play()
     assert row["agreed_s"] is not None and row["agreed_s"] < 6.0 and row["members_wrong"] == 0
     assert row["cluster_bytes_s"] < 20_000
 
@@ -272,7 +275,9 @@
         {"kind": "part", "at_s": 8.0, "zone": 0, "for_s": 11.0},
     ]
     day = {"span_s": 26.0, "zones": 4, "cluster": {"on": True}, "nodes": {"count": 40}}
-    row = World(checked({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")).play()
+    row = World(
+        parse_scenario({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
+    ).play()
     assert row["agreed_s"] is not None and row["agreed_s"] < 9.0 and row["members_wrong"] == 0
 
 
@@ -478,7 +483,7 @@
 
 
 def test_paths_are_cut_each_way_and_each_draws_by_itself() -> None:
-    paths = DatagramPaths(Chance(1))
+    paths = DatagramPaths(RandomStreams(1))
     paths.partitions.append(PartitionedNodes(frozenset({0, 1})))
     assert [paths.is_blocked(*pair) for pair in ((0, 1), (0, 2), (2, 0), (2, 3))] == [
         False,
@@ -494,7 +499,7 @@
     assert 0.17 < sum(not fate for fate in fates) / 4000 < 0.23
     assert 0.06 < sum(len(fate) == 2 for fate in fates) / 4000 < 0.10
     assert min(delay for fate in fates for delay in fate) == 1000
-    other = DatagramPaths(Chance(1))
+    other = DatagramPaths(RandomStreams(1))
     other.impairment = paths.impairment
     for number in range(50):
         other.delays_of_next(1, 0)
@@ -504,24 +509,24 @@
 
 
 def test_the_judge_tells_wrong_verdicts_and_how_long_agreement_took() -> None:
-    judge, cut = Agreement(3, 0), PartitionedNodes(frozenset({2}))
-    judge.is_so(0, [True] * 3, lambda one, other: False)
+    judge, cut = MembershipAgreement(3, 0), PartitionedNodes(frozenset({2}))
+    judge.observe(FleetChanged(0, [True] * 3, lambda one, other: False))
     for one in range(3):
         for other in range(3):
             if one != other:
-                judge.said(300, one, other, True)
-    assert judge.took_us == [300]
-    judge.said(SETTLED_US + 1, 0, 1, False)
-    assert judge.wrong == 1, "it could be heard all the time"
-    judge.said(SETTLED_US + 2, 0, 1, True)
-    judge.is_so(SETTLED_US + 10, [True] * 3, cut.blocks)
-    assert judge.row()["agreed_s"] is None
+                judge.observe(MemberReported(300, one, other, present=True))
+    assert judge.agreed_after_us == [300]
+    judge.observe(MemberReported(SETTLED_US + 1, 0, 1, present=False))
+    assert judge.verdict().violations == 1, "it could be heard all the time"
+    judge.observe(MemberReported(SETTLED_US + 2, 0, 1, present=True))
+    judge.observe(FleetChanged(SETTLED_US + 10, [True] * 3, cut.blocks))
+    assert judge.figures(SETTLED_US + 10)["agreed_s"] is None
     for one, other in ((0, 2), (1, 2), (2, 0), (2, 1)):
-        judge.said(SETTLED_US + 50, one, other, False)
-    assert judge.took_us == [300, 40] and judge.wrong == 1, "a cut is no wrong verdict"
+        judge.observe(MemberReported(SETTLED_US + 50, one, other, present=False))
+    assert judge.agreed_after_us == [300, 40] and judge.verdict().violations == 1, "a cut is no wrong verdict"
     chain = PartitionedNodes(frozenset({0}), oneway=True)
-    judge.is_so(SETTLED_US + 60, [True] * 3, chain.blocks)
-    assert not judge.truth[1][0] and judge.truth[0][1], "not heard, but hears"
+    judge.observe(FleetChanged(SETTLED_US + 60, [True] * 3, chain.blocks))
+    assert not judge.reachable[1][0] and judge.reachable[0][1], "not heard, but hears"
 
 
 def test_members_of_an_emulated_fleet_agree_through_every_fault_and_equal_days_are_equal() -> None:
@@ -540,7 +545,7 @@
         {"kind": "stall", "at_s": 26.0, "nodes": 3, "for_s": 4.0},
         {"kind": "kill", "at_s": 35.0, "nodes": 3},
     ]
-    day = checked(
+    day = parse_scenario(
         {
             "span_s": 45.0,
             "cluster": {"on": True},
@@ -569,9 +574,9 @@
 )
 def test_a_faulty_fault_between_nodes_is_refused(fault: dict[str, Any], told: str) -> None:
     with pytest.raises(InvalidInputError, match=told):
-        checked({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
+        parse_scenario({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
     with pytest.raises(InvalidInputError, match=r"cluster\.on"):
-        checked({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
+        parse_scenario({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
 
 
 def test_a_stop_shorter_than_a_beat_leaves_an_emulated_node_with_one_beat() -> None:
@@ -581,5 +586,5 @@
         [{"kind": "stall", "at_s": 0.05 + place, "nodes": 4, "for_s": 0.02} for place in range(9)],
     ):
         day = {"span_s": 12.0, "cluster": {"on": True}, "nodes": {"count": 4}, "faults": faults}
-        rows.append(World(checked(day, "day")).play()["cluster_bytes_s"])
+        rows.append(World(parse_scenario(day, "day")).play()["cluster_bytes_s"])
     assert abs(rows[0] - rows[1]) < 0.02 * rows[0]
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -31,15 +31,18 @@
 from larchlatch.emulator.company import Plain, key_of
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.quota_safety import Spending
+from larchlatch.invariants.observations import QuotaUsageReported, SessionAdmitted, SessionRequested
+from larchlatch.invariants.quota_safety import QuotaSafety
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.mailbox import Mailbox
 from larchlatch.node.metrics import Counters
 from larchlatch.node.upstream_registry import UpstreamRegistry
 from larchlatch.policy.balancer import Balancer
-from larchlatch.scenario.puppets import Drift
-from larchlatch.scenario.scenario import Day, checked, day_of, settings_for
+from larchlatch.scenario.drifting_clock import DriftingClock
+from larchlatch.scenario.node_settings import deployment_settings
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
 from tests.cluster.test_membership import ENTRY, OTHER
 
 SECOND = 1_000_000
@@ -57,7 +60,7 @@
 class Side:
     """One life of a node."""
 
-    def __init__(self, name: str, now: int, drift: Drift, chance: random.Random) -> None:
+    def __init__(self, name: str, now: int, drift: DriftingClock, chance: random.Random) -> None:
         self.drift = drift
         self.members = Membership(
             name, dict.fromkeys(NAMES, ""), heartbeat_us=BEAT, wall_us=now, now_us=drift.at(now), rng=chance
@@ -81,14 +84,14 @@
 
 def played(
     seed: int, loss: float, double: float, late: float, faults: bool, span_s: int = 14, hot: str = NAMES
-) -> Spending:
+) -> QuotaSafety:
     """Nodes that share a budget, wanted by some of `hot` at a time, through a bad network; what was spent."""
     chance = random.Random(seed)
-    drifts = [Drift(START) for _ in NAMES]
+    drifts = [DriftingClock(START) for _ in NAMES]
     for drift in drifts:
-        drift.run(START, chance.choice((-0.01, 0.0, 0.01)))
+        drift.set_gain(START, chance.choice((-0.01, 0.0, 0.01)))
     sides = [Side(name, START, drift, chance) for name, drift in zip(NAMES, drifts, strict=True)]
-    judge, bag, cut, sessions = Spending(LIMIT, SECOND), list[tuple[int, float, str, bytes]](), "", 0
+    judge, bag, cut, sessions = QuotaSafety(LIMIT, SECOND), list[tuple[int, float, str, bytes]](), "", 0
     wanting: list[str] = []
     for now in range(START, START + span_s * SECOND, STEP):
         if now % (3 * SECOND) == START % (3 * SECOND):
@@ -118,9 +121,9 @@
                 ]
             for _ in range(chance.choice((0, 0, 0, 0, 1, 1, 2)) * (name in wanting)):
                 sessions += 1
-                judge.asked(now, str(sessions))
+                judge.observe(SessionRequested(now, str(sessions)))
                 if not side.budgets.admit(side.drift.at(now), "t"):
-                    judge.seen(now, str(sessions))
+                    judge.observe(SessionAdmitted(now, str(sessions)))
         for one, to, data in sent:
             if chance.random() < loss or (one in cut) is not (to in cut):
                 continue
@@ -131,13 +134,14 @@
             for side in sides:
                 if now >= side.awake_at:
                     [known] = side.counts.ranges(now)
-                    judge.told(now, known.least, known.most, side.counts.span_us)
+                    report = QuotaUsageReported(now, known.least, known.most, side.counts.span_us)
+                    judge.observe(report)
     return judge
 
 
-def late_answer() -> Spending:
+def late_answer() -> QuotaSafety:
     """Two nodes; what one lends the other hears just before its term is over, and both spend all they may."""
-    judge, began = Spending(LIMIT, SECOND), START + 60 * SECOND
+    judge, began = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
     one, other = (SharedQuotas(n, dealing(names="ab"), BEAT, START, random.Random(1)) for n in "ab")
     for side in (one, other):
         side.open(START)
@@ -150,9 +154,9 @@
         for name, side in (("a", one), ("b", other)):
             for number in range(9):
                 ident = f"{name} {now} {number}"
-                judge.asked(now, ident)
+                judge.observe(SessionRequested(now, ident))
                 if not side.admit(now, "t"):
-                    judge.seen(now, ident)
+                    judge.observe(SessionAdmitted(now, ident))
     return judge
 
 
@@ -165,15 +169,15 @@
     seed: int, loss: float, double: float, late: float, faults: bool
 ) -> None:
     judge = played(seed, loss, double, late, faults)
-    assert judge.over() == 0 and judge.outside == 0 and judge.ranges > 20
+    assert judge.verdict().holds and judge.reports > 20
 
 
 def test_an_answer_that_comes_late_overspends_nothing() -> None:
-    assert late_answer().over() == 0 and late_answer().used() > 0.8
+    assert late_answer().verdict().holds and late_answer().used_share() > 0.8
 
 
 def test_a_budget_that_one_node_wants_reaches_it() -> None:
-    assert played(1, 0.0, 0.0, 0.0, False, 24, "a").used() > 0.5, (
+    assert played(1, 0.0, 0.0, 0.0, False, 24, "a").used_share() > 0.5, (
         "alone it has a quarter, with all but floors 0.62"
     )
 
@@ -207,7 +211,7 @@
     """A restart that forgets, a lender that keeps what it tells, a term from the answer, and the like."""
     monkeypatch.setattr(*planted)
     judges = chain([late_answer()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
-    assert any(judge.over() or judge.outside for judge in judges)
+    assert any(not judge.verdict().holds for judge in judges)
 
 
 LOANS = Path(__file__).parents[2] / "scenarios" / "loans.toml"
@@ -216,11 +220,13 @@
 def test_a_day_of_cuts_deaths_and_a_shorter_file_in_the_middle_of_loans(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    rows = [World(day_of(LOANS, {"seed": seed})).play() for seed in (1, 2)]
+    rows = [World(read_scenario_file(LOANS, {"seed": seed})).play() for seed in (1, 2)]
     assert all(row["over_budget"] == 0 and row["outside"] == 0 and row["members_wrong"] == 0 for row in rows)
     assert all(row["agreed_s"] is not None and not any(row["broken"].values()) for row in rows)
     monkeypatch.setattr(QuotaAccount, "open", forgetful)
-    assert World(day_of(LOANS, {"seed": 1})).play()["over_budget"] > 0, "the day is one on which it shows"
+    assert World(read_scenario_file(LOANS, {"seed": 1})).play()["over_budget"] > 0, (
+        "the day is one on which it shows"
+    )
 
 
 def test_shares_make_up_the_limit_and_a_static_division_lends_nothing() -> None:
@@ -328,7 +334,7 @@
         counters = Counters()
         mailbox = Mailbox(counters)
         upstreams = UpstreamRegistry([], settings, room, counters, mailbox.post)
-        balancer = Balancer(settings_for(Day(), 0), random.Random(1))
+        balancer = Balancer(deployment_settings(Scenario(), 0), random.Random(1))
         return BalancerActor(balancer, [], mailbox, upstreams, counters, cluster=cluster)
 
     told = RecordingCluster()
@@ -417,7 +423,7 @@
         "links": {"rate": 4.0, "life_s": 4.0},
         "faults": [{"kind": "liar", "at_s": 3.0, "nodes": 1, "about": "hosts", "for_s": 15.0}],
     }
-    return World(checked({**day, **changes}, "day")).play()
+    return World(parse_scenario({**day, **changes}, "day")).play()
 
 
 def test_a_single_liar_takes_no_sound_host_from_service(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -469,13 +475,12 @@
 
 
 def test_the_judge_counts_what_lies_surely_within_a_window() -> None:
-    judge = Spending(2.0, SECOND)
+    judge = QuotaSafety(2.0, SECOND)
     times: Callable[[int], list[int]] = lambda step: [place * step for place in range(3)]  # noqa: E731
     for place, at in enumerate(times(400_000)):
-        judge.asked(at, str(place))
-        judge.seen(at + 10_000, str(place))
-    assert judge.over() == 1
-    judge.told(900_000, 3, 3, SECOND)
-    judge.told(900_000, 0, 2, SECOND)
-    judge.told(900_000, 4, 5, SECOND)
-    assert judge.outside == 2
+        judge.observe(SessionRequested(at, str(place)))
+        judge.observe(SessionAdmitted(at + 10_000, str(place)))
+    assert judge.excess() == 1 and judge.verdict().violations == 1
+    for least, most in ((3, 3), (0, 2), (4, 5)):
+        judge.observe(QuotaUsageReported(900_000, least, most, SECOND))
+    assert judge.wrong_reports == 2 and judge.verdict().violations == 3
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -21,11 +21,13 @@
 from larchlatch.cluster.slow_start.requester import NOTICE_LAG_US, TokenRequester
 from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 from larchlatch.emulator.world import World
-from larchlatch.invariants.slow_start_safety import Warming
+from larchlatch.invariants.observations import SessionArrived
+from larchlatch.invariants.scenario_checkers import slow_start_checker
 from larchlatch.policy.types import Hold, Token, TokenCandidate
-from larchlatch.scenario.puppets import Drift
-from larchlatch.scenario.scenario import Day, day_of
-from larchlatch.scenario.upstreams import Upstream
+from larchlatch.scenario.drifting_clock import DriftingClock
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.scenario_file import read_scenario_file
+from larchlatch.scenario.upstreams import SimulatedUpstream
 from tests.support.balancer_harness import BalancerHarness, endpoint, forwarded_to
 
 SECOND = 1_000_000
@@ -84,9 +86,9 @@
         self.chance = random.Random(seed)
         self.loss, self.double, self.late, self.faults = loss, double, late, faults
         self.changes = changes
-        self.drifts = {name: Drift(START) for name in NAMES}
+        self.drifts = {name: DriftingClock(START) for name in NAMES}
         for drift in self.drifts.values():
-            drift.run(START, self.chance.choice((-0.01, 0.0, 0.01)))
+            drift.set_gain(START, self.chance.choice((-0.01, 0.0, 0.01)))
         self.sides = {name: Side(name, START) for name in NAMES}
         self.bag: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
         self.cut: frozenset[str] = frozenset()
@@ -368,10 +370,10 @@
 PACE = Path(__file__).parents[2] / "scenarios" / "pace.toml"
 
 
-def day(pace: bool, **changes: Any) -> Day:
+def day(pace: bool, **changes: Any) -> Scenario:
     small: dict[str, Any] = {"nodes.count": 20, "hosts.0.count": 15, "hosts.0.late": 10, "faults.0.hosts": 10}
     small |= {"links.rate": 70.0, "faults.1.holder": pace, "faults.1.at_s": 20.0, "span_s": 24.0}
-    return day_of(PACE, {"cluster.pace": pace, **small, **changes})
+    return read_scenario_file(PACE, {"cluster.pace": pace, **small, **changes})
 
 
 def test_hosts_that_come_up_bear_their_share_sooner_and_none_gets_too_much() -> None:
@@ -393,12 +395,12 @@
 
 
 def test_the_judge_sees_too_much_at_a_cold_host() -> None:
-    judged = Warming(day(True))
-    upstream = Upstream(0, 0, 0, 2.0, day(True).cold)
+    checker = slow_start_checker(day(True))
+    upstream = SimulatedUpstream(0, 0, 0, 2.0, day(True).slow_start)
     upstream.start(START)
     for number in range(30):
-        judged.sent(START + number, upstream, judged.load_us)
-    assert judged.over > 10 and judged.row(START + SECOND)["bears_s"] == 1.0
+        checker.observe(SessionArrived(START + number, upstream, checker.mean_load_us))
+    assert checker.verdict().violations > 10 and checker.figures(START + SECOND)["bears_s"] == 1.0
 
 
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
--- a/tests/emulator/test_emulator.py
+++ b/tests/emulator/test_emulator.py
@@ -28,10 +28,12 @@
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.types import Answer, Endpoint, EndpointState, Hold, Nothing, Outcome, Session
 from larchlatch.scenario.amounts import SECOND
-from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.clients import demand
-from larchlatch.scenario.scenario import Cold, checked, day_of, settings_for
-from larchlatch.scenario.upstreams import Upstream
+from larchlatch.scenario.clients import client_arrivals
+from larchlatch.scenario.node_settings import deployment_settings
+from larchlatch.scenario.random_streams import RandomStreams
+from larchlatch.scenario.scenario import SlowStart
+from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
+from larchlatch.scenario.upstreams import SimulatedUpstream
 
 DAYS = Path(__file__).parents[2] / "scenarios"
 SMALL: dict[str, Any] = {
@@ -55,7 +57,7 @@
 
 
 def world(policy: str | Make = "larchlatch", **changes: Any) -> World:
-    return World(checked({**SMALL, **changes}, "day"), policy)
+    return World(parse_scenario({**SMALL, **changes}, "day"), policy)
 
 
 # The day's file.
@@ -89,7 +91,7 @@
 
 
 def test_the_days_that_come_along_are_in_order() -> None:
-    names = {path.stem: day_of(path).name for path in DAYS.glob("*.toml")}
+    names = {path.stem: read_scenario_file(path).name for path in DAYS.glob("*.toml")}
     assert len(names) >= 4 and all(stem == name for stem, name in names.items())
 
 
@@ -112,10 +114,12 @@
 def test_a_fault_more_shifts_no_arrival() -> None:
     came = []
     for faults in ([], TROUBLE):
-        day = checked({**SMALL, "faults": faults}, "day")
-        came.append([(c.due, c.life_us, c.group, c.load) for c in demand(day, Chance(day.seed))])
+        day = parse_scenario({**SMALL, "faults": faults}, "day")
+        clients = client_arrivals(day, RandomStreams(day.seed))
+        came.append([(c.due, c.life_us, c.group, c.load) for c in clients])
     assert came[0] == came[1] and len(came[0]) > 200
-    draws = [Chance(7).draw("x", 1), Chance(7).draw("x", 2), Chance(7).draw("y", 1), Chance(8).draw("x", 1)]
+    streams = RandomStreams(7)
+    draws = [streams.draw("x", 1), streams.draw("x", 2), streams.draw("y", 1), RandomStreams(8).draw("x", 1)]
     assert len(set(draws)) == 4
 
 
@@ -306,12 +310,12 @@
 def queue(cores: int, use: float, seed: int, number: int = 20_000) -> float:
     """The mean wait before service at a host with exponential arrivals and work, in mean services."""
     chance = random.Random(seed)
-    upstream = Upstream(0, 0, 0, float(cores), Cold())
+    upstream = SimulatedUpstream(0, 0, 0, float(cores), SlowStart())
     work, now, waits = 10_000.0, 0.0, []
     for _ in range(number):
         now += chance.expovariate(cores * use / work)
         took = chance.expovariate(1 / work)
-        end = upstream.admit(round(now), took)
+        end = upstream.schedule_setup(round(now), took)
         if end is not None:
             waits.append(end - round(now) - round(took))
     return fmean(waits) / work
@@ -350,7 +354,7 @@
     """The share of a host varies as one over the root of its tokens, however hosts are named."""
     spread = {}
     for size in (1.0, 4.0):
-        balancer = Balancer(settings_for(checked({}, "day"), 0), random.Random(1))
+        balancer = Balancer(deployment_settings(parse_scenario({}, "day"), 0), random.Random(1))
         upstreams = [Endpoint(n, name.format(n), 0, 0, EndpointState.READY, size, 0) for n in range(40)]
         balancer.update_endpoints(0, upstreams, whole=True, asked=True)
         arcs = dict.fromkeys(range(40), 0)
--- a/tests/loadtest/test_cluster_faults.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -12,7 +12,7 @@
 from larchlatch.loadtest.bounds import playable
 from larchlatch.loadtest.company import Company
 from larchlatch.loadtest.play import LoadTest
-from larchlatch.scenario.scenario import checked
+from larchlatch.scenario.scenario_file import parse_scenario
 
 WITHIN_S = 8.0  # for all to agree: four times what it takes, as the machine may be busy
 
@@ -61,7 +61,7 @@
 
 def day_with(faults: list[dict[str, Any]], span_s: float, **changes: Any) -> Any:
     return playable(
-        checked(
+        parse_scenario(
             {
                 "span_s": span_s,
                 "cluster": {"on": True, "links_per_s": 10.0, "window_s": 2.0},
@@ -88,13 +88,15 @@
 
 
 def sound(load_test: LoadTest, row: dict[str, Any]) -> None:
-    judge = load_test.company.agreement if load_test.company is not None else None
-    assert judge is not None and not judge.apart, "at the end all that can hear each other know it"
-    assert len(judge.took_us) >= 4 and max(judge.took_us) < WITHIN_S * 1e6, judge.took_us
+    judge = load_test.company.checkers.membership if load_test.company is not None else None
+    assert judge is not None and not judge.differing_pairs, "at the end all that can hear each other know it"
+    assert len(judge.agreed_after_us) >= 4 and max(judge.agreed_after_us) < WITHIN_S * 1e6, (
+        judge.agreed_after_us
+    )
     assert row["cluster_bytes_s"] < 20_000
     assert row["over_budget"] == 0 and row["budget_used"] > 0.3 and row["shed"] > 20
     assert row["outside"] == 0 and load_test.watch.spending is not None
-    assert load_test.watch.spending.ranges > 100, "each node tells its range once a second"
+    assert load_test.watch.spending.reports > 100, "each node tells its range once a second"
     assert not any(row["broken"].values()), load_test.watch.words
 
 
@@ -148,7 +150,7 @@
     row = asyncio.run(load_test.play())
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
     assert row["duty_changes"] >= 4 and row["orders"] > 50
-    assert load_test.company is not None and load_test.company.tenures["pacer"].orders > 0
+    assert load_test.company is not None and load_test.company.checkers.leaders["pacer"].orders > 0
     assert row["cold_over"] == 0 and row["bears_s"] is not None
     assert row["unheld_s"] < 2.0 + WITHIN_S, "a term and a margin, also where the machine is busy"
     assert not any(row["broken"].values()), load_test.watch.words
@@ -165,17 +167,17 @@
 
     async def ends(self) -> None:
         assert self.company is not None
-        tenures = self.company.tenures["allotter"]
-        while tenures.holder is None:
+        leader = self.company.checkers.leaders["allotter"]
+        while leader.holder is None:
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.0)
-        old, began = tenures.holder, self.now_s()
+        old, began = leader.holder, self.now_s()
         place = self.places[old]
         assert place.process is not None
         place.process.send_signal(signal.SIGTERM)
-        await asyncio.sleep(self.day.nodes.noticed_s)
+        await asyncio.sleep(self.day.nodes.detection_s)
         place.front = False  # as its front sees by then: who came at its very end would find nobody
-        while tenures.holder in (None, old):
+        while leader.holder in (None, old):
             await asyncio.sleep(0.02)
         self.took_s = self.now_s() - began
 
@@ -198,7 +200,7 @@
     load_test = Meddled(day_with([], 6.0))
     row = asyncio.run(load_test.play())
     assert load_test.sent > 2000 and load_test.company is not None
-    assert not load_test.company.agreement.apart and row["members_wrong"] == 0
+    assert not load_test.company.checkers.membership.differing_pairs and row["members_wrong"] == 0
     assert row["delivered"] > 20 and not any(row["broken"].values())
 
 
@@ -207,4 +209,6 @@
     monkeypatch.setattr(Company, "arguments", lambda company, number: [])
     load_test = LoadTest(day_with([], 3.0))
     asyncio.run(load_test.play())
-    assert load_test.company is not None and load_test.company.agreement.row()["agreed_s"] is None
+    assert (
+        load_test.company is not None and load_test.company.checkers.membership.figures(0)["agreed_s"] is None
+    )
--- a/tests/loadtest/test_load_test.py
+++ b/tests/loadtest/test_load_test.py
@@ -24,6 +24,7 @@
 from larchlatch.config.node import parse_node_configuration
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
+from larchlatch.invariants.observations import UpstreamLost
 from larchlatch.loadtest import play
 from larchlatch.loadtest.bounds import playable
 from larchlatch.loadtest.company import Company
@@ -33,7 +34,7 @@
 from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
 from larchlatch.node.metrics import Counters
 from larchlatch.policy.types import Idempotency
-from larchlatch.scenario.scenario import checked
+from larchlatch.scenario.scenario_file import parse_scenario
 
 SHORT: dict[str, Any] = {
     "span_s": 6.0,
@@ -56,7 +57,7 @@
         writer.transport.abort()
 
     async def body(killed: bool) -> LoadTest:
-        load_test = LoadTest(checked({**SHORT, "faults": []}, "day"))
+        load_test = LoadTest(parse_scenario({**SHORT, "faults": []}, "day"))
         server = await asyncio.start_server(ends, "127.0.0.1", 0)
         place = Place(0, "127.0.0.1", server.sockets[0].getsockname()[1])
         place.process = await asyncio.create_subprocess_exec("sleep", "60")
@@ -154,7 +155,7 @@
 )
 def test_a_day_that_sockets_can_not_carry_is_refused_with_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(InvalidInputError) as told:
-        playable(checked(change, "day"))
+        playable(parse_scenario(change, "day"))
     assert key in str(told.value)
 
 
@@ -176,7 +177,7 @@
 
 
 def test_a_day_is_told_to_nodes_as_a_configuration_that_they_read() -> None:
-    day = checked(SHORT, "day")
+    day = parse_scenario(SHORT, "day")
     raw = {
         "name": "n1",
         "listen": "127.0.0.1:1",
@@ -191,7 +192,7 @@
 
 
 def test_a_short_day_on_sockets_keeps_the_rules_and_serves_as_the_emulator_says() -> None:
-    day = playable(checked(SHORT, "day"))
+    day = playable(parse_scenario(SHORT, "day"))
     load_test = play.LoadTest(day)
     row = asyncio.run(load_test.play())
     assert not any(row["broken"].values())
@@ -252,20 +253,23 @@
         service.log_orders([])
 
     cluster = {"on": True, "links_per_s": 9.0, "allot": True, "electors": 3}
-    day = checked({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
+    day = parse_scenario({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
     company = Company(day, "127.0.0.1", tmp_path, [("127.0.0.1", n) for n in range(3)], lambda *_: True)
-    company.avoidance.gone(0, 3)
-    company.avoidance.runs(0, 0, True)
+    company.checkers.observe(UpstreamLost(0, 3))
     for number in range(3):
         company.runs(number, True)
     log = tmp_path / "n0.log"
     for line in lines:
         if line["event"] == "role_ended":
-            assert company.tenures[QUOTA_ALLOCATOR].claims == [0], "it was said to be held"
+            assert company.checkers.leaders[QUOTA_ALLOCATOR].holders == [0], "it was said to be held"
         with log.open("ab") as out:
             out.write(orjson.dumps(line) + b"\n")
         company.read()
-    assert company.agreement.views[0][1]
-    assert (0, 3) in company.avoidance.said and company.avoidance.heeded == 1
-    assert company.tenures[QUOTA_ALLOCATOR].orders == 1 and company.tenures[QUOTA_ALLOCATOR].claims == []
+    assert company.checkers.membership.views[0][1]
+    avoidance = company.checkers.avoidance
+    assert (0, 3) in avoidance.detected_at and avoidance.ejections == 1
+    assert (
+        company.checkers.leaders[QUOTA_ALLOCATOR].orders == 1
+        and company.checkers.leaders[QUOTA_ALLOCATOR].holders == []
+    )
     assert len(lines) == 6, "each of them was read"
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -24,7 +24,8 @@
 from larchlatch.config.node import parse_node_configuration
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.quota_safety import Spending
+from larchlatch.invariants.observations import SessionAdmitted, SessionRequested
+from larchlatch.invariants.quota_safety import QuotaSafety
 from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
@@ -375,7 +376,7 @@
 
 
 def test_two_processes_of_a_node_keep_together_within_its_budget(tmp_path: Path) -> None:
-    judge = Spending(20.0, SECOND_US)
+    judge = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
     out: set[str] = set()  # links without an answer yet: none may be when the last process ends
 
@@ -398,13 +399,13 @@
             began = now_us()
             client = await site.opened()
             ident = str(began)
-            judge.asked(began, ident)
+            judge.observe(SessionRequested(began, ident))
             out.add(ident)
             answer = await client.line()
             out.discard(ident)
             assert not isinstance(answer, Ending) and answer.split()[0] in (b"UP", b"BUSY")
             if answer.startswith(b"UP"):
-                judge.seen(now_us(), ident)
+                judge.observe(SessionAdmitted(now_us(), ident))
             await client.close()
 
         async def come() -> None:
@@ -422,10 +423,10 @@
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
                 await wait_until(lambda: anyio.current_time() > end + 0.1 and not out)
-                late.extend(seen for _, seen in judge.admitted if seen > ceded)
+                late.extend(admission.seen_at for admission in judge.admissions if admission.seen_at > ceded)
 
     run_on_loopback(body)
-    assert judge.over() == 0 and judge.used() > 0.3
+    assert judge.excess() == 0 and judge.used_share() > 0.3
     assert len(late) >= 10, "the next process goes on at its floor at once"
 
 
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -47,7 +47,8 @@
     Session,
     TokenCandidate,
 )
-from larchlatch.scenario.scenario import Day, day_of
+from larchlatch.scenario.scenario import Scenario
+from larchlatch.scenario.scenario_file import read_scenario_file
 from tests.support.balancer_harness import SETTINGS
 
 ROOT = Path(__file__).parents[1]
@@ -232,7 +233,7 @@
 
 
 def file_keys() -> dict[str, list[str]]:
-    return {"scenario": keys_of(Day), "cluster": keys_of(ClusterTable), "contracts": keys_of(Contracts)}
+    return {"scenario": keys_of(Scenario), "cluster": keys_of(ClusterTable), "contracts": keys_of(Contracts)}
 
 
 CLUSTER = {
@@ -265,7 +266,7 @@
 
 
 def emulated(name: str, seed: int) -> dict[str, Any]:
-    row = World(day_of(ROOT / "scenarios" / f"{name}.toml", {"seed": seed})).play()
+    row = World(read_scenario_file(ROOT / "scenarios" / f"{name}.toml", {"seed": seed})).play()
     return {key: value for key, value in row.items() if key not in MEASURED}
 
 
@@ -337,7 +338,7 @@
 
 @pytest.mark.parametrize("path", sorted((ROOT / "scenarios").glob("*.toml")), ids=lambda path: path.stem)
 def test_example_scenarios_are_read(path: Path) -> None:
-    assert day_of(path).name
+    assert read_scenario_file(path).name
 
 
 def test_example_files_of_the_deployment_are_read_and_digested_as_before() -> None:
