--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -16,6 +16,7 @@
 
 UpstreamT = TypeVar("UpstreamT")
 NodeT = TypeVar("NodeT")
+NodeT_contra = TypeVar("NodeT_contra", contravariant=True)
 
 
 class UpstreamFaults(Protocol[UpstreamT]):
@@ -102,7 +103,7 @@
         ...
 
 
-class NetworkFaults(Protocol[NodeT]):
+class NetworkFaults(Protocol[NodeT_contra]):
     """Faults of the paths between zones and between nodes, and of discovery."""
 
     def isolate_zone(self, zone: int) -> None:
@@ -113,11 +114,11 @@
         """End the isolation of a zone."""
         ...
 
-    def partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+    def partition(self, nodes: Sequence[NodeT_contra], *, oneway: bool) -> None:
         """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
         ...
 
-    def heal_partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+    def heal_partition(self, nodes: Sequence[NodeT_contra], *, oneway: bool) -> None:
         """End a partition that was made with the same arguments."""
         ...
 
--- a/larchlatch/scenario/scenario_file.py
+++ b/larchlatch/scenario/scenario_file.py
@@ -97,10 +97,9 @@
     joins = isinstance(fault, UpstreamJoin)
     if upstreams > (scenario.absent_upstream_count if joins else scenario.upstream_count):
         raise ConfigurationError(f"{where}.hosts", f"more than there are ({upstreams})")
-    # A removal takes the nodes that there are.
-    counts_nodes = isinstance(fault, NodeFault | Partition) and not isinstance(fault, RemoveNode)
-    if counts_nodes and fault.nodes > scenario.nodes.count:
-        raise ConfigurationError(f"{where}.nodes", f"more than there are ({fault.nodes})")
+    nodes = _required_nodes(fault)
+    if nodes > scenario.nodes.count:
+        raise ConfigurationError(f"{where}.nodes", f"more than there are ({nodes})")
     if isinstance(fault, BETWEEN_NODES) and not scenario.cluster.on:
         raise ConfigurationError(where, "cluster.on is false: nodes don't talk to each other")
     if isinstance(fault, Partition) and (fault.nodes > 0) is (fault.zone >= 0):
@@ -111,6 +110,13 @@
         )
 
 
+def _required_nodes(fault: AnyFault) -> int:
+    """Return how many nodes a fault must find; a removal takes those that there are."""
+    if isinstance(fault, NodeFault | Partition) and not isinstance(fault, RemoveNode):
+        return fault.nodes
+    return 0
+
+
 def set_by_key(raw: dict[str, Any], key: str, value: Any) -> None:
     """Change one value of a file's content.
 
