--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -8,7 +8,7 @@
 import structlog
 
 from larchlatch.node.clients.request_reader import RequestReader
-from larchlatch.node.clients.requests import RejectionReason, RequestChecker, UnreadRequest
+from larchlatch.node.clients.requests import RejectionReason, UnreadRequest
 from larchlatch.node.clients.session_handler import SessionHandler
 from larchlatch.node.clock import now_us
 from larchlatch.node.fault_barrier import FaultBarrier
@@ -26,11 +26,11 @@
 
 if TYPE_CHECKING:
     import socket
-    from collections.abc import Iterable, Sequence
 
     import anyio
 
     from larchlatch.node.balancer_actor import BalancerActor
+    from larchlatch.node.clients.requests import RequestChecker
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.hot_restart.packets import SessionHandover
     from larchlatch.node.lifecycle_state import LifecycleState
@@ -64,9 +64,7 @@
     def __init__(
         self,
         balancer_actor: BalancerActor,
-        traffic_classes: Sequence[str],
-        tenants: Iterable[str],
-        max_deadline_us: int,
+        requests: RequestChecker,
         descriptors: DescriptorBudget,
         counters: Counters,
         ready: anyio.Event,
@@ -75,9 +73,9 @@
         self.connection_count = 0
         self.descriptors = descriptors
         self.counters = counters
-        self.requests = RequestChecker(traffic_classes, tenants, max_deadline_us, lifecycle)
+        self.requests = requests
         self.reader = RequestReader(descriptors, counters, ready, lifecycle)
-        self.sessions = SessionHandler(balancer_actor, self.requests, descriptors, counters, lifecycle)
+        self.sessions = SessionHandler(balancer_actor, requests, descriptors, counters, lifecycle)
         self._balancer_actor = balancer_actor
         self._lifecycle = lifecycle
 
--- a/larchlatch/node/clients/requests.py
+++ b/larchlatch/node/clients/requests.py
@@ -99,11 +99,21 @@
 
     def __init__(
         self,
+        *,
         traffic_classes: Sequence[str],
         tenants: Iterable[str],
         max_deadline_us: int,
         lifecycle: LifecycleState,
     ) -> None:
+        """Prepare the checks.
+
+        Args:
+            traffic_classes: the names of the traffic classes, in the order of their numbers.
+            tenants: the names of the tenants; empty if requests need not name a known one.
+            max_deadline_us: the longest time that a client may wait, in microseconds.
+            lifecycle: says when this node ends.
+
+        """
         self.ids = SessionIds()
         self._traffic_classes = {name: index for index, name in enumerate(traffic_classes)}
         self._tenants = frozenset(tenants)
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -14,6 +14,7 @@
 from larchlatch.node.balancer_actor import BalancerActor
 from larchlatch.node.client_listener import ClientListener
 from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clients.requests import RequestChecker
 from larchlatch.node.clock import now_us
 from larchlatch.node.components import NodeComponents
 from larchlatch.node.descriptor_budget import DescriptorBudget
@@ -172,16 +173,13 @@
     lifecycle: LifecycleState,
 ) -> ClientConnections:
     """Make what serves the clients' connections."""
-    return ClientConnections(
-        balancer_actor,
-        configuration.traffic_class_names,
-        configuration.tenants,
-        configuration.max_deadline_us,
-        descriptors,
-        counters,
-        ready,
-        lifecycle,
+    requests = RequestChecker(
+        traffic_classes=configuration.traffic_class_names,
+        tenants=configuration.tenants,
+        max_deadline_us=configuration.max_deadline_us,
+        lifecycle=lifecycle,
     )
+    return ClientConnections(balancer_actor, requests, descriptors, counters, ready, lifecycle)
 
 
 def build_lifecycle_state(configuration: NodeConfiguration) -> LifecycleState:
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -26,6 +26,7 @@
 from larchlatch.errors import InvalidInputError
 from larchlatch.invariants.quota_safety import Spending
 from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clients.requests import RequestChecker
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.hot_restart.channel import Channel, frame
@@ -455,7 +456,10 @@
         mailbox = SimpleNamespace(post=post)
         module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
         phase = LifecycleState(5.0, sessions_outlive_node=False)
-        door = ClientConnections(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
+        requests = RequestChecker(
+            traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=phase
+        )
+        door = ClientConnections(module, requests, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND_US, 0):
             pairs = [connected(), connected()]
