--- a/larchlatch/emulator/cluster_settings.py
+++ b/larchlatch/emulator/cluster_settings.py
@@ -68,14 +68,14 @@
 
 def _quota_settings(scenario: Scenario, names: Sequence[str], digest: int) -> QuotaSettings:
     cluster = scenario.cluster
-    terms = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.max_clock_skew)
+    loan_terms = LoanTerms(us(cluster.window_s), us(cluster.term_s), cluster.max_clock_skew)
     quotas: tuple[Quota, ...] = ()
     if cluster.sessions_per_s:
         class_count = len(scenario.sessions.idempotencies)
         traffic_classes = tuple(traffic_class_name(index) for index in range(class_count))
         quotas = (Quota("all", int(cluster.sessions_per_s * cluster.window_s), traffic_classes),)
     members = tuple(sorted(names))
-    return QuotaSettings(quotas, members, cluster.floor, terms, digest, cluster.quota_allocator)
+    return QuotaSettings(quotas, members, cluster.floor, loan_terms, digest, cluster.quota_allocator)
 
 
 def _electorate(scenario: Scenario, names: Sequence[str], digest: int) -> Electorate:
@@ -83,7 +83,7 @@
     cluster = scenario.cluster
     if not cluster.has_roles:
         return Electorate()
-    terms = LeaseTerms(us(cluster.term_s), cluster.max_clock_skew, MAX_CLOCK_DIFFERENCE_US)
+    lease_terms = LeaseTerms(us(cluster.term_s), cluster.max_clock_skew, MAX_CLOCK_DIFFERENCE_US)
     electors = tuple(sorted(names[: cluster.electors]))
     roles = (QUOTA_ALLOCATOR,) * cluster.quota_allocator + (TOKEN_ISSUER,) * cluster.token_issuer
-    return Electorate(electors, tuple(sorted(names)), roles, terms, digest)
+    return Electorate(electors, tuple(sorted(names)), roles, lease_terms, digest)
--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -192,8 +192,8 @@
         """Block everything between a zone and the others, except for datagrams between nodes."""
         self._context.topology.isolated_zones.add(zone)
         established = self._context.sessions.established.values()
-        cut_off = [session for session in established if self._is_cut_off(session)]
-        self._silence.begin(cut_off, self._is_cut_off)
+        silent = [session for session in established if self._is_cut_off(session)]
+        self._silence.begin(silent, self._is_cut_off)
 
     def _is_cut_off(self, established: EstablishedSession) -> bool:
         """Return whether a session's node and upstream do not reach each other."""
--- a/larchlatch/emulator/simulation.py
+++ b/larchlatch/emulator/simulation.py
@@ -83,14 +83,20 @@
             discovery=self._discovery,
             cluster=self.cluster,
         )
-        self._injector: FaultInjector[SimulatedUpstream, SimulatedNode] = FaultInjector(
+        self._injector = self._create_injector(upstream_faults, silence)
+        self.lifecycle.start_all()
+
+    def _create_injector(
+        self, upstream_faults: SimulatedUpstreamFaults, silence: SilenceDetection
+    ) -> FaultInjector[SimulatedUpstream, SimulatedNode]:
+        context, clients, cluster = self.context, self._clients, self.cluster
+        return FaultInjector(
             upstreams=upstream_faults,
-            nodes=SimulatedNodeFaults(context, self.lifecycle, self._clients, self.cluster),
-            network=SimulatedNetworkFaults(context, silence, self._discovery, self.cluster),
-            clients=SimulatedClientFaults(context, self._clients),
+            nodes=SimulatedNodeFaults(context, self.lifecycle, clients, cluster),
+            network=SimulatedNetworkFaults(context, silence, self._discovery, cluster),
+            clients=SimulatedClientFaults(context, clients),
             scheduler=context.clock,
         )
-        self.lifecycle.start_all()
 
     def run(self) -> dict[str, Any]:
         """Play the scenario to its end; return its figures, by the keys of a result."""
--- a/larchlatch/emulator/trace.py
+++ b/larchlatch/emulator/trace.py
@@ -13,7 +13,7 @@
 
 
 class Trace:
-    """Lines with the time and words; equal runs have equal lines, byte for byte."""
+    """Lines of a time and some fields; equal runs have equal lines, byte for byte."""
 
     def __init__(self, clock: SimulationClock, write: Callable[[bytes], None] | None) -> None:
         """Stamp lines with this clock's time, and hand them to `write`, if they are wanted."""
@@ -21,9 +21,9 @@
         self._write = write
         self._digest = xxh3_64()
 
-    def record(self, *words: object) -> None:
+    def record(self, *fields: object) -> None:
         """Add a line."""
-        line = f"{self._clock.now} {' '.join(map(str, words))}\n".encode()
+        line = f"{self._clock.now} {' '.join(map(str, fields))}\n".encode()
         self._digest.update(line)
         if self._write is not None:
             self._write(line)
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -52,12 +52,11 @@
 
     def _update_fleet(self, change: FleetChanged) -> None:
         self._running = list(change.running)
-        sources = reachable_sources(self._running, change.is_blocked)
-        for node, heard in enumerate(sources):
+        for node, sources in enumerate(reachable_sources(self._running, change.is_blocked)):
             reachable, since = self.reachable[node], self._reachable_since[node]
             for other in range(self._node_count):
-                if reachable[other] is not (other in heard):
-                    reachable[other], since[other] = other in heard, change.now
+                if reachable[other] is not (other in sources):
+                    reachable[other], since[other] = other in sources, change.now
         self._changed_at, self._awaits_agreement = change.now, True
         self.differing_pairs = sum(
             self.views[node][other] is not self.reachable[node][other] for node, other in self._pairs()
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -109,9 +109,9 @@
 
     def _mean_load_of_warm(self, now: int, upstreams: Sequence[SimulatedUpstream]) -> float:
         """Return the load of warm upstreams for each unit of size."""
-        warm = [upstream for upstream in upstreams if self._is_warm(now, upstream)]
-        size = sum(upstream.size for upstream in warm)
-        return sum(upstream.load for upstream in warm) / size if size else 0.0
+        warmed_up = [upstream for upstream in upstreams if self._is_warm(now, upstream)]
+        size = sum(upstream.size for upstream in warmed_up)
+        return sum(upstream.load for upstream in warmed_up) / size if size else 0.0
 
     def verdict(self) -> Verdict:
         """Return how often more arrived at a warming upstream than is allowed."""
--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -9,13 +9,14 @@
 from typing import TYPE_CHECKING, Generic, Protocol, TypeVar
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Sequence
+    from collections.abc import Callable, Iterable, Sequence
     from random import Random
 
     from larchlatch.scenario.datagram_paths import PathImpairment
 
 UpstreamT = TypeVar("UpstreamT")
 NodeT = TypeVar("NodeT")
+TargetT = TypeVar("TargetT")
 NodeT_contra = TypeVar("NodeT_contra", contravariant=True)
 
 
@@ -156,3 +157,16 @@
     network: NetworkFaults[NodeT]
     clients: ClientFaults
     scheduler: Scheduler
+
+    def affect(
+        self,
+        targets: Iterable[TargetT],
+        *,
+        for_s: float,
+        begin: Callable[[TargetT], None],
+        end: Callable[[TargetT], None],
+    ) -> None:
+        """Begin something for each target now, and end it after so many seconds."""
+        for target in targets:
+            begin(target)
+            self.scheduler.call_later(for_s, end, target)
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -89,9 +89,13 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Slow upstreams down for the fault's time."""
-        for upstream in self.draw_upstreams(injector, rng):
-            injector.upstreams.slow_down(upstream, self.factor)
-            injector.scheduler.call_later(self.for_s, injector.upstreams.slow_down, upstream, 1 / self.factor)
+        slow_down = injector.upstreams.slow_down
+        injector.affect(
+            self.draw_upstreams(injector, rng),
+            for_s=self.for_s,
+            begin=lambda upstream: slow_down(upstream, self.factor),
+            end=lambda upstream: slow_down(upstream, 1 / self.factor),
+        )
 
 
 class UpstreamSilence(UpstreamFault, tag="silent", frozen=True):
@@ -101,9 +105,8 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Silence upstreams for the fault's time."""
-        for upstream in self.draw_upstreams(injector, rng):
-            injector.upstreams.silence(upstream)
-            injector.scheduler.call_later(self.for_s, injector.upstreams.bring_up, upstream)
+        affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
+        injector.affect(affected, for_s=self.for_s, begin=upstreams.silence, end=upstreams.bring_up)
 
 
 class UpstreamCrash(UpstreamFault, tag="crash", frozen=True):
@@ -113,9 +116,8 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Crash upstreams, and start them again after the fault's time."""
-        for upstream in self.draw_upstreams(injector, rng):
-            injector.upstreams.crash(upstream)
-            injector.scheduler.call_later(self.for_s, injector.upstreams.bring_up, upstream)
+        affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
+        injector.affect(affected, for_s=self.for_s, begin=upstreams.crash, end=upstreams.bring_up)
 
 
 class UpstreamDrain(UpstreamFault, tag="drain", frozen=True):
@@ -125,9 +127,8 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Drain upstreams, and retire them after the fault's time."""
-        for upstream in self.draw_upstreams(injector, rng):
-            injector.upstreams.drain(upstream)
-            injector.scheduler.call_later(self.for_s, injector.upstreams.retire, upstream)
+        affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
+        injector.affect(affected, for_s=self.for_s, begin=upstreams.drain, end=upstreams.retire)
 
 
 class UpstreamJoin(UpstreamFault, tag="join", frozen=True):
@@ -209,12 +210,12 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Cut nodes off for the fault's time."""
-        cut_off = self._cut_off_nodes(injector, rng)
-        injector.network.partition(cut_off, oneway=self.oneway)
-        heal = partial(injector.network.heal_partition, cut_off, oneway=self.oneway)
+        nodes = self._affected_nodes(injector, rng)
+        injector.network.partition(nodes, oneway=self.oneway)
+        heal = partial(injector.network.heal_partition, nodes, oneway=self.oneway)
         injector.scheduler.call_later(self.for_s, heal)
 
-    def _cut_off_nodes(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> Sequence[NodeT]:
+    def _affected_nodes(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> Sequence[NodeT]:
         if self.zone >= 0:
             return injector.nodes.nodes_in_zone(self.zone)
         return sample(injector.nodes.serving_nodes(), self.nodes, rng)
@@ -269,9 +270,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Pause nodes for the fault's time."""
         paused = injector.nodes.role_holders() if self.role_holders else self.draw_nodes(injector, rng)
-        for node in paused:
-            injector.nodes.pause(node)
-            injector.scheduler.call_later(self.for_s, injector.nodes.resume, node)
+        injector.affect(paused, for_s=self.for_s, begin=injector.nodes.pause, end=injector.nodes.resume)
 
 
 class ClockSkew(NodeFault, tag="skew", frozen=True):
@@ -287,9 +286,13 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Let clocks run at a wrong rate for the fault's time."""
-        for node in self.draw_nodes(injector, rng):
-            injector.nodes.set_clock_gain(node, self.gain)
-            injector.scheduler.call_later(self.for_s, injector.nodes.set_clock_gain, node, 0.0)
+        set_clock_gain = injector.nodes.set_clock_gain
+        injector.affect(
+            self.draw_nodes(injector, rng),
+            for_s=self.for_s,
+            begin=lambda node: set_clock_gain(node, self.gain),
+            end=lambda node: set_clock_gain(node, 0.0),
+        )
 
 
 class ByzantineNode(NodeFault, tag="liar", frozen=True):
@@ -306,9 +309,13 @@
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Let nodes send false reports for the fault's time."""
-        for node in self.draw_nodes(injector, rng):
-            injector.nodes.send_false_reports(node, self.subject)
-            injector.scheduler.call_later(self.for_s, injector.nodes.send_false_reports, node, "")
+        send_false_reports = injector.nodes.send_false_reports
+        injector.affect(
+            self.draw_nodes(injector, rng),
+            for_s=self.for_s,
+            begin=lambda node: send_false_reports(node, self.subject),
+            end=lambda node: send_false_reports(node, ""),
+        )
 
 
 class RemoveNode(NodeFault, tag="expel", frozen=True):
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -28,8 +28,6 @@
 from larchlatch.cluster.protocol.messages import BallotRequest, NodeRecord, Promise, Vote
 from larchlatch.emulator.simulation import Simulation
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.observations import FleetChanged, OrderExecuted, RoleChanged
-from larchlatch.invariants.single_leader import SingleLeader
 from larchlatch.model_checker.search import PLANTED, SOUND, Case, Search
 from larchlatch.scenario.random_faults import with_random_faults
 from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
@@ -265,25 +263,6 @@
     assert used(True) > used(False) + 0.08
 
 
-def test_the_judge_sees_orders_of_two_leases() -> None:
-    judge = SingleLeader("allotter", range(3))
-    for lease in (5, 5, 9, 9):
-        judge.observe(OrderExecuted(0, "allotter", lease))
-    assert judge.verdict().holds
-    judge.observe(OrderExecuted(0, "pacer", 5))
-    assert judge.verdict().holds, "another role's lease"
-    judge.observe(OrderExecuted(0, "allotter", 5))
-    assert judge.verdict().violations == 1
-    apart = [False]
-    judge.observe(FleetChanged(0, [True] * 4, lambda one, other: apart[0]))
-    judge.observe(RoleChanged(2 * SECOND, "allotter", 3, held=True))
-    without_holder = [True, True, True, False]
-    judge.observe(FleetChanged(5 * SECOND, without_holder, lambda one, other: apart[0]))
-    apart[0] = True
-    judge.observe(FleetChanged(6 * SECOND, without_holder, lambda one, other: apart[0]))
-    assert judge.figures(60 * SECOND)["unheld_s"] == 2.0, "electors that hear nobody can elect nobody"
-
-
 @pytest.mark.parametrize(
     ("change", "told"),
     [
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -42,10 +42,6 @@
 from larchlatch.cluster.quota.settings import QuotaSettings
 from larchlatch.emulator.simulation import Simulation
 from larchlatch.errors import InvalidInputError
-from larchlatch.invariants.membership_agreement import SETTLED_US, MembershipAgreement
-from larchlatch.invariants.observations import FleetChanged, MemberReported
-from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
-from larchlatch.scenario.random_streams import RandomStreams
 from larchlatch.scenario.scenario_file import parse_scenario
 
 HEARTBEAT_US = 200_000
@@ -479,54 +475,7 @@
     assert done.stdout.strip() == "[]", done.stderr
 
 
-# The rig: paths, and the judge of who could hear whom.
-
-
-def test_paths_are_cut_each_way_and_each_draws_by_itself() -> None:
-    paths = DatagramPaths(RandomStreams(1))
-    paths.partitions.append(PartitionedNodes(frozenset({0, 1})))
-    assert [paths.is_blocked(*pair) for pair in ((0, 1), (0, 2), (2, 0), (2, 3))] == [
-        False,
-        True,
-        True,
-        False,
-    ]
-    paths.partitions.append(PartitionedNodes(frozenset({1}), oneway=True))
-    assert paths.is_blocked(1, 0) and not paths.is_blocked(0, 1), "it is not heard, but hears"
-    paths.partitions.clear()
-    paths.impairment = PathImpairment(loss=0.2, duplication=0.1, reordering=0.1, delay_us=1000)
-    fates = [paths.delays_of_next(0, 1) for _ in range(4000)]
-    assert 0.17 < sum(not fate for fate in fates) / 4000 < 0.23
-    assert 0.06 < sum(len(fate) == 2 for fate in fates) / 4000 < 0.10
-    assert min(delay for fate in fates for delay in fate) == 1000
-    other = DatagramPaths(RandomStreams(1))
-    other.impairment = paths.impairment
-    for number in range(50):
-        other.delays_of_next(1, 0)
-        assert other.delays_of_next(0, 1) == fates[number], (
-            "another path's datagrams shift none of this one's"
-        )
-
-
-def test_the_judge_tells_wrong_verdicts_and_how_long_agreement_took() -> None:
-    judge, cut = MembershipAgreement(3, 0), PartitionedNodes(frozenset({2}))
-    judge.observe(FleetChanged(0, [True] * 3, lambda one, other: False))
-    for one in range(3):
-        for other in range(3):
-            if one != other:
-                judge.observe(MemberReported(300, one, other, present=True))
-    assert judge.agreed_after_us == [300]
-    judge.observe(MemberReported(SETTLED_US + 1, 0, 1, present=False))
-    assert judge.verdict().violations == 1, "it could be heard all the time"
-    judge.observe(MemberReported(SETTLED_US + 2, 0, 1, present=True))
-    judge.observe(FleetChanged(SETTLED_US + 10, [True] * 3, cut.blocks))
-    assert judge.figures(SETTLED_US + 10)["agreed_s"] is None
-    for one, other in ((0, 2), (1, 2), (2, 0), (2, 1)):
-        judge.observe(MemberReported(SETTLED_US + 50, one, other, present=False))
-    assert judge.agreed_after_us == [300, 40] and judge.verdict().violations == 1, "a cut is no wrong verdict"
-    chain = PartitionedNodes(frozenset({0}), oneway=True)
-    judge.observe(FleetChanged(SETTLED_US + 60, [True] * 3, chain.blocks))
-    assert not judge.reachable[1][0] and judge.reachable[0][1], "not heard, but hears"
+# Members of a simulated cluster.
 
 
 def test_members_of_an_emulated_fleet_agree_through_every_fault_and_equal_days_are_equal() -> None:
@@ -563,22 +512,6 @@
     assert rows[0]["members_wrong"] == 0 and not any(rows[0]["broken"].values())
 
 
-@pytest.mark.parametrize(
-    ("fault", "told"),
-    [
-        ({"kind": "part", "nodes": 1, "zone": 0}, "nodes and zone"),
-        ({"kind": "part"}, "nodes and zone"),
-        ({"kind": "part", "zone": 9}, "zone"),
-        ({"kind": "stall", "nodes": 9}, "nodes"),
-    ],
-)
-def test_a_faulty_fault_between_nodes_is_refused(fault: dict[str, Any], told: str) -> None:
-    with pytest.raises(InvalidInputError, match=told):
-        parse_scenario({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
-    with pytest.raises(InvalidInputError, match=r"cluster\.on"):
-        parse_scenario({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
-
-
 def test_a_stop_shorter_than_a_beat_leaves_an_emulated_node_with_one_beat() -> None:
     rows = []
     for faults in (
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable
 from itertools import chain
 from pathlib import Path
 from typing import Any
@@ -472,15 +471,3 @@
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
-
-
-def test_the_judge_counts_what_lies_surely_within_a_window() -> None:
-    judge = QuotaSafety(2.0, SECOND)
-    times: Callable[[int], list[int]] = lambda step: [place * step for place in range(3)]  # noqa: E731
-    for place, at in enumerate(times(400_000)):
-        judge.observe(SessionRequested(at, str(place)))
-        judge.observe(SessionAdmitted(at + 10_000, str(place)))
-    assert judge.excess() == 1 and judge.verdict().violations == 1
-    for least, most in ((3, 3), (0, 2), (4, 5)):
-        judge.observe(QuotaUsageReported(900_000, least, most, SECOND))
-    assert judge.wrong_reports == 2 and judge.verdict().violations == 3
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -21,13 +21,10 @@
 from larchlatch.cluster.slow_start.requester import NOTICE_LAG_US, TokenRequester
 from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 from larchlatch.emulator.simulation import Simulation
-from larchlatch.invariants.observations import SessionArrived
-from larchlatch.invariants.scenario_checkers import slow_start_checker
 from larchlatch.policy.types import Hold, Token, TokenCandidate
 from larchlatch.scenario.drifting_clock import DriftingClock
 from larchlatch.scenario.scenario import Scenario
 from larchlatch.scenario.scenario_file import read_scenario_file
-from larchlatch.scenario.upstreams import SimulatedUpstream
 from tests.support.balancer_harness import BalancerHarness, endpoint, forwarded_to
 
 SECOND = 1_000_000
@@ -394,15 +391,6 @@
     assert rows[0]["orders"] == 0 and abs(rows[0]["cold_used"] - rows[1]["cold_used"]) < 0.06
 
 
-def test_the_judge_sees_too_much_at_a_cold_host() -> None:
-    checker = slow_start_checker(day(True))
-    upstream = SimulatedUpstream(0, 0, 0, 2.0, day(True).slow_start)
-    upstream.start(START)
-    for number in range(30):
-        checker.observe(SessionArrived(START + number, upstream, checker.mean_load_us))
-    assert checker.verdict().violations > 10 and checker.figures(START + SECOND)["bears_s"] == 1.0
-
-
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
     # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
     # that it is. Turns would be promised for a term more, and used again sooner.
--- /dev/null
+++ b/tests/invariants/test_quota_safety.py
@@ -0,0 +1,18 @@
+"""The checker of quota safety counts what surely lies within a window, and wrong reports."""
+
+from __future__ import annotations
+
+from larchlatch.invariants.observations import QuotaUsageReported, SessionAdmitted, SessionRequested
+from larchlatch.invariants.quota_safety import QuotaSafety
+from larchlatch.scenario.amounts import SECOND
+
+
+def test_what_surely_lies_within_a_window_counts() -> None:
+    checker = QuotaSafety(2.0, SECOND)
+    for number in range(3):
+        checker.observe(SessionRequested(number * 400_000, str(number)))
+        checker.observe(SessionAdmitted(number * 400_000 + 10_000, str(number)))
+    assert checker.excess() == 1 and checker.verdict().violations == 1
+    for least, most in ((3, 3), (0, 2), (4, 5)):
+        checker.observe(QuotaUsageReported(900_000, least, most, SECOND))
+    assert checker.wrong_reports == 2 and checker.verdict().violations == 3
--- a/tests/scenario/test_scenario_file.py
+++ b/tests/scenario/test_scenario_file.py
@@ -3,12 +3,14 @@
 from __future__ import annotations
 
 from pathlib import Path
+from typing import Any
 
 import pytest
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
-from larchlatch.scenario.scenario_file import read_scenario_file
+from larchlatch.errors import InvalidInputError
+from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
 from tests.support.simulations import SCENARIOS
 
 
@@ -44,3 +46,19 @@
 def test_the_example_scenarios_are_valid() -> None:
     names = {path.stem: read_scenario_file(path).name for path in SCENARIOS.glob("*.toml")}
     assert len(names) >= 4 and all(stem == name for stem, name in names.items())
+
+
+@pytest.mark.parametrize(
+    ("fault", "key"),
+    [
+        ({"kind": "part", "nodes": 1, "zone": 0}, "nodes and zone"),
+        ({"kind": "part"}, "nodes and zone"),
+        ({"kind": "part", "zone": 9}, "zone"),
+        ({"kind": "stall", "nodes": 9}, "nodes"),
+    ],
+)
+def test_a_wrong_fault_between_nodes_is_refused(fault: dict[str, Any], key: str) -> None:
+    with pytest.raises(InvalidInputError, match=key):
+        parse_scenario({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
+    with pytest.raises(InvalidInputError, match=r"cluster\.on"):
+        parse_scenario({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
