--- /dev/null
+++ b/tests/node/test_client_races.py
@@ -0,0 +1,261 @@
+"""A client leaves, or sends more, in the instant in which something else happens. Each crossing is forced."""
+
+from __future__ import annotations
+
+import socket
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.to_thread
+import orjson
+import pytest
+from anyio.abc import SocketStream, TaskGroup
+
+from larchlatch.node import attempts as node_attempts
+from larchlatch.node import runtime as node_run
+from larchlatch.node.clients import request_reader
+from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clock import now_us
+from larchlatch.node.descriptor_budget import HEADROOM
+from larchlatch.node.mailbox import Mailbox
+from larchlatch.node.messages import EndpointsChanged
+from larchlatch.node.wire import dialing, raw_socket, stream
+from larchlatch.node.wire.dialing import Unconnected
+from tests.support.clients import open_session
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import run_on_loopback, wait_until
+from tests.support.node import start_node, start_node_with
+from tests.support.node_process import admin_address, call_admin_api, node_process
+from tests.support.races import (
+    MANY_LINES,
+    PATIENT_US,
+    SOON_S,
+    connect_raw,
+    endpoint_changes,
+    request_line,
+    send_and_read_all,
+    wait_until_idle,
+)
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
+
+# Closing over bytes that nobody has read.
+
+
+@pytest.mark.parametrize("first", [b"nonsense\r\n", b"OPEN a\r\n", b"x" * 5000, b"OPEN half"])
+def test_an_answer_arrives_although_unread_bytes_follow_the_request(
+    first: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """They come between the reading of the line and its answer."""
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
+    clients: list[socket.socket] = []
+    real = stream.Lines.send
+
+    async def send(lines: stream.Lines, data: bytes) -> bool:
+        clients[0].sendall(b"more and more\r\n" * 100)
+        return await real(lines, data)
+
+    monkeypatch.setattr(stream.Lines, "send", send)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        clients.append(connect_raw(port, first))
+        assert await send_and_read_all(clients[0]) == b"ERR\r\n"
+        await wait_until_idle(client_connections[0])
+
+    run_on_loopback(body)
+
+
+def test_a_session_shed_unread_gets_its_complete_answer() -> None:
+    async def body(tasks: TaskGroup) -> None:
+        with socket.create_server(("127.0.0.1", 0)) as server:
+            client = connect_raw(server.getsockname()[1], request_line("a"))
+            node, _ = server.accept()
+        assert node.recv(100) == request_line("a")
+        node.setblocking(False)
+        raw_socket.send_last_line(node, b"BUSY 7\r\n")
+        tasks.start_soon(raw_socket.discard_and_close, node, 1.0)
+        assert await send_and_read_all(client, MANY_LINES) == b"BUSY 7\r\n"
+        await wait_until(lambda: node.fileno() < 0)
+
+    run_on_loopback(body)
+
+
+# Clients that leave.
+
+
+def test_a_client_whose_end_follows_other_bytes_counts_as_gone(
+    client_connections: list[ClientConnections],
+) -> None:
+    """It goes on from elsewhere, says more, and leaves while its link waits for a place."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        rows = [endpoint_row(0, upstreams.addresses[0])]
+        discovery = await DiscoveryStub([]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
+        raw["known"]["members"][0]["phase"] = "terminating"
+        raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
+        port = await start_node(tasks, raw)
+        client = connect_raw(port, request_line("a", ",mid=1", PATIENT_US // 1000))
+        await wait_until(lambda: client_connections[0].sessions.open_count == 1)
+        client.sendall(b"one\r\n")
+        client.sendall(b"two\r\n")
+        client.close()
+        with anyio.fail_after(SOON_S):
+            await wait_until_idle(client_connections[0])
+        client_connections[0]._balancer_actor.handle(now_us(), EndpointsChanged(endpoint_changes(rows), True))
+        assert await (await open_session(port)).line() == b"UP r1\r\n"
+        assert len(upstreams.lines) == 1, "an attempt for a client that had left"
+
+    run_on_loopback(body)
+
+
+@pytest.mark.parametrize("behind", [b"", b"unread\r\n" * 100])
+def test_no_attempt_is_sent_for_a_client_that_left_after_the_decision(
+    behind: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Its end lies in this machine when the connection to the host comes up; nobody has read it yet."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        clients: list[socket.socket] = []
+
+        async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+            made = await dialing.dial(address, within_s)
+            if clients:
+                clients[0].sendall(behind)
+                clients.pop().close()
+            return made
+
+        monkeypatch.setattr(node_attempts, "dial", dialled)
+        clients.append(connect_raw(port, request_line("a", ",mid=1")))
+        await wait_until(lambda: not clients)
+        await wait_until_idle(client_connections[0])
+        assert not upstreams.lines
+        assert client_connections[0].counters.counts["attempt_not_begun_client_gone"] == 1
+
+    run_on_loopback(body)
+
+
+def test_a_client_that_leaves_before_its_decision_causes_no_attempt(
+    client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    gate = anyio.Event()
+    real = Mailbox.submit
+
+    async def submit(mailbox: Mailbox, word: Any) -> None:
+        await gate.wait()  # as long as its mailbox is full
+        await real(mailbox, word)
+
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "submit", submit)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        discovery = await DiscoveryStub([]).start(tasks)
+        raw = node_configuration(upstreams.addresses, discovery.port)
+        raw["settings"]["tariffs"][0]["cut_off_us"] = PATIENT_US
+        port = await start_node(tasks, raw)
+        client = connect_raw(port, request_line("a", wait_ms=PATIENT_US // 1000))
+        await wait_until(lambda: client_connections[0].sessions.open_count == 1)
+        client.close()
+        with anyio.fail_after(SOON_S):
+            await wait_until(lambda: client_connections[0].sessions.open_count == 0)
+        gate.set()
+        await wait_until_idle(client_connections[0])
+        assert not upstreams.lines
+
+    run_on_loopback(body)
+
+
+def test_a_session_without_a_decision_is_answered_in_time(
+    client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def submit(mailbox: Mailbox, word: Any) -> None:
+        await anyio.sleep_forever()
+
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "submit", submit)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        began = anyio.current_time()
+        assert (await send_and_read_all(connect_raw(port, request_line("a", wait_ms=1000)))).startswith(
+            b"BUSY "
+        )
+        assert anyio.current_time() < began + 1.0
+        assert not upstreams.lines
+        await wait_until_idle(client_connections[0])
+
+    run_on_loopback(body)
+
+
+# Many at once.
+
+
+def test_idle_clients_with_all_descriptors_block_neither_discovery_nor_operators(
+    client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Discovery is down while they come; when it is back its news are heard, and a sound client is served."""
+    monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
+        closed = socket.create_server(("127.0.0.1", 0))
+        port = closed.getsockname()[1]
+        closed.close()
+        raw = node_configuration(upstreams.addresses[:1], port)
+        raw["limits"] = {"sockets": HEADROOM + 24}
+        raw["control"] = admin_address()
+        at = await start_node(tasks, raw)
+        idle = [connect_raw(at, b"") for _ in range(60)]
+        await wait_until(lambda: client_connections[0].counters.counts["idle_connection_evicted_silent"] > 0)
+        assert (await call_admin_api(raw["control"], "GET /ops/readiness"))[0] == 200
+        rows = [
+            endpoint_row(0, upstreams.addresses[0], "terminating"),
+            endpoint_row(1, upstreams.addresses[1]),
+        ]
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
+
+        async def serve(session: SocketStream) -> None:
+            async with session:
+                await session.receive()
+                told = orjson.dumps({"revision": 5, "complete": True, "members": rows}) + b"\n"
+                await session.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+                await session.send(b"%x\r\n%s\r\n" % (len(told), told))
+                await anyio.sleep_forever()
+
+        tasks.start_soon(listener.serve, serve)
+        await wait_until(lambda: client_connections[0].counters.counts["endpoint_list_full"] == 1)
+        for _ in range(5):
+            assert await (await open_session(at)).line() == b"UP r1\r\n"
+        assert {upstream for upstream, _ in upstreams.lines} == {1}
+        for client in idle:
+            client.close()
+
+    run_on_loopback(body)
+
+
+def test_many_nodes_that_start_at_once_are_ready_in_time(tmp_path: Path) -> None:
+    """Thirty processes on the cores there are, before a list that is out of reach."""
+
+    async def body(tasks: TaskGroup) -> None:
+        path = tmp_path / "node.json"
+        path.write_bytes(orjson.dumps(node_configuration(["127.0.0.1:1"], 1)))
+        began = anyio.current_time()
+        ready: list[float] = []
+
+        async def start() -> None:
+            async with node_process(path):
+                ready.append(anyio.current_time() - began)
+
+        async with anyio.create_task_group() as herd:
+            for _ in range(30):
+                herd.start_soon(start)
+        assert sorted(ready)[26] < 10.0
+
+    run_on_loopback(body)
--- /dev/null
+++ b/tests/node/test_endpoint_list.py
@@ -0,0 +1,122 @@
+"""A real node follows the endpoint list of a discovery stand-in."""
+
+from __future__ import annotations
+
+import math
+import time
+
+import anyio
+import anyio.to_thread
+from anyio.abc import TaskGroup
+
+from larchlatch.policy.backoff import BACKOFF_US
+from tests.support.clients import open_session
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import run_on_loopback, wait_until
+from tests.support.node import EMPTY_CHANGE, start_node, start_node_with
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
+
+
+def test_the_list_is_followed_through_invalid_answers_and_broken_watches() -> None:
+    """A list that is not followed any more sends links to hosts that are gone."""
+
+    async def body(tasks: TaskGroup) -> None:
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        gone = endpoint_row(0, old.addresses[0], "terminated")
+        discovery = await DiscoveryStub(
+            [],
+            None,
+            [{"revision": 2, "complete": False, "members": [gone, endpoint_row(1, new.addresses[0])]}],
+        ).start(tasks)
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        await wait_until(lambda: len(discovery.asked) >= 3)
+        while await (await open_session(port)).line() != b"UP new\r\n":
+            await anyio.sleep(0.02)
+
+    run_on_loopback(body)
+
+
+def test_a_jump_of_the_revision_causes_no_further_call() -> None:
+    """A line holds all that changed since the one before: a whole list fetched for each jump by every node
+    overbooks the list service, and while it waits its turn the drain behind it is not read."""
+
+    async def body(tasks: TaskGroup) -> None:
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        gone = endpoint_row(0, old.addresses[0], "terminated")
+        discovery = await DiscoveryStub(
+            [
+                {"revision": 2, "complete": False, "members": []},
+                {"revision": 5, "complete": False, "members": [endpoint_row(1, new.addresses[0])]},
+                {"revision": 9, "complete": False, "members": [gone]},
+            ]
+        ).start(tasks)
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        while await (await open_session(port)).line() != b"UP new\r\n":
+            await anyio.sleep(0.02)
+        assert len(discovery.asked) == 1 and discovery.left == 0
+
+    run_on_loopback(body)
+
+
+def test_the_complete_list_is_fetched_when_the_revision_goes_back() -> None:
+    async def body(tasks: TaskGroup) -> None:
+        old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        discovery = await DiscoveryStub(
+            [
+                {"revision": 5, "complete": False, "members": []},
+                {"revision": 2, "complete": False, "members": []},
+            ],
+            [{"revision": 2, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}],
+            [],
+        ).start(tasks)
+        port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
+        await wait_until(lambda: len(discovery.asked) >= 2)
+        assert discovery.asked[1] == "GET /catalog/members HTTP/1.1"
+        while await (await open_session(port)).line() != b"UP new\r\n":
+            await anyio.sleep(0.02)
+
+    run_on_loopback(body)
+
+
+def test_an_upstream_replaced_at_its_address_gets_sessions_and_keeps_established_ones() -> None:
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        gone, fresh = (
+            endpoint_row(0, upstreams.addresses[0], "terminated"),
+            endpoint_row(7, upstreams.addresses[0]),
+        )
+        replaced = {"revision": 3, "complete": False, "members": [gone, fresh]}
+        discovery = await DiscoveryStub([EMPTY_CHANGE], [replaced], []).start(tasks)
+        port = await start_node(tasks, node_configuration(upstreams.addresses, discovery.port))
+        standing = await open_session(port, key="stands")
+        assert await standing.line() == b"UP echo\r\n"
+        await wait_until(lambda: len(discovery.asked) >= 3)
+        later = await open_session(port, key="later")
+        assert await later.line() == b"UP echo\r\n"
+        await standing.send(b"still there\r\n")
+        assert await standing.line() == b"still there\r\n"
+
+    run_on_loopback(body)
+
+
+def test_a_node_with_an_old_list_serves_by_the_upstreams_that_are_left() -> None:
+    """Discovery tells nothing: each gone host costs a refused connection or two, not a link's whole time."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        upstreams.addresses = ["127.0.0.1:1"] * 9 + upstreams.addresses
+        port = await start_node_with(tasks, upstreams)
+        answers = []
+        began = time.monotonic()
+        for number in range(20):
+            client = await open_session(port, key=f"k{number}")
+            answers.append(await client.line())
+        # Each gone host is tried once, and again when its rest is over, which doubles: a slow machine meets
+        # more of them. Six such tries cost a link its answer.
+        took_us = (time.monotonic() - began) * 1e6
+        refused = sum(1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1])
+        assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
+        assert answers.count(b"BUSY\r\n") <= refused // 6, (answers, took_us)
+        assert upstreams.most_out == 1
+
+    run_on_loopback(body)
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -1,150 +1,47 @@
-"""One process of a node follows another: what clients and hosts see of it is counted by them alone."""
+"""One process of a node follows another; clients and upstreams alone count what they notice of it."""
 
 from __future__ import annotations
 
 import os
-import random
 import signal
 import socket
 from collections import Counter
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager, suppress
-from dataclasses import replace
+from contextlib import suppress
 from pathlib import Path
-from types import SimpleNamespace
-from typing import Any
 
 import anyio
-import orjson
 import pytest
-from anyio.abc import TaskGroup, UNIXSocketStream
+from anyio.abc import TaskGroup
 
 from larchlatch.cluster.keys import create_secret
-from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.config.node import parse_node_configuration
-from larchlatch.config.upstream import UpstreamSettings
-from larchlatch.errors import InvalidInputError
 from larchlatch.invariants.observations import SessionAdmitted, SessionRequested
 from larchlatch.invariants.quota_safety import QuotaSafety
-from larchlatch.node.clients.connections import ClientConnections
 from larchlatch.node.clock import now_us
-from larchlatch.node.descriptor_budget import DescriptorBudget
-from larchlatch.node.hot_restart.channel import Channel, frame
+from larchlatch.node.hot_restart.channel import frame
 from larchlatch.node.hot_restart.packets import (
-    BalancerState,
     Hello,
-    Packet,
     Serving,
-    SessionHandover,
     StateHandover,
     Welcome,
-    decode_packet,
-    encode_packet,
 )
 from larchlatch.node.hot_restart.rendezvous import Rendezvous, hello_of
-from larchlatch.node.lifecycle_state import LifecycleState
-from larchlatch.node.metrics import Counters
-from larchlatch.node.upstream_registry import UpstreamRegistry
-from larchlatch.node.wire.lines import MOVE
 from larchlatch.node.wire.stream import Ending, Lines
-from larchlatch.policy.balancer import Balancer
-from larchlatch.policy.state_export import export_state, restore_state
-from larchlatch.policy.types import Forward, Outcome, ProbeResult, Session
-from tests.support.balancer_harness import SECOND_US, SETTINGS, endpoint
+from tests.support.balancer_harness import SECOND_US
 from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.hot_restart import READY, RestartedNode, connect_to_rendezvous
 from tests.support.loopback import run_on_loopback, wait_until
-from tests.support.node import EMPTY_CHANGE
-from tests.support.node_process import NodeProcess, admin_address, call_admin_api, node_process
+from tests.support.node_process import NodeProcess, admin_address, call_admin_api
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-READY = "GET /ops/readiness"
-
-
-class Site:
-    """A node's file, its shared folder, and clients that keep count of what they were answered."""
-
-    def __init__(self, tasks: TaskGroup, path: Path) -> None:
-        self.tasks = tasks
-        self.path = path
-        self.seen: Counter[str] = Counter()
-        self.number = 0
-        self.arguments: list[str] = []  # that its processes are started with
-
-    async def start(self, upstreams: UpstreamStubs, **changes: Any) -> Site:
-        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(self.tasks)
-        # The stand-ins share this machine with the tests: late by its load, hosts would count as slow, and
-        # links be shed as they should. Nothing here is about slow hosts.
-        changes["domain"] = {"tells_delay": False, **changes.get("domain", {})}
-        self.raw = node_configuration(upstreams.addresses, discovery.port, **changes)
-        self.raw["listen"] = admin_address()
-        self.write()
-        return self
-
-    def write(self) -> None:
-        (self.path / "node.json").write_bytes(orjson.dumps(self.raw))
-
-    @asynccontextmanager
-    async def node_process(self) -> AsyncIterator[NodeProcess]:
-        door = admin_address()
-        async with node_process(
-            self.path / "node.json",
-            more=self.arguments,
-            EDGE_CONTROL=door,
-            TMPDIR=str(self.path),
-            PYTHONUNBUFFERED="1",
-        ) as running:
-            running.admin_address = door
-            yield running
-
-    async def opened(self) -> Lines:
-        host, _, port = self.raw["listen"].rpartition(":")
-        client = Lines(await anyio.connect_tcp(host, int(port)))
-        self.number += 1
-        await client.send(f"OPEN id{self.number} k{self.number} c=once,t=acme,d=3000,g=g\r\n".encode())
-        return client
-
-    async def talk(self, beat_s: float = 0.02) -> None:
-        """A client for as long as it is let: a line at a time, each to come back before the next."""
-        try:
-            client = await self.opened()
-            answer = await client.line()
-            self.seen["no answer" if isinstance(answer, Ending) else answer.split()[0].decode()] += 1
-            number = 0
-            while answer in (b"UP echo\r\n", b"UP slow echo\r\n"):
-                number += 1
-                sent = f"line {number} of many\r\n".encode()
-                # In two pieces: a hand-over may come between them.
-                await client.send(sent[:6])
-                await anyio.sleep(beat_s)
-                await client.send(sent[6:])
-                got = await client.line()
-                if got != sent:
-                    self.seen["moved" if got == MOVE else "broken"] += 1
-                    return
-                self.seen["lines"] += 1
-        except OSError:
-            self.seen["turned back"] += 1
-
-    async def talk_once(self) -> None:
-        """One more client, which stays after its answer."""
-        answered = sum(self.seen[word] for word in ("UP", "no answer", "turned back"))
-        self.tasks.start_soon(self.talk)
-        while sum(self.seen[word] for word in ("UP", "no answer", "turned back")) == answered:
-            await anyio.sleep(0.01)
-
-    async def come(self, times: int) -> None:
-        for _ in range(times):
-            self.tasks.start_soon(self.talk)
-            await anyio.sleep(0.02)
-
 
 @pytest.mark.parametrize("mode", ["proxy", "pass"])
-def test_two_upgrades_on_end_under_load_touch_no_client(mode: str, tmp_path: Path) -> None:
+def test_two_hot_restarts_under_load_affect_no_client(mode: str, tmp_path: Path) -> None:
     """Exclusive links all along: each host counts what it is sent, each client what it is answered."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(upstreams, domain={"mode": mode})
+        site = await RestartedNode(tasks, tmp_path).start(upstreams, domain={"mode": mode})
         async with site.node_process() as first:
             for _ in range(15):
                 tasks.start_soon(site.talk)
@@ -171,10 +68,10 @@
     run_on_loopback(body)
 
 
-def test_no_line_is_lost_or_doubled_over_an_upgrade(tmp_path: Path) -> None:
+def test_no_line_is_lost_or_duplicated_in_a_hot_restart(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         async with site.node_process() as first, anyio.create_task_group() as clients:
             for _ in range(25):
                 clients.start_soon(site.talk, 0.005)
@@ -188,10 +85,10 @@
     run_on_loopback(body)
 
 
-def test_descriptors_of_both_together_keep_within_the_limit(tmp_path: Path) -> None:
+def test_both_processes_together_keep_within_the_descriptor_limit(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         limit = site.raw["limits"]["sockets"] = 256
         site.write()
         most = 0
@@ -222,10 +119,10 @@
     run_on_loopback(body)
 
 
-def test_a_drain_goes_on_over_an_upgrade(tmp_path: Path) -> None:
+def test_a_drain_continues_over_a_hot_restart(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         async with site.node_process() as first:
             for _ in range(20):
                 tasks.start_soon(site.talk)
@@ -252,31 +149,21 @@
     run_on_loopback(body)
 
 
-async def reached(site: Site) -> Channel:
-    """The Unix socket of the process that serves, as a new one would find it."""
-    os.environ["TMPDIR"] = str(site.path)
-    rendezvous = Rendezvous.for_node(parse_node_configuration(site.raw, admin_address()))
-    assert rendezvous is not None
-    while (sock := rendezvous.connect()) is None:
-        await anyio.sleep(0.01)
-    return Channel(await UNIXSocketStream.from_socket(sock))
-
-
 @pytest.mark.parametrize("how", ["silent end", "nonsense", "other version", "other node", "after it served"])
-def test_a_new_process_that_fails_leaves_the_old_one_serving(
+def test_the_predecessor_continues_to_serve_if_the_successor_fails(
     how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", "")
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         async with site.node_process() as first:
             for _ in range(5):
                 tasks.start_soon(site.talk)
             # Else one may wait in the queue still when the new process says that it serves, and stay there.
             await wait_until(lambda: site.seen["UP"] == 5)
-            channel = await reached(site)
+            channel = await connect_to_rendezvous(site)
             greeting = hello_of(parse_node_configuration(site.raw))
             if how == "nonsense":
                 await channel.stream.send(b"GET / HTTP/1.1\r\n\r\n")
@@ -313,10 +200,10 @@
     run_on_loopback(body)
 
 
-def test_the_old_process_killed_halfway_leaves_the_new_one_with_what_it_has(tmp_path: Path) -> None:
+def test_the_successor_keeps_its_sessions_if_the_predecessor_is_killed(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         async with site.node_process() as first:
             for _ in range(30):
                 tasks.start_soon(site.talk)
@@ -336,10 +223,10 @@
     run_on_loopback(body)
 
 
-def test_a_stale_or_foreign_file_in_the_folder_costs_nothing(tmp_path: Path) -> None:
+def test_a_stale_or_foreign_rendezvous_file_does_no_harm(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         rendezvous = Rendezvous(tmp_path, parse_node_configuration(site.raw, admin_address()))
         (tmp_path / rendezvous.name).write_bytes(b"no socket at all")
         async with site.node_process() as first:
@@ -356,11 +243,11 @@
     run_on_loopback(body)
 
 
-def test_an_upgrade_while_the_list_is_out_of_reach_goes_by_what_the_old_one_heard(tmp_path: Path) -> None:
+def test_a_hot_restart_without_discovery_uses_the_predecessors_list(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         told = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": told}], []).start(tasks)
         # The file has never heard of these hosts, and from now on nobody tells of them.
         site.raw["known"] = {"revision": 1, "complete": True, "members": []}
@@ -378,14 +265,14 @@
     run_on_loopback(body)
 
 
-def test_two_processes_of_a_node_keep_together_within_its_budget(tmp_path: Path) -> None:
+def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
     judge = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
     out: set[str] = set()  # links without an answer yet: none may be when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         key, address = create_secret(tmp_path / "n0.key"), admin_address()
         (tmp_path / "cluster.toml").write_text(
             f'[[budgets]]\nname = "all"\nlinks_per_s = 20\ntariffs = ["once"]\n'
@@ -433,53 +320,12 @@
     assert len(late) >= 10, "the next process goes on at its floor at once"
 
 
-def connected() -> tuple[socket.socket, socket.socket]:
-    """Two ends of a connection, as a link's are."""
-    with socket.create_server(("127.0.0.1", 0)) as server:
-        ours = socket.create_connection(server.getsockname())
-        theirs, _ = server.accept()
-    ours.setblocking(False)
-    return ours, theirs
-
-
-def test_a_link_handed_over_waits_for_its_host_from_then_on() -> None:
-    """While it changed hands nobody read: a process that has just begun must not call its hosts quiet."""
-
-    async def body(tasks: TaskGroup) -> None:
-        async def post(_: object) -> None: ...
-
-        counters, room = Counters(), DescriptorBudget(64)
-        reach = UpstreamSettings(250_000, False, True, 50_000)
-        upstreams = UpstreamRegistry([], reach, room, counters, post)
-        entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
-        upstreams.update(EndpointList(1, True, [entry]))
-        mailbox = SimpleNamespace(post=post)
-        module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
-        phase = LifecycleState(5.0, sessions_outlive_node=False)
-        door = ClientConnections(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
-        began = now_us()
-        for asked_at in (began - 2 * SECOND_US, 0):
-            pairs = [connected(), connected()]
-            told = SessionHandover(
-                b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
-            )
-            tasks.start_soon(door.adopt, told, [ours for ours, _ in pairs])
-            await wait_until(lambda: bool(door.sessions.established))
-            [record] = door.sessions.established.values()
-            assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
-            for _, theirs in pairs:
-                theirs.close()
-            await wait_until(lambda: not door.sessions.established)
-
-    run_on_loopback(body)
-
-
-def test_a_process_that_was_stopped_takes_no_sound_host_for_quiet(tmp_path: Path) -> None:
+def test_a_process_that_was_stopped_judges_no_upstream_unresponsive(tmp_path: Path) -> None:
     """What its hosts answered meanwhile lies unread: it moves no link, and turns nobody away."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP slow echo").start(tasks, 3)
-        site = await Site(tasks, tmp_path).start(upstreams)
+        site = await RestartedNode(tasks, tmp_path).start(upstreams)
         async with site.node_process() as running, anyio.create_task_group() as clients:
             for _ in range(30):
                 clients.start_soon(site.talk, 0.0)
@@ -499,167 +345,7 @@
     run_on_loopback(body)
 
 
-PACKETS: list[Packet] = [
-    Hello("n0", "127.0.0.1:3000"),
-    Welcome(
-        EndpointList(
-            7, True, [EndpointEntry("s-0", ("127.0.0.1", 3000), "a", 3, endpoint(0).state, 1.0, 9000)]
-        )
-    ),
-    Serving(),
-    StateHandover(BalancerState({"hosts": {}, "asked": [], "noted": 0.0}), ["id1", "idé"], 12, 0.5, 17),
-    StateHandover(BalancerState({"noted": 0.0}, {"all": 5}), [], 0, None, 0),
-    SessionHandover(
-        b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, 0, int(Outcome.RESET), b"half a l\xff", b"one\r\ntwo"
-    ),
-]
-
-
-@pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: type(packet).__name__)
-def test_a_packet_cut_at_any_byte_is_no_packet_and_leaves_no_descriptor(packet: Packet) -> None:
-    async def body(tasks: TaskGroup) -> None:
-        data = frame(packet, 1)
-        for cut in range(len(data) + 1):
-            ours, theirs = socket.socketpair()
-            held = len(os.listdir("/proc/self/fd"))
-            socket.send_fds(ours, [data[:cut]], [ours.fileno()] if cut else [])
-            ours.shutdown(socket.SHUT_WR)
-            theirs.setblocking(False)
-            came = await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
-            if cut < len(data):
-                assert came is None
-            else:
-                assert came is not None and came[0] == packet
-                came[1][0].close()
-            assert len(os.listdir("/proc/self/fd")) == held
-            ours.close()
-            theirs.close()
-
-    run_on_loopback(body)
-
-
-@pytest.mark.parametrize(
-    "text",
-    [
-        b"",
-        b"{",
-        b"[]",
-        b"{}",
-        b'{"kind":"Nothing"}',
-        b'{"kind":"StateHandover"}',
-        b'{"kind":"Welcome","members":{}}',
-    ],
-)
-def test_a_packet_that_is_nonsense_is_told_as_that(text: bytes) -> None:
-    async def body(tasks: TaskGroup) -> None:
-        ours, theirs = socket.socketpair()
-        ours.send(b"LL\x01\x00" + len(text).to_bytes(4) + text)
-        theirs.setblocking(False)
-        with pytest.raises(InvalidInputError, match="packet"):
-            await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
-        ours.close()
-        theirs.close()
-
-    run_on_loopback(body)
-
-
-def test_quota_usage_is_written_inside_the_balancers_state() -> None:
-    """A process of an earlier version reads it there."""
-    written = orjson.loads(
-        encode_packet(StateHandover(BalancerState({"noted": 0.5}, {"all": 5}), [], 0, None, 0))
-    )
-    assert written["learned"] == {"noted": 0.5, "budgets": {"all": 5}}
-
-
-@pytest.mark.parametrize("usage", ['{"all":"5"}', '{"all":null}', '{"all":true}'])
-def test_quota_usage_that_is_no_number_makes_the_packet_invalid(usage: str) -> None:
-    text = f'{{"kind":"Ceded","learned":{{"budgets":{usage}}},"idents":[],"holds":0,"clock_us":0}}'
-    with pytest.raises(InvalidInputError, match="all has the wrong type"):
-        decode_packet(text.encode())
-
-
-# What Brain hands on.
-
-
-def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
-    made = Balancer(
-        replace(SETTINGS, probes=True, probes_report_load=True, reports_delay=False, **deployment_settings),
-        random.Random(3),
-    )
-    made.update_endpoints(
-        100 * SECOND_US,
-        [endpoint(0), endpoint(1), endpoint(2, started_at=started_at)],
-        whole=True,
-        asked=True,
-    )
-    return made
-
-
-def filled(made: Balancer, now: int, first: int, times: int) -> int:
-    """How many of so many new links go to the cold host."""
-    went = 0
-    for number in range(first, first + times):
-        session = Session(number, 0, number, number, now + 2 * SECOND_US)
-        for upstream in made.fleet.upstreams.values():
-            upstream.probed_at = now
-            made.record_probe(
-                now,
-                upstream.number,
-                ProbeResult(True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0))),
-            )
-        answer = made.place(now, session)
-        if isinstance(answer, Forward):
-            went += answer.upstream == 2
-            made.outcome(now, session, Outcome.ESTABLISHED)
-    return went
-
-
-def test_a_cold_hosts_budget_is_spent_once_by_both_processes() -> None:
-    now = 100 * SECOND_US
-    for seed in range(20):
-        started_at = now - 14 * SECOND_US - seed * SECOND_US // 20
-        alone, old, new = (balancer(started_at, nodes=1) for _ in range(3))
-        whole = filled(alone, now, 1000 * seed, 400)
-        assert whole > 0
-        idle = balancer(started_at, nodes=1)
-        idle.release_slow_start_budget(released=True)
-        assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
-        spent = filled(old, now, 1000 * seed, 200)
-        old.release_slow_start_budget(released=True)
-        restore_state(new, export_state(old), 0)
-        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
-        assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
-        old.release_slow_start_budget(released=False)  # the new one failed: the window is spent all the same
-        assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
-
-
-def test_what_was_learned_comes_with_the_clocks_difference_and_not_for_a_host_started_anew() -> None:
-    now, shift = 100 * SECOND_US, 7 * SECOND_US
-    old, new = balancer(0), balancer(now - SECOND_US)
-    for upstream in (0, 1, 2):
-        old.record_probe(now, upstream, ProbeResult(True, 0.9, 90.0))
-        old.record_unresponsive(now, upstream)
-    plain = orjson.loads(orjson.dumps(export_state(old)))
-    restore_state(new, plain, shift)
-    for number in (0, 1):
-        assert new.fleet.upstreams[number].utilization == 0.9
-        assert new.fleet.upstreams[number].slow_until == old.fleet.upstreams[number].slow_until + shift
-    assert new.fleet.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
-
-
-@pytest.mark.parametrize(
-    "change", [{"hosts": {"host-0": {"came_up": 0}}}, {"asked": ["x"]}, {"noted": None}, {"hosts": 3}]
-)
-def test_what_can_not_be_read_leaves_no_half_of_it_behind(change: dict[str, Any]) -> None:
-    old, new = balancer(0), balancer(0)
-    old.record_probe(100 * SECOND_US, 1, ProbeResult(True, 0.9, 90.0))
-    before = export_state(new)
-    with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
-        restore_state(new, {**export_state(old), **change}, 0)
-    assert export_state(new) == before
-
-
-def test_a_platform_without_unix_sockets_costs_the_upgrade_alone(
+def test_a_platform_without_unix_sockets_only_lacks_hot_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # Danger: where the system refuses the family, a node with a door and a TMPDIR would not start at all.
--- /dev/null
+++ b/tests/node/test_shutdown_races.py
@@ -0,0 +1,196 @@
+"""A node ends in the instant in which something else happens. Each crossing is forced."""
+
+from __future__ import annotations
+
+import signal
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.to_thread
+import orjson
+import pytest
+from anyio.abc import SocketStream, TaskGroup
+
+from larchlatch.node import runtime as node_run
+from larchlatch.node.client_listener import ClientListener
+from larchlatch.node.clients import request_reader
+from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.wire import stream
+from tests.support.clients import open_session
+from tests.support.configuration import node_configuration
+from tests.support.loopback import run_on_loopback, wait_until
+from tests.support.node import start_node, start_node_with
+from tests.support.node_process import admin_address, node_process
+from tests.support.races import (
+    ScriptedUpstream,
+    connect_raw,
+    request_line,
+    send_and_read_all,
+    wait_until_idle,
+)
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
+
+# The end of a node.
+
+
+def short_lived(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
+    """A configuration whose node is granted little time after SIGTERM."""
+    raw = node_configuration(upstreams.addresses, discovery, **changes)
+    for traffic_class in raw["settings"]["tariffs"]:
+        traffic_class["cut_off_us"] = 400_000
+    return raw
+
+
+@pytest.mark.parametrize("mode", ["proxy", "pass"])
+def test_idle_clients_get_an_answer_and_no_reset_when_the_node_ends(mode: str, tmp_path: Path) -> None:
+    """One says nothing at all, one half a line; a link waits for its host's answer, and gets it."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("late UP r1").start(tasks)
+        discovery = await DiscoveryStub([]).start(tasks)
+        path = tmp_path / "node.json"
+        raw = short_lived(upstreams, discovery.port, domain={"mode": mode})
+        raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
+        path.write_bytes(orjson.dumps(raw))
+        async with node_process(path) as node:
+            resting = [connect_raw(node.port, said) for said in (b"", b"OPEN half")]
+            waiting = await open_session(node.port)
+            await wait_until(lambda: len(upstreams.lines) == 1)
+            for _ in range(2):  # the second changes nothing
+                node.signal(signal.SIGTERM)
+            assert await waiting.line() == b"UP r1\r\n"
+            await waiting.close()
+            for client in resting:
+                assert (await send_and_read_all(client)).startswith(b"BUSY ")
+            assert await node.ended() == 0
+
+    run_on_loopback(body)
+
+
+@pytest.mark.parametrize("crossing", ["start", "SIGHUP"])
+def test_sigterm_during_another_operation_ends_the_node_normally(crossing: str, tmp_path: Path) -> None:
+    """Told to end while it waits for its first list, and in one breath with a new configuration."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("late UP r1").start(tasks)
+        silent = await ScriptedUpstream().start(tasks, lambda upstream, session: anyio.sleep_forever())
+        path = tmp_path / "node.json"
+        raw = short_lived(upstreams, silent.address[1])
+        raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
+        raw["control"] = admin_address()
+        path.write_bytes(orjson.dumps(raw))
+        event = "admin_api_listening" if crossing == "start" else "serving"
+        async with node_process(path, event) as node:
+            if crossing == "start":
+                node.signal(signal.SIGTERM)
+                assert (await node.next_event("serving"))["upstreams"] == 1
+            else:
+                waiting = await open_session(node.port)
+                await wait_until(lambda: len(upstreams.lines) == 1)
+                for told in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
+                    node.signal(told)
+                assert await waiting.line() == b"UP r1\r\n"
+                await waiting.close()
+            await node.next_event("stopping")
+            await node.next_event("stopped")
+            assert await node.ended() == 0
+
+    run_on_loopback(body)
+
+
+def test_a_reset_of_an_established_session_is_passed_on_to_its_client(
+    client_connections: list[ClientConnections],
+) -> None:
+    async def body(tasks: TaskGroup) -> None:
+        stood = anyio.Event()
+
+        async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
+            await session.send(b"UP r1\r\n")
+            await stood.wait()
+            await stream.Lines(session).close(reset=True)
+
+        upstream = await ScriptedUpstream().start(tasks, answer)
+        discovery = await DiscoveryStub([]).start(tasks)
+        port = await start_node(tasks, node_configuration([upstream.named], discovery.port))
+        client = await open_session(port)
+        assert await client.line() == b"UP r1\r\n"
+        stood.set()
+        assert await client.line() is stream.Ending.RESET
+        await wait_until_idle(client_connections[0])
+        assert len(upstream.lines) == 1
+
+    run_on_loopback(body)
+
+
+def test_clients_in_the_backlog_are_answered_at_the_end_and_later_ones_refused(
+    client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The system has accepted them, and holds their requests, when the node shuts its entrance."""
+    listeners: list[ClientListener] = []
+
+    class Kept(ClientListener):
+        def __init__(self, *given: Any) -> None:
+            super().__init__(*given)
+            listeners.append(self)
+
+    monkeypatch.setattr(node_run, "ClientListener", Kept)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        (listener,) = listeners
+        listener.pause()
+        await listener.idle.wait()
+        wait = [
+            connect_raw(port, said) for said in [request_line(f"id{n}") for n in range(50)] + [b"", b"half"]
+        ]
+        assert client_connections[0].connection_count == 0
+        client_connections[0].reject_all()
+        await listener.close()
+        with pytest.raises(ConnectionRefusedError):
+            connect_raw(port, b"")
+        for client in wait:
+            assert (await send_and_read_all(client)).startswith(b"BUSY ")
+        assert not upstreams.lines
+
+    run_on_loopback(body)
+
+
+def test_a_node_that_ends_sheds_connections_accepted_by_the_system(
+    client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+) -> None:
+    monkeypatch.setattr(request_reader, "FIRST_LINE_S", 1000.0)
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP r1").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        rests = connect_raw(port, b"")
+        await wait_until(lambda: client_connections[0].reader.without_line == 1)
+        client_connections[0].reject_all()
+        came = [connect_raw(port, said) for said in (request_line("a"), b"", b"half a li")]
+        for client in (rests, *came):
+            assert (await send_and_read_all(client)).startswith(b"BUSY ")
+        assert not upstreams.lines
+        await wait_until_idle(client_connections[0])
+
+    run_on_loopback(body)
+
+
+def test_sessions_in_flight_are_answered_before_the_node_ends(
+    client_connections: list[ClientConnections],
+) -> None:
+    """However long a client would wait: what is still out when the process is killed has no answer."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("silent").start(tasks)
+        port = await start_node_with(tasks, upstreams)
+        phase = client_connections[0]._lifecycle
+        phase.start_stop(anyio.current_time())
+        phase.stop_duration_s = 0.3
+        began = anyio.current_time()
+        assert await send_and_read_all(connect_raw(port, request_line("a", wait_ms=3000)))
+        assert anyio.current_time() < began + 2.0
+        await wait_until_idle(client_connections[0])
+
+    run_on_loopback(body)
--- /dev/null
+++ b/tests/node/test_signals.py
@@ -0,0 +1,112 @@
+"""SIGTERM, SIGHUP and the check of a configuration, on a node in a process of its own."""
+
+from __future__ import annotations
+
+import signal
+from pathlib import Path
+from typing import Any
+
+import anyio
+import anyio.to_thread
+import orjson
+from anyio.abc import TaskGroup
+from click.testing import CliRunner
+
+from larchlatch.__main__ import cli
+from larchlatch.node.wire.stream import Lines
+from tests.support.clients import connect, open_session, read_to_end
+from tests.support.configuration import endpoint_row, node_configuration
+from tests.support.loopback import run_on_loopback, wait_until
+from tests.support.node import EMPTY_CHANGE
+from tests.support.node_process import node_process
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
+
+
+def test_sigterm_migrates_established_sessions_gradually_and_ends_the_node(tmp_path: Path) -> None:
+    """All at once they would come back as a crowd; cut off without a word they would be lost."""
+
+    async def body(tasks: TaskGroup) -> None:
+        upstreams = await UpstreamStubs("UP echo").start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        path = tmp_path / "node.json"
+        path.write_bytes(orjson.dumps(node_configuration(upstreams.addresses, discovery.port)))
+        async with node_process(path) as running:
+            front = await connect(running.port)
+            await front.send(b"PING\r\n")
+            assert await front.line() == b"PONG\r\n"
+            clients = [await open_session(running.port, key=f"k{number}") for number in range(8)]
+            for client in clients:
+                assert await client.line() == b"UP echo\r\n"
+            running.signal(signal.SIGTERM)
+            late = await open_session(running.port, key="late")
+            assert await late.line() == b"UP echo\r\n"
+            moved = []
+
+            async def wait_for(client: Lines) -> None:
+                assert await read_to_end(client) == [b"MOVE\r\n"]
+                moved.append(anyio.current_time())
+
+            async with anyio.create_task_group() as waits:
+                for client in [*clients, late]:
+                    waits.start_soon(wait_for, client)
+            assert moved[-1] - moved[0] > 0.5, "all at once"
+            await front.close()
+            assert (await running.next_event("stopped"))["sessions_established"] == 9
+            assert await running.ended() == 0
+
+    run_on_loopback(body)
+
+
+def test_sighup_follows_a_new_discovery_address_and_rejects_a_wrong_file(tmp_path: Path) -> None:
+    """By default a process ends at SIGHUP: its links would be lost, and a slip in a file as well."""
+
+    async def body(tasks: TaskGroup) -> None:
+        old, new = await UpstreamStubs("UP echo").start(tasks), await UpstreamStubs("UP new").start(tasks)
+        first = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
+        # Its version is older than what the node has heard of, and it does not name the first host.
+        whole = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
+        second = await DiscoveryStub([whole], []).start(tasks)
+        path = tmp_path / "node.json"
+        good = node_configuration(old.addresses, first.port)
+        path.write_bytes(orjson.dumps(good))
+        async with node_process(path) as running:
+            standing = await open_session(running.port)
+            assert await standing.line() == b"UP echo\r\n"
+            path.write_bytes(orjson.dumps({**good, "discovery": "nowhere"}))
+            running.signal(signal.SIGHUP)
+            assert "discovery" in (await running.next_event("configuration_rejected"))["reason"]
+            path.write_bytes(orjson.dumps({**good, "discovery": f"127.0.0.1:{second.port}"}))
+            running.signal(signal.SIGHUP)
+            await wait_until(lambda: len(second.asked) >= 2)
+            assert "watch" not in second.asked[0] and "watch" in second.asked[1]
+            while await (await open_session(running.port, key="k2")).line() != b"UP new\r\n":
+                await anyio.sleep(0.02)
+            await wait_until(lambda: first.left == 1)  # the old watch ends
+            await standing.send(b"still there\r\n")
+            assert await standing.line() == b"still there\r\n"
+            running.signal(signal.SIGINT)
+            await running.next_event("stopping")
+
+    run_on_loopback(body)
+
+
+def test_check_names_the_wrong_key_of_a_configuration(tmp_path: Path) -> None:
+    path = tmp_path / "node.json"
+
+    def checked(change: dict[str, Any]) -> tuple[int, str]:
+        path.write_bytes(orjson.dumps({**node_configuration(["127.0.0.1:1"], 1), **change}))
+        result = CliRunner().invoke(cli, ["check", "--config", str(path)])
+        return result.exit_code, result.output
+
+    assert checked({}) == (0, "n0: in order; 1 hosts known, 3 tariffs, 2 zones\n")
+    known = {"revision": 1, "complete": True, "members": [endpoint_row(0, "nowhere")]}
+    for change, key in (
+        ({"listen": "here"}, "listen"),
+        ({"seed": "not hex"}, "seed"),
+        ({"settings": {}}, "settings: caps"),
+        ({"limits": {"sockets": "many"}}, "limits: sockets"),
+        ({"known": known}, "known.members[0].host_port"),
+    ):
+        code, told = checked(change)
+        assert code == 2 and key in told and told.count("\n") == 1
+    assert CliRunner().invoke(cli, ["check", "--config", str(tmp_path / "none")]).exit_code == 2
--- /dev/null
+++ b/tests/node/test_state_handover.py
@@ -0,0 +1,153 @@
+"""What a successor goes on from: an adopted session, and what the balancer has learned."""
+
+from __future__ import annotations
+
+import random
+import socket
+from dataclasses import replace
+from types import SimpleNamespace
+from typing import Any
+
+import anyio
+import orjson
+import pytest
+from anyio.abc import TaskGroup
+
+from larchlatch.config.endpoints import EndpointEntry, EndpointList
+from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clock import now_us
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.hot_restart.packets import (
+    SessionHandover,
+)
+from larchlatch.node.lifecycle_state import LifecycleState
+from larchlatch.node.metrics import Counters
+from larchlatch.node.upstream_registry import UpstreamRegistry
+from larchlatch.policy.balancer import Balancer
+from larchlatch.policy.state_export import export_state, restore_state
+from larchlatch.policy.types import Forward, Outcome, ProbeResult, Session
+from tests.support.balancer_harness import SECOND_US, SETTINGS, endpoint
+from tests.support.loopback import run_on_loopback, wait_until
+
+
+def connected() -> tuple[socket.socket, socket.socket]:
+    """Two ends of a connection, as a link's are."""
+    with socket.create_server(("127.0.0.1", 0)) as server:
+        ours = socket.create_connection(server.getsockname())
+        theirs, _ = server.accept()
+    ours.setblocking(False)
+    return ours, theirs
+
+
+def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
+    """While it changed hands nobody read: a process that has just begun must not call its hosts quiet."""
+
+    async def body(tasks: TaskGroup) -> None:
+        async def post(_: object) -> None: ...
+
+        counters, room = Counters(), DescriptorBudget(64)
+        reach = UpstreamSettings(250_000, False, True, 50_000)
+        upstreams = UpstreamRegistry([], reach, room, counters, post)
+        entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
+        upstreams.update(EndpointList(1, True, [entry]))
+        mailbox = SimpleNamespace(post=post)
+        module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
+        phase = LifecycleState(5.0, sessions_outlive_node=False)
+        door = ClientConnections(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
+        began = now_us()
+        for asked_at in (began - 2 * SECOND_US, 0):
+            pairs = [connected(), connected()]
+            told = SessionHandover(
+                b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
+            )
+            tasks.start_soon(door.adopt, told, [ours for ours, _ in pairs])
+            await wait_until(lambda: bool(door.sessions.established))
+            [record] = door.sessions.established.values()
+            assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
+            for _, theirs in pairs:
+                theirs.close()
+            await wait_until(lambda: not door.sessions.established)
+
+    run_on_loopback(body)
+
+
+# What Brain hands on.
+
+
+def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
+    made = Balancer(
+        replace(SETTINGS, probes=True, probes_report_load=True, reports_delay=False, **deployment_settings),
+        random.Random(3),
+    )
+    made.update_endpoints(
+        100 * SECOND_US,
+        [endpoint(0), endpoint(1), endpoint(2, started_at=started_at)],
+        whole=True,
+        asked=True,
+    )
+    return made
+
+
+def filled(made: Balancer, now: int, first: int, times: int) -> int:
+    """How many of so many new links go to the cold host."""
+    went = 0
+    for number in range(first, first + times):
+        session = Session(number, 0, number, number, now + 2 * SECOND_US)
+        for upstream in made.fleet.upstreams.values():
+            upstream.probed_at = now
+            made.record_probe(
+                now,
+                upstream.number,
+                ProbeResult(True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0))),
+            )
+        answer = made.place(now, session)
+        if isinstance(answer, Forward):
+            went += answer.upstream == 2
+            made.outcome(now, session, Outcome.ESTABLISHED)
+    return went
+
+
+def test_a_slow_start_budget_is_spent_once_by_both_processes() -> None:
+    now = 100 * SECOND_US
+    for seed in range(20):
+        started_at = now - 14 * SECOND_US - seed * SECOND_US // 20
+        alone, old, new = (balancer(started_at, nodes=1) for _ in range(3))
+        whole = filled(alone, now, 1000 * seed, 400)
+        assert whole > 0
+        idle = balancer(started_at, nodes=1)
+        idle.release_slow_start_budget(released=True)
+        assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
+        spent = filled(old, now, 1000 * seed, 200)
+        old.release_slow_start_budget(released=True)
+        restore_state(new, export_state(old), 0)
+        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
+        assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
+        old.release_slow_start_budget(released=False)  # the new one failed: the window is spent all the same
+        assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
+
+
+def test_learned_state_is_shifted_by_the_clocks_and_dropped_for_a_restarted_upstream() -> None:
+    now, shift = 100 * SECOND_US, 7 * SECOND_US
+    old, new = balancer(0), balancer(now - SECOND_US)
+    for upstream in (0, 1, 2):
+        old.record_probe(now, upstream, ProbeResult(True, 0.9, 90.0))
+        old.record_unresponsive(now, upstream)
+    plain = orjson.loads(orjson.dumps(export_state(old)))
+    restore_state(new, plain, shift)
+    for number in (0, 1):
+        assert new.fleet.upstreams[number].utilization == 0.9
+        assert new.fleet.upstreams[number].slow_until == old.fleet.upstreams[number].slow_until + shift
+    assert new.fleet.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
+
+
+@pytest.mark.parametrize(
+    "change", [{"hosts": {"host-0": {"came_up": 0}}}, {"asked": ["x"]}, {"noted": None}, {"hosts": 3}]
+)
+def test_unreadable_state_changes_nothing(change: dict[str, Any]) -> None:
+    old, new = balancer(0), balancer(0)
+    old.record_probe(100 * SECOND_US, 1, ProbeResult(True, 0.9, 90.0))
+    before = export_state(new)
+    with pytest.raises((KeyError, TypeError, ValueError, AttributeError)):
+        restore_state(new, {**export_state(old), **change}, 0)
+    assert export_state(new) == before
--- /dev/null
+++ b/tests/support/hot_restart.py
@@ -0,0 +1,114 @@
+"""A node that is restarted, with clients that count what they are answered."""
+
+from __future__ import annotations
+
+import os
+from collections import Counter
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
+from pathlib import Path
+from typing import Any
+
+import anyio
+import orjson
+from anyio.abc import TaskGroup, UNIXSocketStream
+
+from larchlatch.config.node import parse_node_configuration
+from larchlatch.node.hot_restart.channel import Channel
+from larchlatch.node.hot_restart.rendezvous import Rendezvous
+from larchlatch.node.wire.lines import MOVE
+from larchlatch.node.wire.stream import Ending, Lines
+from tests.support.configuration import node_configuration
+from tests.support.node import EMPTY_CHANGE
+from tests.support.node_process import NodeProcess, admin_address, node_process
+from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
+
+READY = "GET /ops/readiness"
+
+
+class RestartedNode:
+    """A node's file, its shared folder, and clients that keep count of what they were answered."""
+
+    def __init__(self, tasks: TaskGroup, path: Path) -> None:
+        self.tasks = tasks
+        self.path = path
+        self.seen: Counter[str] = Counter()
+        self.number = 0
+        self.arguments: list[str] = []  # that its processes are started with
+
+    async def start(self, upstreams: UpstreamStubs, **changes: Any) -> RestartedNode:
+        discovery = await DiscoveryStub([EMPTY_CHANGE]).start(self.tasks)
+        # The stand-ins share this machine with the tests: late by its load, hosts would count as slow, and
+        # links be shed as they should. Nothing here is about slow hosts.
+        changes["domain"] = {"tells_delay": False, **changes.get("domain", {})}
+        self.raw = node_configuration(upstreams.addresses, discovery.port, **changes)
+        self.raw["listen"] = admin_address()
+        self.write()
+        return self
+
+    def write(self) -> None:
+        (self.path / "node.json").write_bytes(orjson.dumps(self.raw))
+
+    @asynccontextmanager
+    async def node_process(self) -> AsyncIterator[NodeProcess]:
+        door = admin_address()
+        async with node_process(
+            self.path / "node.json",
+            more=self.arguments,
+            EDGE_CONTROL=door,
+            TMPDIR=str(self.path),
+            PYTHONUNBUFFERED="1",
+        ) as running:
+            running.admin_address = door
+            yield running
+
+    async def opened(self) -> Lines:
+        host, _, port = self.raw["listen"].rpartition(":")
+        client = Lines(await anyio.connect_tcp(host, int(port)))
+        self.number += 1
+        await client.send(f"OPEN id{self.number} k{self.number} c=once,t=acme,d=3000,g=g\r\n".encode())
+        return client
+
+    async def talk(self, beat_s: float = 0.02) -> None:
+        """A client for as long as it is let: a line at a time, each to come back before the next."""
+        try:
+            client = await self.opened()
+            answer = await client.line()
+            self.seen["no answer" if isinstance(answer, Ending) else answer.split()[0].decode()] += 1
+            number = 0
+            while answer in (b"UP echo\r\n", b"UP slow echo\r\n"):
+                number += 1
+                sent = f"line {number} of many\r\n".encode()
+                # In two pieces: a hand-over may come between them.
+                await client.send(sent[:6])
+                await anyio.sleep(beat_s)
+                await client.send(sent[6:])
+                got = await client.line()
+                if got != sent:
+                    self.seen["moved" if got == MOVE else "broken"] += 1
+                    return
+                self.seen["lines"] += 1
+        except OSError:
+            self.seen["turned back"] += 1
+
+    async def talk_once(self) -> None:
+        """One more client, which stays after its answer."""
+        answered = sum(self.seen[word] for word in ("UP", "no answer", "turned back"))
+        self.tasks.start_soon(self.talk)
+        while sum(self.seen[word] for word in ("UP", "no answer", "turned back")) == answered:
+            await anyio.sleep(0.01)
+
+    async def come(self, times: int) -> None:
+        for _ in range(times):
+            self.tasks.start_soon(self.talk)
+            await anyio.sleep(0.02)
+
+
+async def connect_to_rendezvous(site: RestartedNode) -> Channel:
+    """The Unix socket of the process that serves, as a new one would find it."""
+    os.environ["TMPDIR"] = str(site.path)
+    rendezvous = Rendezvous.for_node(parse_node_configuration(site.raw, admin_address()))
+    assert rendezvous is not None
+    while (sock := rendezvous.connect()) is None:
+        await anyio.sleep(0.01)
+    return Channel(await UNIXSocketStream.from_socket(sock))
--- /dev/null
+++ b/tests/support/races.py
@@ -0,0 +1,144 @@
+"""Raw client connections, and a check that nothing is left of what a node served."""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Awaitable, Callable
+from contextlib import suppress
+from typing import Any
+
+import anyio
+import anyio.to_thread
+from anyio.abc import SocketStream, TaskGroup
+
+from larchlatch.config.endpoints import EndpointList, parse_endpoint
+from larchlatch.config.upstream import UpstreamSettings
+from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clock import now_us
+from larchlatch.node.descriptor_budget import DescriptorBudget
+from larchlatch.node.messages import AttemptFinished, Message
+from larchlatch.node.metrics import Counters
+from larchlatch.node.session_record import SessionRecord
+from larchlatch.node.upstream_actor import UpstreamActor
+from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
+from larchlatch.node.wire import lines as say
+from larchlatch.policy.types import Outcome, Session
+from tests.support.loopback import port_of, wait_until
+
+MANY_LINES = b"more and more\r\n" * 27_000  # more than is read at once, less than is read at all
+PATIENT_US = 15_000_000  # how long a client waits that must not be answered by its time alone
+SOON_S = 8.0  # well before that, and long enough for any machine
+
+
+def connect_raw(port: int, said: bytes) -> socket.socket:
+    client = socket.create_connection(("127.0.0.1", port))
+    client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    client.sendall(said)
+    return client
+
+
+async def send_and_read_all(client: socket.socket, more: bytes = b"") -> bytes:
+    """What a client that says more gets up to the end; a reset is an error."""
+
+    def read() -> bytes:
+        got = b""
+        client.settimeout(10)
+        client.sendall(more)
+        while some := client.recv(65536):
+            got += some
+        client.close()
+        return got
+
+    return await anyio.to_thread.run_sync(read)
+
+
+def request_line(ident: str, more: str = "", wait_ms: int = 2000) -> bytes:
+    return f"OPEN {ident} k1 c=rerun,t=acme,d={wait_ms}{more}\r\n".encode()
+
+
+async def wait_until_idle(door: ClientConnections) -> None:
+    """Nothing is left of what went through it: no connection, id, attempt or descriptor."""
+    module = door._balancer_actor
+    await wait_until(
+        lambda: (
+            not (
+                door.connection_count
+                or door.sessions.open_count
+                or door.requests.ids.records
+                or door.sessions.established
+                or module.records
+            )
+            and not (door.reader.waiting or door.reader.without_line)
+            and all(
+                not upstream_actor.attempts.in_flight and not upstream_actor.session_watch.sessions
+                for upstream_actor in module.upstreams.actors.values()
+            )
+            and door.descriptors.free == door.descriptors.capacity - 1  # for the next one to be accepted
+        )
+    )
+
+
+class ActorHarness:
+    """A host's actor without a node."""
+
+    def __init__(self, address: str) -> None:
+        name, _, port = address.rpartition(":")
+        self.words: list[Message] = []
+        self.descriptors = DescriptorBudget(1024)
+        self.counters = Counters()
+        reach = UpstreamSettings(250_000, False, False, 0)
+        self.upstream_actor = UpstreamActor(
+            UpstreamTarget(0, "s-0", (name, int(port))),
+            UpstreamContext(reach, self.descriptors, self.counters, self.post),
+        )
+
+    async def post(self, word: Message) -> None:
+        self.words.append(word)
+
+    async def attempt(self, record: SessionRecord, within_us: int = 1_000_000) -> Outcome:
+        await self.upstream_actor.attempts.run(record, now_us() + within_us)
+        (word,) = self.words
+        assert isinstance(word, AttemptFinished)
+        assert self.upstream_actor.attempts.in_flight == 0 and record.attempt_scope is None
+        return word.outcome
+
+
+def make_record(traffic_class: str = "once") -> SessionRecord:
+    opening = say.parse_opening(f"OPEN a k1 c={traffic_class},d=1000\r\n".encode())
+    assert isinstance(opening, say.Opening)
+    return SessionRecord(Session(0, 0, 1, None, now_us() + 1_000_000), opening)
+
+
+def endpoint_changes(rows: list[dict[str, Any]]) -> Any:
+    return EndpointList(9, False, [parse_endpoint(row, "row") for row in rows])
+
+
+class ScriptedUpstream:
+    """A host that does as told with each connection's first line, step by step."""
+
+    def __init__(self) -> None:
+        self.lines: list[bytes] = []
+        self.address = ("", 0)
+        self.ended = 0
+
+    async def start(
+        self, tasks: TaskGroup, answer: Callable[[ScriptedUpstream, SocketStream], Awaitable[None]]
+    ) -> ScriptedUpstream:
+        listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
+        self.address = ("127.0.0.1", port_of(listener))
+
+        async def serve(session: SocketStream) -> None:
+            with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream):
+                async with session:
+                    self.lines.append(await session.receive())
+                    await answer(self, session)
+                    while True:
+                        await session.receive()
+            self.ended += 1
+
+        tasks.start_soon(listener.serve, serve)
+        return self
+
+    @property
+    def named(self) -> str:
+        return f"{self.address[0]}:{self.address[1]}"
