--- a/larchlatch/node/decision_executor.py
+++ b/larchlatch/node/decision_executor.py
@@ -14,9 +14,9 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from larchlatch.node.cluster_adapter import ClusterAdapter
     from larchlatch.node.held_sessions import HeldSessions
     from larchlatch.node.metrics import Counters
+    from larchlatch.node.other_nodes import ClusterAdapter
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.upstream_registry import UpstreamRegistry
 
