--- a/larchlatch/cluster/datagram_socket.py
+++ b/larchlatch/cluster/datagram_socket.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from larchlatch.cluster import counters
+from larchlatch.cluster.counters import ClusterCounter
 from larchlatch.cluster.protocol.codec import MAX_DATAGRAM_BYTES
 
 if TYPE_CHECKING:
@@ -61,10 +61,10 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError:
-                self._counters.add(counters.RECEIVE_FAILED)
+                self._counters.add(ClusterCounter.RECEIVE_FAILED)
                 return
-            self._counters.add(counters.BYTES_RECEIVED, len(data))
-            self._counters.add(counters.DATAGRAMS_RECEIVED)
+            self._counters.add(ClusterCounter.BYTES_RECEIVED, len(data))
+            self._counters.add(ClusterCounter.DATAGRAMS_RECEIVED)
             yield data
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
@@ -72,7 +72,7 @@
         try:
             self._socket.sendto(data, address)
         except OSError:
-            self._counters.add(counters.SEND_FAILED)
+            self._counters.add(ClusterCounter.SEND_FAILED)
             return
-        self._counters.add(counters.BYTES_SENT, len(data))
-        self._counters.add(counters.DATAGRAMS_SENT)
+        self._counters.add(ClusterCounter.BYTES_SENT, len(data))
+        self._counters.add(ClusterCounter.DATAGRAMS_SENT)
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -85,13 +85,14 @@
         self._elector_side = ElectorSide(self.own_name, self.electorate, now)
 
     def follow(self, electorate: Electorate, now: int) -> None:
-        """Go by the cluster file that was read now."""
-        # Promises by electors of the former file may last. As after a start, nothing is promised for as long
-        # as they may, and ballots by the other file are not answered.
-        if electorate.digest != self.electorate.digest:
-            self.electorate = electorate
-            self._known_holders.follow(electorate, now)
-            self.open(now)
+        """Start over with the electorate of a changed cluster file.
+
+        Promises by electors of the former file may still hold. As after a start, nothing is promised for as
+        long as they can, and ballots under the former file are not answered.
+        """
+        self.electorate = electorate
+        self._known_holders.follow(electorate, now)
+        self.open(now)
 
     def begin_handover(self) -> None:
         """Hand all roles over from the next heartbeat on, as this node is about to end."""
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -6,7 +6,7 @@
 
 import structlog
 
-from larchlatch.cluster import counters
+from larchlatch.cluster.counters import ClusterCounter, member_state_counter
 from larchlatch.cluster.election.candidate_side import RoleChange
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 
@@ -35,13 +35,13 @@
     def member_changes(self, changes: Iterable[MemberChange]) -> None:
         """Log members whose state has changed."""
         for change in changes:
-            self._counters.add(counters.MEMBER_STATE + change.state.value)
+            self._counters.add(member_state_counter(change.state))
             log.info("member_state_changed", name=change.name, state=change.state.value)
 
     def orders(self, orders: Iterable[ExecutedOrder]) -> None:
         """Log orders that were carried out here."""
         for order in orders:
-            self._counters.add(counters.ORDERS_EXECUTED)
+            self._counters.add(ClusterCounter.ORDERS_EXECUTED)
             # There is one of the token issuer for each session.
             write = log.debug if order.role == TOKEN_ISSUER else log.info
             write("order_executed", **order._asdict())
@@ -54,7 +54,7 @@
     def ejections_advised(self, ejections: Iterable[tuple[str, int]]) -> None:
         """Log upstreams that so many other nodes can't reach."""
         for upstream, witnesses in ejections:
-            self._counters.add(counters.EJECTIONS_ADVISED)
+            self._counters.add(ClusterCounter.EJECTIONS_ADVISED)
             log.info("upstream_ejection_advised", upstream=upstream, witnesses=witnesses)
 
     def unreachable(self, upstreams: Iterable[str]) -> None:
--- a/larchlatch/cluster/exchange/__init__.py
+++ b/larchlatch/cluster/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""What a node makes of datagrams, and which datagrams it sends. No I/O."""
+"""Received datagrams are checked and dispatched here, and those to send are composed. No I/O."""
--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -1,14 +1,14 @@
-"""One node's exchange of datagrams with the other members; what does the I/O calls it."""
+"""One node's exchange of datagrams with the other members, without the I/O."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Protocol
 
+from larchlatch.cluster.exchange.context import ExchangeContext
+from larchlatch.cluster.exchange.handlers import MessageHandlers
 from larchlatch.cluster.exchange.heartbeat import HeartbeatSender
-from larchlatch.cluster.exchange.loans import LoanExchange
 from larchlatch.cluster.exchange.receiver import DatagramReceiver, SignatureVerifier
 from larchlatch.cluster.exchange.results import OutgoingDatagram
-from larchlatch.cluster.exchange.tokens import TokenExchange
 from larchlatch.cluster.protocol.codec import encode_body, encode_datagram
 from larchlatch.cluster.protocol.messages import DirectMessage, NodeRecord, SignedMessage
 
@@ -24,16 +24,16 @@
 
 
 class MessageSigner(Protocol):
-    """What signs this node's messages; the emulator has one that costs nothing."""
+    """Signs this node's messages; the emulator has an implementation without cryptography."""
 
     def sign(self, body: bytes) -> bytes:
         """Return the signature of a message's body."""
 
 
 class Exchange:
-    """Receive datagrams and compose those to send.
+    """Handle received datagrams and compose those to send.
 
-    All that is sent is signed by `sign`, also in the parts: a subclass may override it.
+    Everything that is sent passes through `sign`, which a subclass may override.
 
     Attributes:
         membership: the members, as this node knows them.
@@ -51,7 +51,7 @@
         verifier: SignatureVerifier,
         count: Callable[[str], None],
     ) -> None:
-        """Wire up one node's exchange.
+        """Compose one node's exchange from its parts.
 
         Args:
             membership: the members, as this node knows them.
@@ -66,18 +66,14 @@
         self.membership = membership
         self.state = state
         self._signer = signer
-        self._loans = LoanExchange(membership, state, self.pack, count)
-        self._tokens = TokenExchange(membership, state, self.pack, count)
-        self._receiver = DatagramReceiver(
-            membership, state, keys, verifier, self._loans, self._tokens, self.pack, count
-        )
-        self._heartbeats = HeartbeatSender(
-            membership, state, sites, self._loans, self._tokens, self.sign, self.pack
-        )
+        context = ExchangeContext(membership, state, self.pack, count)
+        self._handlers = MessageHandlers.create(context)
+        self._receiver = DatagramReceiver(context, self._handlers, keys, verifier)
+        self._heartbeats = HeartbeatSender(context, self._handlers, sites, self.sign)
 
     @property
     def unknown_version(self) -> int | None:
-        """Return the first protocol version met that this node does not speak."""
+        """Return the first unknown protocol version that was received; None: there was none."""
         return self._receiver.unknown_version
 
     def apply_configuration(
@@ -90,20 +86,33 @@
         heartbeat_us: int,
         now: int,
     ) -> None:
-        """Go by a new cluster file: members that it lacks are forgotten, those that stay are kept."""
+        """Apply a cluster file that was read again.
+
+        Members that the file no longer has are forgotten; what is known of the others is kept. Quotas and
+        roles start over only if the file changes them.
+
+        Args:
+            sites: site of each member.
+            keys: public key of each member.
+            quota_settings: how the quotas are divided.
+            electorate: who elects, for which roles.
+            heartbeat_us: time between two heartbeats.
+            now: monotonic time in microseconds.
+
+        """
         self._heartbeats.sites, self._receiver.keys = sites, keys
-        quotas, election, tokens = self.state.quotas, self.state.election, self.state.tokens
+        quotas, election = self.state.quotas, self.state.election
         self.membership.heartbeat_us = quotas.heartbeat_us = election.heartbeat_us = heartbeat_us
         self.membership.set_members(sites)
         if quota_settings.digest != quotas.settings.digest:
             quotas.follow(quota_settings, now)
             self.state.quota_usage.set_quotas(quota_settings)
-        if electorate.digest != tokens.digest:
-            tokens.follow(electorate)
-        election.follow(electorate, now)
+        if electorate.digest != election.electorate.digest:
+            self.state.tokens.follow(electorate)
+            election.follow(electorate, now)
 
     def receive(self, data: bytes, *, now: int, wall: int) -> ExchangeResult:
-        """Handle one datagram; what can't be used is dropped and counted by its reason.
+        """Handle one datagram; what can't be used is dropped and counted by reason.
 
         Args:
             data: the datagram.
@@ -114,7 +123,7 @@
         return self._receiver.receive(data, now=now, wall=wall)
 
     def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
-        """Do what falls due with one heartbeat.
+        """Do what is due with one heartbeat.
 
         Args:
             now: monotonic time in microseconds.
@@ -135,7 +144,7 @@
             wall: Unix time in microseconds.
 
         """
-        return self._tokens.request(now, wall=wall, session=session, candidates=candidates)
+        return self._handlers.tokens.request(now, wall=wall, session=session, candidates=candidates)
 
     def sign(self, message: NodeRecord | DirectMessage) -> SignedMessage:
         """Encode and sign a message."""
@@ -143,5 +152,5 @@
         return SignedMessage(body, self._signer.sign(body))
 
     def pack(self, message: DirectMessage) -> OutgoingDatagram:
-        """Return the datagram that brings this message alone to its recipient."""
+        """Return the datagram that carries this one message to its recipient."""
         return OutgoingDatagram(message.recipient, encode_datagram([], [self.sign(message)]))
--- a/larchlatch/cluster/exchange/loans.py
+++ b/larchlatch/cluster/exchange/loans.py
@@ -1,65 +1,55 @@
-"""Requests and grants of quota loans, as they go between nodes."""
+"""Requests and grants of quota loans, as nodes send them to each other."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from larchlatch.cluster import counters
+from larchlatch.cluster.counters import ClusterCounter
 from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR
-from larchlatch.cluster.exchange.results import ExecutedOrder, OutgoingDatagram
+from larchlatch.cluster.exchange.role_orders import RoleOrders
 
 if TYPE_CHECKING:
-    from collections.abc import Callable, Mapping
+    from collections.abc import Mapping
 
-    from larchlatch.cluster.exchange.results import ExchangeResult
-    from larchlatch.cluster.exchange.state import SharedState
-    from larchlatch.cluster.membership.membership import Membership
-    from larchlatch.cluster.protocol.messages import DirectMessage, LoanGrant, LoanRequest, NodeRecord
+    from larchlatch.cluster.exchange.context import ExchangeContext
+    from larchlatch.cluster.exchange.results import ExchangeResult, OutgoingDatagram
+    from larchlatch.cluster.protocol.messages import LoanGrant, LoanRequest, NodeRecord
 
 
 class LoanExchange:
     """Borrow from other nodes and lend to them."""
 
-    def __init__(
-        self,
-        membership: Membership,
-        state: SharedState,
-        pack: Callable[[DirectMessage], OutgoingDatagram],
-        count: Callable[[str], None],
-    ) -> None:
-        self._membership = membership
-        self._quotas = state.quotas
-        self._election = state.election
-        self._pack = pack
-        self._count = count
+    def __init__(self, context: ExchangeContext) -> None:
+        self._membership = context.membership
+        self._quotas = context.state.quotas
+        self._orders = RoleOrders(QUOTA_ALLOCATOR, context)
+        self._pack = context.pack
+        self._count = context.count
 
     def handle_request(self, request: LoanRequest, now: int, result: ExchangeResult) -> None:
-        """Lend to another node what can be spared; a request that nothing is lent upon gets no answer."""
-        grant = self._quotas.answer(now, request, self._election.order_permit(now, QUOTA_ALLOCATOR))
+        """Lend what can be spared to the node that asks; a declined request gets no answer."""
+        grant = self._quotas.answer(now, request, self._orders.permit(now))
         if grant is None:
-            self._count(counters.LOANS_DECLINED)
+            self._count(ClusterCounter.LOANS_DECLINED)
             return
-        self._count(counters.LOANS_GRANTED)
+        self._count(ClusterCounter.LOANS_GRANTED)
         result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: LoanGrant, now: int, result: ExchangeResult) -> None:
-        """Take up a loan; where a quota allocator lends, it is an order that needs a valid fencing token."""
-        if grant.lease and not self._election.accepts_order(QUOTA_ALLOCATOR, grant.lease):
-            self._count(counters.ORDERS_OUTDATED)
+        """Enter a loan; one from the quota allocator is an order and needs a valid fencing token."""
+        if grant.lease and not self._orders.accepts(grant.lease):
             return
         usable = self._quotas.accept_grant(now, grant)
-        self._count(counters.LOANS_RECEIVED if usable else counters.LOANS_TOO_LATE)
+        self._count(ClusterCounter.LOANS_RECEIVED if usable else ClusterCounter.LOANS_TOO_LATE)
         if usable and grant.lease:
-            result.orders.append(ExecutedOrder(QUOTA_ALLOCATOR, grant.lease, grant.sender))
+            result.orders.append(self._orders.executed(lease=grant.lease, holder=grant.sender))
 
     def update_allocator(self, now: int) -> None:
-        """Tell the quotas who allocates them, and by which lease where it is this node."""
-        holder = self._election.holder(QUOTA_ALLOCATOR)
-        lease, _ = self._election.order_permit(now, QUOTA_ALLOCATOR)
-        self._quotas.note_allocator(now, holder.name if holder is not None else "", lease)
+        """Update which node is the quota allocator, and this node's own lease of that role."""
+        self._quotas.update_allocator(now, self._orders.holder_name(), self._orders.permit(now).lease)
 
     def heartbeat(self, now: int, *, wall: int, present: Mapping[str, NodeRecord]) -> list[OutgoingDatagram]:
-        """Return the requests that fall due with a heartbeat.
+        """Return the requests that are due with this heartbeat.
 
         Args:
             now: monotonic time in microseconds.
@@ -80,11 +70,11 @@
         datagrams = [self._pack(request) for request in requests if request.recipient != own_name]
         for request in requests:
             if request.recipient == own_name:
-                self._borrow_from_itself(request, now)
+                self._borrow_from_own_pool(request, now)
         return datagrams
 
-    def _borrow_from_itself(self, request: LoanRequest, now: int) -> None:
-        """Answer a request of this node's own: it allocates the quotas itself."""
-        grant = self._quotas.answer(now, request, self._election.order_permit(now, QUOTA_ALLOCATOR))
+    def _borrow_from_own_pool(self, request: LoanRequest, now: int) -> None:
+        """Answer this node's own request at once, as it is the quota allocator itself."""
+        grant = self._quotas.answer(now, request, self._orders.permit(now))
         if grant is not None:
             self._quotas.accept_grant(now, grant)
--- a/larchlatch/cluster/exchange/results.py
+++ b/larchlatch/cluster/exchange/results.py
@@ -1,4 +1,4 @@
-"""What comes of a datagram or a heartbeat, for whoever does the I/O."""
+"""Results of a datagram or a heartbeat: what the caller, which does the I/O, has to send, log and pass on."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
 
 class ExecutedOrder(NamedTuple):
-    """An order of a role's holder that was carried out by this node.
+    """An order of a role's holder that this node has executed.
 
     Attributes:
         role: the role's name.
         lease: fencing token of the order.
-        holder: name of the node that gave it.
+        holder: name of the node that gave the order.
 
     """
 
@@ -41,13 +41,13 @@
 
 @dataclass(slots=True)
 class ExchangeResult:
-    """What came of a datagram, or of a request of this node's own.
+    """The result of a received datagram, or of a request that this node makes.
 
     Attributes:
         changes: members whose state has changed.
-        datagrams: what has to be sent at once.
-        orders: orders that were carried out.
-        token_updates: what the balancer has to be told of slow-start tokens.
+        datagrams: datagrams to send at once.
+        orders: orders that were executed.
+        token_updates: notices about slow-start tokens for the balancer.
 
     """
 
@@ -58,13 +58,14 @@
 
 
 class HeartbeatResult(NamedTuple):
-    """What came of a heartbeat.
+    """The result of a heartbeat.
 
     Attributes:
         changes: members whose state has changed.
-        datagrams: what has to be sent.
-        advice: what the health observations of all members come to.
-        token_updates: what the balancer has to be told of slow-start tokens, before the datagrams are sent.
+        datagrams: datagrams to send.
+        advice: upstreams to probe or eject, by the health observations of all members.
+        token_updates: notices about slow-start tokens; the balancer has to receive them before the datagrams
+            are sent.
 
     """
 
--- a/larchlatch/cluster/exchange/state.py
+++ b/larchlatch/cluster/exchange/state.py
@@ -1,4 +1,4 @@
-"""What one node keeps of all that the members of a cluster share."""
+"""One node's copy of the state that the members of a cluster share."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class SharedState(NamedTuple):
-    """The parts of one node that members keep in step by their datagrams.
+    """The parts of one node's state that datagrams between the members keep up to date.
 
     Attributes:
         quotas: the node's quota accounts and loans.
-        quota_usage: what all nodes have spent of the quotas lately.
+        quota_usage: sessions that all nodes have admitted in the last windows.
         health: observations of upstreams.
-        election: roles, as elector, candidate and follower.
-        tokens: slow-start tokens, as requester and issuer.
+        election: the election of roles, with this node as elector and candidate.
+        tokens: slow-start tokens, with this node as requester and issuer.
 
     """
 
@@ -47,7 +47,7 @@
         now: int,
         random: Random,
     ) -> SharedState:
-        """Return a node's state as it starts.
+        """Return the state of a node that starts.
 
         Args:
             name: the node's name.
@@ -56,7 +56,7 @@
             max_clock_difference_us: how far the wall clocks of two nodes may differ.
             heartbeat_us: time between two heartbeats.
             now: monotonic time in microseconds.
-            random: source of all random choices; quotas and election draw from it in their calls' order.
+            random: source of all random choices, which quotas and election share.
 
         """
         return cls(
@@ -68,6 +68,6 @@
         )
 
     def open(self, now: int) -> None:
-        """Begin to spend quotas and to promise leases: no other process of this node does so any more."""
+        """Begin to spend quotas and to promise leases, as no other process of this node does so now."""
         self.quotas.open(now)
         self.election.open(now)
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -1,37 +1,29 @@
-"""Requests and grants of slow-start tokens, as they go between nodes."""
+"""Requests and grants of slow-start tokens, as nodes send them to each other."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from larchlatch.cluster import counters
+from larchlatch.cluster.counters import ClusterCounter
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
-from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
+from larchlatch.cluster.exchange.results import ExchangeResult
+from larchlatch.cluster.exchange.role_orders import RoleOrders
 
 if TYPE_CHECKING:
-    from collections.abc import Callable
-
-    from larchlatch.cluster.exchange.state import SharedState
-    from larchlatch.cluster.membership.membership import Membership
-    from larchlatch.cluster.protocol.messages import DirectMessage, TokenGrant, TokenRequest
+    from larchlatch.cluster.exchange.context import ExchangeContext
+    from larchlatch.cluster.protocol.messages import TokenGrant, TokenRequest
     from larchlatch.policy.types import TokenCandidate
 
 
 class TokenExchange:
-    """Request tokens of the token issuer, and issue them where this node holds that role."""
+    """Request tokens from the token issuer, and issue them while this node holds that role."""
 
-    def __init__(
-        self,
-        membership: Membership,
-        state: SharedState,
-        pack: Callable[[DirectMessage], OutgoingDatagram],
-        count: Callable[[str], None],
-    ) -> None:
-        self._membership = membership
-        self._tokens = state.tokens
-        self._election = state.election
-        self._pack = pack
-        self._count = count
+    def __init__(self, context: ExchangeContext) -> None:
+        self._membership = context.membership
+        self._tokens = context.state.tokens
+        self._orders = RoleOrders(TOKEN_ISSUER, context)
+        self._pack = context.pack
+        self._count = context.count
 
     def request(
         self, now: int, *, wall: int, session: int, candidates: list[tuple[int, TokenCandidate]]
@@ -54,44 +46,47 @@
         return result
 
     def handle_request(self, request: TokenRequest, now: int, result: ExchangeResult) -> None:
-        """Answer another node, where this one is the token issuer."""
-        grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
+        """Answer another node's request, if this node is the token issuer."""
+        grant = self._answer(request, now)
         if grant is not None:
             result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: TokenGrant, now: int, result: ExchangeResult) -> None:
-        """Take up the token issuer's answer, unless a later holder of the role is known."""
-        if not self._election.accepts_order(TOKEN_ISSUER, grant.lease):
-            self._count(counters.ORDERS_OUTDATED)
+        """Accept the token issuer's answer, unless a later holder of the role is known."""
+        if not self._orders.accepts(grant.lease):
             return
-        update = self._tokens.requester.accept(now, grant)
-        if update is not None:
-            result.token_updates.append(update)
-            result.orders.append(ExecutedOrder(TOKEN_ISSUER, grant.lease, grant.sender))
+        notice = self._tokens.requester.accept(now, grant)
+        if notice is not None:
+            result.token_updates.append(notice)
+            result.orders.append(self._orders.executed(lease=grant.lease, holder=grant.sender))
         if grant.upstream:
-            self._count(counters.TOKENS_RECEIVED if update is not None else counters.TOKENS_TOO_LATE)
+            self._count(
+                ClusterCounter.TOKENS_RECEIVED if notice is not None else ClusterCounter.TOKENS_TOO_LATE
+            )
 
     def heartbeat(self, now: int, *, wall: int) -> ExchangeResult:
-        """Return what falls due with a heartbeat: renewals of the lending of slow-start windows."""
+        """Return what is due with this heartbeat: a request that hands the slow-start turns over again."""
         result = ExchangeResult()
         if not self._tokens.enabled:
             return result
-        holder = self._election.holder(TOKEN_ISSUER)
-        lease, _ = self._election.order_permit(now, TOKEN_ISSUER)
-        self._tokens.issuer.hold(now, lease)
-        issuer = holder.name if holder is not None else ""
-        request, update = self._tokens.requester.tick(now, wall, self._membership.incarnation, issuer)
-        if update is not None:
-            result.token_updates.append(update)
+        self._tokens.issuer.hold(now, self._orders.permit(now).lease)
+        request, notice = self._tokens.requester.tick(
+            now, wall, self._membership.incarnation, self._orders.holder_name()
+        )
+        if notice is not None:
+            result.token_updates.append(notice)
         if request is not None:
             self._send_request(request, now, result)
         return result
 
     def _send_request(self, request: TokenRequest, now: int, result: ExchangeResult) -> None:
-        """Send a request, or answer it at once where this node is the token issuer itself."""
+        """Send a request, or answer it at once if this node is the token issuer itself."""
         if request.recipient != self._membership.own_name:
             result.datagrams.append(self._pack(request))
             return
-        grant = self._tokens.issuer.answer(now, request, self._election.order_permit(now, TOKEN_ISSUER))
+        grant = self._answer(request, now)
         if grant is not None:
             self.handle_grant(grant, now, result)
+
+    def _answer(self, request: TokenRequest, now: int) -> TokenGrant | None:
+        return self._tokens.issuer.answer(now, request, self._orders.permit(now))
--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -102,7 +102,7 @@
 
     # Loans.
 
-    def note_allocator(self, now: int, allocator: str, lease: int) -> None:
+    def update_allocator(self, now: int, allocator: str, lease: int) -> None:
         """Note which node holds the role of the quota allocator.
 
         Args:
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -12,7 +12,7 @@
 import structlog
 from xxhash import xxh3_64_intdigest
 
-from larchlatch.cluster import counters, reports
+from larchlatch.cluster import reports
 from larchlatch.cluster.cluster_file import (
     ClusterConfiguration,
     check_traffic_classes,
@@ -20,6 +20,7 @@
     own_node,
     read_cluster_file,
 )
+from larchlatch.cluster.counters import ClusterCounter
 from larchlatch.cluster.datagram_socket import DatagramSocket
 from larchlatch.cluster.event_log import ClusterEventLog
 from larchlatch.cluster.exchange.exchange import Exchange
@@ -230,7 +231,7 @@
         self._events.ejections_advised(ejections)
         self._events.unreachable(self.upstreams[upstream] for upstream in advice.newly_unreachable)
         if probes or ejections:
-            self._counters.add(counters.PROBES_ADVISED, len(probes))
+            self._counters.add(ClusterCounter.PROBES_ADVISED, len(probes))
             self._balancer.advise_ejection(EjectionAdvised(probes, ejections))
 
     # What the node asks, and tells.
@@ -248,7 +249,7 @@
         """
         retry_after_us = self.state.quotas.admit(self.now(), traffic_class)
         if retry_after_us:
-            self._counters.add(counters.SESSIONS_OVER_QUOTA)
+            self._counters.add(ClusterCounter.SESSIONS_OVER_QUOTA)
         return retry_after_us
 
     def update_endpoints(self, ready: Iterable[str], *, slow_start_us: int, overload_window_us: int) -> None:
@@ -318,10 +319,10 @@
             check_traffic_classes(configuration, self._traffic_classes)
             check_transition(configuration, before=self.configuration)
         except InvalidInputError as error:
-            self._counters.add(counters.FILE_REJECTED)
+            self._counters.add(ClusterCounter.FILE_REJECTED)
             log.error("cluster_file_rejected", reason=str(error))  # noqa: TRY400  a faulty file wants no trace
             return
-        self._counters.add(counters.FILE_READ)
+        self._counters.add(ClusterCounter.FILE_READ)
         if own != self.configuration.nodes[self._name]:
             log.warning("restart_required", keys=[f"nodes: {self._name}"])
             configuration.nodes[self._name] = self.configuration.nodes[self._name]
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -19,14 +19,12 @@
     Attributes:
         requester: asks the issuer, and hands this node's turns over to it.
         issuer: answers requests while this node holds the role.
-        digest: tells by which cluster file both sides go.
 
     """
 
     def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
         self.requester = TokenRequester(own_name, electorate, now)
         self.issuer = TokenIssuer(own_name, electorate)
-        self.digest = electorate.digest
 
     @property
     def enabled(self) -> bool:
@@ -35,7 +33,6 @@
 
     def follow(self, electorate: Electorate) -> None:
         """Go by the cluster file that was read now."""
-        self.digest = electorate.digest
         self.requester.follow(electorate)
         self.issuer.follow(electorate)
 
