--- a/larchlatch/broker/__init__.py
+++ b/larchlatch/broker/__init__.py
@@ -1,1 +1,1 @@
-"""Contracts of many teams, and who is held to what: decisions without I/O, time handed in."""
+"""Contracts of many teams, and admission within their nested quotas. No I/O; time is an argument."""
--- a/larchlatch/broker/broker.py
+++ b/larchlatch/broker/broker.py
@@ -1,4 +1,4 @@
-"""The broker's decisions: who is admitted, session by session and message by message."""
+"""The decisions of the broker: which sessions and messages are admitted."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NoContract:
-    """Nobody has a contract for what was asked."""
+    """A rejection because no contract covers the request."""
 
     reason: str
 
 
 @dataclass(slots=True)
 class AdmittedSession:
-    """A session that was admitted; it is released when it ends."""
+    """A session that was admitted, to be released when it ends."""
 
     pool: str
     leaf: QuotaNode
@@ -34,7 +34,7 @@
 class Broker:
     """Admits sessions and messages of many teams by their contracts, at one node of the installation.
 
-    Times are whole microseconds of a clock that the caller hands in.
+    Times are whole microseconds of a clock that the caller passes in.
     """
 
     def __init__(self, contracts: Contracts, nodes: int, now: int) -> None:
@@ -71,7 +71,14 @@
     def admit_session(
         self, now: int, service: str, path: tuple[str, ...] = ()
     ) -> AdmittedSession | Rejection | NoContract:
-        """Admit a new session for a service, from this bank, branch and desk of its team."""
+        """Admit a new session for a service.
+
+        Args:
+            now: present time.
+            service: the service, which belongs to one team.
+            path: names of the bank, branch and desk within the team, as far as they are known.
+
+        """
         found = self.services.get(service)
         if found is None:
             self.without_contract += 1
@@ -88,7 +95,7 @@
     def _leaf(
         self, now: int, tree: QuotaTree, team: QuotaNode, path: tuple[str, ...]
     ) -> QuotaNode | NoContract:
-        """Return the node that asks; one that no contract names is made where its parent allows for it."""
+        """Return the requester's node; one that no contract names is created if its parent allows it."""
         if len(path) > MAX_DEPTH:
             return NoContract(f"{team.address}: more than {MAX_DEPTH} levels below a team")
         node = team
@@ -108,11 +115,11 @@
         return tree.child(now, parent, name, part_limits(parent.limits.share, parent.unnamed_share, 1.0))
 
     def admit_message(self, now: int, session: AdmittedSession, number: int = 1) -> Rejection | None:
-        """Admit messages on a session; None where they are admitted."""
+        """Admit messages on a session; return None if they are admitted."""
         return self.trees[session.pool].admit(now, session.leaf, {Dimension.MESSAGES: number})
 
     def release(self, now: int, session: AdmittedSession) -> None:
-        """Note that a session has ended; a second call changes nothing."""
+        """Release a session that has ended; further calls have no effect."""
         if session.open:
             session.open = False
             self.trees[session.pool].release(now, session.leaf)
@@ -120,7 +127,7 @@
     # New contracts while sessions are established.
 
     def set_contracts(self, now: int, contracts: Contracts) -> None:
-        """Follow new contracts: sessions go on and count, those without a contract get no new ones."""
+        """Apply new contracts: established sessions continue, services without a contract get no new ones."""
         replacement = Broker(contracts, self.nodes, now)
         for name, new_tree in replacement.trees.items():
             tree = self.trees.get(name)
@@ -139,7 +146,7 @@
         }
 
     def _merge(self, now: int, tree: QuotaTree, old: QuotaNode, new: QuotaNode) -> None:
-        """Give the old node, with what it holds and has used, the limits and children of the new one."""
+        """Apply the limits and children of the new node to the old one, which keeps its use."""
         tree.set_limits(now, old, new.limits)
         old.unnamed_share, old.from_contract = new.unnamed_share, new.from_contract
         for name, child in new.children.items():
@@ -150,7 +157,7 @@
                 old.children[name] = child
         for name, child in old.children.items():
             if name not in new.children:
-                child.from_contract = False  # removed once nothing of it is established
+                child.from_contract = False  # removed when it has no established sessions
 
     def usage(self, now: int) -> list[QuotaUsage]:
         """Return a row for each node of each pool's tree and each dimension."""
--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -1,4 +1,4 @@
-"""What teams are promised and may spend: an operator's TOML file, read and checked."""
+"""The contracts of teams: an operator's TOML file, read and checked."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FILE = "contracts"  # what messages call the file
-ROUNDING = 1e-9  # shares are decimal fractions: 0.1 three times is not quite 0.3
+FILE = "contracts"  # name of the file in error messages
+ROUNDING = 1e-9  # tolerance of sums of decimal fractions
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -22,7 +22,7 @@
 
 
 class Figures(Strict, frozen=True):
-    """An amount in each dimension, of the whole installation."""
+    """An amount in each dimension, for the whole installation."""
 
     sessions_per_s: Amount
     messages_per_s: Amount
@@ -47,31 +47,31 @@
 
 
 class Pool(Strict, frozen=True):
-    """Upstreams, and what all of them together can take."""
+    """A group of upstreams, and the capacity of all of them together."""
 
     name: Name
     able: Figures
 
 
 class Part(Strict, frozen=True):
-    """A bank, a branch or a desk: a share of what the level above has."""
+    """A bank, a branch or a desk, with its share of the level above."""
 
     name: Name
     share: Share
-    most: Share = 1.0  # with what it borrows, of the level above
+    most: Share = 1.0  # upper bound with what it borrows, of the level above
     parts: list[Part] = field(default_factory=list)
-    unnamed: Share = 0.0  # the share of each part that is not named; 0: they are rejected
+    unnamed: Share = 0.0  # share of each part that is not named; 0: those are rejected
 
 
 class Team(Strict, frozen=True):
-    """A team's contract: its service, the pool that it uses, and what it is promised of it."""
+    """A team's contract: its service, its pool, and the amounts that it is promised."""
 
     name: Name
     service: Name
     pool: Name
-    setup_ms: Annotated[float, Meta(gt=0, le=600_000)]  # the setup time that it promises its clients
+    setup_ms: Annotated[float, Meta(gt=0, le=600_000)]  # setup time that the team promises its clients
     promised: Figures
-    most: Figures | None = None  # left out: it may borrow whatever the pool has left
+    most: Figures | None = None  # None: it may borrow whatever the pool has left
     parts: list[Part] = field(default_factory=list)
     unnamed: Share = 0.0
 
@@ -85,12 +85,22 @@
 
 
 def read_contracts(path: Path) -> Contracts:
-    """Read and check a contracts file; raises ConfigurationError with the key that is wrong."""
+    """Return the contracts in a file.
+
+    Raises:
+        ConfigurationError: the file can't be read or is wrong; the message names the key.
+
+    """
     return parse_contracts(read_toml(path, FILE))
 
 
 def parse_contracts(raw: Any) -> Contracts:
-    """Check contracts in their raw form; raises ConfigurationError with the key that is wrong."""
+    """Return the contracts in the content of a file.
+
+    Raises:
+        ConfigurationError: the content is wrong; the message names the key.
+
+    """
     contracts = convert_table(raw, Contracts, FILE)
     _check_unique([pool.name for pool in contracts.pools], "pools")
     _check_unique([team.name for team in contracts.teams], "teams")
@@ -119,7 +129,7 @@
 
 
 def _check_promises(pool: Pool, teams: list[Team]) -> None:
-    """Reject contracts that can't all be met, while nobody relies on them."""
+    """Check that the promises to all teams of a pool don't exceed its capacity."""
     for dimension, key in FIGURE_KEYS.items():
         able, promised = pool.able.amount(dimension), 0.0
         for place, team in enumerate(teams):
--- a/larchlatch/broker/limits.py
+++ b/larchlatch/broker/limits.py
@@ -1,4 +1,4 @@
-"""What contracts come to at one node of the installation: whole numbers in a window."""
+"""The limits that contracts impose at one node of the installation, in whole numbers per window."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def _at_least_one(amount: float) -> int:
-    # A node with less than one of something would never admit anything.
+    # With a limit of 0 a node would never admit anything of a contract.
     return 0 if amount <= 0 else max(1, int(amount + ROUNDING))
 
 
 def node_amounts(figures: Figures, window_s: float, nodes: int) -> Amounts:
-    """Return one node's part of the installation's figures, in a window."""
+    """Return one node's part of the installation's figures, per window."""
     return (
         _at_least_one(figures.sessions_per_s * window_s / nodes),
         _at_least_one(figures.messages_per_s * window_s / nodes),
@@ -45,6 +45,6 @@
 
 
 def team_limits(team: Team, pool: Pool, window_s: float, nodes: int) -> QuotaLimits:
-    """Return the limits of a team; without a maximum of its own it may borrow all that the pool has."""
+    """Return the limits of a team; without its own maximum it may borrow the whole pool."""
     promised = node_amounts(team.promised, window_s, nodes)
     return QuotaLimits(promised, node_amounts(team.most or pool.able, window_s, nodes))
--- a/larchlatch/broker/quota_tree.py
+++ b/larchlatch/broker/quota_tree.py
@@ -1,4 +1,4 @@
-"""Nested quotas: a tree whose nodes are limited in several dimensions. A whole path admits, or none of it."""
+"""Nested quotas: a tree whose nodes are limited in several dimensions. All nodes of a path admit, or none."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NEVER = -2 * SLOTS  # a slot that lies longer ago than any window
-SWEEPS_PER_WINDOW = 4  # how often idle nodes are looked for
+NEVER = -2 * SLOTS  # a slot before any window
+SWEEPS_PER_WINDOW = 4  # searches for idle nodes in a window
 
 
 class Dimension(IntEnum):
-    """What is limited."""
+    """A limited quantity."""
 
-    NEW_SESSIONS = 0  # in a window
-    MESSAGES = 1  # in a window
+    NEW_SESSIONS = 0  # per window
+    MESSAGES = 1  # per window
     HELD_SESSIONS = 2  # established at one time
 
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaLimits:
-    """What a node of the tree may have, by dimension."""
+    """The limits of a node of the tree, by dimension."""
 
     share: tuple[int, int, int]  # its own
     maximum: tuple[int, int, int]  # with what it borrows
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True)
 class QuotaNode:
-    """A team, a bank, a branch or a desk; or the pool itself at the root."""
+    """A node of the tree: a team, a bank, a branch or a desk, or the pool at the root."""
 
     name: str
     limits: QuotaLimits
@@ -53,28 +53,30 @@
     counters: tuple[SlidingWindowCounter, SlidingWindowCounter] = field(default_factory=_new_counters)
     held: int = 0
     requested_at: list[int] = field(default_factory=_never_requested)  # slot of the last request
-    exceeded_at: list[int] = field(default_factory=_never_requested)  # slot of the last one beyond its share
+    exceeded_at: list[int] = field(
+        default_factory=_never_requested
+    )  # slot of the last request beyond its share
     admitted: int = 0
     rejected: int = 0
-    unnamed_share: float = 0.0  # share of a child that no contract names; 0: there are none
-    from_contract: bool = True  # others are made when they first ask, and removed when idle
+    unnamed_share: float = 0.0  # share of a child that no contract names; 0: there is none
+    from_contract: bool = True  # others are created on their first request, and removed when idle
 
     def used(self, dimension: Dimension, slot: int) -> int:
-        """Return what is in use: held now, or used in the window that ends at `slot`."""
+        """Return the use: sessions held now, or the amount used in the window that ends at `slot`."""
         if dimension is Dimension.HELD_SESSIONS:
             return self.held
         return self.counters[dimension].advance(slot)
 
     def requested_lately(self, dimension: Dimension, slot: int) -> bool:
-        """Return whether it was asked for anything within the last window."""
+        """Return whether there was a request within the last window."""
         return slot - self.requested_at[dimension] <= SLOTS
 
     def exceeded_lately(self, dimension: Dimension, slot: int) -> bool:
-        """Return whether more than its share was asked for within the last window."""
+        """Return whether a request within the last window exceeded its share."""
         return slot - self.exceeded_at[dimension] <= SLOTS
 
     def path_to_root(self) -> Iterator[QuotaNode]:
-        """Yield this node and all above it, the pool last."""
+        """Yield this node and all nodes above it; the pool comes last."""
         node: QuotaNode | None = self
         while node is not None:
             yield node
@@ -82,13 +84,13 @@
 
     @property
     def address(self) -> str:
-        """The names from the pool down to this node, with slashes between."""
+        """Return the names from the pool down to this node, separated by slashes."""
         return "/".join(reversed([node.name for node in self.path_to_root()]))
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """Which node of the tree rejected a request, in which dimension, and when to come back."""
+    """The node of the tree that rejected a request, the dimension, and the time after which to try again."""
 
     address: str
     dimension: Dimension
@@ -97,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUsage:
-    """What a node of the tree has, uses and has borrowed, for operators."""
+    """The limits and the use of a node of the tree, for operators."""
 
     address: str
     dimension: Dimension
@@ -111,7 +113,7 @@
 
 
 class QuotaTree:
-    """The tree of one pool. Times are whole microseconds; a time that runs back counts as the latest."""
+    """The tree of one pool. Times are whole microseconds; a time before the latest one counts as that."""
 
     def __init__(self, root: QuotaNode, window_us: int, now: int) -> None:
         self.root = root
@@ -119,8 +121,8 @@
         self.set_window(window_us)
 
     def set_window(self, window_us: int) -> None:
-        """Count by windows of this length from now on, as after a start."""
-        # Slots of another length have other numbers: what was counted by them would never leave, or at once.
+        """Count in windows of this length from now on, as after a start."""
+        # The counts are dropped, as slots of another length have other numbers.
         self.window_us = window_us
         self.slot_us = max(1, window_us // SLOTS)
         self.swept_at = self._slot()
@@ -131,7 +133,7 @@
             self._count_last_window_as_used(node)
 
     def _count_last_window_as_used(self, node: QuotaNode) -> None:
-        # A process that starts does not know what the one before it admitted in the last window.
+        # A process that starts does not know what its predecessor admitted in the last window.
         slot = self._slot()
         for dimension in WINDOWED:
             limits = node.limits.maximum if node is self.root else node.limits.share
@@ -143,7 +145,7 @@
         return self.now // self.slot_us
 
     def _advance(self, now: int) -> int:
-        """Move the clock on, remove idle nodes once in a while, and return the present slot."""
+        """Advance the clock, remove idle nodes if it is time, and return the present slot."""
         self.now = max(self.now, now)
         slot = self._slot()
         if slot >= self.swept_at + SLOTS // SWEEPS_PER_WINDOW:
@@ -154,10 +156,10 @@
     # Admission.
 
     def admit(self, now: int, leaf: QuotaNode, amounts: dict[Dimension, int]) -> Rejection | None:
-        """Take `amounts` at all nodes from `leaf` up to the pool; or at none, and return who rejected."""
+        """Use `amounts` at all nodes from `leaf` up to the pool; or at none, and return the rejection."""
         slot = self._advance(now)
         path = list(leaf.path_to_root())
-        self._note_request(path, amounts, slot)
+        self._record_request(path, amounts, slot)
         rejection = self._first_rejection(path, amounts, slot)
         if rejection is not None:
             for node in path:
@@ -169,8 +171,8 @@
         return None
 
     @staticmethod
-    def _note_request(path: list[QuotaNode], amounts: dict[Dimension, int], slot: int) -> None:
-        # At every node, also behind one that rejects: a lender that asks again is protected from then on.
+    def _record_request(path: list[QuotaNode], amounts: dict[Dimension, int], slot: int) -> None:
+        # Recorded at every node, also below one that rejects: a returning lender is protected from now on.
         for node in path:
             for dimension, amount in amounts.items():
                 node.requested_at[dimension] = slot
@@ -180,7 +182,7 @@
     def _first_rejection(
         self, path: list[QuotaNode], amounts: dict[Dimension, int], slot: int
     ) -> Rejection | None:
-        # From the pool down, so that the widest node that is short is named.
+        # From the pool down, so that the rejection names the highest node that is exhausted.
         for node in reversed(path):
             for dimension, amount in amounts.items():
                 excess = node.used(dimension, slot) + amount - self._allowance(node, dimension, slot)
@@ -199,13 +201,13 @@
                 node.counters[dimension].add(slot, amount)
 
     def release(self, now: int, leaf: QuotaNode, number: int = 1) -> None:
-        """Give back held sessions that have ended."""
+        """Release held sessions that have ended."""
         self._advance(now)
         for node in leaf.path_to_root():
             node.held -= number
 
     def _allowance(self, node: QuotaNode, dimension: Dimension, slot: int) -> int:
-        """Return how much a node may have in use: its share, and its part of what its siblings leave."""
+        """Return the permitted use of a node: its share, and its part of what its siblings leave."""
         share, maximum = node.limits.share[dimension], node.limits.maximum[dimension]
         parent = node.parent
         if parent is None or maximum <= share:
@@ -218,7 +220,7 @@
 
     @staticmethod
     def _spare_of(parent: QuotaNode, dimension: Dimension, slot: int) -> tuple[int, int]:
-        """Return what the children leave of a quota, and the sum of the shares of those that borrow."""
+        """Return the amount that the children leave, and the sum of the shares of those that borrow."""
         limits = parent.limits.maximum if parent.parent is None else parent.limits.share
         spare, borrowing_shares = limits[dimension], 0
         for child in parent.children.values():
@@ -233,15 +235,15 @@
         return spare, borrowing_shares
 
     def _retry_after_us(self, node: QuotaNode, dimension: Dimension, slot: int, excess: int) -> int:
-        # Held sessions end when they do: a window is as good a guess as any.
+        # The end of held sessions is not known: a window is an arbitrary wait.
         if dimension is Dimension.HELD_SESSIONS:
             return self.window_us
         return node.counters[dimension].slots_until_free(slot, excess) * self.slot_us
 
-    # Nodes that come and go.
+    # Nodes that no contract names.
 
     def child(self, now: int, parent: QuotaNode, name: str, limits: QuotaLimits) -> QuotaNode:
-        """Return a child that no contract names, such as a desk; made when it first asks."""
+        """Return a child that no contract names, such as a desk; it is created on its first request."""
         self._advance(now)
         found = parent.children.get(name)
         if found is None:
@@ -250,7 +252,7 @@
 
     def remove_idle(self, node: QuotaNode, slot: int) -> None:
         """Remove nodes below this one that no contract names and that are unused for a window."""
-        # Unused for a window, a node that no contract names has its whole budget again anyway.
+        # After a window without use such a node would have its whole share again anyway.
         for name, child in list(node.children.items()):
             self.remove_idle(child, slot)
             idle = not child.children and not child.from_contract and not child.held
@@ -258,7 +260,7 @@
                 del node.children[name]
 
     def set_limits(self, now: int, node: QuotaNode, limits: QuotaLimits) -> None:
-        """Follow new limits: nothing established is cut off, new requests wait until they fit."""
+        """Change the limits of a node; established sessions continue, new requests have to fit."""
         self._advance(now)
         node.limits = limits
 
@@ -279,7 +281,7 @@
         borrowed_by_all = sum(max(0, -balance) for balance in balances)
         left_by_all = sum(max(0, balance) for balance in balances)
         left_here = max(0, share - used) if siblings else 0
-        # What is borrowed comes from all that leave something, in proportion to what each leaves.
+        # Loans come from all siblings with unused shares, in proportion to what each leaves unused.
         lent = min(left_here, borrowed_by_all * left_here // left_by_all) if left_by_all else 0
         return QuotaUsage(
             node.address,
@@ -295,7 +297,7 @@
 
 
 def iterate(node: QuotaNode) -> Iterator[QuotaNode]:
-    """Yield a node and all below it, parents first."""
+    """Yield a node and all nodes below it, parents first."""
     yield node
     for child in node.children.values():
         yield from iterate(child)
--- a/larchlatch/broker/sliding_window.py
+++ b/larchlatch/broker/sliding_window.py
@@ -1,16 +1,16 @@
-"""A counter over a sliding window, kept in slots of equal length."""
+"""A counter over a sliding window, which is divided into slots of equal length."""
 
 from __future__ import annotations
 
-# Slots of a window. One more is kept, so that the limit is strict for any stretch as long as the window, at
-# the cost of 1/65 of the rate.
+# Slots of a window. One more is counted, so that a limit also holds for windows that begin within a slot;
+# this costs 1/65 of the rate.
 SLOTS = 64
 
 
 class SlidingWindowCounter:
-    """How much was used in the last window.
+    """Counts the use in the last window.
 
-    The caller numbers the slots by its own clock; a slot number below the newest one counts as the newest.
+    The caller numbers the slots by its own clock; a number below the newest one counts as the newest.
     """
 
     __slots__ = ("newest", "slots", "total")
@@ -21,7 +21,7 @@
         self.total = 0
 
     def advance(self, slot: int) -> int:
-        """Move on to `slot` and return what is used in the window that ends there."""
+        """Advance to `slot` and return the use in the window that ends there."""
         if slot > self.newest:
             first_expired = max(self.newest + 1, slot - SLOTS)
             for number in range(first_expired, slot + 1):
@@ -40,7 +40,7 @@
         self.total += amount
 
     def slots_until_free(self, slot: int, amount: int) -> int:
-        """Return in how many slots `amount` will have left the window."""
+        """Return the number of slots until `amount` has left the window."""
         self.advance(slot)
         expiring = 0
         for ahead in range(1, SLOTS + 2):
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -1,7 +1,7 @@
-"""The operators' cluster file (TOML): which nodes there are, with which keys, and what they share.
+"""The operators' cluster file (TOML): the nodes with their keys, the quotas and the roles.
 
-Tables are read into the `*Table` types first, whose attributes are named for what they mean; the keys in the
-file are part of the operators' files and stay as they are. What was checked becomes a `ClusterConfiguration`.
+The `*Table` types hold the content of the file; they alone map its keys to the terms of the code. The checked
+content is a `ClusterConfiguration`.
 """
 
 from __future__ import annotations
@@ -24,15 +24,14 @@
     from collections.abc import Iterable
     from pathlib import Path
 
-MAX_NAME_BYTES = 32  # a record holds its origin's name: long names leave less space for others' records
+MAX_NAME_BYTES = 32  # each record holds its origin's name
 MAX_ADDRESS_CHARACTERS = 64
 MAX_NODES = 1000
-MAX_QUOTAS = 8  # each takes space in every record: with more, fewer records would fit into a datagram
+MAX_QUOTAS = 8  # each takes space in every record
 MIN_ELECTORS = 3
-MAX_ELECTORS = 7  # a candidate asks all of them, and the records of all tell what they have promised
-# A loan is renewed at half its term: a request, its answer and one more attempt have to fit in.
-MIN_HEARTBEATS_PER_TERM = 8
-DIGEST_MASK = 0x7FFFFFFF  # 31 bits: four bytes less in each record than the whole hash
+MAX_ELECTORS = 7  # a candidate asks all of them
+MIN_HEARTBEATS_PER_TERM = 8  # renewal at half a term leaves time for a request, its response and a retry
+DIGEST_MASK = 0x7FFFFFFF  # 31 bits, which take four bytes less in each record than the whole hash
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Address = Annotated[str, Meta(min_length=1, max_length=MAX_ADDRESS_CHARACTERS)]
@@ -40,7 +39,7 @@
 
 
 class NodeTable(Strict, frozen=True):
-    """`[[nodes]]`: where the other nodes reach a node, and what they verify its records with."""
+    """`[[nodes]]`: the address, public key and site of a node."""
 
     name: Name
     address: Address
@@ -49,7 +48,7 @@
 
 
 class QuotaTable(Strict, frozen=True):
-    """`[[budgets]]`: new sessions of these traffic classes, of the whole installation."""
+    """`[[budgets]]`: a quota of new sessions of these traffic classes, for the whole installation."""
 
     name: Name
     sessions_per_s: Annotated[float, Meta(gt=0, le=1e6)]
@@ -57,7 +56,7 @@
 
 
 class RolesTable(Strict, frozen=True):
-    """`[duties]`: roles that one node holds at a time, and who elects the holders."""
+    """`[duties]`: the roles, and the electors of their holders."""
 
     electors: Annotated[list[Name], Meta(min_length=MIN_ELECTORS, max_length=MAX_ELECTORS)]
     term_ms: TermMs = 3000
@@ -66,7 +65,7 @@
 
 
 class ClusterTable(Strict, frozen=True):
-    """The whole file, as it is written."""
+    """The whole file."""
 
     nodes: Annotated[list[NodeTable], Meta(min_length=1, max_length=MAX_NODES)]
     heartbeat_ms: Annotated[int, Meta(ge=20, le=10_000)] = field(name="beat_ms", default=200)
@@ -105,8 +104,8 @@
         nodes: all nodes by their names, in the order of the file.
         heartbeat_us: time between two heartbeats.
         quota_settings: how the quotas are divided.
-        electorate: who elects, for which roles.
-        max_clock_difference_us: how far the wall clocks of two nodes may differ.
+        electorate: the roles and their electors.
+        max_clock_difference_us: greatest difference of two nodes' wall clocks.
 
     """
 
@@ -141,8 +140,8 @@
     """Check the content of a cluster file.
 
     Args:
-        raw: tables and values as TOML has them.
-        top: how error messages name the file.
+        raw: the content as TOML tables and values.
+        top: name of the file in error messages.
 
     Raises:
         ConfigurationError: the content is wrong; the message names the key.
@@ -223,7 +222,7 @@
 
 
 def _parse_roles(table: ClusterTable, quota_settings: QuotaSettings, top: str) -> Electorate:
-    """Return who elects, for which roles."""
+    """Return the roles and their electors."""
     roles = table.roles
     if roles is None:
         return Electorate()
@@ -237,7 +236,7 @@
         raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
     lease_terms = LeaseTerms(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
     names = (QUOTA_ALLOCATOR,) * roles.allocates_quotas + (TOKEN_ISSUER,) * roles.issues_tokens
-    # Nodes of different versions compare the digest: the text stays the same for the same file.
+    # Nodes of different versions compare the digest: the text for a file must not change.
     text = repr((quota_settings.digest, roles.electors, roles.term_ms, names))
     return Electorate(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
 
@@ -257,10 +256,10 @@
 def _quota_digest_text(
     limits: list[Quota], names: tuple[str, ...], floor: float, periods: LoanTerms, *, allocated: bool
 ) -> str:
-    """Return the text whose digest tells one cluster file's quotas from another's.
+    """Return the text whose digest identifies the quotas of a cluster file.
 
-    Nodes of different versions compare the digest: the text stays the same for the same file, with the words
-    of the version that introduced it.
+    Nodes of different versions compare the digest, so the text for a file must not change; it keeps the names
+    of the first version.
     """
     rows = [
         f"Limit(name={limit.name!r}, links={limit.sessions!r}, tariffs={limit.traffic_classes!r})"
@@ -270,15 +269,15 @@
 
 
 def digest(text: str) -> int:
-    """Return a digest of 31 bits that is never 0, which stands for no file."""
+    """Return a digest of 31 bits; it is never 0, which stands for no file."""
     return xxh3_64_intdigest(text.encode()) & DIGEST_MASK or 1
 
 
 def check_traffic_classes(configuration: ClusterConfiguration, traffic_classes: Iterable[str]) -> None:
-    """Check that a node has all traffic classes that the quotas name.
+    """Check that the node has all traffic classes of the quotas.
 
     Raises:
-        ConfigurationError: a quota names another.
+        ConfigurationError: a quota names a traffic class that the node does not have.
 
     """
     known = frozenset(traffic_classes)
@@ -291,10 +290,10 @@
 
 
 def check_transition(after: ClusterConfiguration, *, before: ClusterConfiguration) -> None:
-    """Check that a node can go from one cluster file to another while it runs.
+    """Check that a running node can change from one cluster file to another.
 
-    Majorities of two electorates that differ by more than one node need share no elector, and each could
-    promise the same role to a different node.
+    Majorities of two electorates that differ by more than one node may have no elector in common, so that two
+    nodes could hold one role.
 
     Raises:
         ConfigurationError: more than one elector is exchanged.
@@ -309,10 +308,10 @@
 
 
 def own_node(configuration: ClusterConfiguration, name: str) -> ClusterNode:
-    """Return what the file has for this node.
+    """Return the entry of this node.
 
     Raises:
-        ConfigurationError: it has nothing.
+        ConfigurationError: the file has none.
 
     """
     if name not in configuration.nodes:
--- a/larchlatch/cluster/datagram_socket.py
+++ b/larchlatch/cluster/datagram_socket.py
@@ -16,10 +16,8 @@
 
     from larchlatch.node.metrics import Counters
 
-# A node that is stopped for a while must not lose what is newest.
-RECEIVE_BUFFER_BYTES = 1 << 20
-# Datagrams read before other tasks have their turn: a flood must not keep the node from its sessions.
-MAX_DATAGRAMS_PER_TURN = 200
+RECEIVE_BUFFER_BYTES = 1 << 20  # holds what is received while the process is stopped for a while
+MAX_DATAGRAMS_PER_TURN = 200  # read before other tasks run: a flood must not block the node's sessions
 
 
 class DatagramSocket:
@@ -43,7 +41,7 @@
         """Listen at this address.
 
         Raises:
-            OSError: another process has it, or it is none of this machine's.
+            OSError: another process uses the address, or it is not an address of this machine.
 
         """
         self._socket.bind(address)
@@ -53,7 +51,7 @@
         await anyio.wait_readable(self._socket)
 
     def read_available(self) -> Iterator[bytes]:
-        """Yield what lies unread, up to the number for one turn."""
+        """Yield the datagrams that are waiting, at most `MAX_DATAGRAMS_PER_TURN`."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
                 # One byte more than allowed shows that a datagram is too long.
@@ -68,7 +66,7 @@
             yield data
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send one datagram; a failure is counted and otherwise like a loss on the way."""
+        """Send one datagram; a failure is counted, and otherwise treated like a lost datagram."""
         try:
             self._socket.sendto(data, address)
         except OSError:
--- a/larchlatch/cluster/election/ballots.py
+++ b/larchlatch/cluster/election/ballots.py
@@ -1,4 +1,4 @@
-"""What candidates ask of electors, and what electors answer."""
+"""The ballots of candidates, and the answers of electors."""
 
 from __future__ import annotations
 
@@ -7,35 +7,35 @@
 
 
 class BallotKind(Enum):
-    """What a ballot asks for; the values go over the wire."""
+    """What a ballot asks for; the values are part of the protocol."""
 
-    PRE_VOTE = 0  # whether the role would be promised; binds nobody (Raft's pre-vote, Ongaro 2014)
+    PRE_VOTE = 0  # whether the role would be promised; not binding (Raft's pre-vote, Ongaro 2014)
     GRANT = 1  # a promise of the role
-    RELEASE = 2  # the end of a promise that the candidate will never count on again
+    RELEASE = 2  # the end of a promise that the candidate no longer relies on
 
 
 class CandidateId(NamedTuple):
-    """One life of a node: a promise to an earlier life is no promise to the present one."""
+    """A candidate in one incarnation: a promise to an earlier incarnation does not hold for a later one."""
 
     name: str
     incarnation: int
 
 
 class Ballot(NamedTuple):
-    """A candidate's request to every elector.
+    """A candidate's ballot, which every elector receives.
 
     Attributes:
-        lease: number that the candidate's lease has, or would have.
+        lease: number of the lease that the candidate has or asks for.
         kind: what is asked for.
-        round_number: tells answers to this ballot from those to others.
-        heir: node that a released role is reserved for; "" where there is none.
+        round_number: number of the ballot round, by which answers are matched.
+        successor: node for which a released role is reserved; empty: none.
 
     """
 
     lease: int
     kind: BallotKind
     round_number: int
-    heir: str = ""
+    successor: str = ""
 
 
 class Answer(NamedTuple):
@@ -43,8 +43,8 @@
 
     Attributes:
         granted: whether the elector agrees.
-        highest_lease: highest number of a lease that this elector has promised.
-        blocked_us: remaining time of a promise to another candidate, in microseconds; 0 if there is none.
+        highest_lease: highest number of a lease that the elector has promised.
+        blocked_us: remaining time of a promise to another candidate, in microseconds; 0: there is none.
 
     """
 
--- a/larchlatch/cluster/election/candidate.py
+++ b/larchlatch/cluster/election/candidate.py
@@ -1,8 +1,8 @@
 """One node's part in the election of one role, as its candidate or its holder.
 
 A candidate first asks the electors whether they would promise the role (a pre-vote), then for the promise
-itself. With promises of a majority it holds the role for a term, counted from when it asked. Times are whole
-microseconds of the process's own clock, which runs on while the process is stopped.
+itself. With promises of a majority it holds the role for a term, counted from the time of its request. Times
+are whole microseconds of the process's own clock, which also advances while the process is stopped.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 
     from larchlatch.cluster.election.lease_terms import LeaseTerms
 
-RENEWALS_PER_TERM = 2  # a lease is renewed when half of its term is left: a lost round or two must not end it
+RENEWALS_PER_TERM = 2  # a lease is renewed when half of its term is left, to allow for lost ballots
 
 
 class CandidateState(Enum):
-    """Where a candidate stands."""
+    """The state of a candidate for one role."""
 
     IDLE = 0
-    PRE_VOTING = 1  # asks whether it would be promised the role
+    PRE_VOTING = 1  # asks whether the role would be promised to it
     VOTING = 2  # asks for the promise
     HOLDING = 3
 
@@ -36,19 +36,19 @@
 
     Attributes:
         electors: names of all electors.
-        lease_terms: how long the role is held.
+        lease_terms: length of a lease.
         uniform: source of random pauses, `(low, high) -> value`.
-        state: where it stands.
-        lease: number of its lease, held or asked for.
-        lease_ends_at: end of the lease that is held.
-        closing: whether the lease is released at that end instead of renewed.
-        heir: node that the role is then reserved for.
+        state: its present state.
+        lease: number of the lease that it holds or asks for.
+        lease_ends_at: end of the lease that it holds.
+        closing: whether it releases the lease at that end instead of renewing it.
+        successor: node for which the role is then reserved; empty: none.
         round_number: number of the latest ballot round.
-        asked_at: when that round began.
-        granted_by: electors that have granted it.
-        highest_lease: highest number of a lease that electors have told.
-        ready_at: time before which it does not ask.
-        blocked_until: when the promises to others that electors told of have ended.
+        asked_at: start of that round.
+        granted_by: electors that have granted its ballot.
+        highest_lease: highest number of a lease that electors have reported.
+        ready_at: time before which it starts no round.
+        blocked_until: end of the promises to others that electors have reported.
 
     """
 
@@ -59,7 +59,7 @@
     lease: int = 0
     lease_ends_at: int = 0
     closing: bool = False
-    heir: str = ""
+    successor: str = ""
     round_number: int = 0
     asked_at: int = 0
     granted_by: set[str] = field(default_factory=set)
@@ -73,25 +73,24 @@
         return len(self.electors) // 2 + 1
 
     def holds(self, now: int) -> bool:
-        """Return whether it holds the role now; to be asked before each act, never remembered."""
+        """Return whether it holds the role now; to be called before each act, as the answer expires."""
         return self.state is CandidateState.HOLDING and now < self.lease_ends_at
 
     def order_left_us(self, now: int) -> int:
         """Return for how many microseconds an order given now is valid; 0: none may be given."""
-        # A round is longer than an answer takes. A role that is handed over has to wait as long for its
-        # orders.
+        # A hand-over has to wait until the orders given before have expired: they last a round at most.
         return min(self.lease_ends_at - now, self.lease_terms.round_us) if self.holds(now) else 0
 
     def step(self, now: int, wall: int, *, eligible: bool) -> list[Ballot]:
-        """Do what is due by now.
+        """Return the ballots that are due now, and update the state.
 
         Args:
             now: time by the process's own clock.
             wall: Unix time, in microseconds.
-            eligible: whether this node wants the role if nobody holds it.
+            eligible: whether this node is to become the holder if there is none.
 
         Returns:
-            The ballots that go to every elector.
+            The ballots, each for every elector.
 
         """
         ballots: list[Ballot] = []
@@ -114,9 +113,9 @@
         return not self.closing and left_us <= self.lease_terms.term_us // RENEWALS_PER_TERM
 
     def _abandon_round(self, now: int) -> list[Ballot]:
-        """End a round that has found no majority in time, and pause for a random while."""
+        """End a round that got no majority in time, and pause for a random time."""
         if self.state is CandidateState.VOTING:
-            # It counts on none of these promises any more: the next candidate need not wait for their end.
+            # Released promises let other candidates ask before the promises expire.
             ballots = [self.release_ballot()]
             self.become_idle(now, round(self.uniform(0, self.lease_terms.term_us / 2)))
             return ballots
@@ -125,9 +124,8 @@
         return []
 
     def _start_pre_vote(self, now: int, wall: int) -> Ballot:
-        # The number is taken from the wall clock, so that numbers go up also where all electors have
-        # forgotten theirs. A number of its own that is used again would be ended by a late release of its
-        # former lease.
+        # Numbers start at the wall clock, so that they still grow after all electors were restarted. A number
+        # is never used twice: a delayed release of the earlier lease would end the later one.
         self.lease = max(self.highest_lease + 1, self.lease + 1, wall)
         self.state = CandidateState.PRE_VOTING
         return self._open_round(now, BallotKind.PRE_VOTE)
@@ -139,9 +137,9 @@
         return Ballot(self.lease, kind, self.round_number)
 
     def repeated_ballot(self, now: int) -> Ballot | None:
-        """Return this round's ballot, for electors that have not answered it yet."""
-        # A round is longer than an answer takes: a ballot without an answer by the next step was lost. With
-        # one of three electors gone each round needs every message of both others.
+        """Return the present round's ballot, for electors that have not answered it; None: there is none."""
+        # A ballot without an answer by the next step was probably lost. While one of three electors is gone,
+        # a round fails if any message of the other two is lost.
         if now >= self.asked_at + self.lease_terms.round_us:
             return None
         if self.state is CandidateState.PRE_VOTING:
@@ -151,19 +149,19 @@
         return None
 
     def release_ballot(self) -> Ballot:
-        """Return the ballot that ends the promises for its lease."""
-        return Ballot(self.lease, BallotKind.RELEASE, self.round_number, self.heir)
+        """Return the ballot that ends the promises for this candidate's lease."""
+        return Ballot(self.lease, BallotKind.RELEASE, self.round_number, self.successor)
 
     def become_idle(self, now: int, pause_us: int) -> None:
-        """Forget the round or lease, and ask no sooner than in `pause_us` microseconds."""
+        """End the round or lease, and start no round for `pause_us` microseconds."""
         self.state = CandidateState.IDLE
         self.granted_by = set()
         self.ready_at = now + pause_us
         self.closing = False
-        self.heir = ""
+        self.successor = ""
 
     def count_answer(self, now: int, elector: str, round_number: int, answer: Answer) -> list[Ballot]:
-        """Count an elector's answer, and return the ballots that follow from it, for all electors."""
+        """Count an elector's answer, and return the ballots that follow from it, each for every elector."""
         self.highest_lease = max(self.highest_lease, answer.highest_lease)
         outdated = round_number != self.round_number or self.state is CandidateState.IDLE
         if outdated or elector not in self.electors:
@@ -182,38 +180,37 @@
     def _count_refusal(self, now: int, answer: Answer) -> list[Ballot]:
         self.blocked_until = max(self.blocked_until, now + answer.blocked_us)
         if self.state is CandidateState.PRE_VOTING and self.lease <= answer.highest_lease:
-            # The number was too low, as this node's wall clock is behind: it asks again by a higher one.
+            # The number was too low, as this node's wall clock is behind: ask again with a higher one.
             self.lease = answer.highest_lease + 1
             return [self._open_round(now, BallotKind.PRE_VOTE)]
         return []
 
     def _begin_term(self, now: int) -> None:
-        # A term that ran from the answer would end after the electors' promises, by however long the answer
-        # was under way. And a term that is over by now was never held.
+        # Counted from the answer, the term could end later than the electors' promises. A term that is over
+        # already was never held.
         ends_at = self.asked_at + self.lease_terms.term_us
         if now < ends_at:
             self.state = CandidateState.HOLDING
             self.lease_ends_at = ends_at
 
     def accept_handover(self, now: int) -> None:
-        """Ask at once: the role is reserved for this node, so no promise to another is in the way."""
+        """Prepare to ask at once, as the role was released and is reserved for this node."""
         if self.state in (CandidateState.IDLE, CandidateState.PRE_VOTING):
             self.become_idle(now, 0)
             self.blocked_until = 0
 
-    def resign(self, now: int, heir: str = "") -> None:
+    def resign(self, now: int, successor: str = "") -> None:
         """Hold the role for one more round, then release it.
 
         Args:
             now: time by the process's own clock.
-            heir: node that the role is reserved for; "" for none.
+            successor: node for which the role is then reserved; empty: none.
 
         """
-        # Orders that were given are still under way. If the role were released at once, another node would
-        # have it while they are carried out: orders from now on end with the release, those before are over
-        # by then.
+        # Orders that were given before must expire before another node may hold the role. Orders given from
+        # now on expire with the shortened lease.
         if self.holds(now) and not self.closing:
             self.closing = True
-            self.heir = heir
+            self.successor = successor
             self.lease_ends_at = min(self.lease_ends_at, now + self.lease_terms.round_us)
-            self.round_number += 1  # answers to a renewal that is under way are not counted any more
+            self.round_number += 1  # pending answers to a renewal no longer count
--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -1,4 +1,4 @@
-"""A node's part as a candidate for all roles, and what becomes of them here."""
+"""One node as a candidate for all roles, and the events of holding and losing them."""
 
 from __future__ import annotations
 
@@ -15,34 +15,44 @@
     from larchlatch.cluster.election.ballots import Ballot
     from larchlatch.cluster.election.electorate import Electorate
 
-LATE_HEARTBEATS = 3  # a heartbeat that comes so many intervals after the one before is late
-MAX_LATE_HEARTBEATS = 3  # so many in a term, and the node is too slow for a role: others wait for its orders
-PAUSE_TERMS = 10  # terms for which it does not stand for a role then
+LATE_HEARTBEATS = 3  # a heartbeat counts as late if it follows the previous one after so many intervals
+MAX_LATE_HEARTBEATS = 3  # within a term; a node with so many resigns, as its orders would come late, too
+PAUSE_TERMS = 10  # terms for which such a node is no candidate
 
 
 class RoleChange(StrEnum):
-    """What has become of a role here; the values go into logs and traces."""
+    """What has happened to a role at this node; the values are part of logs and traces."""
 
     HELD = "held"
     ENDED = "ended"
 
 
+class RoleChangeReason(StrEnum):
+    """Why a role is held or no longer held at this node; the values are logged."""
+
+    VACANT = "nobody held the role"
+    HANDED_OVER = "the previous holder handed the role over"
+    SHUTTING_DOWN = "this node is shutting down"
+    TOO_SLOW = "this node is too slow"
+    NOT_RENEWED = "the lease was not renewed in time"
+
+
 class RoleEvent(NamedTuple):
-    """A role that this node has begun or ceased to hold, by which lease, and why."""
+    """A change of a role at this node, the number of its lease, and the reason."""
 
     role: str
     change: RoleChange
     lease: int
-    reason: str
+    reason: RoleChangeReason
 
 
 class CandidateSide:
-    """The candidates, one for each role, of one node.
+    """The candidates of one node, one for each role.
 
     Attributes:
-        candidates: each role's candidate.
-        shutting_down: whether this node is about to end: it stands for no role and hands its roles over.
-        paused_until: until when this node stands for no role, as it was too slow.
+        candidates: the candidate for each role.
+        shutting_down: whether this node is shutting down, so that it hands its roles over.
+        paused_until: time before which this node is no candidate, as it was too slow.
 
     """
 
@@ -56,18 +66,18 @@
         self.reset(electorate)
 
     def reset(self, electorate: Electorate) -> None:
-        """Begin anew, holding nothing."""
+        """Start over without any role."""
         self.electorate = electorate
         self.candidates = {
             role: Candidate(electorate.electors, electorate.lease_terms, self.uniform)
             for role in electorate.roles
         }
         self._held = dict.fromkeys(electorate.roles, False)
-        self._released: dict[str, Ballot] = {}  # by the last heartbeat
+        self._released: dict[str, Ballot] = {}  # in the last heartbeat
         self._handed_over: set[str] = set()  # roles that were reserved for this node
 
     def watch_lateness(self, now: int, heartbeat_us: int) -> None:
-        """Note a heartbeat; give all roles up where this node is too slow for them."""
+        """Record a heartbeat, and resign all roles if heartbeats are late too often."""
         if now - self._last_heartbeat_at > LATE_HEARTBEATS * heartbeat_us:
             self._late_heartbeats.append(now)
         self._last_heartbeat_at = now
@@ -81,7 +91,7 @@
                 candidate.resign(now)
 
     def may_stand(self, now: int) -> bool:
-        """Return whether this node may ask for roles at all."""
+        """Return whether this node may ask for any role."""
         return not self.shutting_down and now >= self.paused_until
 
     def accept_handover(self, now: int, role: str) -> None:
@@ -90,23 +100,23 @@
         self._handed_over.add(role)
 
     def permit(self, now: int, role: str) -> OrderPermit:
-        """Return by which lease this node may give an order of this role now."""
+        """Return the permit by which this node may give an order of this role now."""
         candidate = self.candidates.get(role)
         if candidate is None:
             return NO_PERMIT
         left_us = candidate.order_left_us(now)
         return OrderPermit(candidate.lease, left_us) if left_us > 0 else NO_PERMIT
 
-    def note_release(self, role: str, ballot: Ballot) -> None:
-        """Remember a release that goes out now, to repeat it with the next heartbeat."""
+    def record_release(self, role: str, ballot: Ballot) -> None:
+        """Record a release that is sent now, so that the next heartbeat repeats it."""
         self._released[role] = ballot
 
     def take_release(self, role: str) -> Ballot | None:
-        """Return, once, the release of this role that went out with the last heartbeat."""
+        """Return and forget the release of this role that the last heartbeat sent."""
         return self._released.pop(role, None)
 
-    def note_change(self, now: int, role: str) -> None:
-        """Record an event where this node has begun or ceased to hold the role."""
+    def record_change(self, now: int, role: str) -> None:
+        """Record an event if this node has begun or ceased to hold the role."""
         candidate = self.candidates[role]
         holds = candidate.holds(now)
         if holds is self._held[role]:
@@ -116,16 +126,17 @@
         self._events.append(RoleEvent(role, change, candidate.lease, self._reason(now, role)))
         self._handed_over.discard(role)
 
-    def _reason(self, now: int, role: str) -> str:
-        """Return why a role is held here from now on, or no longer."""
+    def _reason(self, now: int, role: str) -> RoleChangeReason:
+        """Return why the latest change of a role has happened."""
         if self._held[role]:
-            return "it was handed on" if role in self._handed_over else "nobody held it"
+            handed_over = role in self._handed_over
+            return RoleChangeReason.HANDED_OVER if handed_over else RoleChangeReason.VACANT
         if self.shutting_down:
-            return "this node ends"
-        return "this node is too slow" if now < self.paused_until else "not renewed in time"
+            return RoleChangeReason.SHUTTING_DOWN
+        return RoleChangeReason.TOO_SLOW if now < self.paused_until else RoleChangeReason.NOT_RENEWED
 
     def take_events(self) -> list[RoleEvent]:
-        """Return, once, what has become of roles here since the last call."""
+        """Return the events since the last call."""
         events = self._events
         self._events = []
         return events
--- a/larchlatch/cluster/election/elector_side.py
+++ b/larchlatch/cluster/election/elector_side.py
@@ -1,4 +1,4 @@
-"""A node's part as an elector of all roles."""
+"""One node as an elector of all roles."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ElectorSide:
-    """The electors, one for each role, of a node that the cluster file names among the electors."""
+    """The electors of one node, one for each role if the cluster file names the node among the electors."""
 
     def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
         self.electorate = electorate
@@ -21,13 +21,13 @@
         self.electors = {role: Elector.started(electorate.lease_terms, now) for role in roles}
 
     def answer(self, now: int, role: str, candidate: CandidateId, ballot: Ballot) -> Answer | None:
-        """Answer a ballot; None where this node is no elector, or is silent."""
+        """Return the answer to a ballot; None if this node is no elector, or its elector does not answer."""
         elector = self.electors.get(role)
         return elector.answer(now, candidate, ballot) if elector is not None else None
 
     def promises(self, now: int) -> list[Promise]:
         """Return the promises that have not ended, for the node's record."""
-        rows = []
+        promises = []
         for index, role in enumerate(self.electorate.roles):
             elector = self.electors.get(role)
             promise = elector.promise if elector is not None else None
@@ -35,5 +35,5 @@
                 continue
             if promise.holder.name in self.electorate.names:
                 holder_index = self.electorate.names.index(promise.holder.name)
-                rows.append(Promise(index, promise.lease, holder_index, promise.ends_at - now))
-        return rows
+                promises.append(Promise(index, promise.lease, holder_index, promise.ends_at - now))
+        return promises
--- a/larchlatch/cluster/election/electorate.py
+++ b/larchlatch/cluster/election/electorate.py
@@ -1,4 +1,4 @@
-"""The roles, and who elects their holders, as the cluster file says."""
+"""The roles and their electors, as the cluster file defines them."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 
-# Roles; the values are in files and logs.
-QUOTA_ALLOCATOR = "allotter"  # lends what quotas hold above all floors
+# Names of the roles in logs; the order of preference and the cluster file's digest depend on them.
+QUOTA_ALLOCATOR = "allotter"  # lends the part of the quotas above all floors
 TOKEN_ISSUER = "pacer"  # issues slow-start tokens
 
 
 class Electorate(NamedTuple):
-    """What the cluster file says of roles; the same on all nodes that have read the same file.
+    """The roles and electors of a cluster file; equal on all nodes that have read the same file.
 
     Attributes:
         electors: names of the nodes that elect.
-        names: names of all members, in order.
-        roles: roles that are elected, in order.
-        lease_terms: how long a role is held.
-        digest: tells one file from another.
+        names: names of all members, sorted.
+        roles: roles that are elected, in a fixed order.
+        lease_terms: length of a lease.
+        digest: configuration digest of this part of the file.
 
     """
 
--- a/larchlatch/cluster/election/fencing.py
+++ b/larchlatch/cluster/election/fencing.py
@@ -1,4 +1,4 @@
-"""Orders that a role's holder gives, and how a receiver guards against those of a former holder."""
+"""Permits for the orders of a role's holder, and the check against orders of a former holder."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class OrderPermit(NamedTuple):
-    """By which lease this node may give an order now.
+    """Permission to give an order now.
 
     Attributes:
-        lease: number of the lease, the order's fencing token; 0: no order may be given.
-        left_us: for how many microseconds the order is valid.
+        lease: number of the lease, which is the order's fencing token; 0: no order may be given.
+        left_us: time for which the order is valid, in microseconds.
 
     """
 
@@ -24,18 +24,18 @@
 
 @dataclass(slots=True)
 class FencingGuard:
-    """A receiver's memory of the highest fencing token (the lease's number) that it has seen for a role."""
+    """The highest fencing token (number of a lease) that a receiver of orders has seen for a role."""
 
     highest_lease: int = 0
 
     def observe(self, lease: int) -> None:
-        """Note that a lease of this number is held."""
+        """Record that a lease of this number is held."""
         self.highest_lease = max(self.highest_lease, lease)
 
     def accepts(self, lease: int) -> bool:
-        """Return whether an order by this lease may be carried out, and remember its number."""
-        # A holder that was stopped between its look at the clock and its act sends an order when another node
-        # may hold the role already.
+        """Return whether an order under this lease may be executed, and record the lease's number."""
+        # A holder that is stopped between its check of the clock and its order may send the order when
+        # another node holds the role already.
         if lease < self.highest_lease:
             return False
         self.highest_lease = lease
@@ -43,13 +43,13 @@
 
 
 def order_ends_at(asked_at: int, left_us: int) -> int:
-    """Return until when an order is valid, by the clock of the node that asked for it.
+    """Return the end of an order's validity, by the clock of the node that asked for it.
 
     Args:
         asked_at: when the order was asked for, by that clock.
-        left_us: for how many microseconds it was valid when it was given.
+        left_us: remaining validity when the order was given, in microseconds.
 
     """
-    # The order was given after it was asked for: it ends before another node can hold the role, however long
-    # it was under way, and however far the clocks are off (docs/duties.md has the calculation).
+    # The order was given after it was asked for. So it ends before another node can hold the role, whatever
+    # the delays and clock errors are (calculation in docs/election.md).
     return asked_at + left_us
--- a/larchlatch/cluster/election/known_holders.py
+++ b/larchlatch/cluster/election/known_holders.py
@@ -1,4 +1,4 @@
-"""What a node knows of the holders of roles, by the records of the electors."""
+"""The holders of roles as one node knows them from the electors' records."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     from larchlatch.cluster.election.electorate import Electorate
     from larchlatch.cluster.protocol.messages import NodeRecord, Promise
 
-STANDBYS = 3  # first nodes in the order of preference, which stand for a role: the others only answer ballots
+STANDBYS = 3  # nodes at the head of the order of preference that may become candidates for a role
 
 
 class Holder(NamedTuple):
@@ -26,12 +26,12 @@
 
 
 class KnownHolders:
-    """Holder of each role as the electors tell, since when, and the guard against former holders' orders.
+    """The holder of each role, the time of its last change, and the guard against former holders' orders.
 
     Attributes:
-        holders: each role's holder; None where no majority of electors tells of one.
-        changed_at: since when each role's holder is the same, by the process's own clock.
-        guards: what each role's orders are checked by.
+        holders: the holder of each role; None if no majority of electors reports one.
+        changed_at: time of the last change of each role's holder, by the process's own clock.
+        guards: the fencing guard of each role.
 
     """
 
@@ -43,14 +43,14 @@
         self.guards = {role: FencingGuard() for role in electorate.roles}
 
     def follow(self, electorate: Electorate, now: int) -> None:
-        """Go by a changed cluster file; what was seen of leases is kept."""
+        """Use a changed electorate; the fencing tokens that were seen are kept."""
         self.electorate = electorate
         self.holders = dict.fromkeys(electorate.roles)
         self.changed_at = {role: self.changed_at.get(role, now) for role in electorate.roles}
         self.guards = {role: self.guards.get(role, FencingGuard()) for role in electorate.roles}
 
     def update(self, now: int, role: str, holder: Holder | None) -> None:
-        """Note who holds a role now."""
+        """Record the present holder of a role; None: there is none."""
         if holder != self.holders[role]:
             self.holders[role] = holder
             self.changed_at[role] = now
@@ -58,12 +58,12 @@
             self.guards[role].observe(holder.lease)
 
     def accept_handover(self, now: int, role: str) -> None:
-        """Note that a role is free and reserved for this node, which need not wait for its turn."""
+        """Record that a role is vacant and reserved for this node, so that it may ask at once."""
         self.holders[role] = None
         self.changed_at[role] = now - STANDBYS * self.electorate.lease_terms.term_us
 
     def accepts_order(self, role: str, lease: int) -> bool:
-        """Return whether an order by this lease may be carried out here."""
+        """Return whether an order under this lease may be executed here."""
         return role in self.guards and self.guards[role].accepts(lease)
 
     def majority_holder(
@@ -73,13 +73,15 @@
         records: Mapping[str, NodeRecord],
         record_ages: Mapping[str, int],
     ) -> Holder | None:
-        """Return the holder of a role that a majority of the electors tells of: one liar can't make it up.
+        """Return the holder of a role that a majority of the electors reports; None: there is none.
+
+        A single faulty elector can't fabricate a holder.
 
         Args:
-            role_index: place of the role in the cluster file's order.
-            own_promises: what this node has promised as an elector.
+            role_index: index of the role in the electorate.
+            own_promises: this node's own promises as an elector.
             records: newest record of each member that is present.
-            record_ages: ages of those records that tell of promises, in microseconds.
+            record_ages: ages of the records that report promises, in microseconds.
 
         """
         votes: Counter[Holder] = Counter()
@@ -97,7 +99,7 @@
         return None
 
     def _promised_holders(self, role_index: int, promises: Sequence[Promise], age_us: int) -> list[Holder]:
-        """Return the holders in an elector's promises for a role that have not ended by now."""
+        """Return the holders in an elector's unexpired promises of a role."""
         names = self.electorate.names
         return [
             Holder(names[promise.holder_index], promise.lease)
@@ -108,23 +110,23 @@
         ]
 
     def ranked(self, role: str, present: Collection[str]) -> list[str]:
-        """Return the present nodes, this one included, in the order in which they should hold a role.
+        """Return the present nodes, this one included, in the order of preference for a role.
 
-        The order is by a hash, the same on all nodes that see the same members; nodes that hold another role
-        come last.
+        The order is that of a hash, equal on all nodes that know the same members. Nodes that hold another
+        role come last.
         """
         names = [name for name in (*present, self.own_name) if name in self.electorate.names]
         busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != role}
         return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{role} {name}".encode())))
 
     def is_standby(self, now: int, role: str, present: Collection[str]) -> bool:
-        """Return whether this node should ask for a role, as nobody holds it and it is this node's turn."""
+        """Return whether this node should become a candidate: the role is vacant, and it is its turn."""
         holder = self.holders[role]
         if holder is not None and holder.name in present:
             return False
         if self.own_name not in self.electorate.names:
             return False
         rank = self.ranked(role, present).index(self.own_name)
-        # Those behind the first ask only if it has not got the role for a while.
+        # Nodes after the first one wait, so that it can get the role before they ask.
         wait_us = rank * self.electorate.lease_terms.term_us // 2
         return rank < STANDBYS and now >= self.changed_at[role] + wait_us
--- a/larchlatch/cluster/election/lease_terms.py
+++ b/larchlatch/cluster/election/lease_terms.py
@@ -1,21 +1,21 @@
-"""Length of a lease, and how far clocks may be off."""
+"""Length of a lease, and the bounds on clock errors."""
 
 from __future__ import annotations
 
 from math import ceil
 from typing import NamedTuple
 
-ROUNDS = 8  # ballot rounds in a term: each is longer than an answer takes, and a lost one costs little
+ROUNDS = 8  # ballot rounds in a term
 
 
 class LeaseTerms(NamedTuple):
-    """How long a role is held, the same on all nodes that go by one cluster file.
+    """Times of a lease; equal on all nodes that use the same cluster file.
 
     Attributes:
         term_us: length of a lease, in microseconds of its holder's own clock.
-        skew: share by which the worst clock gains or loses.
-        wall_skew_us: how far the wall clocks of two nodes may differ, in microseconds.
-        rounds: ballot rounds that fit into a term.
+        skew: greatest relative error of a clock.
+        wall_skew_us: greatest difference of two nodes' wall clocks, in microseconds.
+        rounds: number of ballot rounds in a term.
 
     """
 
@@ -26,20 +26,18 @@
 
     @property
     def promise_us(self) -> int:
-        """Return how long an elector keeps a promise: at least the term by the slowest clock."""
-        # An elector whose clock is fast would otherwise promise the role to another node while the holder,
-        # whose clock is slow, still holds it.
+        """Return the length of an elector's promise, by its own clock, in microseconds."""
+        # With a fast clock at the elector and a slow one at the holder, the promise still outlasts the term.
         return ceil(self.term_us * (1 + self.skew) / (1 - self.skew))
 
     @property
     def startup_silence_us(self) -> int:
-        """Return how long an elector answers nothing after its start."""
-        # It does not know what it promised before. And once all electors have forgotten the numbers of
-        # leases, a number taken from a wall clock is higher than all before only after the clocks'
-        # difference.
+        """Return the time after its start in which an elector answers nothing, in microseconds."""
+        # Promises from before the start are unknown and may still hold. If all electors were restarted, a
+        # lease number taken from a wall clock exceeds all before only after the clocks' difference.
         return self.promise_us + 2 * self.wall_skew_us
 
     @property
     def round_us(self) -> int:
-        """Return the length of a ballot round; no order is valid for longer."""
+        """Return the length of a ballot round, which is the longest validity of an order, in microseconds."""
         return self.term_us // self.rounds
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -1,4 +1,4 @@
-"""Log and count what befalls a node's part in the cluster; docs/operating-cluster.md lists the events."""
+"""Log and count the events of a node's part in the cluster; docs/operating-cluster.md lists them."""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
     from larchlatch.cluster.election.candidate_side import RoleEvent
     from larchlatch.cluster.exchange.results import ExecutedOrder
     from larchlatch.cluster.membership.member import MemberChange
+    from larchlatch.node.messages import UnreachableUpstream
     from larchlatch.node.metrics import Counters
 
 ROLE_EVENTS = {RoleChange.HELD: "role_acquired", RoleChange.ENDED: "role_ended"}  # the log event of each
@@ -24,7 +25,7 @@
 
 
 class ClusterEventLog:
-    """Write log events and counters; of a lasting condition, its beginning and its end alone."""
+    """Writes log events and counters; of a lasting condition only its beginning and its end."""
 
     def __init__(self, node_counters: Counters) -> None:
         self._counters = node_counters
@@ -39,43 +40,43 @@
             log.info("member_state_changed", name=change.name, state=change.state.value)
 
     def orders(self, orders: Iterable[ExecutedOrder]) -> None:
-        """Log orders that were carried out here."""
+        """Log orders that were executed here."""
         for order in orders:
             self._counters.add(ClusterCounter.ORDERS_EXECUTED)
-            # There is one of the token issuer for each session.
+            # The token issuer gives one for each session: too many for the usual level.
             write = log.debug if order.role == TOKEN_ISSUER else log.info
             write("order_executed", **order._asdict())
 
     def role_events(self, events: Iterable[RoleEvent]) -> None:
-        """Log what became of this node's own roles."""
+        """Log which roles this node has acquired or lost."""
         for event in events:
             log.info(ROLE_EVENTS[event.change], role=event.role, lease=event.lease, reason=event.reason)
 
-    def ejections_advised(self, ejections: Iterable[tuple[str, int]]) -> None:
-        """Log upstreams that so many other nodes can't reach."""
-        for upstream, witnesses in ejections:
+    def ejections_advised(self, ejections: Iterable[UnreachableUpstream]) -> None:
+        """Log upstreams that other nodes can't reach, each with the number of these nodes."""
+        for upstream, reporters in ejections:
             self._counters.add(ClusterCounter.EJECTIONS_ADVISED)
-            log.info("upstream_ejection_advised", upstream=upstream, witnesses=witnesses)
+            log.info("upstream_ejection_advised", upstream=upstream, reporters=reporters)
 
     def unreachable(self, upstreams: Iterable[str]) -> None:
-        """Log upstreams that this node takes for unreachable from now on."""
+        """Log upstreams that count as unreachable at this node from now on."""
         for upstream in upstreams:
             log.info("upstream_unreachable", upstream=upstream)
 
     def isolated(self, *, now: bool) -> None:
-        """Log whether no other node is heard, where that has changed."""
+        """Log whether no other node is heard, if that has changed."""
         if now is not self._isolated:
             self._isolated = now
             log.warning("cluster_isolated" if now else "cluster_isolation_ended")
 
     def files_differ(self, *, now: bool) -> None:
-        """Log whether other nodes go by another cluster file, where that has changed."""
+        """Log whether other nodes use another cluster file, if that has changed."""
         if now is not self._files_differ:
             self._files_differ = now
             log.warning("cluster_files_differ" if now else "cluster_files_agree")
 
     def unknown_version(self, version: int | None) -> None:
-        """Log once that datagrams of a protocol version arrive that this node does not speak."""
+        """Log once that datagrams of an unknown protocol version are received."""
         if version is not None and not self._unknown_version_logged:
             self._unknown_version_logged = True
             log.warning("cluster_protocol_version_unknown", version=version)
--- a/larchlatch/cluster/exchange/ballots.py
+++ b/larchlatch/cluster/exchange/ballots.py
@@ -19,7 +19,7 @@
 
     def handle_request(self, request: BallotRequest, now: int, result: ExchangeResult) -> None:
         """Vote on a candidate's ballot, if this node is an elector and may answer now."""
-        vote = self._election.answer_bid(now, request)
+        vote = self._election.answer_ballot(now, request)
         if vote is not None:
             result.datagrams.append(self._pack(vote))
 
--- a/larchlatch/cluster/exchange/heartbeat.py
+++ b/larchlatch/cluster/exchange/heartbeat.py
@@ -47,14 +47,15 @@
 
         """
         changes = self._membership.advance(now)
-        self._state.quotas.note_digests(now, self._membership.configuration_digests())
+        self._state.quotas.compare_digests(now, self._membership.configuration_digests())
         present = self._membership.present_records
         # Only these records are needed with their ages; most records have neither.
         reporting = {
             name: record for name, record in present.items() if record.health_observations or record.promises
         }
         ages = {name: max(0, wall - record.created_us) for name, record in reporting.items()}
-        ballots = self._state.election.tick(now, wall, self._membership.incarnation, present, ages)
+        origin = self._membership.request_origin(wall)
+        ballots = self._state.election.tick(now, origin, present, ages)
         self._handlers.loans.update_allocator(now)
         tokens = self._handlers.tokens.heartbeat(now, wall=wall)
         datagrams = self._record_datagrams(now=now, wall=wall)
@@ -68,7 +69,7 @@
         record = self._membership.next_record(
             wall,
             digest=self._state.quotas.settings.digest,
-            shares=self._state.quotas.standings(now),
+            quota_reports=self._state.quotas.reports(now),
             observations=self._state.health.own_report(now),
             promises=self._state.election.promises(now),
         )
--- a/larchlatch/cluster/exchange/loans.py
+++ b/larchlatch/cluster/exchange/loans.py
@@ -65,7 +65,7 @@
             for name, record in present.items()
             if record.config_digest == digest
         }
-        requests = self._quotas.loan_requests(now, wall, self._membership.incarnation, spare)
+        requests = self._quotas.loan_requests(now, self._membership.request_origin(wall), spare)
         own_name = self._membership.own_name
         datagrams = [self._pack(request) for request in requests if request.recipient != own_name]
         for request in requests:
--- a/larchlatch/cluster/exchange/receiver.py
+++ b/larchlatch/cluster/exchange/receiver.py
@@ -15,6 +15,7 @@
     LoanGrant,
     LoanRequest,
     NodeRecord,
+    Request,
     SignedMessage,
     TokenGrant,
     TokenRequest,
@@ -141,7 +142,7 @@
             return DropReason.UNKNOWN_MEMBER
         if message.recipient != self._membership.own_name:
             return DropReason.WRONG_RECIPIENT
-        if isinstance(message, LoanRequest | BallotRequest | TokenRequest):
+        if isinstance(message, Request):
             return self._membership.check_time(message.created_us, wall)
         return None  # responses carry no time: `_is_expected` compares them with the pending requests
 
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -39,7 +39,7 @@
         """
         result = ExchangeResult()
         request = self._tokens.requester.request_token(
-            now, wall, self._membership.incarnation, session, candidates
+            now, self._membership.request_origin(wall), session, candidates
         )
         if request is not None:
             self._send_request(request, now, result)
@@ -71,7 +71,7 @@
             return result
         self._tokens.issuer.hold(now, self._orders.permit(now).lease)
         request, notice = self._tokens.requester.tick(
-            now, wall, self._membership.incarnation, self._orders.holder_name()
+            now, self._membership.request_origin(wall), self._orders.holder_name()
         )
         if notice is not None:
             result.token_updates.append(notice)
--- a/larchlatch/cluster/health/__init__.py
+++ b/larchlatch/cluster/health/__init__.py
@@ -1,1 +1,1 @@
-"""Observations of unreachable upstreams that nodes share, and what follows from them. No I/O."""
+"""Observations of unreachable upstreams that nodes share, and the ejection advice that follows. No I/O."""
--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -1,8 +1,8 @@
-"""Which upstreams can't be reached, by what nodes have observed themselves and report to each other. No I/O.
+"""One node's observations of upstreams, and its judgement of other nodes' observations. No I/O.
 
-Observations with an age are shared, never verdicts: each node draws its own. Another node's report makes a
-node probe for itself; the reports of several count as failures of its own, until it observes otherwise.
-Times are whole microseconds of a clock that never runs back.
+Nodes share observations with their age, never conclusions: each node draws its own. A report of another node
+makes a node probe the upstream itself. Reports of several nodes count as its own failures, unless its own
+observations contradict them. Times are whole microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,30 +22,35 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Mapping
 
-# So many others must report the same before it is acted on; in two sites, where there are several.
-CONFIRMATIONS = 2
-REPROBE_US = 2_000_000  # between two probes of an upstream for the sake of the same reports
-# Probes that one heartbeat requests: a liar that reports all upstreams must not have every node probe all.
-MAX_PROBES = 2
-# Observations in a record, the newest first: more would leave no room for others' records.
-MAX_REPORTED = 16
+CONFIRMATIONS = (
+    2  # nodes that have to report an upstream before it is ejected; of two sites if there are several
+)
+REPROBE_US = 2_000_000  # between two probes of an upstream because of the same reports
+MAX_PROBES = 2  # requested in one heartbeat: a faulty node may report all upstreams
+MAX_REPORTED = 16  # observations in a record, to leave space for others' records
 
 
 class ReportedFailure(NamedTuple):
-    """An upstream that enough others can't reach: each report counts as a failure of this node's own."""
+    """An upstream that enough other nodes can't reach.
+
+    Attributes:
+        upstream: hash of the upstream's name.
+        reporters: number of nodes that report it; each counts as a failure of this node's own.
+
+    """
 
-    upstream: int  # hash of its name
+    upstream: int
     reporters: int
 
 
 class EjectionAdvice(NamedTuple):
-    """What to make of all observations; upstreams are hashes of their names.
+    """What follows from all observations; upstreams are given by the hashes of their names.
 
     Attributes:
         probes: upstreams to probe now.
-        failures: upstreams that enough others have newly reported.
-        newly_unreachable: upstreams that this node, by its own observations or others' reports, did not
-            take for unreachable before.
+        failures: upstreams that enough other nodes have newly reported.
+        newly_unreachable: upstreams that count as unreachable since this heartbeat, by own observations or
+            by reports.
 
     """
 
@@ -56,17 +61,17 @@
 
 @dataclass(slots=True)
 class UpstreamObservation:
-    """What this node knows of one upstream itself.
+    """What this node has observed of one upstream, and done about reports of it.
 
     Attributes:
-        failures: own failures in a row.
-        failed_at_us: when the last of them was.
-        reached_at_us: when a connection to it was last had.
-        probed_at_us: when a probe of it was last requested here.
-        probed_for: the nodes that reported it then.
-        acted_for: the nodes whose reports were acted on, since it was last reached.
-        connection_broke: an established connection broke off: a probe is due without any report.
-        is_unreachable: it counted as unreachable at the last heartbeat.
+        failures: own failed attempts and probes in a row.
+        failed_at_us: time of the last of them.
+        reached_at_us: time of the last successful connection.
+        probed_at_us: time of the last requested probe.
+        probed_for: nodes that reported the upstream at that time.
+        acted_for: nodes whose reports were acted on since it was last reached.
+        connection_broke: whether an established connection broke off, so that a probe is due.
+        is_unreachable: whether it counted as unreachable at the last heartbeat.
 
     """
 
@@ -80,20 +85,20 @@
     is_unreachable: bool = False
 
     def expire_failures(self, now_us: int) -> None:
-        """Forget own failures that no longer count.
+        """Forget own failures that are too old to count.
 
-        An upstream that has come back is no longer probed, and a node that had found it unreachable would
-        take it for that for ever, and heed no report when it fails again.
+        A recovered upstream is not probed any more. If the failures were kept, it would count as unreachable
+        for good, and reports of its next failure would be ignored.
         """
         if self.failures and now_us >= self.failed_at_us + OBSERVATION_TTL_US:
             self.failures = 0
 
     def needs_probe(self, now_us: int, reporters: frozenset[str]) -> bool:
-        """Return whether this node should observe for itself.
+        """Return whether this node should probe the upstream itself.
 
-        A failure wants a second one before it is reported, and a connection that broke off a first: waiting
-        for the node's next probe by itself, failures were reported two seconds later. A node that keeps on
-        reporting causes a probe once in a while; another that joins it, at once.
+        A probe is due after a first failure, to confirm it before it is reported, after a connection broke
+        off, and at once when a further node reports the upstream. The same reports cause a probe only once
+        in `REPROBE_US`.
         """
         if self.failures >= REPORTABLE_FAILURES:
             return False
@@ -102,38 +107,35 @@
         return bool(reporters) and now_us >= self.probed_at_us + REPROBE_US
 
     def probed_since_report(self, now_us: int, reporters: frozenset[str]) -> bool:
-        """Return whether this node has probed for itself since these nodes reported.
+        """Return whether this node has probed the upstream itself since these nodes reported it.
 
-        Two sites may both be cut off from an upstream that is well for this one. Acted on in the heartbeat
-        in which they come, their reports would eject it; a probe of this node's own is back by the next.
+        Two other sites may both be cut off from an upstream that this site reaches. So reports are acted on
+        one heartbeat after they arrive, when the result of this node's own probe is there.
         """
         return reporters <= self.probed_for and now_us > self.probed_at_us
 
     def contradicts(self, now_us: int) -> bool:
-        """Return whether own observations go before reports.
-
-        A connection that was had lately says more than any report, and so do own failures.
-        """
+        """Return whether this node has recent observations of its own, which take precedence over reports."""
         return self.failures > 0 or now_us < self.reached_at_us + OBSERVATION_TTL_US
 
-    def note_probe(self, now_us: int, reporters: frozenset[str]) -> None:
-        """Note that a probe is requested, and for whose reports."""
+    def record_probe(self, now_us: int, reporters: frozenset[str]) -> None:
+        """Record that a probe is requested, and the nodes that reported the upstream."""
         self.probed_at_us = now_us
         self.probed_for = reporters
         self.connection_broke = False
 
     def update_unreachable(self) -> bool:
-        """Judge anew whether it is unreachable; return whether it newly is."""
+        """Update whether it counts as unreachable; return whether it newly does."""
         before = self.is_unreachable
         self.is_unreachable = self.failures >= REPORTABLE_FAILURES or bool(self.acted_for)
         return self.is_unreachable and not before
 
 
 class HealthObservations:
-    """A node's own observations of upstreams, and its judgement of what others report.
+    """A node's own observations of upstreams, and its judgement of other nodes' reports.
 
     Attributes:
-        upstreams: what is known of each upstream on the endpoint list, by the hash of its name.
+        upstreams: the observations of each upstream on the endpoint list, by the hash of its name.
 
     """
 
@@ -142,17 +144,17 @@
         self.upstreams: dict[int, UpstreamObservation] = {}
 
     def set_upstreams(self, upstreams: Iterable[int]) -> None:
-        """Follow the endpoint list; reports of any other upstream are ignored."""
+        """Use a new endpoint list; reports of other upstreams are ignored."""
         known = self.upstreams
         self.upstreams = {upstream: known.get(upstream, UpstreamObservation()) for upstream in upstreams}
 
     def observe(self, now_us: int, upstream: int, *, reached: bool | None) -> None:
-        """Note an attempt or a probe of this node.
+        """Record the result of an attempt or a probe of this node.
 
         Args:
-            now_us: when its result was there.
+            now_us: time of the result.
             upstream: hash of the upstream's name.
-            reached: whether a connection was had; None if an established one broke off.
+            reached: whether it could be connected to; None: an established connection broke off.
 
         """
         known = self.upstreams.setdefault(upstream, UpstreamObservation())
@@ -166,9 +168,10 @@
             known.failed_at_us = now_us
 
     def own_report(self, now_us: int) -> list[HealthObservation]:
-        """Return what this node's record reports: its own observations alone.
+        """Return the observations for this node's record.
 
-        Reports of others never go in: passed on as one's own, one liar's would come back as many.
+        Only own observations are reported: if others' were repeated, a single faulty node could seem
+        confirmed by many.
         """
         reportable = [
             (now_us - known.failed_at_us, upstream, known.failures)
@@ -187,21 +190,18 @@
         *,
         several_sites: bool,
     ) -> EjectionAdvice:
-        """Judge what others report by what this node has observed.
+        """Return the ejection advice that follows from own observations and other nodes' reports.
 
         Args:
             now_us: the time of this heartbeat.
-            reports: the observations in each present node's record.
-            ages_us: the age of each of these records.
+            reports: the observations in the record of each present node.
+            ages_us: the age of each of these records, in microseconds.
             sites: the site of each node.
-            several_sites: nodes of more than one site are present.
-
-        Returns:
-            What to probe, what to eject, and what is new of it.
+            several_sites: whether nodes of more than one site are present.
 
         """
         reported = reporters_by_upstream(reports, ages_us)
-        due: list[tuple[int, int]] = []  # when each was probed last, and the upstream
+        due: list[tuple[int, int]] = []  # time of the last probe, then the upstream
         failures: list[ReportedFailure] = []
         for upstream, known in self.upstreams.items():
             reporters = reported.get(upstream, NO_REPORTERS)
@@ -214,18 +214,18 @@
                 failures += self._act(now_us, upstream, reporters.recent)
         probes = [upstream for _, upstream in sorted(due)[:MAX_PROBES]]
         for upstream in probes:
-            self.upstreams[upstream].note_probe(now_us, reported.get(upstream, NO_REPORTERS).all)
+            self.upstreams[upstream].record_probe(now_us, reported.get(upstream, NO_REPORTERS).all)
         return EjectionAdvice(probes, failures, self._newly_unreachable())
 
     @staticmethod
     def _is_confirmed(reporters: Reporters, sites: Mapping[str, str], *, several_sites: bool) -> bool:
-        """Return whether enough nodes report an upstream, of different sites where there are several."""
+        """Return whether enough nodes report an upstream, and of different sites if there are several."""
         if len(reporters.recent) < CONFIRMATIONS:
             return False
         return not several_sites or len({sites[name] for name in reporters.recent}) > 1
 
     def _act(self, now_us: int, upstream: int, reporters: frozenset[str]) -> list[ReportedFailure]:
-        """Return the failure that these reports come to, if own observations allow it and it is new."""
+        """Return the failure that these reports add, if it is new and not contradicted."""
         known = self.upstreams[upstream]
         if not known.probed_since_report(now_us, reporters) or known.contradicts(now_us):
             return []
--- a/larchlatch/cluster/health/reports.py
+++ b/larchlatch/cluster/health/reports.py
@@ -1,4 +1,4 @@
-"""What other nodes report of upstreams that they can't reach. No I/O."""
+"""Reports of other nodes about upstreams that they can't reach. No I/O."""
 
 from __future__ import annotations
 
@@ -9,19 +9,17 @@
 
     from larchlatch.cluster.protocol.messages import HealthObservation
 
-REPORTABLE_FAILURES = 2  # failures in a row that are reported to others: one may be a lost packet
-# An observation, good or bad, counts for so long: upstreams on probation are probed every 2 s.
-OBSERVATION_TTL_US = 3_000_000
-# A report is acted on for so long alone: the upstream may have come back since.
-ACTIONABLE_US = 1_000_000
+REPORTABLE_FAILURES = 2  # failures in a row before an upstream is reported; one may be a lost packet
+OBSERVATION_TTL_US = 3_000_000  # an observation counts for so long: more than the 2 s between probes
+ACTIONABLE_US = 1_000_000  # a report leads to ejection only while it is so new, as the upstream may recover
 
 
 class Reporters(NamedTuple):
-    """Which nodes report an upstream.
+    """The nodes that report one upstream.
 
     Attributes:
-        all: those whose observation still counts.
-        recent: those of them whose observation may be acted on.
+        all: nodes whose observation still counts.
+        recent: those of them whose observation may lead to ejection.
 
     """
 
@@ -35,14 +33,11 @@
 def reporters_by_upstream(
     reports: Mapping[str, Iterable[HealthObservation]], ages_us: Mapping[str, int]
 ) -> dict[int, Reporters]:
-    """Group the observations of other nodes by upstream, without those that no longer count.
+    """Return the reporters of each reported upstream, by the hash of its name.
 
     Args:
         reports: the observations in each node's newest record.
-        ages_us: the age of each of these records.
-
-    Returns:
-        The reporters of each upstream that is reported, by the hash of its name.
+        ages_us: the age of each of these records, in microseconds.
 
     """
     counted: dict[int, set[str]] = {}
--- a/larchlatch/cluster/keys.py
+++ b/larchlatch/cluster/keys.py
@@ -1,4 +1,4 @@
-"""Files with nodes' secret keys."""
+"""Files with the secret keys of nodes."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def create_secret(path: Path) -> str:
-    """Write a new secret key into a file of its own, which only its owner can read.
+    """Write a new secret key into a new file that only its owner can read.
 
     Returns:
         The public key in hexadecimal digits, for the cluster file.
@@ -50,7 +50,7 @@
 
 
 def own_signer(configuration: ClusterConfiguration, name: str, secret: str) -> Signer:
-    """Return what a node signs with.
+    """Return the signer of a node.
 
     Args:
         configuration: the cluster file.
@@ -58,7 +58,7 @@
         secret: its secret key in hexadecimal digits.
 
     Raises:
-        ConfigurationError: the file has no such node, or another key for it, or the secret is no key.
+        ConfigurationError: the cluster file has no such node or another key for it, or the secret is no key.
 
     """
     own = own_node(configuration, name)
--- a/larchlatch/cluster/membership/__init__.py
+++ b/larchlatch/cluster/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which nodes are present, by gossiped heartbeats. No I/O."""
+"""The members of a cluster and their states, by gossiped heartbeats. No I/O."""
--- a/larchlatch/cluster/membership/bitmap.py
+++ b/larchlatch/cluster/membership/bitmap.py
@@ -1,4 +1,4 @@
-"""Flags as bits of a byte string, the lowest bit of the first byte first."""
+"""Flags encoded as the bits of a byte string, from the lowest bit of the first byte on."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def pack_bits(flags: Sequence[bool]) -> bytes:
-    """Encode one bit a flag; the last byte is filled up with zeros."""
+    """Return one bit for each flag; the last byte is padded with zeros."""
     bits = bytearray(-(-len(flags) // 8))
     for index, flag in enumerate(flags):
         if flag:
@@ -18,5 +18,5 @@
 
 
 def has_bit(bits: bytes, index: int) -> bool:
-    """Return whether the bit is set; beyond the end none is."""
+    """Return whether the bit at this index is set; bits beyond the end count as not set."""
     return index // 8 < len(bits) and bool(bits[index // 8] & 1 << index % 8)
--- a/larchlatch/cluster/membership/dissemination.py
+++ b/larchlatch/cluster/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""To whom a heartbeat goes, and which records it forwards (van Renesse et al. 1998). No I/O."""
+"""The targets of a heartbeat, and the records that it forwards (van Renesse et al. 1998). No I/O."""
 
 from __future__ import annotations
 
@@ -15,33 +15,31 @@
 
     from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
-# Watchers that a heartbeat goes to besides, with its own record alone: each gets it every 0.4 s.
-WATCHERS_A_HEARTBEAT = 4
-# Datagrams in which a record with urgent news goes before others: all have it within some five heartbeats.
-URGENT_FORWARDS = 8
-MAX_FORWARDED = 16  # records that one datagram can hold at the most: the shortest takes over 100 bytes
+WATCHERS_PER_HEARTBEAT = 4  # watchers that a heartbeat is sent to besides the gossip targets
+URGENT_FORWARDS = 8  # datagrams in which a record with urgent news is forwarded before others
+MAX_FORWARDED = 16  # upper bound of the records in one datagram: the shortest takes over 100 bytes
 
 
 class TargetRotation:
-    """Chooses the members that heartbeats go to: all in turn, in an order that is drawn anew each round.
+    """Chooses the members that heartbeats are sent to: each in turn, in an order that is shuffled each round.
 
-    So each member hears from each other directly within a bounded time, as in SWIM.
+    So each member hears directly from each other one within a bounded time, as in SWIM.
     """
 
     def __init__(self, rng: Random) -> None:
-        """Draw the orders from rng."""
+        """Start a rotation whose orders are drawn from `rng`."""
         self._shuffle: Callable[[list[str]], None] = rng.shuffle
-        self._remaining: list[str] = []  # of this round, the next one last
+        self._remaining: list[str] = []  # in this round; the next target is the last item
 
     def set_members(self, members: Mapping[str, Member]) -> None:
-        """Go on with the round, without the members that are gone."""
+        """Continue the round without the members that were removed."""
         self._remaining = [name for name in self._remaining if name in members]
 
     def next_targets(self, members: Mapping[str, Member]) -> list[str]:
-        """Return the targets of the next heartbeat, `FAN_OUT` where there are so many.
+        """Return the targets of the next heartbeat: `FAN_OUT` members, or all if there are fewer.
 
-        In a cut most of what goes to silent members is lost, and the news of the cut with it: one datagram
-        a heartbeat goes to one of them, so that the cut's end is found, the others to members that hear.
+        During a partition most datagrams to silent members are lost. So only one datagram of a heartbeat
+        is sent to one of them, which detects the end of the partition; the others go to present members.
         """
         targets: list[str] = []
         while len(targets) < min(FAN_OUT, len(members)):
@@ -57,22 +55,22 @@
 
 
 def _has_enough_silent(targets: Sequence[str], members: Mapping[str, Member]) -> bool:
-    """Return whether one of the targets is silent already, and members that are not silent are left."""
+    """Return whether a target is silent already, and enough members that are not silent remain."""
     silent = sum(members[name].is_silent for name in targets)
     return silent > 0 and len(targets) - silent < sum(not member.is_silent for member in members.values())
 
 
 def watcher_targets(watchers: Sequence[str], record_number: int) -> list[str]:
-    """Return the watchers that the own record of this number goes to: some of them in turn."""
-    first = record_number * WATCHERS_A_HEARTBEAT
-    count = min(WATCHERS_A_HEARTBEAT, len(watchers))
+    """Return the watchers that this node's record of this number is sent to: some of them in turn."""
+    first = record_number * WATCHERS_PER_HEARTBEAT
+    count = min(WATCHERS_PER_HEARTBEAT, len(watchers))
     return [watchers[(first + offset) % len(watchers)] for offset in range(count)]
 
 
 def has_urgent_news(record: NodeRecord, previous: NodeRecord | None) -> bool:
-    """Return whether a record has to reach all soon: it newly suspects a member, or holds promises.
+    """Return whether a record has to reach all members soon: it suspects another member, or has promises.
 
-    The holder of a role is known by its electors' newest records.
+    Members derive the holder of a role from the newest records of its electors.
     """
     known = {report.member_index for report in previous.suspicions} if previous is not None else set()
     return bool(record.promises) or any(report.member_index not in known for report in record.suspicions)
@@ -81,15 +79,15 @@
 def pack_records(
     own: SignedMessage, members: Iterable[Member], datagram_count: int
 ) -> list[list[SignedMessage]]:
-    """Choose the records of so many datagrams: the own one, then as many as fit of others.
+    """Choose the records of a heartbeat's datagrams: this node's own, then as many others as fit.
 
-    Records forwarded least often go first, and of these the newest: in the order of names, or in turn, old
-    news would take the room of new. Records of silent members are no news, and are not forwarded.
+    Records that were forwarded least often go first, and among these the newest, so that old records don't
+    displace new ones. Records of silent members are not forwarded.
 
     Args:
         own: this node's record.
-        members: all other members; how often their records were forwarded is counted in them.
-        datagram_count: how many datagrams are wanted.
+        members: all other members; their `times_forwarded` is updated.
+        datagram_count: number of datagrams.
 
     Returns:
         The records of each datagram, the own one first.
@@ -101,13 +99,13 @@
     for _ in range(datagram_count):
         forwarded = _fill_datagram(own, waiting)
         datagrams.append([own, *forwarded])
-        # Those that have gone now come last.
+        # The records in this datagram go to the end of the queue.
         waiting = waiting[len(forwarded) :] + waiting[: len(forwarded)]
     return datagrams
 
 
 def _fill_datagram(own: SignedMessage, waiting: Sequence[Member]) -> list[SignedMessage]:
-    """Take the first waiting records that fit beside the own one."""
+    """Return the first waiting records that fit into a datagram beside this node's own."""
     free_bytes = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - encoded_size(own)
     forwarded: list[SignedMessage] = []
     for member in waiting:
--- a/larchlatch/cluster/membership/member.py
+++ b/larchlatch/cluster/membership/member.py
@@ -1,4 +1,4 @@
-"""What a node knows of one member, and the states that a member is in. No I/O."""
+"""What a node knows about one other member, and the states of a member. No I/O."""
 
 from __future__ import annotations
 
@@ -11,22 +11,21 @@
 if TYPE_CHECKING:
     from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
-# A watcher that was silent until lately was cut off itself: its reports are not believed for so long.
-RECOVERY_US = SUSPICION_US
-NEVER_US = -1  # before the first time of the listening clock
+RECOVERY_US = SUSPICION_US  # for so long after its own silence a watcher's suspicions are ignored
+NEVER_US = -1  # earlier than any time of the listening clock
 
 
 class MemberState(Enum):
-    """Whether a member is there; the values are the admin API's."""
+    """Whether a member is known to run; the values are printed in logs and rows."""
 
-    UNHEARD = "unheard"  # nothing has come from it since this node started
+    UNHEARD = "unheard"  # no record of it was received since this node started
     PRESENT = "present"
     SILENT = "silent"
-    LEFT = "left"  # its last record says that it is leaving
+    LEFT = "left"  # its last record announced that it shuts down
 
 
 class RecordAge(NamedTuple):
-    """The order of one member's records: each incarnation numbers them upwards."""
+    """Orders the records of one member: a later incarnation, then a higher number, is newer."""
 
     incarnation: int
     number: int
@@ -34,21 +33,21 @@
 
 @dataclass(slots=True)
 class Member:
-    """What is known of another node; times are the listening clock's (`ListeningClock.listened_us`).
+    """What is known about another member; times are `ListeningClock.listened_us`.
 
     Attributes:
         name: the member's name in the cluster file.
-        record: its newest record, None until one has come.
-        signed: that record as it came, to be forwarded.
-        last_news_us: when there was last news of it, of whatever kind.
-        last_record_us: when a record of it last came; what its watchers say does not count here.
-        recovered_us: when it was last found not to be silent any more.
-        last_direct_us: when a record of it last came from itself; `NEVER_US` if none has.
-        times_forwarded: how often its record was forwarded; below zero for one that has to go first.
-        is_silent: it has been without news for too long, or its suspicion is confirmed.
-        watchers: the names of the members that watch it.
-        suspected_by: the watchers that suspect it, and the newest record that each had of it.
-        false_positives: how often it was silent and was then heard of in the same incarnation.
+        record: its newest record; None until one was received.
+        signed: that record as it was received, to be forwarded.
+        last_news_us: time of the last news of it of any kind.
+        last_record_us: time of its last record; reports of its watchers don't count here.
+        recovered_us: time at which it last ceased to be silent.
+        last_direct_us: time of the last record that it sent itself; `NEVER_US` if it has sent none.
+        times_forwarded: how often its record was forwarded; negative for a record with urgent news.
+        is_silent: there was no news of it for too long, or its suspicion is confirmed.
+        watchers: names of the members that watch it.
+        suspected_by: the watchers that suspect it, each with the age of the newest record that it had.
+        false_positives: how often it counted as silent and was then heard in the same incarnation.
 
     """
 
@@ -67,7 +66,7 @@
 
     @property
     def state(self) -> MemberState:
-        """Return the state that follows from the newest record and from silence."""
+        """Return the state, which follows from the newest record and from silence."""
         if self.record is None:
             return MemberState.UNHEARD
         if self.record.shutting_down:
@@ -76,31 +75,31 @@
 
     @property
     def configuration_digest(self) -> int | None:
-        """Return the digest of the cluster file that it goes by; None until a record has come."""
+        """Return the digest of the cluster file that it uses; None until a record was received."""
         return self.record.config_digest if self.record is not None else None
 
     def forwarding_rank(self) -> tuple[int, int]:
-        """Return the sort key of forwarding: least often forwarded first, then the newest."""
+        """Return the sort key of forwarding: the least often forwarded first, of these the newest."""
         return self.times_forwarded, -self.record.created_us if self.record is not None else 0
 
 
 class MemberChange(NamedTuple):
-    """A member has entered a state."""
+    """A member that has entered a state."""
 
     name: str
     state: MemberState
 
 
 class MemberSnapshot(NamedTuple):
-    """One member as the admin API shows it.
+    """One member, for the operators of the node.
 
     Attributes:
         name: the member's name.
         state: its state.
         age_us: time since the last news of it, by the listening clock.
-        direct: it was heard itself lately.
-        incarnation: of its newest record, 0 if there is none.
-        hears_us: its record says that it hears this node directly; None if the record does not tell.
+        direct: whether it was heard directly within the last rounds.
+        incarnation: incarnation of its newest record; 0 if there is none.
+        hears_us: whether it reports that it hears this node directly; None if it does not report this.
 
     """
 
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -1,6 +1,6 @@
-"""Which nodes are present, by records that members pass on (gossip, van Renesse et al. 1998). No I/O.
+"""The members of a cluster, by records that members forward (gossip, van Renesse et al. 1998). No I/O.
 
-Times are whole microseconds: `now_us` of a clock that never runs back, `wall_us` of Unix time.
+Times are whole microseconds: `now_us` of a monotonic clock, `wall_us` of Unix time.
 """
 
 from __future__ import annotations
@@ -19,6 +19,7 @@
 from larchlatch.cluster.membership.member import Member, MemberChange, MemberSnapshot, MemberState
 from larchlatch.cluster.membership.suspicion import SuspicionTracker
 from larchlatch.cluster.membership.table import MemberTable
+from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import (
     DropReason,
     HealthObservation,
@@ -32,28 +33,28 @@
     from collections.abc import Mapping
     from random import Random
 
-# Wall clocks may differ by so much; records older than that may be another day's, played again.
+# Greatest age of an accepted record, and bound on the difference of wall clocks: older ones may be replayed.
 MAX_CLOCK_DIFFERENCE_US = 30_000_000
 
 
 class RecordNovelty(Enum):
-    """Whether a record tells more than is known."""
+    """Whether a record is newer than the newest known one of its origin."""
 
-    NEWER = "newer"  # worth a check of its signature
+    NEWER = "newer"  # its signature has to be verified
     KNOWN = "known"
 
 
 class Membership:
-    """A node's view of the fleet: takes in records of others, and makes what its own heartbeats carry.
+    """A node's view of the cluster: receives the records of others, and composes its own heartbeats.
 
-    The parts own their state: `MemberTable` the members, `SuspicionTracker` the watchers and what they
-    report, `TargetRotation` the order of targets, `ListeningClock` the time that all of them go by.
+    Its parts own their state: `MemberTable` the members, `SuspicionTracker` the watchers and their reports,
+    `TargetRotation` the order of targets, and `ListeningClock` the time that all of them use.
 
     Attributes:
         own_name: this node's name.
-        incarnation: the time of this node's start, or more where an earlier life's clock was ahead.
-        record_number: of this node's newest record in this incarnation.
-        is_departing: this node says in its records that it leaves.
+        incarnation: Unix time of this node's start, or later if its clock was ahead at an earlier start.
+        record_number: number of this node's newest record in this incarnation.
+        is_departing: whether this node's records announce that it shuts down.
 
     """
 
@@ -67,15 +68,15 @@
         now_us: int,
         rng: Random,
     ) -> None:
-        """Start with members that are not heard yet.
+        """Start with members that are unheard.
 
         Args:
             own_name: this node's name.
             sites: the site of each member, this node included.
             heartbeat_us: interval between two heartbeats.
-            wall_us: Unix time, this life's incarnation.
-            now_us: of a clock that never runs back.
-            rng: draws the order of targets.
+            wall_us: Unix time, which becomes this node's incarnation.
+            now_us: present time of a monotonic clock.
+            rng: source of the random order of targets.
 
         """
         self.own_name = own_name
@@ -89,7 +90,7 @@
         self.set_members(sites)
 
     def set_members(self, sites: Mapping[str, str]) -> None:
-        """Follow the operators' file: keep what is known of members that stay, forget the others."""
+        """Set the members by the cluster file; what is known of members that stay is kept."""
         others = [name for name in sites if name != self.own_name]
         self._table.replace(others, listened_us=self._clock.listened_us)
         self._clock.member_count = len(others)
@@ -105,13 +106,13 @@
     def heartbeat_us(self, heartbeat_us: int) -> None:
         self._clock.heartbeat_us = heartbeat_us
 
-    # What is received.
+    # Received records.
 
     def classify(self, record: NodeRecord, wall_us: int) -> RecordNovelty | DropReason:
-        """Judge a record that can't be trusted yet.
+        """Classify a record whose signature is not verified yet.
 
         Returns:
-            Whether it is worth a check of its signature; or why it has to be dropped.
+            Whether the record is newer than the known one, or the reason to drop it.
 
         """
         if record.name == self.own_name:
@@ -125,22 +126,22 @@
         return self.check_time(record.created_us, wall_us) or RecordNovelty.NEWER
 
     @staticmethod
-    def check_time(made_us: int, wall_us: int) -> DropReason | None:
-        """Return why something made at this Unix time is no longer, or not yet, to be believed."""
-        if made_us < wall_us - MAX_CLOCK_DIFFERENCE_US:
+    def check_time(created_us: int, wall_us: int) -> DropReason | None:
+        """Return why a message created at this Unix time must be dropped; None if it may be accepted."""
+        if created_us < wall_us - MAX_CLOCK_DIFFERENCE_US:
             return DropReason.TOO_OLD
-        return DropReason.IN_THE_FUTURE if made_us > wall_us + MAX_CLOCK_DIFFERENCE_US else None
+        return DropReason.IN_THE_FUTURE if created_us > wall_us + MAX_CLOCK_DIFFERENCE_US else None
 
     def receive(self, record: NodeRecord, signed: SignedMessage, *, direct: bool) -> MemberChange | None:
-        """Take in a record that is newer and whose signature holds.
+        """Apply a newer record whose signature is valid.
 
         Args:
             record: the record.
-            signed: the same as it came.
-            direct: its origin has sent it itself.
+            signed: the record as it was received.
+            direct: whether its origin sent it directly.
 
         Returns:
-            The state that its origin enters by it, None if it stays in its state.
+            The state that its origin enters by it; None if its state does not change.
 
         """
         if record.name == self.own_name:
@@ -156,7 +157,7 @@
         member.last_record_us = self._clock.listened_us
         member.times_forwarded = -URGENT_FORWARDS if urgent else 0
         if direct:
-            self._note_direct_contact(member)
+            self._record_direct_contact(member)
         self._suspicions.withdraw_by_record(member, record)
         member.is_silent = self._suspicions.is_confirmed(member)
         if silent_incarnation is not None and not member.is_silent:
@@ -167,27 +168,27 @@
         return MemberChange(member.name, member.state) if member.state is not state_before else None
 
     def receive_again(self, name: str, signed: SignedMessage) -> None:
-        """Take in a known record from its origin itself: another had forwarded it sooner."""
+        """Apply a known record that its origin sent directly, after another member had forwarded it."""
         member = self._table.members.get(name)
-        # Only what is the same to the last byte: its signature has not been checked a second time.
+        # The signature was not verified again, so all bytes have to be the same.
         if member is not None and member.signed == signed:
-            self._note_direct_contact(member)
+            self._record_direct_contact(member)
 
     def _outbid(self, record: NodeRecord) -> None:
-        """Begin an incarnation after that of an earlier life, whose clock was ahead.
+        """Continue with an incarnation above that of an earlier start, when this node's clock was ahead.
 
-        Otherwise nobody would take this one's records for newer.
+        Otherwise the other members would ignore this node's records as outdated.
         """
         self.incarnation, self.record_number = record.incarnation + 1, 0
 
-    def _note_direct_contact(self, member: Member) -> None:
+    def _record_direct_contact(self, member: Member) -> None:
         member.last_direct_us = self._clock.listened_us
         self._suspicions.clear_own_suspicion(member.name)
 
-    # What is sent.
+    # What this node sends.
 
     def advance(self, now_us: int) -> list[MemberChange]:
-        """Count the time since the last call, and mark the members that have fallen silent by it."""
+        """Advance the listening clock, and return the members that are silent from now on."""
         self._clock.advance(now_us)
         self._suspicions.update_own_suspicions()
         silent = set(self._suspicions.confirmed())
@@ -205,21 +206,18 @@
         wall_us: int,
         *,
         digest: int,
-        shares: list[QuotaReport],
+        quota_reports: list[QuotaReport],
         observations: list[HealthObservation],
         promises: list[Promise],
     ) -> NodeRecord:
-        """Make this node's next record.
+        """Return this node's next record, not signed yet, after a call of `advance`.
 
         Args:
             wall_us: Unix time.
-            digest: of the cluster file that this node goes by.
-            shares: what it tells of each quota.
-            observations: of upstreams that it could not reach.
-            promises: what it has promised as an elector.
-
-        Returns:
-            The record, not signed yet.
+            digest: digest of the cluster file that this node uses.
+            quota_reports: what it reports of each quota.
+            observations: upstreams that it could not reach.
+            promises: its promises as an elector.
 
         """
         self.record_number += 1
@@ -231,25 +229,29 @@
             self.is_departing,
             self._suspicions.own_contact_bits(),
             digest,
-            shares,
+            quota_reports,
             observations,
-            self._suspicions.own_report(),
+            self._suspicions.own_report,
             promises,
         )
 
+    def request_origin(self, wall_us: int) -> RequestOrigin:
+        """Return what requests that this node sends at this Unix time say of it."""
+        return RequestOrigin(self.own_name, self.incarnation, wall_us)
+
     def gossip_targets(self) -> list[str]:
-        """Return whom the next heartbeat goes to; draws a new order where a round is over."""
+        """Return the targets of the next heartbeat; a new order is drawn when a round is over."""
         return self._targets.next_targets(self._table.members)
 
     def watcher_targets(self) -> list[str]:
-        """Return the watchers that this node's record goes to besides."""
+        """Return the watchers that this node's record is sent to besides the gossip targets."""
         return watcher_targets(self._suspicions.own_watchers, self.record_number)
 
     def pack_records(self, own: SignedMessage, datagram_count: int) -> list[list[SignedMessage]]:
-        """Choose the records of so many datagrams; see `dissemination.pack_records`."""
+        """Return the records of each datagram of a heartbeat; see `dissemination.pack_records`."""
         return pack_records(own, self._table.members.values(), datagram_count)
 
-    # What is known.
+    # What this node knows.
 
     @property
     def members(self) -> Mapping[str, Member]:
@@ -258,7 +260,7 @@
 
     @property
     def member_indexes(self) -> Mapping[str, int]:
-        """Return the index by which records name a member, this node included."""
+        """Return the index by which records refer to each member, this node included."""
         return self._suspicions.index_by_name
 
     @property
@@ -269,15 +271,15 @@
 
     @property
     def is_alone(self) -> bool:
-        """Return whether no other node is present, though there are others."""
+        """Return whether no other member is present, though the cluster file has others."""
         return bool(self.members) and not self._table.present
 
     def configuration_digests(self) -> list[int | None]:
-        """Return the digests of the cluster files that members go by; None stands for unheard ones."""
+        """Return the digests of the cluster files that members use; None stands for unheard members."""
         return self._table.configuration_digests()
 
     def snapshot(self) -> list[MemberSnapshot]:
-        """Return each member as the admin API shows it."""
+        """Return each other member, for the operators of the node."""
         return [self._snapshot(member) for member in self.members.values()]
 
     def _snapshot(self, member: Member) -> MemberSnapshot:
--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -1,8 +1,9 @@
-"""Which members their watchers suspect to be gone, and what confirms it. No I/O.
+"""Suspicion of members by their watchers, and its confirmation. No I/O.
 
-In a large fleet old records of a dead member travel for many seconds, each as if it lived. So its watchers,
-which hear it directly, report in their records which members they miss. One watcher alone may be cut off
-from it: `CONFIRMATIONS` of them make a member silent, as suspicion does in SWIM (Das et al. 2002) by asking.
+In a large cluster old records of a failed member are forwarded for many seconds. So its watchers, which it
+sends its records to directly, report in their own records which members they no longer hear. One watcher may
+be cut off itself: a member counts as silent once `CONFIRMATIONS` watchers suspect it (compare SWIM, Das et
+al. 2002).
 """
 
 from __future__ import annotations
@@ -22,41 +23,43 @@
     from larchlatch.cluster.membership.table import MemberTable
     from larchlatch.cluster.protocol.messages import NodeRecord
 
-CONFIRMATIONS = 2  # watchers that have to suspect a member until it is silent: one alone may be cut off
-MAX_REPORTED = 12  # suspected members in one record, those missed last first
+CONFIRMATIONS = 2  # watchers that have to suspect a member before it counts as silent
+MAX_REPORTED = 12  # suspected members in one record, to leave space for others' records
 
 
 class SuspicionTracker:
-    """Keeps what watchers report of members, this node's own suspicions included.
+    """Tracks the suspicions that watchers report, and this node's own.
 
     Attributes:
-        names: all members and this node, in order: records name a member by its index.
-        index_by_name: the index of each of them.
-        own_watchers: the members that watch this node; empty in a small fleet.
+        names: sorted names of all members and this node; records refer to a member by its index here.
+        index_by_name: the index of each name.
+        own_watchers: the members that watch this node; empty in a small cluster.
+        own_report: this node's own suspicions as of the last heartbeat, for its record.
 
     """
 
     def __init__(self, own_name: str, table: MemberTable, clock: ListeningClock) -> None:
-        """Start without watchers; set_members() assigns them."""
+        """Start without watchers; `set_members` assigns them."""
         self.names: list[str] = []
         self.index_by_name: dict[str, int] = {}
         self.own_watchers: list[str] = []
+        self.own_report: list[Suspicion] = []
         self._own_name = own_name
         self._table = table
         self._clock = clock
-        self._watched_by: dict[str, list[str]] = {}  # whom each member watches
-        self._suspected: set[str] = set()  # those that any other watcher suspects
+        self._watched_by: dict[str, list[str]] = {}  # the members that each member watches
+        self._suspected: set[str] = set()  # members that another watcher suspects
         self._own_suspicions: set[str] = set()
 
     def set_members(self, sites: Mapping[str, str]) -> None:
-        """Assign watchers anew; the table has the members already."""
+        """Assign watchers to the members that the table has now."""
         members = self._table.members
         self._suspected = {name for name in self._suspected if name in members}
         self.names = sorted({*sites, self._own_name})
         self.index_by_name = {name: index for index, name in enumerate(self.names)}
-        # Where gossiped records tell of silence within the usual time, there is nothing to watch.
-        watched_fleet = self._clock.needs_watchers and self._own_name in sites
-        watchers = assign_watchers(self.names, sites) if watched_fleet else {}
+        # In a small cluster gossiped records are new enough to reveal a failed member.
+        has_watchers = self._clock.needs_watchers and self._own_name in sites
+        watchers = assign_watchers(self.names, sites) if has_watchers else {}
         self.own_watchers = watchers.get(self._own_name, [])
         self._watched_by = invert(watchers, self.names)
         for member in members.values():
@@ -65,11 +68,11 @@
     # Reports of others.
 
     def process_report(self, record: NodeRecord) -> None:
-        """Take in whom a member's record suspects, and whom it no longer does.
+        """Add the suspicions that a member's record reports, and withdraw those that it no longer reports.
 
-        After a cut, a member of the other side has suspected all of this side, by its reports of before.
-        Here records of its own side may be older than that, and be taken for those of the dead. So a member
-        that was silent until lately is not believed.
+        Right after a partition the records of the other side still suspect all members of this side, and
+        this node's records of that side's members are older than these suspicions. So suspicions of a
+        member that has only just ceased to be silent are ignored.
         """
         suspected = {
             report.member_index: RecordAge(report.incarnation, report.sequence)
@@ -86,7 +89,7 @@
             member = self._table.members.get(self.names[index])
             if member is None or record.name not in member.watchers:
                 continue
-            # Otherwise there has been news of the member since.
+            # A report that does not cover the newest record is outdated.
             if member.record is None or self._covers(known_age, member.record, record.created_us):
                 member.suspected_by[record.name] = known_age
                 self._update_suspected(member)
@@ -98,16 +101,16 @@
                 continue
             if member.suspected_by.pop(record.name, None) is not None:
                 self._update_suspected(member)
-            # Own records travel seldom in large fleets: that a watcher hears the member says that it lives.
+            # In a large cluster a member's own records arrive rarely: a watcher that hears it is news, too.
             if not member.is_silent and has_bit(record.direct_contacts, bit):
                 self._table.renew(member, listened_us=self._clock.listened_us)
 
     def _covers(self, known_age: RecordAge, newest: NodeRecord, reported_at_us: int) -> bool:
-        """Return whether a report made by a record of this age holds against the newest that is known here.
+        """Return whether a suspicion based on a record of this age also applies to the newest one known here.
 
-        The last record before a cut may have come here and to no watcher. The watchers' reports, made by the
-        record before it, would not hold against it, and the member would be present for ever. So they do
-        once the watchers have suspected it for as long as it would have taken to send more than that.
+        The last record before a partition may have reached this node and none of the watchers. Their
+        suspicion, which is based on an earlier record, applies to it as well once they have reported it for
+        so long that the member would have sent further records.
         """
         if newest.version <= known_age:
             return True
@@ -118,10 +121,10 @@
         return few_ahead and reported_at_us - newest.created_us >= self._clock.suspicion_us
 
     def withdraw_by_record(self, member: Member, record: NodeRecord) -> None:
-        """Drop the suspicions that a new record of the member refutes.
+        """Withdraw the suspicions that a record of the member refutes.
 
-        Old records of a dead member travel for long; only one that its watchers did not have yet when they
-        missed it says that it lives.
+        Old records of a failed member are forwarded for a long time. Only a record that is newer than the one
+        the watchers had proves that the member is running.
         """
         if member.suspected_by:
             member.suspected_by = {
@@ -135,32 +138,29 @@
         else:
             self._suspected.discard(member.name)
 
-    # This node's own part.
+    # This node's own suspicions.
 
     def clear_own_suspicion(self, name: str) -> None:
-        """Drop this node's own suspicion of a member that it has just heard itself."""
+        """Withdraw this node's suspicion of a member that it has just heard directly."""
         self._own_suspicions.discard(name)
 
     def update_own_suspicions(self) -> None:
-        """Find anew whom this node suspects by now."""
-        self._own_suspicions = {self.names[report.member_index] for report in self.own_report()}
-
-    def own_report(self) -> list[Suspicion]:
-        """Return whom this node watches and has not heard itself for a while, though it did before."""
+        """Determine which of the members that it watches this node suspects now."""
         watched = (self._table.members[name] for name in self._watched_by[self._own_name])
-        suspects = [member for member in watched if self._misses(member)]
+        suspects = [member for member in watched if self._suspects(member)]
         suspects.sort(key=lambda member: -member.last_direct_us)
-        return [
+        self.own_report = [
             Suspicion(self.index_by_name[member.name], member.record.incarnation, member.record.sequence)
             for member in suspects[:MAX_REPORTED]
             if member.record is not None
         ]
+        self._own_suspicions = {self.names[report.member_index] for report in self.own_report}
 
-    def _misses(self, member: Member) -> bool:
-        """Return whether this node suspects a member that it watches.
+    def _suspects(self, member: Member) -> bool:
+        """Return whether this node suspects a member that it watches: it was heard before, but not lately.
 
-        One whose records come through others lives. Reported by the number of such a record, it would be
-        dead to all that have an older one.
+        A member whose records still arrive by way of others is running. Reported with the number of such a
+        record, it would count as silent at all members that have an older one.
         """
         since_us = self._clock.listened_us - self._clock.suspicion_us
         return (
@@ -171,10 +171,10 @@
             and not member.record.shutting_down
         )
 
-    # What follows.
+    # Confirmation.
 
     def is_confirmed(self, member: Member) -> bool:
-        """Return whether enough of a member's watchers suspect it."""
+        """Return whether enough watchers of a member suspect it."""
         own = member.name in self._own_suspicions
         return len(member.suspected_by) + own >= CONFIRMATIONS
 
@@ -183,18 +183,18 @@
         suspected = self._suspected | self._own_suspicions
         return (name for name in suspected if self.is_confirmed(self._table.members[name]))
 
-    # Direct contacts, as records tell of them.
+    # Direct contacts, as records report them.
 
     def contact_names(self, name: str) -> Sequence[str]:
-        """Return of whom a member's record tells whether it hears them, in the order of its bits.
+        """Return the members for which a member's record has a contact bit, in the order of the bits.
 
-        In a large fleet a bit for each member would take the room of others' records: there a member tells
-        only of those that it watches.
+        In a large cluster bits for all members would take the space of other records, so a member reports
+        only on those that it watches.
         """
         return self._watched_by[name] if self.own_watchers else self.names
 
     def own_contact_bits(self) -> bytes:
-        """Return whom this node hears directly, for its record."""
+        """Return the contact bits of this node's record: whether it hears each member directly."""
         since_us = self._clock.direct_since_us
         return pack_bits([self._hears(name, since_us) for name in self.contact_names(self._own_name)])
 
@@ -203,7 +203,7 @@
         return member is not None and member.last_direct_us >= since_us and not member.is_silent
 
     def hears_us(self, member: Member) -> bool | None:
-        """Return whether a member's record says that it hears this node; None if it does not tell."""
+        """Return whether a member reports that it hears this node; None if it does not report this."""
         contacts = self.contact_names(member.name)
         if self._own_name not in contacts:
             return None
--- a/larchlatch/cluster/membership/table.py
+++ b/larchlatch/cluster/membership/table.py
@@ -1,4 +1,4 @@
-"""The members that a node knows, in the orders in which they are looked at. No I/O."""
+"""The members that a node knows, by name and by the time of their last news. No I/O."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 class MemberTable:
     """All other members, and an index of those that are present.
 
-    A look at all members in each heartbeat would be what a large fleet costs most by: the present ones are
-    kept in the order of their last news, so that a heartbeat looks only at those that have run out.
+    Present members are kept in the order of their last news, so that a heartbeat in a large cluster checks
+    only those whose time is over.
 
     Attributes:
         members: all other members, in the order of their names.
-        present: those in state PRESENT, the one longest without news first.
+        present: members in state PRESENT; the one that is longest without news comes first.
 
     """
 
@@ -32,7 +32,7 @@
         self._digest_counts: Counter[int | None] = Counter()
 
     def replace(self, names: Iterable[str], *, listened_us: int) -> None:
-        """Keep what is known of these members, begin anew with the others and forget the rest."""
+        """Set the members: those already known keep their state, new ones start unheard, all others go."""
         known = self.members
         self.members = {
             name: known[name] if name in known else Member(name, last_news_us=listened_us)
@@ -48,7 +48,7 @@
         self._digest_counts[member.configuration_digest] += 1
 
     def renew(self, member: Member, *, listened_us: int) -> None:
-        """Note news of a member: it comes last among those present, or is no longer among them."""
+        """Record news of a member, and move it to the end of the present ones or remove it from them."""
         member.last_news_us = listened_us
         self.present.pop(member.name, None)
         if member.state is MemberState.PRESENT:
@@ -60,12 +60,12 @@
         del self.present[member.name]
 
     def without_news_since(self, listened_us: int) -> Iterator[str]:
-        """Yield the present members whose last news is older than this time."""
+        """Yield the present members without news since this time."""
         for name, member in self.present.items():
             if member.last_news_us >= listened_us:
                 break
             yield name
 
     def configuration_digests(self) -> list[int | None]:
-        """Return the digests of the cluster files that members go by; None stands for unheard ones."""
+        """Return the digests of the cluster files that members use; None stands for unheard members."""
         return [digest for digest, count in self._digest_counts.items() if count]
--- a/larchlatch/cluster/protocol/codec.py
+++ b/larchlatch/cluster/protocol/codec.py
@@ -1,7 +1,7 @@
 """Encode and decode datagrams: a version byte, then msgpack (array form).
 
-Decoding has two stages. A datagram is split into signed messages first; a message's body is decoded by
-itself, so that a record which is passed on keeps the bytes that its origin has signed.
+Decoding has two stages: a datagram is first split into signed messages, whose bodies are decoded separately.
+So a forwarded record keeps the bytes that its origin has signed.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 )
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 
-VERSION = 5  # of the protocol; nodes of another version are not understood
-MAX_DATAGRAM_BYTES = 1200  # fits in one packet on any usual path, so that none is fragmented
+VERSION = 5  # of the protocol; datagrams of other versions are dropped
+MAX_DATAGRAM_BYTES = 1200  # fits into one packet on usual paths, so that datagrams are not fragmented
 DATAGRAM_OVERHEAD_BYTES = 8  # the version byte, and the heads of the arrays
 MESSAGE_OVERHEAD_BYTES = 8  # of one signed message in a datagram, at most: heads of array, body and signature
 MAX_VALUE = 2**62  # exclusive bound of integers on the wire: sums of two stay within 64 bits
@@ -37,7 +37,7 @@
 
 
 def decode_record(body: bytes) -> NodeRecord | None:
-    """Return the record in a signed message's body; None where it is malformed."""
+    """Return the record in a signed message's body; None if it is malformed."""
     try:
         record = _record_decoder.decode(body)
     except _DECODE_ERRORS:
@@ -47,7 +47,7 @@
 
 
 def decode_message(body: bytes) -> DirectMessage | None:
-    """Return the direct message in a signed message's body; None where it is malformed."""
+    """Return the direct message in a signed message's body; None if it is malformed."""
     try:
         message: DirectMessage = _message_decoder.decode(body)
     except _DECODE_ERRORS:
@@ -57,7 +57,7 @@
 
 
 def encoded_size(signed: SignedMessage) -> int:
-    """Return the bytes that a signed message takes in a datagram, at most."""
+    """Return the greatest number of bytes that a signed message takes in a datagram."""
     return len(signed.body) + SIGNATURE_BYTES + MESSAGE_OVERHEAD_BYTES
 
 
@@ -67,7 +67,7 @@
 
 
 def decode_datagram(data: bytes) -> Datagram | DropReason:
-    """Return the datagram, with signatures not yet verified; or why it can't be decoded."""
+    """Return the datagram, whose signatures are not verified yet, or why it can't be decoded."""
     if not data:
         return DropReason.EMPTY
     if len(data) > MAX_DATAGRAM_BYTES:
--- a/larchlatch/cluster/protocol/messages.py
+++ b/larchlatch/cluster/protocol/messages.py
@@ -1,8 +1,8 @@
 """Messages between nodes.
 
-Each type is encoded as a msgpack array: the order of its fields and its tag are part of the protocol and
-stay as they are within one protocol version. Names of types and fields are not sent. Times in `*_us` are
-whole microseconds.
+Each type is encoded as a msgpack array. The order of its fields, inherited ones first, and its tag are part
+of the protocol and don't change within one protocol version. Names of types and fields are not sent. Times in
+`*_us` are whole microseconds.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class HealthObservation(msgspec.Struct, array_like=True, frozen=True):
-    """An upstream to which a node could not connect, with no other sign of life since.
+    """An upstream to which a node could not connect, without a successful connection since.
 
     Attributes:
         upstream: hash of the upstream's name.
@@ -45,7 +45,7 @@
 
     Attributes:
         member_index: the member's index in the order of names.
-        incarnation: incarnation of the newest record of it that the watcher has, by whatever path.
+        incarnation: incarnation of the newest record of it that the watcher has received.
         sequence: sequence number of that record.
 
     """
@@ -56,7 +56,7 @@
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True):
-    """What an elector has promised for one role.
+    """An elector's promise of one role.
 
     Attributes:
         role_index: the role's index in the order of the cluster file.
@@ -73,7 +73,7 @@
 
 
 class NodeRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What a node tells of itself; other nodes pass it on, signed by its origin.
+    """What a node reports about itself; other nodes forward it, signed by its origin.
 
     Attributes:
         name: the node's name.
@@ -81,8 +81,9 @@
         sequence: number of the record; it only grows within an incarnation.
         created_us: Unix time at which the record was created.
         shutting_down: whether the node is leaving the cluster.
-        direct_contacts: one bit for each member, in the order of names: heard directly of late. In a large
-            cluster it has a bit only for each member that this node watches.
+        direct_contacts: one bit for each member, in the order of names: whether it was heard directly
+            within the last rounds. In a large cluster there are bits only for the members that this node
+            watches.
         config_digest: digest of the cluster file by which the node divides the quotas; 0: none.
         quota_reports: one for each quota, in the order of the file.
         health_observations: upstreams that the node can't reach.
@@ -105,7 +106,7 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return what orders the records of one node: the greater is the newer."""
+        """Return the sort key of the records of one node; the newest record has the greatest."""
         return self.incarnation, self.sequence
 
 
@@ -116,19 +117,16 @@
     signature: bytes
 
 
-class LoanRequest(msgspec.Struct, array_like=True, frozen=True, tag=0):
-    """A node asks to borrow a part of a quota.
+class Request(msgspec.Struct, array_like=True, frozen=True):
+    """The fields with which each request to another node begins.
 
     Attributes:
-        sender: name of the node that asks.
-        incarnation: its incarnation.
+        sender: name of the node that sends it.
+        incarnation: the sender's incarnation.
         request_id: number of the request; it only grows within an incarnation.
         created_us: Unix time.
-        recipient: name of the node that is asked.
-        config_digest: digest of the sender's quota settings.
-        quota: the quota's name.
-        amount: sessions per quota window.
-        renews: the request by which the sender has the loan already; 0: a new loan.
+        recipient: name of the node that it is sent to.
+        config_digest: digest of the sender's settings for this kind of request.
 
     """
 
@@ -138,6 +136,45 @@
     created_us: int
     recipient: str
     config_digest: int
+
+    @property
+    def bounded_values(self) -> tuple[int, ...]:
+        """Return the values that have to be within the bounds of the protocol."""
+        return self.incarnation, self.request_id
+
+
+class Response(msgspec.Struct, array_like=True, frozen=True):
+    """The fields with which each response to a request begins.
+
+    Attributes:
+        sender: name of the node that responds.
+        recipient: name of the node that sent the request.
+        incarnation: incarnation of that node, from its request.
+        request_id: number of the request.
+
+    """
+
+    sender: str
+    recipient: str
+    incarnation: int
+    request_id: int
+
+    @property
+    def bounded_values(self) -> tuple[int, ...]:
+        """Return the values that have to be within the bounds of the protocol."""
+        return self.incarnation, self.request_id
+
+
+class LoanRequest(Request, array_like=True, frozen=True, tag=0):
+    """A node asks to borrow a part of a quota; `config_digest` is that of its quota settings.
+
+    Attributes:
+        quota: the quota's name.
+        amount: sessions per quota window.
+        renews: the request by which the sender has the loan already; 0: a new loan.
+
+    """
+
     quota: str
     amount: int
     renews: int
@@ -148,14 +185,10 @@
         return self.incarnation, self.request_id, self.amount
 
 
-class LoanGrant(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """What is lent upon a request; a request that nothing is lent upon gets no answer.
+class LoanGrant(Response, array_like=True, frozen=True, tag=1):
+    """The response of a lender that lends; a declined request gets no response.
 
     Attributes:
-        sender: name of the lender.
-        recipient: name of the borrower.
-        incarnation: incarnation of the borrower, from its request.
-        request_id: number of the request.
         quota: the quota's name.
         amount: sessions per quota window.
         lease: fencing token of the role by which it is lent; 0: from the lender's own share.
@@ -163,10 +196,6 @@
 
     """
 
-    sender: str
-    recipient: str
-    incarnation: int
-    request_id: int
     quota: str
     amount: int
     lease: int = 0
@@ -178,29 +207,19 @@
         return self.incarnation, self.request_id, self.amount, self.lease, self.remaining_us
 
 
-class BallotRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
+class BallotRequest(Request, array_like=True, frozen=True, tag=2):
     """A candidate asks an elector for a role, or releases it.
 
+    `request_id` is the number of the candidate's ballot round, and `config_digest` that of its electorate.
+
     Attributes:
-        sender: name of the candidate.
-        incarnation: its incarnation.
-        round: number of the candidate's round.
-        created_us: Unix time.
-        recipient: name of the elector.
-        config_digest: digest of the sender's electorate.
         role_index: the role's index in the order of the cluster file.
         lease: fencing token that the candidate asks for.
         kind: kind of the ballot, a value of the election's ballot kinds.
-        successor: with a release, the node for which the role is kept; empty: none.
+        successor: with a release, the node for which the role is reserved; empty: none.
 
     """
 
-    sender: str
-    incarnation: int
-    round: int
-    created_us: int
-    recipient: str
-    config_digest: int
     role_index: int
     lease: int
     kind: int
@@ -209,17 +228,13 @@
     @property
     def bounded_values(self) -> tuple[int, ...]:
         """Return the values that have to be within the bounds of the protocol."""
-        return self.incarnation, self.round, self.role_index, self.lease, self.kind
+        return self.incarnation, self.request_id, self.role_index, self.lease, self.kind
 
 
-class Vote(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """An elector's answer to a ballot.
+class Vote(Response, array_like=True, frozen=True, tag=3):
+    """An elector's response to a ballot.
 
     Attributes:
-        sender: name of the elector.
-        recipient: name of the candidate.
-        incarnation: incarnation of the candidate, from its ballot.
-        round: the candidate's round.
         role_index: the role's index in the order of the cluster file.
         granted: whether the elector agrees.
         highest_lease: greatest fencing token that the elector knows of.
@@ -227,10 +242,6 @@
 
     """
 
-    sender: str
-    recipient: str
-    incarnation: int
-    round: int
     role_index: int
     granted: bool
     highest_lease: int
@@ -239,7 +250,7 @@
     @property
     def bounded_values(self) -> tuple[int, ...]:
         """Return the values that have to be within the bounds of the protocol."""
-        return self.incarnation, self.round, self.role_index, self.highest_lease, self.remaining_us
+        return self.incarnation, self.request_id, self.role_index, self.highest_lease, self.remaining_us
 
 
 class TokenDemand(msgspec.Struct, array_like=True, frozen=True):
@@ -247,9 +258,9 @@
 
     Attributes:
         upstream: hash of the upstream's name.
-        budget_milli: what all nodes may send in the upstream's overload window, in thousandths of a session,
-            by the sender's reckoning.
-        weight_milli: what the session weighs, in the same unit.
+        budget_milli: what all nodes together may send in the upstream's overload window, in thousandths of a
+            session, as the sender calculates it.
+        weight_milli: the weight of the session, in the same unit.
 
     """
 
@@ -258,31 +269,20 @@
     weight_milli: int
 
 
-class TokenRequest(msgspec.Struct, array_like=True, frozen=True, tag=4):
+class TokenRequest(Request, array_like=True, frozen=True, tag=4):
     """A node asks the token issuer for permission to send one session to a warming upstream.
 
-    Without demands it asks only for the issuer's answer, which renews the lending of its slow-start windows.
+    Without demands it asks only for the issuer's response, with which it hands its slow-start turns over
+    again. `config_digest` is that of the sender's electorate.
 
     Attributes:
-        sender: name of the node that asks.
-        incarnation: its incarnation.
-        request_id: number of the request; it only grows within an incarnation.
-        created_us: Unix time.
-        recipient: name of the token issuer.
-        config_digest: digest of the sender's electorate.
-        lease: fencing token of the issuer's last answer that the sender has; with it and `issued_us` the
-            sender gives up its own slow-start windows for a term. 0: it does not.
-        issued_us: time of that answer, by the issuer's clock.
+        lease: fencing token of the issuer's last response that the sender has; with it and `issued_us` the
+            sender hands its own slow-start turns over for a term. 0: it does not.
+        issued_us: time of that response, by the issuer's clock.
         demands: upstreams, any one of which the session may go to.
 
     """
 
-    sender: str
-    incarnation: int
-    request_id: int
-    created_us: int
-    recipient: str
-    config_digest: int
     lease: int
     issued_us: int
     demands: list[TokenDemand]
@@ -294,25 +294,17 @@
         return self.incarnation, self.request_id, self.lease, self.issued_us, *demanded
 
 
-class TokenGrant(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """The token issuer's answer.
+class TokenGrant(Response, array_like=True, frozen=True, tag=5):
+    """The token issuer's response.
 
     Attributes:
-        sender: name of the token issuer.
-        recipient: name of the node that asked.
-        incarnation: its incarnation, from its request.
-        request_id: number of the request.
         lease: fencing token of the issuer.
-        remaining_us: what was left of that lease when the answer was given.
-        issued_us: time of the answer, by the issuer's clock.
+        remaining_us: what was left of that lease when the response was given.
+        issued_us: time of the response, by the issuer's clock.
         upstream: hash of the name of the upstream to which one session may be sent; 0: none.
 
     """
 
-    sender: str
-    recipient: str
-    incarnation: int
-    request_id: int
     lease: int
     remaining_us: int
     issued_us: int
@@ -325,14 +317,14 @@
 
 
 DirectMessage = LoanRequest | LoanGrant | BallotRequest | Vote | TokenRequest | TokenGrant
-"""A message for its recipient alone; unlike a record it is not passed on."""
+"""A message for its recipient alone; unlike a record it is not forwarded."""
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
-    """What one UDP datagram holds.
+    """The content of one UDP datagram.
 
     Attributes:
-        records: encoded node records; the sender's own comes first, then those that it passes on.
+        records: encoded node records; the sender's own comes first, then those that it forwards.
         messages: encoded direct messages.
 
     """
--- a/larchlatch/cluster/protocol/signing.py
+++ b/larchlatch/cluster/protocol/signing.py
@@ -1,6 +1,6 @@
 """Signatures of messages: Ed25519 (RFC 8032).
 
-Each record is signed by the node that it tells of, so that no other node can speak for it.
+Each record is signed by the node that it describes, so that no other node can forge it.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class Signer:
-    """Sign messages with a node's own secret key.
+    """Signs messages with a node's secret key.
 
     Attributes:
-        public_key: what the others verify the signatures with.
+        public_key: the key that verifies the signatures.
 
     """
 
@@ -32,7 +32,7 @@
 
 
 class Verifier:
-    """Verify signatures of other nodes; keys that were used are kept prepared."""
+    """Verifies signatures of other nodes, and caches their keys in the form that the library needs."""
 
     def __init__(self) -> None:
         self._prepared: dict[PublicKey, VerifyKey] = {}
@@ -50,7 +50,7 @@
 
 
 def parse_key(text: str) -> bytes | None:
-    """Return the key that is written as hexadecimal digits; None where the text is not one."""
+    """Return the key that is written as hexadecimal digits; None if the text is no key."""
     try:
         key = bytes.fromhex(text)
     except ValueError:
@@ -59,6 +59,6 @@
 
 
 def parse_signer(text: str) -> Signer | None:
-    """Return the signer for a secret key that is written as hexadecimal digits; None where it is not one."""
+    """Return the signer for a secret key that is written as hexadecimal digits; None if it is no key."""
     secret = parse_key(text.strip())
     return None if secret is None else Signer(secret)
--- a/larchlatch/cluster/quota/account.py
+++ b/larchlatch/cluster/quota/account.py
@@ -1,8 +1,9 @@
-"""One node's account of one quota: what it may spend, lend and take back. No I/O.
+"""One node's account of one quota: what the node may spend and lend. No I/O.
 
 The quota is divided among the nodes as rights to spend (escrow: O'Neil 1986; bounded counters: Balegas et al.
-2015); what a node spends beyond its own share others have lent it for a term. Times are whole microseconds of
-a clock of the node's own, which runs on while its process is stopped and is off by at most a stated share.
+2015). What a node spends beyond its own share has been lent to it by others for a term. Times are whole
+microseconds of the node's own clock, which also advances while its process is stopped and whose relative
+error is bounded (`LoanTerms.skew`).
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class LoanId(NamedTuple):
-    """A loan as its lender knows it: the borrower, in which of its lives, by which of its requests."""
+    """Identifies a loan at its lender: the borrower, its incarnation, and the number of its first request."""
 
     borrower: str
     incarnation: int
@@ -27,13 +28,13 @@
 
     @classmethod
     def of(cls, request: LoanRequest) -> LoanId:
-        """Return the loan that a request asks for anew, or renews."""
+        """Return the id of the loan that a request asks for or renews."""
         return cls(request.sender, request.incarnation, request.renews or request.request_id)
 
 
 @dataclass(slots=True)
 class Borrowed:
-    """What another node has lent to this one, in sessions a window, until `ends_at`."""
+    """A loan to this node, in sessions per window, until `ends_at`."""
 
     lender: str
     amount: int
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class Lent:
-    """What this node has lent, in sessions a window; it may be spent here again from `back_at` on."""
+    """A loan of this node, in sessions per window; the amount may be spent here again from `back_at` on."""
 
     amount: int
     back_at: int
@@ -54,19 +55,19 @@
 
     Attributes:
         share: the node's share.
-        loan_terms: how long loans last, and how use is counted.
-        now: the latest time that the account was asked at; time never runs back.
+        loan_terms: length of loans and of the quota window.
+        now: the latest time of a call; an earlier time counts as this one.
         spent: sessions admitted since the start.
-        refused: sessions refused since the start.
+        refused: sessions rejected since the start.
         borrowed: loans from others, by the number of the request.
         lent: loans to others.
         closed: whether another process of this node may be spending.
         opens_at: time before which nothing may be spent.
-        whole_at: time before which only the floor may be spent, and nothing lent.
-        next_share: a larger share by a new file, once no node goes by the former one.
-        next_share_at: when that share takes effect; None while some node has not told that it goes by the
-            file.
-        demand: what was used and asked for of late.
+        whole_at: time before which only the floor may be spent, and nothing may be lent.
+        next_share: the share by a new cluster file; None: there is none.
+        next_share_at: time at which that share takes effect; None while not all members have reported that
+            they use the new file.
+        demand: recent use and demand.
 
     """
 
@@ -87,12 +88,12 @@
     def __post_init__(self) -> None:
         self.demand = DemandMeter(self.loan_terms.counting_window_us)
 
-    # One process of a node follows another.
+    # Hot restart: one process of a node replaces another.
 
     def open(self, now: int) -> None:
-        """Begin to spend, as no other process of this node does from now on."""
-        # A node that starts knows neither what its earlier life spent nor what it lent. It counts the window
-        # before as used up, and what it could have lent as lent, until neither can matter.
+        """Begin to spend, as no other process of this node does so now."""
+        # What was spent and lent before the start is unknown. Until it no longer counts, the last window is
+        # taken as fully used, and everything above the floor as lent.
         self._advance(now)
         if self.closed:
             self.closed = False
@@ -100,13 +101,13 @@
         self.whole_at = max(self.whole_at, self.now + self.loan_terms.recovery_us)
 
     def close(self, now: int) -> int:
-        """Stop to spend, as another process of this node will; return what was spent in the last window."""
+        """Stop spending, as another process of this node will; return what was spent in the last window."""
         self._advance(now)
         self.closed = True
         return self.demand.use(self.now)
 
     def take_over(self, now: int, used: int) -> None:
-        """Spend from now on in place of the process before, which has `used` so much in its last window."""
+        """Begin to spend in place of the predecessor, which spent `used` sessions in its last window."""
         self.open(now)
         self.opens_at = self.now
         self.demand.record_use(self.now, used)
@@ -118,26 +119,26 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether this process may spend by the latest time."""
+        """Return whether this process may spend at the latest time of a call."""
         return not self.closed and self.now >= self.opens_at
 
     @property
     def own(self) -> int:
-        """Return what the node may spend or lend as its own."""
+        """Return the amount that the node may spend or lend as its own."""
         return self.share.own if self.now >= self.whole_at else self.share.floor
 
     @property
     def lent_total(self) -> int:
-        """Return what is lent to others."""
+        """Return the sum of the loans to others."""
         return sum(loan.amount for loan in self.lent.values())
 
     @property
     def borrowed_total(self) -> int:
-        """Return what others have lent to this node."""
+        """Return the sum of the loans from others."""
         return sum(loan.amount for loan in self.borrowed.values())
 
     def expire(self, now: int) -> None:
-        """Drop loans that have ended, and take a new share that has come into effect."""
+        """Remove loans that have ended, and apply a new share that has taken effect."""
         self._advance(now)
         self.borrowed = {n: loan for n, loan in self.borrowed.items() if self.now < loan.ends_at}
         self.lent = {loan_id: loan for loan_id, loan in self.lent.items() if self.now < loan.back_at}
@@ -153,7 +154,7 @@
         return max(0, self.own - self.lent_total) + self.borrowed_total
 
     def admit(self, now: int) -> int:
-        """Spend one session; return 0, or in how many microseconds there may be room for it."""
+        """Spend one session; return 0, or the microseconds until there may be room for it."""
         limit = self.limit(now)
         self.demand.record_request(self.now)
         used = self.demand.use(self.now)
@@ -169,17 +170,17 @@
     # Lending and borrowing.
 
     def need(self, now: int) -> int:
-        """Return how many sessions a window will want."""
+        """Return the expected demand, in sessions per window."""
         self._advance(now)
         return self.demand.need(self.now)
 
     def wanted(self, now: int) -> int:
-        """Return how much it should borrow."""
+        """Return the amount to borrow."""
         limit = self.limit(now)
         return max(0, self.need(now) - limit) if self.is_open else 0
 
     def spare(self, now: int) -> int:
-        """Return how much it can lend: its own above the floor, and above its use and its mean demand."""
+        """Return the amount that can be lent: what exceeds the floor, the use and the mean demand."""
         self.expire(now)
         if self.closed or self.now < self.whole_at or self.next_share is not None:
             return 0
@@ -187,14 +188,14 @@
         return max(0, self.share.own - self.lent_total - busy)
 
     def lend(self, now: int, loan_id: LoanId, amount: int) -> int:
-        """Take up to `amount` off this account, before the borrower is told; return how much is lent."""
+        """Deduct up to `amount` from this account for a loan; return the amount that is lent."""
         lent = min(amount, self.spare(now))
         if lent > 0:
             self.lent[loan_id] = Lent(lent, self.now + self.loan_terms.recovery_us)
         return max(0, lent)
 
     def renew(self, now: int, loan_id: LoanId, amount: int) -> int:
-        """Lend the same for another term, unless it is wanted here; return how much is lent."""
+        """Lend the same amount for another term, unless it is needed here; return the amount that is lent."""
         self.expire(now)
         loan = self.lent.get(loan_id)
         if loan is None or loan.amount != amount or self.wanted(now):
@@ -203,18 +204,17 @@
         return loan.amount
 
     def borrow(self, now: int, *, request: int, lender: str, amount: int, asked_at: int) -> bool:
-        """Enter what another node has lent; return whether it can still be used.
+        """Enter a loan from another node; return whether it can still be used.
 
         Args:
             now: present time.
             request: number of the request by which it was first lent.
             lender: the node that has lent it.
-            amount: sessions a window.
-            asked_at: when it was asked for, which came before the lender's own count of the term.
+            amount: sessions per window.
+            asked_at: time of the request, which is before the start of the term at the lender.
 
         """
-        # A term that ran from the answer would end after the lender has its part back, by however long the
-        # answer was under way.
+        # Counted from the answer, the term could end after the lender has the amount back.
         self.expire(now)
         ends_at = asked_at + self.loan_terms.term_us
         if amount <= 0 or self.now >= ends_at:
@@ -228,26 +228,26 @@
     # A new cluster file.
 
     def follow(self, share: QuotaShare) -> None:
-        """Go by another share: less at once, more only when no node goes by the former file."""
-        # Nodes read a new file one after the other. One that took more at once would spend what another,
-        # which has not read it yet, still has.
+        """Change the share: a reduction applies at once, an increase once no node uses the former file."""
+        # Nodes read a new file one after the other. An increase that applied at once would be spent while
+        # another node, which has not read the file yet, still has it.
         self.share = QuotaShare(min(share.own, self.share.own), min(share.floor, self.share.floor))
         self.next_share = share
         self.next_share_at = None
 
-    def note_agreement(self, now: int, *, all_agree: bool, any_differs: bool) -> None:
-        """Note what the other members tell of their files.
+    def update_agreement(self, now: int, *, all_agree: bool, any_differs: bool) -> None:
+        """Record whether the other members use the same cluster file.
 
         Args:
             now: present time.
-            all_agree: whether all have told that they go by this node's file.
-            any_differs: whether any has told of another file.
+            all_agree: whether all have reported that they use this node's file.
+            any_differs: whether any has reported another file.
 
         """
         self.expire(now)
         if any_differs and self.now < self.whole_at:
-            # Started with a new file among nodes that go by the former one: what is its own here is theirs
-            # there.
+            # This node started with a new file among nodes that use the former one: by that file, a part of
+            # its own share belongs to them.
             self.whole_at = self.now + self.loan_terms.recovery_us
         if not all_agree:
             self.next_share_at = None
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -1,4 +1,4 @@
-"""The borrower's side: what a node asks for, of which lenders, and what it gets. No I/O."""
+"""The borrower's side of loans: requests to lenders, and their grants. No I/O."""
 
 from __future__ import annotations
 
@@ -10,39 +10,32 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
 
+    from larchlatch.cluster.protocol.headers import RequestOrigin
     from larchlatch.cluster.protocol.messages import LoanGrant
     from larchlatch.cluster.quota.account import QuotaAccount
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-MAX_REQUESTS = 8  # in a heartbeat, over all quotas: bounds what a node sends, whatever is wanted
-MAX_LENDERS = 3  # asked for one quota in a heartbeat: more would lend a little each, and each loan is renewed
+MAX_REQUESTS = 8  # in one heartbeat, for all quotas together
+MAX_LENDERS = 3  # asked for one quota in one heartbeat: each loan has to be renewed separately
 MAX_LOANS = 24  # of one quota at a time: each has to be renewed once in half a term
-# Heartbeats after which a request without an answer is taken for lost, and others are asked.
-ANSWER_HEARTBEATS = 3
-
-
-class Caller(NamedTuple):
-    """What each request says of this node: its life, and Unix time in microseconds."""
-
-    incarnation: int
-    wall: int
+ANSWER_HEARTBEATS = 3  # after so many a request without an answer counts as lost
 
 
 class Offer(NamedTuple):
-    """What a node may lend, in sessions a window."""
+    """The amount that a node may lend, in sessions per window."""
 
     lender: str
     amount: int
 
 
 class PendingRequest(NamedTuple):
-    """A request that may yet be answered.
+    """A request whose answer is pending.
 
     Attributes:
         lender: the node that was asked.
         quota: name of the quota.
-        amount: sessions a window.
-        asked_at: when it was asked, by this node's own clock.
+        amount: sessions per window.
+        asked_at: time of the request, by this node's own clock.
         renews: number of the request by which the loan was first made; 0: it is a new one.
 
     """
@@ -55,22 +48,20 @@
 
 
 class Borrower:
-    """Asks for loans and enters them in this node's accounts.
+    """Requests loans and enters them in this node's accounts.
 
     Attributes:
         settings: quotas by the present cluster file.
-        allocator: the node that lends from the pools; "" where none is known.
+        allocator: the node that lends from the pools; empty: none is known.
 
     """
 
     def __init__(
         self,
-        own_name: str,
         settings: QuotaSettings,
         accounts: Mapping[str, QuotaAccount],
         shuffle: Callable[[list[str]], None],
     ) -> None:
-        self.own_name = own_name
         self.settings = settings
         self.allocator = ""
         self._accounts = accounts
@@ -79,24 +70,24 @@
         self._pending: dict[int, PendingRequest] = {}
 
     def wants_loans(self, now: int) -> bool:
-        """Return whether there may be anything to ask for."""
+        """Return whether there may be something to request."""
         return any(account.borrowed or account.wanted(now) for account in self._accounts.values())
 
     def requests(
-        self, now: int, caller: Caller, heartbeat_us: int, spare: Mapping[str, Sequence[int]]
+        self, now: int, origin: RequestOrigin, heartbeat_us: int, spare: Mapping[str, Sequence[int]]
     ) -> list[LoanRequest]:
-        """Return what this heartbeat asks for.
+        """Return the requests that are due with this heartbeat.
 
         Args:
             now: present time.
-            caller: what each request says of this node.
+            origin: what each request says of this node.
             heartbeat_us: interval between heartbeats.
-            spare: what each other node says it can lend of each quota, in the file's order.
+            spare: the amounts that each other node offers to lend, in the order of the quotas.
 
         """
         self._forget_old(now)
         awaited_since = now - ANSWER_HEARTBEATS * heartbeat_us
-        asks: list[LoanRequest] = []
+        requests: list[LoanRequest] = []
         for index, (name, account) in enumerate(self._accounts.items()):
             awaited = [
                 request
@@ -108,11 +99,11 @@
             offers = self._offers(index, wanted, spare)
             if len(account.borrowed) < MAX_LOANS:
                 drafts += self._new_loans(now, name, wanted, offers, awaited)
-            asks += [self.request(caller, draft) for draft in drafts[: MAX_REQUESTS - len(asks)]]
-        return asks
+            requests += [self.request(origin, draft) for draft in drafts[: MAX_REQUESTS - len(requests)]]
+        return requests
 
     def _forget_old(self, now: int) -> None:
-        """Forget requests whose loan would be over by now."""
+        """Forget requests whose loan would have ended by now."""
         oldest = now - self.settings.loan_terms.term_us
         self._pending = {n: request for n, request in self._pending.items() if request.asked_at > oldest}
 
@@ -127,7 +118,7 @@
         for number, loan in account.borrowed.items():
             if loan.ends_at - now > half_term_us or number in renewing:
                 continue
-            # What is no longer wanted ends by itself.
+            # A loan that is no longer needed ends without renewal.
             if limit - loan.amount < need:
                 drafts.append(PendingRequest(loan.lender, quota, loan.amount, asked_at=now, renews=number))
             else:
@@ -135,7 +126,7 @@
         return drafts
 
     def _offers(self, index: int, wanted: int, spare: Mapping[str, Sequence[int]]) -> list[Offer]:
-        """Return offers for the quota at `index`: the allocator's, or those of others in random order."""
+        """Return the offers for the quota at `index`: the allocator's, or other nodes' in random order."""
         if self.settings.pooled:
             return [Offer(self.allocator, wanted)] if self.allocator else []
         lenders = [name for name, amounts in spare.items() if index < len(amounts) and amounts[index] > 0]
@@ -150,7 +141,7 @@
         offers: Sequence[Offer],
         awaited: Sequence[PendingRequest],
     ) -> list[PendingRequest]:
-        """Return requests for what is wanted, of lenders whose answer is not awaited already."""
+        """Return requests for the wanted amount to lenders without a pending request."""
         asked = {request.lender for request in awaited}
         drafts = []
         for offer in offers:
@@ -162,29 +153,26 @@
                 wanted -= amount
         return drafts
 
-    def request(self, caller: Caller, request: PendingRequest) -> LoanRequest:
-        """Return the message of a request, whose answer is awaited from now on."""
+    def request(self, origin: RequestOrigin, request: PendingRequest) -> LoanRequest:
+        """Return the message of a request, and record the request as pending."""
         self._last_number += 1
         self._pending[self._last_number] = request
         return LoanRequest(
-            sender=self.own_name,
-            incarnation=caller.incarnation,
-            request_id=self._last_number,
-            created_us=caller.wall,
-            recipient=request.lender,
-            config_digest=self.settings.digest,
+            **origin.header(
+                request_id=self._last_number, recipient=request.lender, config_digest=self.settings.digest
+            ),
             quota=request.quota,
             amount=request.amount,
             renews=request.renews,
         )
 
     def expects(self, grant: LoanGrant) -> bool:
-        """Return whether a grant, not yet trusted, answers a request."""
+        """Return whether a grant answers a pending request, so that its signature is worth verifying."""
         request = self._pending.get(grant.request_id)
         return request is not None and request.lender == grant.sender and request.quota == grant.quota
 
     def accept(self, now: int, grant: LoanGrant) -> bool:
-        """Enter what was lent by a grant that is expected; return whether it can still be used."""
+        """Enter the loan of an expected grant; return whether it can still be used."""
         request = self._pending.pop(grant.request_id)
         account = self._accounts.get(grant.quota)
         late = self.settings.pooled and now >= order_ends_at(request.asked_at, grant.remaining_us)
--- a/larchlatch/cluster/quota/lender.py
+++ b/larchlatch/cluster/quota/lender.py
@@ -1,9 +1,10 @@
-"""The lender's side: what a node answers to requests for loans. No I/O."""
+"""The lender's side of loans: the answers to requests. No I/O."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
+from larchlatch.cluster.protocol.headers import response_header
 from larchlatch.cluster.protocol.messages import LoanGrant
 from larchlatch.cluster.quota.account import LoanId
 from larchlatch.cluster.replay_guard import ReplayGuard
@@ -19,7 +20,7 @@
 
 
 class Lender:
-    """Answers requests, from this node's own accounts, or from the pools of the quota allocator."""
+    """Lends from this node's own accounts, or from the pools if it is the quota allocator."""
 
     def __init__(
         self,
@@ -35,40 +36,37 @@
         self._replay_guard = ReplayGuard()
 
     def follow(self, settings: QuotaSettings) -> None:
-        """Go by a changed cluster file; members that are gone are forgotten."""
+        """Use a changed cluster file; members that it no longer has are forgotten."""
         self.settings = settings
         self._replay_guard.keep_only(settings.names)
 
     def is_new(self, request: LoanRequest) -> bool:
-        """Return whether a request is newer than all before of its sender."""
-        # One that comes twice, or late, is not answered: what could be lent by it would have been lent
-        # already.
+        """Return whether a request is newer than all earlier ones of its sender.
+
+        Others are duplicates or delayed, and are not answered.
+        """
         return self._replay_guard.is_new(request)
 
     def answer(self, now: int, request: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
-        """Lend what is asked for, taken off here before it is told; None where nothing is lent.
+        """Return the grant of a loan, which is deducted here first; None if nothing is lent.
 
         Args:
             now: present time.
             request: the request.
-            permit: lease by which this node may lend from the pools now.
+            permit: permit of the quota allocator, if this node holds that role.
 
         """
         self._replay_guard.record(request)
         if self.settings.pooled and permit.lease != self._pools.lease:
             return None
-        # A node that goes by another file counts by another term, and would have the loan after it is back
-        # here.
+        # With another cluster file the borrower may use another term, which could end too late.
         if request.amount <= 0 or request.config_digest != self.settings.digest:
             return None
         amount = self._pools.lend(now, request) if self.settings.pooled else self._lend_own(now, request)
         if not amount:
             return None
         return LoanGrant(
-            sender=self.own_name,
-            recipient=request.sender,
-            incarnation=request.incarnation,
-            request_id=request.request_id,
+            **response_header(self.own_name, request),
             quota=request.quota,
             amount=amount,
             lease=permit.lease,
@@ -76,7 +74,7 @@
         )
 
     def _lend_own(self, now: int, request: LoanRequest) -> int:
-        """Lend from this node's own share, or renew a loan; return how much is lent."""
+        """Lend from this node's own share, or renew a loan; return the amount that is lent."""
         account = self._accounts.get(request.quota)
         if account is None:
             return 0
--- a/larchlatch/cluster/quota/loan_terms.py
+++ b/larchlatch/cluster/quota/loan_terms.py
@@ -1,4 +1,4 @@
-"""How long parts of a quota are lent, and how use is counted."""
+"""Length of loans and of the quota window, with the bound on clock errors."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 
 class LoanTerms(NamedTuple):
-    """Times that all nodes of a cluster go by, in microseconds of each node's own clock.
+    """Times of loans, equal on all nodes, in microseconds of each node's own clock.
 
     Attributes:
-        window_us: window in which a quota is counted.
-        term_us: how long a loan lasts.
-        skew: share by which the worst clock gains or loses.
+        window_us: length of the quota window.
+        term_us: length of a loan.
+        skew: greatest relative error of a clock.
 
     """
 
@@ -22,12 +22,12 @@
 
     @property
     def counting_window_us(self) -> int:
-        """Return the window by a clock that may be fast: no true window is shorter than it."""
+        """Return the window to count by: with the fastest clock it is still as long as the true window."""
         return ceil(self.window_us * (1 + self.skew))
 
     @property
     def recovery_us(self) -> int:
-        """Return after how long a lender has a loan back, also if its clock is fast and the other's slow."""
-        # What was spent at the end of a term counts for a window more. A lender that took its part back with
-        # the end of the term would spend it a second time within that window.
+        """Return the time after which a lender may spend a loan again, by its own clock."""
+        # Sessions admitted at the end of the term count for one more window. Clocks are taken as fast at the
+        # lender and slow at the borrower.
         return ceil((1 + self.skew) * (self.term_us / (1 - self.skew) + self.window_us))
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -1,4 +1,4 @@
-"""The quota allocator's side: lending from what no node has as its own. No I/O."""
+"""The quota allocator's side of loans: pools of what no node has as its own share. No I/O."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from larchlatch.cluster.protocol.messages import LoanRequest
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-ACTIVE_TERMS = 2  # nodes that have asked within so many loan terms count as wanting some of a pool
-PARTS = 3  # an equal share of a pool is lent in so many loans: what is to go to others can go back by parts
+ACTIVE_TERMS = 2  # a node that has asked within so many loan terms gets an equal share of a pool
+PARTS = 3  # loans in which an equal share is lent, so that a part of it can be reclaimed
 
 
 class Division(NamedTuple):
-    """How a pool is divided at present, in sessions a window.
+    """The present division of a pool, in sessions per window.
 
     Attributes:
-        equal: the equal share of each node that has asked of late.
-        lent: what each node has.
+        equal: the equal share of each node that has asked recently.
+        lent: the amount that is lent to each node.
 
     """
 
@@ -32,7 +32,7 @@
     """The pools, one for each quota, while this node holds the role of the quota allocator.
 
     Attributes:
-        lease: number of the lease by which this node lends from the pools; 0: it does not.
+        lease: number of the lease under which this node lends from the pools; 0: it holds none.
 
     """
 
@@ -40,21 +40,21 @@
         self.settings = settings
         self.lease = 0
         self._pools: dict[str, QuotaAccount] = {}
-        self._asked_at: dict[str, int] = {}  # when each node last asked
-        self._short_at: dict[str, int] = {}  # when each node last got less than it might have had
+        self._asked_at: dict[str, int] = {}  # time of each node's last request
+        self._short_at: dict[str, int] = {}  # time at which each node last got too little
 
     def follow(self, settings: QuotaSettings) -> None:
-        """Go by a changed cluster file; nothing is lent until the role is held by it."""
+        """Use a changed cluster file; nothing is lent until the role is held under that file."""
         self.settings = settings
         self.lease = 0
         self._pools = {}
 
     def hold(self, now: int, lease: int) -> None:
-        """Begin, go on or cease to lend by a lease; 0: this node does not hold the role."""
+        """Begin, continue or cease to lend under a lease; 0: this node does not hold the role."""
         if lease == self.lease:
             return
-        # What the allocator before has lent is not known here. As after a start, nothing is lent until all of
-        # it must be back.
+        # The loans of the previous allocator are unknown here. As after a start, nothing is lent until all of
+        # them must have ended.
         self.lease = lease
         self._pools = {}
         for quota in self.settings.quotas if lease else ():
@@ -63,19 +63,19 @@
             self._pools[quota.name] = pool
 
     def lend(self, now: int, request: LoanRequest) -> int:
-        """Lend from a pool, or renew a loan; return how much is lent."""
+        """Lend from a pool, or renew a loan; return the amount that is lent."""
         pool = self._pools.get(request.quota)
         if pool is None:
             return 0
         if not request.renews:
             amount = self._allocate(now, pool, request)
             return pool.lend(now, LoanId.of(request), amount)
-        if self._due_back(now, pool, request):
+        if self._is_reclaimed(now, pool, request):
             return 0
         return pool.renew(now, LoanId.of(request), request.amount)
 
     def _divide(self, now: int, pool: QuotaAccount, sender: str) -> Division:
-        """Return how a pool is divided, with the sender among those that want some of it."""
+        """Return the division of a pool, with the sender among the nodes that get an equal share."""
         oldest = now - ACTIVE_TERMS * self.settings.loan_terms.term_us
         self._asked_at = {name: at for name, at in self._asked_at.items() if at > oldest}
         self._asked_at[sender] = now
@@ -85,22 +85,22 @@
         return Division(pool.share.own // len(self._asked_at), lent)
 
     def _allocate(self, now: int, pool: QuotaAccount, request: LoanRequest) -> int:
-        """Return what a request gets of a pool: max-min by what is asked, a part at a time."""
+        """Return the amount for a request: max-min fair by the requested amounts, one part at a time."""
         equal, lent = self._divide(now, pool, request.sender)
         spare = pool.spare(now)
-        # What others may have yet is kept for them: the first to come must not have all.
+        # The unused rest of the other nodes' equal shares is reserved for them.
         others = [name for name in self._asked_at if name != request.sender]
-        kept = sum(max(0, equal - lent[name]) for name in others)
+        reserved = sum(max(0, equal - lent[name]) for name in others)
         part = max(1, -(-equal // PARTS))
-        amount = max(0, min(request.amount, part, spare, max(equal - lent[request.sender], spare - kept)))
+        amount = max(0, min(request.amount, part, spare, max(equal - lent[request.sender], spare - reserved)))
         if amount < min(request.amount, part):
             self._short_at[request.sender] = now
         else:
             self._short_at.pop(request.sender, None)
         return amount
 
-    def _due_back(self, now: int, pool: QuotaAccount, request: LoanRequest) -> bool:
-        """Return whether a loan is not renewed, as others with less than their equal share ask in vain."""
+    def _is_reclaimed(self, now: int, pool: QuotaAccount, request: LoanRequest) -> bool:
+        """Return whether to reclaim a loan, as another node with less than its equal share got too little."""
         equal, lent = self._divide(now, pool, request.sender)
         oldest = now - self.settings.loan_terms.term_us
         others_short = any(
--- a/larchlatch/cluster/quota/settings.py
+++ b/larchlatch/cluster/quota/settings.py
@@ -1,4 +1,4 @@
-"""Quotas as the cluster file says, and each node's share of them."""
+"""The quotas of a cluster file, and each node's share of them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Quota(NamedTuple):
-    """A budget of the cluster file.
+    """A quota of the cluster file.
 
     Attributes:
-        name: its name.
-        sessions: new sessions in a window, of the whole cluster.
+        name: the quota's name.
+        sessions: new sessions per window, for the whole cluster.
         traffic_classes: names of the traffic classes whose sessions count.
 
     """
@@ -24,11 +24,11 @@
 
 
 class QuotaShare(NamedTuple):
-    """A node's part of a quota, in sessions a window.
+    """A node's share of a quota, in sessions per window.
 
     Attributes:
-        own: what is the node's own.
-        floor: the part of that which it never lends.
+        own: the whole share.
+        floor: the part of it that the node never lends.
 
     """
 
@@ -40,10 +40,10 @@
     """Return the share of the node at `index`; the shares of all nodes add up to the quota.
 
     Args:
-        sessions: the quota, in sessions a window.
-        floor: part of each share that is never lent, from 0 to 1.
+        sessions: the quota, in sessions per window.
+        floor: fraction of each share that is never lent, from 0 to 1.
         node_count: number of nodes.
-        index: the node's place in the order of names.
+        index: the node's index in the order of names.
 
     """
     own = sessions * (index + 1) // node_count - sessions * index // node_count
@@ -51,15 +51,15 @@
 
 
 class QuotaSettings(NamedTuple):
-    """How quotas are divided among the members; the same on all nodes that have read the same file.
+    """How quotas are divided among the members; equal on all nodes that use the same cluster file.
 
     Attributes:
-        quotas: all quotas, in the file's order.
-        names: names of all members, in order.
-        floor: part of each share that is never lent, from 0 to 1.
-        loan_terms: how long loans last, and how use is counted.
-        digest: tells one file from another.
-        pooled: whether what lies above all floors is one pool that the quota allocator lends from.
+        quotas: all quotas, in the order of the file.
+        names: names of all members, sorted.
+        floor: fraction of each share that is never lent, from 0 to 1.
+        loan_terms: length of loans and of the quota window.
+        digest: configuration digest of this part of the file.
+        pooled: whether the quota allocator lends everything above the floors from pools.
 
     """
 
@@ -71,7 +71,7 @@
     pooled: bool = False
 
     def share(self, quota: Quota, name: str) -> QuotaShare:
-        """Return what a node has of a quota as its own."""
+        """Return the share of a quota that a node has as its own."""
         share = share_at(quota.sessions, self.floor, len(self.names), self.names.index(name))
         return QuotaShare(share.floor, share.floor) if self.pooled else share
 
