--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -1,4 +1,4 @@
-"""All quotas that the nodes of a cluster share, as one node keeps them. No I/O."""
+"""One node's part in all quotas of a cluster. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from larchlatch.cluster.protocol.messages import LoanGrant, LoanRequest, QuotaReport
 from larchlatch.cluster.quota.account import QuotaAccount
-from larchlatch.cluster.quota.borrower import Borrower, Caller, PendingRequest
+from larchlatch.cluster.quota.borrower import Borrower, PendingRequest
 from larchlatch.cluster.quota.lender import Lender
 from larchlatch.cluster.quota.pools import QuotaPools
 
@@ -15,23 +15,24 @@
     from random import Random
 
     from larchlatch.cluster.election.fencing import OrderPermit
+    from larchlatch.cluster.protocol.headers import RequestOrigin
     from larchlatch.cluster.quota.settings import Quota, QuotaSettings
 
 
 class QuotaStatus(NamedTuple):
-    """One quota, for the operators of the node; amounts are sessions in a window.
+    """One quota, for the operators of the node; amounts are sessions per window.
 
     Attributes:
-        quota: its name.
-        total: the quota of the whole cluster.
+        quota: the quota's name.
+        total: the limit of the whole cluster.
         own: the node's share.
-        floor: the part of that which it never lends.
+        floor: the part of the share that it never lends.
         limit: what the node may admit now.
-        used: what it has admitted.
-        borrowed: what others have lent to it.
-        lent: what it has lent to others.
-        spent: sessions admitted since its start.
-        refused: sessions refused since its start.
+        used: sessions admitted in the last window.
+        borrowed: sum of the loans from others.
+        lent: sum of the loans to others.
+        spent: sessions admitted since the node's start.
+        refused: sessions rejected since the node's start.
 
     """
 
@@ -49,27 +50,27 @@
     def to_json(self) -> dict[str, str | int]:
         """Return the row that a node logs on SIGUSR1."""
         return {
-            "budget": self.quota,
+            "quota": self.quota,
             "limit": self.total,
             "own": self.own,
             "floor": self.floor,
-            "may": self.limit,
+            "node_limit": self.limit,
             "used": self.used,
             "borrowed": self.borrowed,
             "lent": self.lent,
             "spent": self.spent,
-            "refused": self.refused,
+            "rejected": self.refused,
         }
 
 
 class SharedQuotas:
-    """One node's part in all shared quotas: it admits, borrows, lends, and may be the quota allocator.
+    """One node's part in all quotas: it admits, borrows, lends, and may be the quota allocator.
 
     Attributes:
         heartbeat_us: interval between heartbeats, in microseconds.
         settings: quotas by the present cluster file.
-        accounts: this node's account of each quota, in the file's order.
-        any_file_differs: whether a member tells that it goes by another cluster file.
+        accounts: this node's account of each quota, in the order of the file.
+        any_file_differs: whether a member reports that it uses another cluster file.
 
     """
 
@@ -86,87 +87,88 @@
         }
         self._quota_names = settings.quota_names()
         self._uniform = random.uniform
-        self._borrower = Borrower(own_name, settings, self.accounts, random.shuffle)
+        self._borrower = Borrower(settings, self.accounts, random.shuffle)
         self._pools = QuotaPools(settings)
         self._lender = Lender(own_name, settings, self.accounts, self._pools)
-        self._all_agreed = False  # all members have told, since this file was read, that they go by it
+        self._all_agreed = False  # whether all members have reported at one time that they use this file
 
     def admit(self, now: int, traffic_class: str) -> int:
-        """Spend one new session of a traffic class; return 0, or in how many microseconds to come back."""
+        """Admit one session of a traffic class; return 0, or the microseconds after which to try again."""
         quota = self._quota_names.get(traffic_class)
         wait_us = self.accounts[quota].admit(now) if quota is not None else 0
         if not wait_us:
             return 0
-        # Spread over a window: all that were refused in one moment would come back in one.
+        # Spread over a window, so that sessions rejected together don't come back together.
         return wait_us + int(self._uniform(0, self.settings.loan_terms.window_us))
 
     # Loans.
 
     def update_allocator(self, now: int, allocator: str, lease: int) -> None:
-        """Note which node holds the role of the quota allocator.
+        """Record which node holds the role of the quota allocator.
 
         Args:
             now: present time.
-            allocator: that node, as far as is known; "" where none is.
-            lease: number of this node's own lease of the role; 0: it has none.
+            allocator: name of that node; empty: none is known.
+            lease: number of this node's own lease of the role; 0: it holds none.
 
         """
         self._borrower.allocator = allocator
-        # A node that has not read this file yet may have more as its own than its floor by the one before.
+        # A node that still uses the former file may have more than its floor as its own.
         self._pools.hold(now, lease if self.settings.pooled and self._all_agreed else 0)
 
-    def standings(self, now: int) -> list[QuotaReport]:
-        """Return what the node's record tells of each quota, in the file's order."""
+    def reports(self, now: int) -> list[QuotaReport]:
+        """Return the report on each quota for the node's record, in the order of the file."""
         return [QuotaReport(account.spent, account.spare(now)) for account in self.accounts.values()]
 
     def wants_loans(self, now: int) -> bool:
-        """Return whether there may be anything to ask for."""
+        """Return whether there may be loans to request."""
         return self._borrower.wants_loans(now)
 
     def loan_requests(
-        self, now: int, wall: int, incarnation: int, spare: Mapping[str, Sequence[int]]
+        self, now: int, origin: RequestOrigin, spare: Mapping[str, Sequence[int]]
     ) -> list[LoanRequest]:
-        """Return what this heartbeat asks for.
+        """Return the requests that are due with this heartbeat.
 
         Args:
             now: present time by the process's own clock.
-            wall: Unix time, in microseconds.
-            incarnation: present life of this node.
-            spare: what each other node says it can lend of each quota, in the file's order.
+            origin: what each request says of this node.
+            spare: the amounts that each other node offers to lend, in the order of the quotas.
 
         """
-        return self._borrower.requests(now, Caller(incarnation, wall), self.heartbeat_us, spare)
+        return self._borrower.requests(now, origin, self.heartbeat_us, spare)
 
     def request_loan(
-        self, now: int, wall: int, incarnation: int, *, lender: str, quota: str, amount: int
+        self, now: int, origin: RequestOrigin, *, lender: str, quota: str, amount: int
     ) -> LoanRequest:
-        """Return a request of one lender for a new loan, whatever is wanted here."""
+        """Return a request to one lender for a new loan, independent of the demand here."""
         request = PendingRequest(lender, quota, amount, asked_at=now, renews=0)
-        return self._borrower.request(Caller(incarnation, wall), request)
+        return self._borrower.request(origin, request)
 
-    def expects(self, note: LoanRequest | LoanGrant) -> bool:
-        """Return whether a note, not yet trusted, is worth a check of its signature."""
-        return self._borrower.expects(note) if isinstance(note, LoanGrant) else self._lender.is_new(note)
+    def expects(self, message: LoanRequest | LoanGrant) -> bool:
+        """Return whether this node could use a message, so that its signature is worth verifying."""
+        if isinstance(message, LoanGrant):
+            return self._borrower.expects(message)
+        return self._lender.is_new(message)
 
-    def answer(self, now: int, ask: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
-        """Lend what is asked for; None where nothing is lent.
+    def answer(self, now: int, request: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
+        """Lend what a request asks for; None if nothing is lent.
 
         Args:
             now: present time.
-            ask: the request.
-            permit: lease by which this node may lend as the quota allocator now.
+            request: the request.
+            permit: permit of the quota allocator, if this node holds that role.
 
         """
-        return self._lender.answer(now, ask, permit)
+        return self._lender.answer(now, request, permit)
 
     def accept_grant(self, now: int, grant: LoanGrant) -> bool:
-        """Enter what was lent by an expected grant; return whether it can still be used."""
+        """Enter the loan of an expected grant; return whether it can still be used."""
         return self._borrower.accept(now, grant)
 
     # A new cluster file.
 
     def follow(self, settings: QuotaSettings, now: int) -> None:
-        """Go by the cluster file that was read now."""
+        """Use the quotas of a changed cluster file."""
         accounts = {quota.name: self._followed(quota, settings, now) for quota in settings.quotas}
         self.accounts.clear()
         self.accounts.update(accounts)
@@ -177,47 +179,47 @@
         self._all_agreed = False
 
     def _followed(self, quota: Quota, settings: QuotaSettings, now: int) -> QuotaAccount:
-        """Return the account of a quota by new settings."""
+        """Return the account of a quota under new settings."""
         share = settings.share(quota, self.own_name)
         former = self.accounts.get(quota.name)
         if former is not None and former.loan_terms == settings.loan_terms:
             former.follow(share)
             return former
-        # Counted by other windows, what was spent can't be told: as after a start.
+        # Use in windows of another length is unknown, as after a start.
         account = QuotaAccount(share, settings.loan_terms, now)
         account.open(now)
         if former is not None:
             account.whole_at = max(account.whole_at, now + former.loan_terms.recovery_us)
         return account
 
-    def note_digests(self, now: int, digests: Sequence[int | None]) -> None:
-        """Note by which cluster file each other member goes; None where it has not told."""
+    def compare_digests(self, now: int, digests: Sequence[int | None]) -> None:
+        """Compare the digests of the other members' cluster files with this node's; None: not reported."""
         own = self.settings.digest
         all_agree = all(digest == own for digest in digests)
         self.any_file_differs = any(digest not in (None, own) for digest in digests)
         self._all_agreed |= all_agree
         for account in self.accounts.values():
-            account.note_agreement(now, all_agree=all_agree, any_differs=self.any_file_differs)
+            account.update_agreement(now, all_agree=all_agree, any_differs=self.any_file_differs)
 
-    # One process of a node follows another.
+    # Hot restart: one process of a node replaces another.
 
     def open(self, now: int) -> None:
-        """Begin to spend, as no other process of this node does from now on."""
+        """Begin to spend, as no other process of this node does so now."""
         for account in self.accounts.values():
             account.open(now)
 
     def close(self, now: int) -> dict[str, int]:
-        """Stop to spend; return what this process has spent of each quota in the last window."""
+        """Stop spending; return what this process has spent of each quota in the last window."""
         return {name: account.close(now) for name, account in self.accounts.items()}
 
     def take_over(self, now: int, used: Mapping[str, int]) -> None:
-        """Spend from now on in place of the process before, which has `used` so much in its last window."""
+        """Begin to spend in place of the predecessor, which spent `used` of each quota in its last window."""
         for name, account in self.accounts.items():
             if name in used:
                 account.take_over(now, used[name])
 
     def statuses(self, now: int) -> list[QuotaStatus]:
-        """Return the status of each quota, in the file's order."""
+        """Return the status of each quota, in the order of the file."""
         return [self._status(now, quota) for quota in self.settings.quotas]
 
     def _status(self, now: int, quota: Quota) -> QuotaStatus:
--- a/larchlatch/cluster/replay_guard.py
+++ b/larchlatch/cluster/replay_guard.py
@@ -1,4 +1,4 @@
-"""Guard against requests that come twice or late. No I/O."""
+"""Guard against requests that are received twice or out of order. No I/O."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 if TYPE_CHECKING:
     from collections.abc import Collection
 
-    from larchlatch.cluster.protocol.messages import LoanRequest, TokenRequest
+    from larchlatch.cluster.protocol.messages import Request
 
 
 class RequestAge(NamedTuple):
-    """Order of a member's requests: by its life, then by number."""
+    """Orders the requests of one member: by incarnation, then by number."""
 
     incarnation: int
     number: int
@@ -21,23 +21,23 @@
 
 
 class ReplayGuard:
-    """Remembers each member's newest request; only a newer one is answered."""
+    """Keeps the age of each member's newest request, so that only newer ones are answered."""
 
     def __init__(self) -> None:
         self._newest: dict[str, RequestAge] = {}
 
-    def is_new(self, request: LoanRequest | TokenRequest) -> bool:
-        """Return whether a request is newer than all that were recorded of its sender."""
+    def is_new(self, request: Request) -> bool:
+        """Return whether a request is newer than all recorded ones of its sender."""
         return _age(request) > self._newest.get(request.sender, NO_REQUEST)
 
-    def record(self, request: LoanRequest | TokenRequest) -> None:
-        """Remember a request that is answered now."""
+    def record(self, request: Request) -> None:
+        """Record a request that is answered now."""
         self._newest[request.sender] = _age(request)
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forget members that are gone."""
+        """Forget all members but these."""
         self._newest = {name: age for name, age in self._newest.items() if name in names}
 
 
-def _age(request: LoanRequest | TokenRequest) -> RequestAge:
+def _age(request: Request) -> RequestAge:
     return RequestAge(request.incarnation, request.request_id)
--- a/larchlatch/cluster/reports.py
+++ b/larchlatch/cluster/reports.py
@@ -33,7 +33,7 @@
     """Return one row for each quota.
 
     Args:
-        state: what the members share.
+        state: the state that the members share.
         now: monotonic time in microseconds.
         wall: Unix time in microseconds.
 
--- a/larchlatch/cluster/slow_start/issuer.py
+++ b/larchlatch/cluster/slow_start/issuer.py
@@ -1,8 +1,8 @@
-"""The issuing side of slow-start tokens, of the node that holds the role of the token issuer. No I/O.
+"""The issuing side of slow-start tokens, at the node that holds the role of the token issuer. No I/O.
 
-It counts, for each warming upstream, what all nodes together have sent there in a window. Nodes that have not
-handed their turns over keep their part of it. Times are whole microseconds of a clock of the node's own,
-which runs on while its process is stopped.
+For each warming upstream the issuer counts the tokens that were issued to all nodes in a window. Nodes that
+have not handed their slow-start turns over keep their part of the window. Times are whole microseconds of the
+node's own clock, which also advances while its process is stopped.
 """
 
 from __future__ import annotations
@@ -14,6 +14,7 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
+from larchlatch.cluster.protocol.headers import response_header
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.replay_guard import ReplayGuard
 from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
@@ -26,7 +27,7 @@
 
 
 class IssuedToken(NamedTuple):
-    """A token for a session of that weight, issued at that time."""
+    """A token that was issued, and the weight of its session."""
 
     issued_at: int
     weight: float
@@ -39,7 +40,7 @@
     tokens: deque[IssuedToken] = field(default_factory=deque)
 
     def used(self, since: int) -> float:
-        """Return the weight of all tokens that were issued after `since`."""
+        """Return the total weight of the tokens that were issued after `since`."""
         recent = takewhile(lambda token: token.issued_at > since, reversed(self.tokens))
         return sum(token.weight for token in recent)
 
@@ -50,16 +51,16 @@
 
 
 class TokenIssuer:
-    """Answers requests for tokens while this node holds the role.
+    """Issues tokens while this node holds the role.
 
     Attributes:
         own_name: this node's name.
         names: names of all members.
         enabled: whether the cluster file has the role.
-        lease: number of the lease by which this node issues tokens; 0: it does not.
-        opens_at: time before which none is issued.
-        promised_until: until when, at least, each node has handed its turns over.
-        issued: what was issued for each upstream, by the hash of its name.
+        lease: number of the lease under which this node issues tokens; 0: it holds none.
+        opens_at: time before which no token is issued.
+        promised_until: earliest time at which each node's hand-over of its turns can end.
+        issued: tokens issued for each upstream, by the hash of its name.
 
     """
 
@@ -71,7 +72,7 @@
         self.follow(electorate)
 
     def follow(self, electorate: Electorate) -> None:
-        """Go by a cluster file, at the start and when it has changed."""
+        """Use the electorate of a cluster file, at the start and after a change."""
         self.enabled = TOKEN_ISSUER in electorate.roles
         self.names = frozenset(electorate.names)
         self._digest = electorate.digest
@@ -83,45 +84,45 @@
         self.issued: dict[int, IssuedTokens] = {}
 
     def update_upstreams(self, upstreams: Iterable[int], *, window_us: int) -> None:
-        """Note the upstreams that are ready, by the hashes of their names, and the window they count by."""
+        """Update the upstreams that are ready, by the hashes of their names, and their overload window."""
         self._upstreams = frozenset(upstreams)
         self._window_us = window_us
 
     @property
     def counting_span_us(self) -> int:
-        """Return for how long a token counts: no window holds any use of one that was issued before."""
+        """Return the time for which an issued token counts: until no window can contain its session."""
         return ceil((self._window_us + token_hold_us(self._window_us)) * (1 + self._skew))
 
     def hold(self, now: int, lease: int) -> None:
-        """Begin, go on or cease to issue tokens by a lease; 0: this node does not hold the role."""
+        """Begin, continue or cease to issue tokens under a lease; 0: this node does not hold the role."""
         if lease == self.lease:
             self._forget_old(now)
             return
-        # What the issuer before has issued is not known here. Its tokens end with its lease, and count for a
-        # window more.
+        # The tokens of the previous issuer are unknown here. They end with its lease, and count for one more
+        # window.
         self.lease = lease
         self.promised_until = {}
         self.issued = {}
         self.opens_at = now + self.counting_span_us
 
     def _forget_old(self, now: int) -> None:
-        """Forget tokens that count no more, however small the share of nodes that have handed over."""
+        """Forget tokens that no longer count, even for the smallest share of nodes that have handed over."""
         until = now - self.counting_span_us * max(1, len(self.names))
         for issued in self.issued.values():
             issued.forget(until)
         self.issued = {upstream: issued for upstream, issued in self.issued.items() if issued.tokens}
 
     def is_new(self, request: TokenRequest) -> bool:
-        """Return whether a request, not yet trusted, is newer than all before of its sender."""
+        """Return whether a request is newer than all of its sender, so that it is worth verifying."""
         return self.enabled and self._replay_guard.is_new(request)
 
     def answer(self, now: int, request: TokenRequest, permit: OrderPermit) -> TokenGrant | None:
-        """Answer a request; None where this node can't issue, or has no room for the session.
+        """Return the answer to a request; None if this node may not issue, or no window has room.
 
         Args:
             now: present time.
             request: the request.
-            permit: lease by which this node may issue tokens now.
+            permit: permit of the token issuer, if this node holds that role.
 
         """
         self._replay_guard.record(request)
@@ -129,32 +130,29 @@
             return None
         if request.config_digest != self._digest or request.sender not in self.names:
             return None
-        self._note_promise(now, request)
+        self._record_promise(now, request)
         upstream = self._issue_first(now, request.demands) if now >= self.opens_at else 0
         if request.demands and not upstream:
-            return None  # the requester waits no longer than for an answer
+            return None  # the requester does not wait long for an answer
         return TokenGrant(
-            sender=self.own_name,
-            recipient=request.sender,
-            incarnation=request.incarnation,
-            request_id=request.request_id,
+            **response_header(self.own_name, request),
             lease=permit.lease,
             remaining_us=permit.left_us,
             issued_us=now,
             upstream=upstream,
         )
 
-    def _note_promise(self, now: int, request: TokenRequest) -> None:
-        """Note until when the sender has handed its turns over, if it has by this node's lease."""
+    def _record_promise(self, now: int, request: TokenRequest) -> None:
+        """Record until when the sender has handed its turns over, if it did so under this node's lease."""
         if request.lease != self.lease or not 0 < request.issued_us <= now:
             return
-        # It had received the answer of that stamp when it promised: its term began after that, by a clock
-        # that may be fast.
+        # The sender made its promise after it received the answer with this time stamp. So its term began
+        # later, by a clock that may be fast.
         until = request.issued_us + int(self._term_us * (1 - self._skew) / (1 + self._skew))
         self.promised_until[request.sender] = max(until, self.promised_until.get(request.sender, 0))
 
     def _issue_first(self, now: int, demands: Sequence[TokenDemand]) -> int:
-        """Issue a token for the first upstream that has room; return the hash of its name, or 0 for none."""
+        """Issue a token for the first upstream with room; return the hash of its name, or 0 for none."""
         handed_over = sum(now < until for until in self.promised_until.values())
         share = handed_over / len(self.names)
         for demand in demands[:MAX_CANDIDATES]:
@@ -163,15 +161,15 @@
         return 0
 
     def _issue(self, now: int, demand: TokenDemand, share: float) -> bool:
-        """Issue a token if there is room for it; return whether there was.
+        """Issue a token if the upstream's window has room; return whether it was issued.
 
         Args:
             now: present time.
             demand: the upstream, its budget in a window, and the session's weight.
-            share: part of all nodes that have handed their turns over.
+            share: fraction of all nodes that have handed their turns over.
 
         """
-        # Nodes that still go by turns, as they hear no issuer, use their part of the budget and no more.
+        # Nodes that have not handed their turns over use their own part of the budget.
         limit = share * demand.budget_milli / MILLI
         span_us = self.counting_span_us
         if limit < 1:
@@ -181,7 +179,7 @@
         issued = self.issued.setdefault(demand.upstream, IssuedTokens())
         weight = max(1, demand.weight_milli) / MILLI
         used = issued.used(now - span_us)
-        # A session that is too heavy for the budget may go to an upstream whose window is empty.
+        # A session that exceeds the budget alone may go to an upstream whose window is empty.
         if used and used + weight > limit:
             return False
         issued.tokens.append(IssuedToken(now, weight))
--- a/larchlatch/cluster/slow_start/notices.py
+++ b/larchlatch/cluster/slow_start/notices.py
@@ -1,4 +1,4 @@
-"""What the balancer is told of slow-start tokens."""
+"""Notices about slow-start tokens for the balancer."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class TokenNotice(NamedTuple):
-    """What the balancer is told, with times in microseconds of this node's own clock.
+    """A notice for the balancer, with times in microseconds of this node's own clock.
 
     Attributes:
-        handed_over_until: until when this node's turns at warming upstreams are handed over to the issuer.
-        upstream: hash of the name of the upstream that a session may be sent to; 0: none.
-        session: the session's number.
-        token_ends_at: until when it may be sent.
+        handed_over_until: time until which this node's slow-start turns are handed over to the issuer.
+        upstream: hash of the name of the upstream that a session may be sent to; 0: the notice has no token.
+        session: the session's number; -1: the notice has no token.
+        token_ends_at: end of the token's validity.
 
     """
 
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -1,9 +1,9 @@
-"""The requesting side of slow-start tokens, which every node has. No I/O.
+"""The requesting side of slow-start tokens, at every node. No I/O.
 
-By itself each node keeps to turns at a warming upstream, by its own number: of many nodes that see few
-sessions each, most let their turn pass. Where one node holds the role of the token issuer, the others hand
-their turns over to it for a while, and ask it for each session. Times are whole microseconds of a clock of
-the node's own, which runs on while its process is stopped.
+Without a token issuer the nodes send sessions to a warming upstream in turns, by their numbers, and nodes
+with few sessions leave most of their turns unused. With a token issuer they hand their turns over to it for a
+term, and request a token for each session. Times are whole microseconds of the node's own clock, which also
+advances while its process is stopped.
 """
 
 from __future__ import annotations
@@ -21,17 +21,18 @@
     from collections.abc import Sequence
 
     from larchlatch.cluster.election.electorate import Electorate
+    from larchlatch.cluster.protocol.headers import RequestOrigin
     from larchlatch.policy.types import TokenCandidate
 
-RENEWALS = 3  # in the time for which turns are handed over, while an upstream is warming up: two may be lost
-IDLE_RENEWALS = 2  # and while none is: so that one that starts need not wait until all nodes have promised
-NOTICE_LAG_US = 300_000  # the balancer has known it so long before it is promised to others: it lags by less
-REQUEST_BURST = 16  # requests for sessions that a node may send at once, when it has sent none for a while
-CLUSTER_REQUESTS_PER_S = 1000  # of all nodes together: the issuer checks a signature for each, 65 us
+RENEWALS = 3  # of a hand-over within its term, while an upstream is warming up
+IDLE_RENEWALS = 2  # of a hand-over within its term, while no upstream is warming up
+NOTICE_LAG_US = 300_000  # a hand-over is promised to the issuer only so long after the balancer's notice
+REQUEST_BURST = 16  # requests for sessions that a node may send at once
+CLUSTER_REQUESTS_PER_S = 1000  # for sessions, of all nodes: the issuer verifies a signature for each
 
 
 class PendingRequest(NamedTuple):
-    """A request that may yet be answered; session -1: it asks for no token."""
+    """A request whose answer is pending; session -1: it asks for no token."""
 
     issuer: str
     asked_at: int
@@ -39,32 +40,30 @@
 
 
 class TokenActions(NamedTuple):
-    """What is due with a heartbeat: a request to the issuer, and what the balancer is told."""
+    """What is due with a heartbeat: a request to the issuer, and a notice to the balancer."""
 
     request: TokenRequest | None = None
     notice: TokenNotice | None = None
 
 
 class TokenRequester:
-    """Hands this node's turns over to the issuer, and asks it for tokens.
+    """Hands this node's slow-start turns over to the issuer, and requests tokens from it.
 
     Attributes:
-        own_name: this node's name.
         names: names of all members.
         enabled: whether the cluster file has the role of the token issuer.
         closed: whether another process of this node places sessions.
-        issuer: the node that holds the role, as far as is known; "" where none is.
-        answered_at: when the issuer's last answer was asked for.
-        handed_over_until: until when the balancer is told that turns are handed over.
+        issuer: name of the node that holds the role; empty: none is known.
+        answered_at: time of the request for the issuer's last answer.
+        handed_over_until: end of the hand-over in the last notice to the balancer.
 
     """
 
-    def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
-        self.own_name = own_name
+    def __init__(self, electorate: Electorate, now: int) -> None:
         self.closed = False
-        # A node that starts does not know for how long its earlier life has handed its turns over.
+        # The hand-over of this node's turns before its start is unknown and may still hold.
         self.handed_over_until = now + electorate.lease_terms.promise_us
-        self._known_until = self.handed_over_until  # by what the balancer was told before the last notice
+        self._known_until = self.handed_over_until  # end of the hand-over in the notice before that
         self._last_number = 0
         self._pending: dict[int, PendingRequest] = {}
         self._slow_start_until = 0  # some upstream may be warming up until then
@@ -72,7 +71,7 @@
         self.follow(electorate)
 
     def follow(self, electorate: Electorate) -> None:
-        """Go by a cluster file, at the start and when it has changed."""
+        """Use the electorate of a cluster file, at the start and after a change."""
         self.enabled = TOKEN_ISSUER in electorate.roles
         self.names = frozenset(electorate.names)
         self._digest = electorate.digest
@@ -88,7 +87,7 @@
         self._allowance = float(REQUEST_BURST)  # requests for sessions that may be sent now
 
     def update_slow_start(self, now: int, *, slow_start_us: int, window_us: int) -> None:
-        """Note for how long some upstream may be warming up yet, and by which window upstreams count."""
+        """Update the longest remaining slow start of an upstream, and the overload window."""
         self._slow_start_until = now + slow_start_us
         self._window_us = window_us
 
@@ -97,21 +96,19 @@
         return now < self.answered_at + self._term_us
 
     def promises(self, now: int) -> bool:
-        """Return whether this node's turns are handed over for a term from now, as the balancer knows."""
-        # A node that was stopped since it told the balancer would promise more than it has told.
+        """Return whether the balancer knows that this node's turns are handed over for a term from now."""
         noticed = now >= self._asked_at + NOTICE_LAG_US
         known_until = self.handed_over_until if noticed else self._known_until
         begun = self._promising_since is not None and now >= self._promising_since + NOTICE_LAG_US
         return begun and self.answered_lately(now) and now + self._term_us <= known_until
 
-    def tick(self, now: int, wall: int, incarnation: int, issuer: str) -> TokenActions:
-        """Do what is due with a heartbeat.
+    def tick(self, now: int, origin: RequestOrigin, issuer: str) -> TokenActions:
+        """Return what is due with a heartbeat.
 
         Args:
             now: present time.
-            wall: Unix time, in microseconds.
-            incarnation: present life of this node.
-            issuer: the node that holds the role, as far as is known; "" where none is.
+            origin: what each request says of this node.
+            issuer: name of the node that holds the role; empty: none is known.
 
         """
         self._refill_allowance(now)
@@ -126,13 +123,13 @@
         self._asked_at = now
         if not self.answered_lately(now):
             self._promising_since = None
-            return TokenActions(request=self._request(now, wall, incarnation))
+            return TokenActions(request=self._request(now, origin))
         if self._promising_since is None:
             self._promising_since = now
-        # Until the next renewal each request promises a term more, and the balancer may lag.
+        # Each request until the next renewal promises another term, and notices reach the balancer late.
         self._known_until = self.handed_over_until
         self.handed_over_until = now + self._term_us + self._term_us // IDLE_RENEWALS + NOTICE_LAG_US
-        return TokenActions(self._request(now, wall, incarnation), TokenNotice(self.handed_over_until))
+        return TokenActions(self._request(now, origin), TokenNotice(self.handed_over_until))
 
     def _refill_allowance(self, now: int) -> None:
         passed_s = max(0, now - self._ticked_at) / 1e6 if self._ticked_at else 0.0
@@ -145,21 +142,15 @@
         return not self.promises(now) or now >= self._asked_at + self._term_us // renewals
 
     def _request(
-        self, now: int, wall: int, incarnation: int, session: int = -1, demands: Sequence[TokenDemand] = ()
+        self, now: int, origin: RequestOrigin, session: int = -1, demands: Sequence[TokenDemand] = ()
     ) -> TokenRequest:
         self._last_number += 1
         self._pending[self._last_number] = PendingRequest(self.issuer, now, session)
-        # The balancer hears a moment later that turns are handed over. If they were promised at once, a turn
-        # that is being used now would be given to another node as well: only what it was told before is
-        # promised.
+        # The balancer receives notices with a delay. Only a hand-over that it knows of is promised: otherwise
+        # a turn that it is just using could be given to another node as well.
         promises = self.promises(now)
         return TokenRequest(
-            sender=self.own_name,
-            incarnation=incarnation,
-            request_id=self._last_number,
-            created_us=wall,
-            recipient=self.issuer,
-            config_digest=self._digest,
+            **origin.header(request_id=self._last_number, recipient=self.issuer, config_digest=self._digest),
             lease=self._issuer_lease if promises else 0,
             issued_us=self._issuer_stamp if promises else 0,
             demands=list(demands),
@@ -168,17 +159,15 @@
     def request_token(
         self,
         now: int,
-        wall: int,
-        incarnation: int,
+        origin: RequestOrigin,
         session: int,
         candidates: Sequence[tuple[int, TokenCandidate]],
     ) -> TokenRequest | None:
-        """Ask for a token for a session; None where the issuer can't be asked now.
+        """Return the request of a token for a session; None if no request can be sent now.
 
         Args:
             now: present time.
-            wall: Unix time, in microseconds.
-            incarnation: present life of this node.
+            origin: what each request says of this node.
             session: the session's number.
             candidates: warming upstreams that it may be sent to, each with the hash of its name.
 
@@ -195,15 +184,15 @@
             )
             for upstream, candidate in candidates[:MAX_CANDIDATES]
         ]
-        return self._request(now, wall, incarnation, session, demands)
+        return self._request(now, origin, session, demands)
 
     def expects(self, grant: TokenGrant) -> bool:
-        """Return whether an answer, not yet trusted, is worth a check of its signature."""
+        """Return whether a grant answers a pending request, so that its signature is worth verifying."""
         request = self._pending.get(grant.request_id)
         return request is not None and request.issuer == grant.sender
 
     def accept(self, now: int, grant: TokenGrant) -> TokenNotice | None:
-        """Take an expected answer of the issuer; return the token in it, if there is one that can be used."""
+        """Apply an expected answer of the issuer; return the notice of its token if that can be used."""
         request = self._pending.pop(grant.request_id)
         ends_at = order_ends_at(request.asked_at, grant.remaining_us)
         if now >= ends_at:
@@ -217,16 +206,16 @@
         return TokenNotice(self.handed_over_until, grant.upstream, request.session, token_ends_at)
 
     def withdraw(self) -> None:
-        """Promise nothing until the next heartbeat, as the balancer could not be told."""
+        """Withdraw the hand-over until the next heartbeat, as the balancer did not accept a notice."""
         self._promising_since = None
 
     def close(self) -> None:
-        """Promise no turns any more, as another process of this node places sessions from now on."""
+        """Stop handing turns over, as another process of this node places sessions from now on."""
         self.closed = True
         self._promising_since = None
 
     def open(self, now: int) -> TokenNotice | None:
-        """Begin to place sessions in place of the process before, whose promises have to run out first."""
+        """Begin to place sessions; turns stay handed over until promises of the predecessor have ended."""
         self.closed = False
         self.handed_over_until = max(self.handed_over_until, now + self._promise_us)
         return TokenNotice(self.handed_over_until) if self.enabled else None
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -1,4 +1,4 @@
-"""Both sides of slow-start tokens, as one node keeps them. No I/O."""
+"""Both sides of slow-start tokens at one node. No I/O."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     """A node's requesting side, and its issuing side for when it holds the role of the token issuer.
 
     Attributes:
-        requester: asks the issuer, and hands this node's turns over to it.
+        requester: requests tokens, and hands this node's slow-start turns over to the issuer.
         issuer: answers requests while this node holds the role.
 
     """
 
     def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
-        self.requester = TokenRequester(own_name, electorate, now)
+        self.requester = TokenRequester(electorate, now)
         self.issuer = TokenIssuer(own_name, electorate)
 
     @property
@@ -32,20 +32,20 @@
         return self.requester.enabled
 
     def follow(self, electorate: Electorate) -> None:
-        """Go by the cluster file that was read now."""
+        """Use the electorate of a changed cluster file."""
         self.requester.follow(electorate)
         self.issuer.follow(electorate)
 
     def update_upstreams(
         self, now: int, upstreams: Collection[int], *, slow_start_us: int, window_us: int
     ) -> None:
-        """Note the upstreams that are ready.
+        """Update the upstreams that are ready.
 
         Args:
             now: present time.
             upstreams: hashes of their names.
-            slow_start_us: for how long one of them may be warming up yet.
-            window_us: window in which the budget of a warming upstream is counted.
+            slow_start_us: longest remaining slow start of an upstream.
+            window_us: overload window in which the budget of a warming upstream is counted.
 
         """
         self.requester.update_slow_start(now, slow_start_us=slow_start_us, window_us=window_us)
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -25,6 +25,7 @@
 from larchlatch.cluster.election.fencing import order_ends_at
 from larchlatch.cluster.election.known_holders import Holder
 from larchlatch.cluster.election.lease_terms import LeaseTerms
+from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import BallotRequest, NodeRecord, Promise, Vote
 from larchlatch.emulator.world import World
 from larchlatch.errors import InvalidInputError
@@ -40,6 +41,10 @@
 NAMES = ("a", "b", "c")
 
 
+def origin(sender: str, incarnation: int = 1) -> RequestOrigin:
+    return RequestOrigin(sender, incarnation, WALL)
+
+
 @pytest.mark.parametrize("case", SOUND, ids=lambda case: case.name)
 def test_no_order_of_events_leads_to_two_holders_whose_orders_are_taken(case: Case) -> None:
     found = Search(case.rules, case.budget, case.held).run(1_000_000)
@@ -154,10 +159,10 @@
     small.candidates["y"].resign(small.now, "")
     small.now = small.candidates["y"].lease_ends_at
     small.step("y", stands=False)
-    assert small.step("x"), "without an heir it is anybody's"
+    assert small.step("x"), "without a successor anybody may have it"
 
 
-def test_a_released_duty_is_kept_for_its_heir_for_a_moment_alone() -> None:
+def test_a_released_role_is_reserved_for_its_successor_for_a_moment_alone() -> None:
     small = Small()
     assert small.step("x")
     small.candidates["x"].resign(small.now, "z")
@@ -220,20 +225,24 @@
     electorate = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), LEASE_TERMS, 1)
     one = Election("x", electorate, 200_000, START, random.Random(1))
     now = START + LEASE_TERMS.startup_silence_us
-    first = one.tick(now, WALL, 1, {}, {})
-    assert [bid.recipient for bid in first] == list(NAMES)
-    vote = Vote("b", "x", 1, first[0].round, 0, True, 0, 0)
+    first = one.tick(now, origin("x"), {}, {})
+    assert [request.recipient for request in first] == list(NAMES)
+    vote = Vote("b", "x", 1, first[0].request_id, 0, True, 0, 0)
     assert one.expects_vote(vote) and not one.count_vote(now, WALL, vote)
-    again = one.tick(now + 200_000, WALL, 1, {}, {})
-    assert [bid.recipient for bid in again] == ["a", "c"] and again[0].round == first[0].round
-    one.count_vote(now + 250_000, WALL, Vote("c", "x", 1, first[0].round, 0, True, 0, 0))
-    asks = one.tick(now + 260_000, WALL, 1, {}, {})
-    assert {bid.kind for bid in asks} == {BallotKind.GRANT.value}
+    again = one.tick(now + 200_000, origin("x"), {}, {})
+    assert [request.recipient for request in again] == ["a", "c"] and again[0].request_id == first[
+        0
+    ].request_id
+    one.count_vote(now + 250_000, WALL, Vote("c", "x", 1, first[0].request_id, 0, True, 0, 0))
+    asks = one.tick(now + 260_000, origin("x"), {}, {})
+    assert {request.kind for request in asks} == {BallotKind.GRANT.value}
     over = now + 250_000 + LEASE_TERMS.round_us
-    released = one.tick(over, WALL, 1, {}, {})
-    assert {bid.kind for bid in released} == {BallotKind.RELEASE.value}
-    assert [bid.lease for bid in one.tick(over + 1, WALL, 1, {}, {})] == [bid.lease for bid in released]
-    assert not one.tick(over + 2, WALL, 1, {}, {})
+    released = one.tick(over, origin("x"), {}, {})
+    assert {request.kind for request in released} == {BallotKind.RELEASE.value}
+    assert [request.lease for request in one.tick(over + 1, origin("x"), {}, {})] == [
+        request.lease for request in released
+    ]
+    assert not one.tick(over + 2, origin("x"), {}, {})
 
 
 def test_what_a_dead_third_leaves_reaches_the_others_by_the_allotter() -> None:
@@ -320,16 +329,16 @@
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
     now = START + electorate.lease_terms.startup_silence_us
-    bid = BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, 0, 7, BallotKind.GRANT.value, "")
-    assert election.answer_bid(now - 1, bid) is None, "it has just started"
-    vote = election.answer_bid(now, bid)
+    request = BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, 0, 7, BallotKind.GRANT.value, "")
+    assert election.answer_ballot(now - 1, request) is None, "it has just started"
+    vote = election.answer_ballot(now, request)
     assert vote is not None and vote.granted
     other = fleet("n0", "n1", "n3").electorate
     election.follow(other, now)
-    assert election.answer_bid(now + SECOND, bid) is None, "by another file"
-    ask = msgspec.structs.replace(bid, config_digest=other.digest)
-    assert election.answer_bid(now + SECOND, ask) is None
-    assert election.answer_bid(now + electorate.lease_terms.startup_silence_us, ask) is not None
+    assert election.answer_ballot(now + SECOND, request) is None, "by another file"
+    ask = msgspec.structs.replace(request, config_digest=other.digest)
+    assert election.answer_ballot(now + SECOND, ask) is None
+    assert election.answer_ballot(now + electorate.lease_terms.startup_silence_us, ask) is not None
 
 
 def test_a_holder_that_is_late_again_and_again_gives_its_duty_up() -> None:
@@ -339,45 +348,51 @@
     now = START + electorate.lease_terms.startup_silence_us
     while not election.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        election.tick(now, WALL, 1, {}, {})
+        election.tick(now, origin("n0"), {}, {})
     for _ in range(20):
         now += 200_000
-        election.tick(now, WALL, 1, {}, {})
+        election.tick(now, origin("n0"), {}, {})
     assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "and in time it keeps it"
     for _ in range(3):
         now += 700_000
-        election.tick(now, WALL, 1, {}, {})
+        election.tick(now, origin("n0"), {}, {})
     for _ in range(25):
         now += 200_000
-        election.tick(now, WALL, 1, {}, {})
+        election.tick(now, origin("n0"), {}, {})
     assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
     whys = [(event.change, event.reason) for event in election.take_events()]
-    assert whys == [("held", "nobody held it"), ("ended", "this node is too slow")]
+    assert whys == [("held", "nobody held the role"), ("ended", "this node is too slow")]
 
 
 def test_a_duty_that_was_handed_on_says_so_on_both_sides() -> None:
     electorate = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
-    one, heir = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
+    one, successor = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
     now = START + electorate.lease_terms.startup_silence_us
     while not one.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        one.tick(now, WALL, 1, {}, {})
+        one.tick(now, origin("n0"), {}, {})
     one.begin_handover()
     released: list[BallotRequest] = []
     while not released:
         now += 200_000
-        released = [bid for bid in one.tick(now, WALL, 1, there, {}) if bid.recipient == "n1"]
-    heir.answer_bid(now, released[0])
-    asks = heir.tick(now, WALL, 1, {}, {})
+        released = [
+            request for request in one.tick(now, origin("n0"), there, {}) if request.recipient == "n1"
+        ]
+    successor.answer_ballot(now, released[0])
+    asks = successor.tick(now, origin("n1"), {}, {})
     while asks:
         votes = [
-            vote for bid in asks if bid.recipient == "n0" and (vote := one.answer_bid(now, bid)) is not None
+            vote
+            for request in asks
+            if request.recipient == "n0" and (vote := one.answer_ballot(now, request)) is not None
         ]
-        asks = [bid for vote in votes for bid in heir.count_vote(now, WALL, vote)]
-    assert heir.order_permit(now, QUOTA_ALLOCATOR)[0], "in the same instant"
-    assert [(event.change, event.reason) for event in heir.take_events()] == [("held", "it was handed on")]
-    assert one.take_events()[-1].reason == "this node ends"
+        asks = [request for vote in votes for request in successor.count_vote(now, WALL, vote)]
+    assert successor.order_permit(now, QUOTA_ALLOCATOR)[0], "in the same instant"
+    assert [(event.change, event.reason) for event in successor.take_events()] == [
+        ("held", "the previous holder handed the role over")
+    ]
+    assert one.take_events()[-1].reason == "this node is shutting down"
 
 
 def test_one_liar_makes_up_no_holder() -> None:
@@ -402,7 +417,7 @@
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     for duty, what in ((0, 7), (9, 0), (9, 2)):
         assert (
-            election.answer_bid(
+            election.answer_ballot(
                 START, BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, duty, 7, what, "n0")
             )
             is None
@@ -416,11 +431,14 @@
     electorate = fleet("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
     now = START
-    bids: list[BallotRequest] = []
-    while not bids:
+    requests: list[BallotRequest] = []
+    while not requests:
         now += 200_000
-        bids = election.tick(now, WALL, 2, {}, {})
-    votes = [Vote(bid.recipient, "n5", bid.incarnation, bid.round, 0, True, 0, 0) for bid in bids]
+        requests = election.tick(now, origin("n5", 2), {}, {})
+    votes = [
+        Vote(request.recipient, "n5", request.incarnation, request.request_id, 0, True, 0, 0)
+        for request in requests
+    ]
     early = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
     assert all(election.expects_vote(vote) for vote in votes)
     assert not any(election.expects_vote(vote) for vote in early)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -305,7 +305,8 @@
         record = NodeRecord(name, WALL_US, number, WALL_US + number, False, bytes(125))
         members.receive(record, SignedMessage(encode_body(record), blank), direct=False)
     own = SignedMessage(
-        encode_body(members.next_record(WALL_US, digest=0, shares=[], observations=[], promises=[])), blank
+        encode_body(members.next_record(WALL_US, digest=0, quota_reports=[], observations=[], promises=[])),
+        blank,
     )
     sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -21,6 +21,7 @@
 from larchlatch.cluster.health.observations import REPROBE_US, HealthObservations, UpstreamObservation
 from larchlatch.cluster.health.reports import ACTIONABLE_US, OBSERVATION_TTL_US
 from larchlatch.cluster.membership.membership import Membership
+from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import HealthObservation, LoanGrant, LoanRequest
 from larchlatch.cluster.quota import counts
 from larchlatch.cluster.quota.account import QuotaAccount
@@ -141,7 +142,7 @@
     one, other = (SharedQuotas(n, dealing(names="ab"), BEAT, START, random.Random(1)) for n in "ab")
     for side in (one, other):
         side.open(START)
-    ask = other.request_loan(began, began, 1, lender="a", quota="all", amount=6)
+    ask = other.request_loan(began, RequestOrigin("b", 1, began), lender="a", quota="all", amount=6)
     grant = one.answer(began, ask, NO_PERMIT)
     assert grant is not None and other.expects(grant)
     for now in range(began, began + 6 * SECOND, STEP):
@@ -259,7 +260,7 @@
         ([3, 3, 3], 63, 3),
         ([3, 3, 3], 66, 12),
     ):
-        budgets.note_digests(now + at * SECOND, marks)
+        budgets.compare_digests(now + at * SECOND, marks)
         assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (marks, at)
     assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
         "by another file's term"
@@ -270,7 +271,7 @@
     budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
     budgets.open(START)
     for beat in range(100):
-        budgets.note_digests(START + beat * BEAT, [1, 7, None])
+        budgets.compare_digests(START + beat * BEAT, [1, 7, None])
     assert budgets.accounts["all"].limit(START + 100 * BEAT) == 3 and budgets.any_file_differs
 
 
@@ -294,17 +295,17 @@
 def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
     budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
     budgets.open(START - 60 * SECOND)
-    ask = budgets.request_loan(START, START, 1, lender="b", quota="all", amount=5)
+    ask = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     for lender, number in (("c", 1), ("b", 2)):
         assert not budgets.expects(LoanGrant(lender, "a", 1, number, "all", 5))
     grant = LoanGrant("b", "a", 1, ask.request_id, "all", 500)
     assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
-    ask = budgets.request_loan(START, START, 1, lender="b", quota="all", amount=5)
+    ask = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500)), (
         "time never runs back"
     )
     now = START + 9 * SECOND
-    ask = budgets.request_loan(now, now, 1, lender="b", quota="all", amount=5)
+    ask = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
     assert budgets.accept_grant(now + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500))
     assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
 
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -15,6 +15,7 @@
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER, Electorate
 from larchlatch.cluster.election.fencing import NO_PERMIT, OrderPermit
 from larchlatch.cluster.election.lease_terms import LeaseTerms
+from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.slow_start.issuer import TokenIssuer
 from larchlatch.cluster.slow_start.notices import TokenNotice
@@ -52,6 +53,9 @@
         self.told(now)
         self.awake_at = 0
 
+    def origin(self, now: int) -> RequestOrigin:
+        return RequestOrigin(self.name, self.incarnation, WALL + now)
+
     def hear(self, now: int, told: TokenNotice | None, lag_us: int = 0) -> None:
         if told is not None:
             last = self.words[-1][0] if self.words else 0
@@ -160,7 +164,7 @@
         lease, _ = self.order(name, now)
         if now % BEAT == 0:
             side.pacing.issuer.hold(own, lease)
-            seek, told = side.pacing.requester.tick(own, WALL + now, side.incarnation, self.holder)
+            seek, told = side.pacing.requester.tick(own, side.origin(now), self.holder)
             side.hear(own, told, self.lag())
             self.ask(now, own, name, seek)
         side.told(own)
@@ -187,7 +191,7 @@
         """One more link: it asks for leave, or goes by a turn of its node's, or not at all."""
         if own < side.until:
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            seek = side.pacing.requester.request_token(own, WALL + now, side.incarnation, self.sessions, want)
+            seek = side.pacing.requester.request_token(own, side.origin(now), self.sessions, want)
             self.ask(now, own, name, seek)
         elif now // WINDOW % len(NAMES) == NAMES.index(name):
             self.by_turn += 1
@@ -317,15 +321,15 @@
 
 
 def test_however_many_links_come_a_fleet_asks_so_often_and_no_more() -> None:
-    one, now, asked = TokenRequester("a", ELECTORATE, START), START, 0
+    one, now, asked = TokenRequester(ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
     one.issuer, one.answered_at = "b", START + 10**9
     for beat in range(50):
-        one.tick(now + beat * BEAT, WALL, 1, "b")
+        one.tick(now + beat * BEAT, RequestOrigin("a", 1, WALL), "b")
         for _ in range(20):
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            asked += one.request_token(now + beat * BEAT, WALL, 1, 7, want) is not None
+            asked += one.request_token(now + beat * BEAT, RequestOrigin("a", 1, WALL), 7, want) is not None
     assert 1000 * 10 / 200 - 5 <= asked <= 1000 * 10 / 200 + 16
 
 
@@ -404,16 +408,16 @@
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
     # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
     # that it is. Turns would be promised for a term more, and used again sooner.
-    one, now = TokenRequester("b", ELECTORATE, START), START
+    one, now = TokenRequester(ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
-        seek, _ = one.tick(now, WALL, 1, "a")
+        seek, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
         if seek is not None:
             one.accept(now, TokenGrant("a", "b", 1, seek.request_id, 5, 300_000, now, 0))
         now += BEAT
     want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-    soon = one.request_token(now, WALL, 1, 7, want)
+    soon = one.request_token(now, RequestOrigin("b", 1, WALL), 7, want)
     assert soon is not None and soon.lease == 5 and one.handed_over_until >= now + TERM
     late = one.answered_at + TERM - 50_000
-    asked = one.request_token(late, WALL, 1, 8, want)
+    asked = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
     assert asked is not None and (not asked.lease or one.handed_over_until >= late + TERM)
--- a/tests/loadtest/test_load_test.py
+++ b/tests/loadtest/test_load_test.py
@@ -14,7 +14,7 @@
 
 from larchlatch.__main__ import cli
 from larchlatch.cluster.cluster_file import read_cluster_file
-from larchlatch.cluster.election.candidate_side import RoleChange, RoleEvent
+from larchlatch.cluster.election.candidate_side import RoleChange, RoleChangeReason, RoleEvent
 from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR
 from larchlatch.cluster.exchange.results import ExecutedOrder
 from larchlatch.cluster.health.observations import EjectionAdvice, ReportedFailure
@@ -243,11 +243,11 @@
         service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
         service._pass_on_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
         service.state.election._candidate_side._events.append(
-            RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, "nobody held it")
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, RoleChangeReason.VACANT)
         )
         service.log_orders([ExecutedOrder(QUOTA_ALLOCATOR, 7, "n1")])
         service.state.election._candidate_side._events.append(
-            RoleEvent(QUOTA_ALLOCATOR, RoleChange.ENDED, 7, "not renewed in time")
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.ENDED, 7, RoleChangeReason.NOT_RENEWED)
         )
         service.log_orders([])
 
