--- a/larchlatch/model_checker/search.py
+++ b/larchlatch/model_checker/search.py
@@ -312,7 +312,7 @@
             one.lease,
             one.lease_ends_at if holds else 0,
             one.closing,
-            numbered(one.heir),
+            numbered(one.successor),
             one.round_number,
             one.asked_at if one.state is not CandidateState.IDLE else LONG_AGO,
         )
@@ -320,7 +320,7 @@
         if one.round_number != would.round or one.state is CandidateState.IDLE:
             electors = self.unvoted(world, place)
         letters = tuple(
-            (place, would.life, b.lease, b.kind.value, b.round_number, numbered(b.heir)) for b in ballots
+            (place, would.life, b.lease, b.kind.value, b.round_number, numbered(b.successor)) for b in ballots
         )
         if letters:
             electors = tuple(at._replace(inbox=tuple(sorted({*at.inbox, *letters}))) for at in electors)
@@ -343,7 +343,7 @@
             ballot = Ballot(lease, BallotKind(what), round, named(heir))
             answer = elector.answer(0, CandidateId(f"c{place}", life), ballot)
             promise = elector.promise
-            kept = max(0, elector.heir_until)
+            kept = max(0, elector.reserved_until)
             votes = at.votes
             would = world.candidates[place]
             counted = (would.life, would.round) == (life, round) and would.state != CandidateState.IDLE.value
@@ -357,7 +357,7 @@
                 promise.holder[1] if promise is not None else 0,
                 max(0, promise.ends_at) if promise is not None else 0,
                 elector.highest_lease,
-                numbered(elector.heir) if kept else -1,
+                numbered(elector.successor) if kept else -1,
                 kept,
                 tuple(other for other in at.inbox if other != letter),
                 votes,
--- a/larchlatch/scenario/puppets.py
+++ b/larchlatch/scenario/puppets.py
@@ -77,8 +77,6 @@
         """All that there is, of all budgets, from everybody."""
         for limit in self.state.quotas.settings.quotas:
             for other in self.membership.members:
-                incarnation = self.membership.incarnation
-                ask = self.state.quotas.request_loan(
-                    now, wall, incarnation, lender=other, quota=limit.name, amount=FAR
-                )
+                origin = self.membership.request_origin(wall)
+                ask = self.state.quotas.request_loan(now, origin, lender=other, quota=limit.name, amount=FAR)
                 yield self.pack(ask)
