--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -68,6 +68,7 @@
     # A node without a cluster must not load this package.
     from larchlatch.cluster.cluster_file import check_traffic_classes, read_cluster_file
     from larchlatch.cluster.keys import own_signer, read_secret
+    from larchlatch.cluster.local_node import LocalNode
     from larchlatch.cluster.service import ClusterService
 
     if key_path is None:
@@ -76,6 +77,7 @@
     cluster = read_cluster_file(path)
     signer = own_signer(cluster, name, read_secret(key_path))
     check_traffic_classes(cluster, traffic_classes)
+    local_node = LocalNode(name, tuple(traffic_classes), path, cluster, signer)
     return lambda counters, random_source, balancer_actor: ClusterService(
-        name, traffic_classes, path, cluster, signer, counters, random_source, balancer_actor
+        local_node, counters, random_source, balancer_actor
     )
--- /dev/null
+++ b/larchlatch/cluster/driver.py
@@ -0,0 +1,147 @@
+"""Socket, receive loop and heartbeat timer of a node's part in the cluster."""
+
+from __future__ import annotations
+
+import time
+from typing import TYPE_CHECKING
+
+import anyio
+import structlog
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Mapping
+
+    from larchlatch.cluster.balancer_notifier import BalancerNotifier
+    from larchlatch.cluster.cluster_file import ClusterNode
+    from larchlatch.cluster.datagram_socket import DatagramSocket
+    from larchlatch.cluster.event_log import ClusterEventLog
+    from larchlatch.cluster.exchange.exchange import Exchange
+    from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
+
+SHUTDOWN_HEARTBEATS = 3  # repeated announcements of a shutdown, as datagrams may be lost
+
+log = structlog.get_logger()
+
+
+def wall_us() -> int:
+    """Return Unix time in microseconds."""
+    return time.time_ns() // 1000
+
+
+class ClusterDriver:
+    """Passes datagrams and heartbeats to the exchange, and acts on the results.
+
+    Attributes:
+        nodes: all nodes of the cluster file by their names.
+
+    """
+
+    def __init__(
+        self,
+        nodes: Mapping[str, ClusterNode],
+        exchange: Exchange,
+        datagram_socket: DatagramSocket,
+        events: ClusterEventLog,
+        notifier: BalancerNotifier,
+        *,
+        now: Callable[[], int],
+        log_orders: Callable[[list[ExecutedOrder]], None],
+    ) -> None:
+        """Prepare the driver; `run` starts it.
+
+        Args:
+            nodes: all nodes of the cluster file by their names.
+            exchange: handles received datagrams and composes those to send.
+            datagram_socket: the socket, not bound yet.
+            events: logs events.
+            notifier: sends notices to the balancer.
+            now: returns monotonic time in microseconds.
+            log_orders: logs the orders that were executed here.
+
+        """
+        self.nodes = nodes
+        self._exchange = exchange
+        self._membership = exchange.membership
+        self._state = exchange.state
+        self._socket = datagram_socket
+        self._events = events
+        self._notifier = notifier
+        self._now = now
+        self._log_orders = log_orders
+
+    async def run(self) -> None:
+        """Take part in the cluster until cancelled."""
+        with self._socket:
+            await self._bind()
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._receive_loop)
+                try:
+                    await self._heartbeat_loop()
+                finally:
+                    self._announce_shutdown()
+
+    async def _bind(self) -> None:
+        """Bind the socket; wait for as long as another process uses the address.
+
+        In a hot restart this is the predecessor. Two processes with one name must not both send: each would
+        take the other for an earlier incarnation of itself, and both would raise their incarnations for ever.
+        """
+        address = self.nodes[self._membership.own_name].address
+        logged = False
+        while True:
+            try:
+                self._socket.bind(address)
+            except OSError as error:
+                if not logged:
+                    log.warning("cluster_address_unavailable", reason=str(error))
+                logged = True
+                await self._sleep_heartbeat()
+            else:
+                break
+        self._state.open(self._now())
+        self._notifier.open_tokens(self._now())
+        log.info("cluster_joined", listen=f"{address[0]}:{address[1]}", members=len(self.nodes))
+
+    async def _receive_loop(self) -> None:
+        while True:
+            await self._socket.wait_readable()
+            for data in self._socket.read_available():
+                self.apply(self._exchange.receive(data, now=self._now(), wall=wall_us()))
+            self._events.unknown_version(self._exchange.unknown_version)
+            await anyio.lowlevel.checkpoint()
+
+    async def _heartbeat_loop(self) -> None:
+        while True:
+            self._heartbeat()
+            self._events.isolated(now=self._membership.is_alone)
+            await self._sleep_heartbeat()
+
+    async def _sleep_heartbeat(self) -> None:
+        await anyio.sleep(self._membership.heartbeat_us / 1e6)
+
+    def _heartbeat(self) -> None:
+        result = self._exchange.heartbeat(now=self._now(), wall=wall_us())
+        self._events.member_changes(result.changes)
+        self._log_orders([])
+        # The balancer has to stop using its slow-start turns before the datagrams promise them to the issuer.
+        self._notifier.send_tokens(result.token_updates, self._now())
+        self._send(result.datagrams)
+        self._notifier.send_advice(result.advice)
+        self._events.files_differ(now=self._state.quotas.any_file_differs)
+
+    def _announce_shutdown(self) -> None:
+        """Tell the other members that this node shuts down, so that they need not detect its silence."""
+        self._membership.is_departing = True
+        for _ in range(SHUTDOWN_HEARTBEATS):
+            self._heartbeat()
+
+    def apply(self, result: ExchangeResult) -> None:
+        """Log, send and pass on what follows from a datagram or a request."""
+        self._events.member_changes(result.changes)
+        self._log_orders(result.orders)
+        self._send(result.datagrams)
+        self._notifier.send_tokens(result.token_updates, self._now())
+
+    def _send(self, datagrams: list[OutgoingDatagram]) -> None:
+        for datagram in datagrams:
+            self._socket.send(datagram.data, self.nodes[datagram.recipient].address)
--- a/tests/loadtest/test_load_test.py
+++ b/tests/loadtest/test_load_test.py
@@ -19,6 +19,7 @@
 from larchlatch.cluster.exchange.results import ExecutedOrder
 from larchlatch.cluster.health.observations import EjectionAdvice, ReportedFailure
 from larchlatch.cluster.keys import create_secret, own_signer, read_secret
+from larchlatch.cluster.local_node import LocalNode
 from larchlatch.cluster.membership.member import MemberChange, MemberState
 from larchlatch.cluster.service import ClusterService
 from larchlatch.config.node import parse_node_configuration
@@ -236,12 +237,13 @@
     configuration = read_cluster_file(tmp_path / "cluster.toml")
     signer = own_signer(configuration, "n0", read_secret(tmp_path / "n0.key"))
     path, chance = tmp_path / "cluster.toml", random.Random(1)
-    service = ClusterService("n0", [], path, configuration, signer, Counters(), chance, Heard())
+    local_node = LocalNode("n0", (), path, configuration, signer)
+    service = ClusterService(local_node, Counters(), chance, Heard())
     service.update_endpoints(["h-3"], slow_start_us=0, overload_window_us=0)
     [upstream] = service.upstreams
     with service._socket, capture_logs() as lines:
         service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
-        service._pass_on_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
+        service._notifier.send_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
         service.state.election._candidate_side._events.append(
             RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, RoleChangeReason.VACANT)
         )
