--- a/larchlatch/scenario/byzantine_exchange.py
+++ b/larchlatch/scenario/byzantine_exchange.py
@@ -84,12 +84,8 @@
         """Yield requests to every member for more of each quota than there is."""
         for quota in self.state.quotas.settings.quotas:
             for member in self.membership.members:
+                origin = self.membership.request_origin(wall)
                 request = self.state.quotas.request_loan(
-                    now,
-                    wall,
-                    self.membership.incarnation,
-                    lender=member,
-                    quota=quota.name,
-                    amount=FALSE_SESSION_COUNT,
+                    now, origin, lender=member, quota=quota.name, amount=FALSE_SESSION_COUNT
                 )
                 yield self.pack(request)
