--- a/larchlatch/cli/emulator.py
+++ b/larchlatch/cli/emulator.py
@@ -137,16 +137,17 @@
     The same where a planted fault is not found.
     """
     # The other commands need none of it.
-    from larchlatch.model_checker.search import DEEP, PLANTED, PLANTED_DEEP, SOUND, Search
+    from larchlatch.model_checker.cases import DEEP_CASES, DEEP_PLANTED_FAULTS, PLANTED_FAULTS, SOUND_CASES
+    from larchlatch.model_checker.search import search as search_case
 
-    sound = (*SOUND, *(DEEP if deep else ()))
-    planted = (*PLANTED, *(PLANTED_DEEP if deep else ()))
+    sound = (*SOUND_CASES, *(DEEP_CASES if deep else ()))
+    planted = (*PLANTED_FAULTS, *(DEEP_PLANTED_FAULTS if deep else ()))
     wrong = False
     for case in (*sound, *planted):
         began = time.perf_counter()
-        found = Search(case.rules, case.budget, case.held).run(most)
+        found = search_case(case, most)
         elapsed_s = time.perf_counter() - began
-        extent = "whole" if found.whole else "a part"
+        extent = "whole" if found.complete else "a part"
         click.echo(f"{case.name}: {found.states} states, depth {found.depth}, {extent}, {elapsed_s:.1f} s")
         for number, step in enumerate(found.trace or (), 1):
             click.echo(f"  {number}. {step}")
--- /dev/null
+++ b/larchlatch/model_checker/candidate_events.py
@@ -0,0 +1,162 @@
+"""What may happen to a candidate: it acts, counts a vote, gives an order, resigns, or starts anew."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from larchlatch.cluster.election.ballots import Answer
+from larchlatch.cluster.election.candidate import CandidateState
+from larchlatch.cluster.election.fencing import order_ends_at
+from larchlatch.model_checker.processes import (
+    NOW,
+    ballots_in_transit,
+    candidate_name,
+    candidate_of,
+    candidate_process,
+    elector_name,
+    idle_candidate,
+)
+from larchlatch.model_checker.state import Order, VoteProgress, replace_item
+from larchlatch.model_checker.trace import Transition, describe_ballots
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator, Sequence
+
+    from larchlatch.cluster.election.ballots import Ballot
+    from larchlatch.cluster.election.candidate import Candidate
+    from larchlatch.model_checker.rules import ProtocolRules
+    from larchlatch.model_checker.state import EventBudget, SystemState
+
+GRANTED = Answer(granted=True, highest_lease=0, blocked_us=0)
+
+
+def candidate_actions(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield all that a candidate may do of its own accord, as it looks at its clock."""
+    if system.candidates[index].state is CandidateState.IDLE:
+        yield from _opened_round(system, index, rules)
+    else:
+        yield from _timed_step(system, index, rules)
+    if candidate_of(system, index, rules).holds(NOW):
+        yield from _orders(system, index, rules)
+        yield from _resignation(system, index, rules)
+
+
+def _opened_round(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield the beginning of a round that asks for promises."""
+    budget = system.budget
+    if not budget.rounds:
+        return
+    candidate = candidate_of(system, index, rules)
+    if not rules.unique_lease_numbers:
+        candidate.lease = 0
+    candidate.step(NOW, system.time if rules.wall_clocks_run else 0, eligible=True)
+    # The pre-vote binds nobody, so all that it can do is succeed.
+    ballots: list[Ballot] = []
+    for elector in range(rules.required_votes):
+        ballots = candidate.count_answer(NOW, elector_name(elector), candidate.round_number, GRANTED)
+    less = budget._replace(rounds=budget.rounds - 1)
+    yield Transition(
+        f"c{index} {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
+    )
+
+
+def _timed_step(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield what the time makes a candidate do that asks for the role or holds it."""
+    budget = system.budget
+    candidate = candidate_of(system, index, rules)
+    before = candidate.state
+    ballots = candidate.step(NOW, system.time, eligible=False)
+    holds_on = before is CandidateState.HOLDING and candidate.state is CandidateState.HOLDING
+    renews = holds_on and bool(ballots)
+    changes = bool(ballots) or candidate.state is not before
+    if changes and (budget.renewals or not renews):
+        less = budget._replace(renewals=budget.renewals - renews)
+        yield Transition(
+            f"c{index} {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
+        )
+
+
+def _orders(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield an order by the holder to each receiver, once with a duration and once without."""
+    budget = system.budget
+    if not budget.orders:
+        return
+    holder = candidate_of(system, index, rules)
+    less = budget._replace(orders=budget.orders - 1)
+    for receiver in range(len(system.receivers)):
+        for order_left in (order_ends_at(NOW, holder.order_left_us(NOW)), 0):
+            order = Order(receiver, index, holder.lease, order_left)
+            duration = "for a while" if order_left else "to be carried out at once"
+            yield Transition(
+                f"c{index} gives r{receiver} an order, {duration}",
+                system._replace(orders=system.orders | {order}, budget=less),
+            )
+
+
+def _resignation(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield the holder's decision to hand the role over to the other candidate."""
+    budget = system.budget
+    holder = candidate_of(system, index, rules)
+    if not budget.handovers or holder.closing:
+        return
+    less = budget._replace(handovers=budget.handovers - 1)
+    holder.resign(NOW, candidate_name(1 - index))
+    ballots: list[Ballot] = []
+    if not rules.releases_after_orders:
+        ballots = [holder.release_ballot()]
+        holder.become_idle(NOW, 0)
+    yield Transition(f"c{index} gives it up", _after_sending(system, index, holder, ballots, less))
+
+
+def vote_arrivals(system: SystemState, elector_index: int, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield, for each candidate to which an elector's vote is under way, its arrival."""
+    if system.is_repeated_elector(elector_index):
+        return
+    elector = system.electors[elector_index]
+    for index in range(len(system.candidates)):
+        if elector.votes[index] is not VoteProgress.IN_TRANSIT:
+            continue
+        candidate = candidate_of(system, index, rules)
+        if not rules.term_from_request:
+            candidate.asked_at = NOW
+        name = elector_name(elector_index)
+        ballots = candidate.count_answer(NOW, name, candidate.round_number, GRANTED)
+        counted = elector._replace(votes=replace_item(elector.votes, index, VoteProgress.COUNTED))
+        voted = system._replace(electors=replace_item(system.electors, elector_index, counted))
+        yield Transition(
+            f"c{index} hears {name}", _after_sending(voted, index, candidate, ballots, system.budget)
+        )
+
+
+def candidate_restarts(system: SystemState) -> Iterator[Transition]:
+    """Yield the start of a new process of each candidate, which knows nothing of the one before."""
+    budget = system.budget
+    if not budget.candidate_restarts:
+        return
+    less = budget._replace(candidate_restarts=budget.candidate_restarts - 1)
+    for index, before in enumerate(system.candidates):
+        after = idle_candidate(before.incarnation + 1)
+        candidates = replace_item(system.candidates, index, after)
+        restarted = system.without_votes_for(index)._replace(candidates=candidates, budget=less)
+        yield Transition(f"c{index} starts anew", restarted)
+
+
+def _after_sending(
+    system: SystemState, index: int, candidate: Candidate, ballots: Sequence[Ballot], budget: EventBudget
+) -> SystemState:
+    """Return the state in which a candidate has changed and its ballots are under way to all electors."""
+    before = system.candidates[index]
+    after = candidate_process(candidate, before.incarnation)
+    if after.round_number != before.round_number or after.state is CandidateState.IDLE:
+        system = system.without_votes_for(index)
+    sent = ballots_in_transit(ballots, index, before.incarnation)
+    electors = system.electors
+    if sent:
+        electors = tuple(
+            elector._replace(ballots=tuple(sorted({*elector.ballots, *sent}))) for elector in electors
+        )
+    return system._replace(
+        electors=tuple(sorted(electors)),
+        candidates=replace_item(system.candidates, index, after),
+        budget=budget,
+    )
--- /dev/null
+++ b/larchlatch/model_checker/processes.py
@@ -0,0 +1,186 @@
+"""Turns states of the model into the program's own electors and candidates, and back.
+
+The checker runs the decisions of `cluster/election` themselves. Each process's clock shows 0 in the present.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+from larchlatch.cluster.election.ballots import Ballot, BallotKind, CandidateId
+from larchlatch.cluster.election.candidate import Candidate, CandidateState
+from larchlatch.cluster.election.elector import Elector, Promise
+from larchlatch.model_checker.rules import LONG_AGO
+from larchlatch.model_checker.state import (
+    NOBODY,
+    BallotInTransit,
+    CandidateProcess,
+    ElectorState,
+    SystemState,
+    VoteProgress,
+)
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from larchlatch.cluster.election.lease_terms import LeaseTerms
+    from larchlatch.model_checker.rules import ProtocolRules
+
+NOW = 0
+
+
+def candidate_name(index: int) -> str:
+    """Return a candidate's name, as `c0`; "" for NOBODY."""
+    return "" if index == NOBODY else f"c{index}"
+
+
+def candidate_index(name: str) -> int:
+    """Return the index of the candidate with a name; NOBODY for ""."""
+    return int(name[1:]) if name else NOBODY
+
+
+def elector_name(index: int) -> str:
+    """Return an elector's name, as `e0`."""
+    return f"e{index}"
+
+
+@dataclass
+class ModelCandidate(Candidate):
+    """A candidate whose majority is given by the rules, and may be a wrong one."""
+
+    required_votes: int = 0
+
+    @property
+    def majority(self) -> int:
+        """Return how many electors have to agree."""
+        return self.required_votes
+
+
+# Electors.
+
+
+def elector_of(state: ElectorState, lease_terms: LeaseTerms) -> Elector:
+    """Return an elector in a state of the model."""
+    promise = None
+    if state.holder != NOBODY:
+        holder = CandidateId(candidate_name(state.holder), state.holder_incarnation)
+        promise = Promise(state.lease, holder, state.promise_left)
+    return Elector(
+        lease_terms,
+        opens_at=state.opens_in,
+        promise=promise,
+        highest_lease=state.highest_lease,
+        heir=candidate_name(state.successor),
+        heir_until=state.reservation_left,
+    )
+
+
+def elector_state(elector: Elector, before: ElectorState) -> ElectorState:
+    """Return the state of an elector; messages are under way as before."""
+    reservation_left = max(NOW, elector.heir_until)
+    state = before._replace(
+        highest_lease=elector.highest_lease,
+        successor=candidate_index(elector.heir) if reservation_left else NOBODY,
+        reservation_left=reservation_left,
+    )
+    promise = elector.promise
+    if promise is None:
+        return state._replace(lease=0, holder=NOBODY, holder_incarnation=0, promise_left=0)
+    return state._replace(
+        lease=promise.lease,
+        holder=candidate_index(promise.holder.name),
+        holder_incarnation=promise.holder.incarnation,
+        promise_left=max(NOW, promise.ends_at),
+    )
+
+
+# Candidates.
+
+
+def idle_candidate(incarnation: int) -> CandidateProcess:
+    """Return a candidate that has just started."""
+    return CandidateProcess(
+        incarnation,
+        CandidateState.IDLE,
+        lease=0,
+        lease_left=0,
+        closing=False,
+        successor=NOBODY,
+        round_number=0,
+        asked_at=LONG_AGO,
+    )
+
+
+def candidate_of(system: SystemState, index: int, rules: ProtocolRules) -> ModelCandidate:
+    """Return the candidate of an index in a state of the model."""
+    process = system.candidates[index]
+    granted_by = {
+        elector_name(place)
+        for place, elector in enumerate(system.electors)
+        if elector.votes[index] is VoteProgress.COUNTED
+    }
+    return ModelCandidate(
+        [elector_name(place) for place in range(rules.elector_count)],
+        rules.lease_terms,
+        lambda low, _high: low,
+        state=process.state,
+        lease=process.lease,
+        lease_ends_at=process.lease_left,
+        closing=process.closing,
+        heir=candidate_name(process.successor),
+        round_number=process.round_number,
+        asked_at=process.asked_at,
+        granted_by=granted_by,
+        highest_lease=_least_told_lease(system, rules.required_votes),
+        required_votes=rules.required_votes,
+    )
+
+
+def candidate_process(candidate: Candidate, incarnation: int) -> CandidateProcess:
+    """Return the state of a candidate."""
+    holds = candidate.state is CandidateState.HOLDING
+    idle = candidate.state is CandidateState.IDLE
+    return CandidateProcess(
+        incarnation,
+        candidate.state,
+        candidate.lease,
+        lease_left=candidate.lease_ends_at if holds else 0,
+        closing=candidate.closing,
+        successor=candidate_index(candidate.heir),
+        round_number=candidate.round_number,
+        asked_at=LONG_AGO if idle else candidate.asked_at,
+    )
+
+
+def _least_told_lease(system: SystemState, required_votes: int) -> int:
+    """Return the lowest number that a majority of the electors can tell as the highest."""
+    told = sorted(elector.highest_lease for elector in system.electors if not elector.opens_in)
+    return told[required_votes - 1] if len(told) >= required_votes else 0
+
+
+# Ballots.
+
+
+def ballots_in_transit(
+    ballots: Sequence[Ballot], sender: int, incarnation: int
+) -> tuple[BallotInTransit, ...]:
+    """Return the ballots that a candidate sends."""
+    return tuple(
+        BallotInTransit(
+            sender,
+            incarnation,
+            ballot.lease,
+            ballot.kind.value,
+            ballot.round_number,
+            candidate_index(ballot.heir),
+        )
+        for ballot in ballots
+    )
+
+
+def ballot_of(arrived: BallotInTransit) -> Ballot:
+    """Return the ballot that an elector receives."""
+    return Ballot(
+        arrived.lease, BallotKind(arrived.kind), arrived.round_number, candidate_name(arrived.successor)
+    )
--- /dev/null
+++ b/larchlatch/model_checker/transitions.py
@@ -0,0 +1,161 @@
+"""All events that may happen next in a state of the model.
+
+Messages are lost, duplicated and reordered, electors and candidates start anew, any process may be stopped
+for any time, and clocks are a quarter fast or slow.
+
+Some events are left out, as no violation depends on them. The first round of a candidate, which binds nobody,
+succeeds at once, with the lowest number that a majority can tell. Refusals, and votes that a candidate does
+not count, change nothing. An order is asked for at the moment in which it is given: asked for earlier, it
+would end earlier.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+from larchlatch.cluster.election.candidate import CandidateState
+from larchlatch.cluster.election.fencing import FencingGuard
+from larchlatch.model_checker.candidate_events import candidate_actions, candidate_restarts, vote_arrivals
+from larchlatch.model_checker.elector_events import ballot_arrivals, elector_restart
+from larchlatch.model_checker.processes import idle_candidate
+from larchlatch.model_checker.rules import LONG_AGO, ClockRates, ProtocolRules
+from larchlatch.model_checker.state import (
+    NOBODY,
+    STALE_LEASE,
+    CandidateProcess,
+    ElectorState,
+    EventBudget,
+    Order,
+    ReceiverState,
+    SystemState,
+    VoteProgress,
+    replace_item,
+)
+from larchlatch.model_checker.trace import Transition
+
+if TYPE_CHECKING:
+    from collections.abc import Iterator
+
+CANDIDATES = 2
+RECEIVERS = 2
+
+
+# Initial states.
+
+
+def initial_state(rules: ProtocolRules, budget: EventBudget) -> SystemState:
+    """Return the state in which nothing has happened."""
+    elector = ElectorState(votes=(VoteProgress.NOT_GRANTED,) * CANDIDATES)
+    return SystemState(
+        time=0,
+        electors=(elector,) * rules.elector_count,
+        candidates=(idle_candidate(incarnation=0),) * CANDIDATES,
+        receivers=(ReceiverState(),) * RECEIVERS,
+        orders=frozenset(),
+        budget=budget,
+    )
+
+
+def initial_state_with_holder(rules: ProtocolRules, budget: EventBudget) -> SystemState:
+    """Return the state in which all electors have just promised the role to the first candidate."""
+    elector = ElectorState(
+        lease=1,
+        holder=0,
+        promise_left=rules.lease_terms.promise_us,
+        highest_lease=1,
+        votes=(VoteProgress.COUNTED, VoteProgress.NOT_GRANTED),
+    )
+    holder = idle_candidate(incarnation=0)._replace(
+        state=CandidateState.HOLDING,
+        lease=1,
+        lease_left=rules.lease_terms.term_us,
+        round_number=2,
+        asked_at=0,
+    )
+    state = initial_state(rules, budget)
+    return state._replace(
+        electors=(elector,) * rules.elector_count, candidates=replace_item(state.candidates, 0, holder)
+    )
+
+
+# Events.
+
+
+def successors(system: SystemState, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield each event that may happen next, with the state after it."""
+    if system.budget.ticks:
+        yield Transition("time passes", _after_tick(system, rules.clock_rates))
+    for index in range(CANDIDATES):
+        yield from candidate_actions(system, index, rules)
+    for index in range(rules.elector_count):
+        yield from ballot_arrivals(system, index, rules)
+        yield from vote_arrivals(system, index, rules)
+        yield from elector_restart(system, index, rules)
+    for order in system.orders:
+        yield from _order_arrival(system, order, rules)
+    yield from candidate_restarts(system)
+
+
+def _order_arrival(system: SystemState, order: Order, rules: ProtocolRules) -> Iterator[Transition]:
+    """Yield the execution of an order, unless its receiver refuses it."""
+    before = system.receivers[order.receiver]
+    guard = FencingGuard(before.highest_lease)
+    if not guard.accepts(order.lease) and rules.receivers_compare_leases:
+        return
+    after = before._replace(highest_lease=guard.highest_lease)
+    if order.order_left:
+        after = after._replace(lease=order.lease, order_left=order.order_left)
+    elif order.lease < before.highest_lease:
+        after = after._replace(lease=STALE_LEASE, order_left=0)
+    executed = system._replace(
+        receivers=replace_item(system.receivers, order.receiver, after), orders=system.orders - {order}
+    )
+    yield Transition(f"r{order.receiver} carries out the order of c{order.holder}", executed)
+
+
+# Time.
+
+
+def _after_tick(system: SystemState, rates: ClockRates) -> SystemState:
+    """Return the state after all clocks have advanced by a tick, each at its rate."""
+    budget = system.budget._replace(ticks=system.budget.ticks - 1)
+    return SystemState(
+        time=system.time + 1,
+        electors=tuple(_older_elector(elector, rates.electors) for elector in system.electors),
+        candidates=tuple(map(_older_candidate, system.candidates, rates.candidates)),
+        receivers=tuple(_older_receiver(receiver, rates.receivers) for receiver in system.receivers),
+        orders=frozenset(_older_orders(system.orders, rates.receivers)),
+        budget=budget,
+    )
+
+
+def _older_elector(elector: ElectorState, passed: int) -> ElectorState:
+    still_reserved = elector.reservation_left > passed
+    return elector._replace(
+        opens_in=max(0, elector.opens_in - passed),
+        promise_left=max(0, elector.promise_left - passed),
+        reservation_left=max(0, elector.reservation_left - passed),
+        successor=elector.successor if still_reserved else NOBODY,
+    )
+
+
+def _older_candidate(candidate: CandidateProcess, passed: int) -> CandidateProcess:
+    return candidate._replace(
+        lease_left=max(0, candidate.lease_left - passed),
+        asked_at=max(LONG_AGO, candidate.asked_at - passed),
+    )
+
+
+def _older_receiver(receiver: ReceiverState, passed: int) -> ReceiverState:
+    if receiver.order_left > passed:
+        return receiver._replace(order_left=receiver.order_left - passed)
+    return ReceiverState(receiver.highest_lease)
+
+
+def _older_orders(orders: frozenset[Order], passed: int) -> Iterator[Order]:
+    """Yield the orders that have not ended; those without a duration stay under way."""
+    for order in orders:
+        if not order.order_left:
+            yield order
+        elif order.order_left > passed:
+            yield order._replace(order_left=order.order_left - passed)
--- /dev/null
+++ b/tests/model_checker/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the model checker."""
