--- a/larchlatch/cli/load.py
+++ b/larchlatch/cli/load.py
@@ -32,11 +32,15 @@
 def load(*, day: Path, changes: tuple[str, ...], seed: int | None, draw: int, address: str) -> None:
     """Play a day on sockets: nodes as processes; exit code 3 if a rule was broken, 4 if void."""
     # The list of commands in `--help` needs none of it.
-    from larchlatch.loadtest.bounds import address_of, playable
-    from larchlatch.loadtest.play import played
+    from larchlatch.loadtest.errors import LoadTestError
+    from larchlatch.loadtest.limits import check_address, check_playable
+    from larchlatch.loadtest.run import run_load_test
 
-    scenario = playable(read_scenario(day, changes, seed, draw))
-    result, violations = played(scenario, address_of(address))
+    scenario = check_playable(read_scenario(day, changes, seed, draw))
+    try:
+        result, violations = run_load_test(scenario, check_address(address))
+    except LoadTestError as error:
+        raise click.ClickException(str(error)) from error
     click.echo(result_line({"day": scenario.name, "policy": "sockets", "seed": scenario.seed, **result}))
     for line in (*violations, *describe_cluster_figures(result)):
         click.echo(line, err=True)
--- a/larchlatch/loadtest/__init__.py
+++ b/larchlatch/loadtest/__init__.py
@@ -1,1 +1,1 @@
-"""The days of the emulator on real sockets: nodes as processes, stand-in hosts and list, loopback only."""
+"""Plays a scenario on sockets: nodes as processes, and stubs for clients, upstreams and discovery."""
--- /dev/null
+++ b/larchlatch/loadtest/client_population.py
@@ -0,0 +1,114 @@
+"""The clients of a scenario: when they come, to which node they go, and when they try again.
+
+The load is open-loop: a client comes when the scenario says so, whatever became of those before, and its
+latency runs from then.
+"""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import anyio
+
+from larchlatch.invariants.tally import histogram
+from larchlatch.loadtest.client_sessions import SessionResult
+from larchlatch.scenario.amounts import SECOND
+from larchlatch.scenario.clients import RETURN_US, front_of
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+
+    from larchlatch.invariants.tally import Tally
+    from larchlatch.loadtest.background_tasks import BackgroundTasks
+    from larchlatch.loadtest.client_sessions import ClientSessions
+    from larchlatch.loadtest.node_fleet import NodeFleet
+    from larchlatch.loadtest.node_process import NodeProcess
+    from larchlatch.loadtest.scenario_clock import ScenarioClock
+    from larchlatch.scenario.chance import Chance
+    from larchlatch.scenario.clients import Client
+    from larchlatch.scenario.scenario import Day
+
+
+class ClientPopulation:
+    """Lets all clients of a scenario come and go.
+
+    Attributes:
+        lateness: by how many microseconds the load test was late to start clients.
+
+    """
+
+    def __init__(
+        self,
+        scenario: Day,
+        streams: Chance,
+        clock: ScenarioClock,
+        sessions: ClientSessions,
+        fleet: NodeFleet,
+        tally: Tally,
+    ) -> None:
+        self.lateness = histogram()
+        self._scenario = scenario
+        self._streams = streams
+        self._clock = clock
+        self._sessions = sessions
+        self._fleet = fleet
+        self._tally = tally
+
+    async def run(self, clients: Sequence[Client], tasks: BackgroundTasks) -> None:
+        """Let each client come when it is due; `tasks` owns the clients' tasks."""
+        for client in clients:
+            due_s = client.due / SECOND
+            await self._clock.sleep_until(due_s)
+            late_us = round((self._clock.elapsed_s() - due_s) * SECOND)
+            self.lateness.record_value(max(1, late_us))
+            tasks.start(self._live, client)
+
+    async def _live(self, client: Client) -> None:
+        """Run a client from its coming to its end."""
+        due_s = client.due / SECOND
+        end_s = self._end_s(client)
+        self._tally.counts["clients"] += 1
+        self._tally.wanted_us += (end_s - due_s) * SECOND
+        while self._clock.elapsed_s() < end_s:
+            client.sessions += 1
+            result = await self._run_session(client, due_s, end_s)
+            if result.established:
+                client.rejections = 0
+                await anyio.sleep(self._return_pause_s(client))
+                due_s = self._clock.elapsed_s()
+                continue
+            client.rejections += 1
+            if client.rejections > self._scenario.sessions.retries:
+                self._tally.counts["abandoned"] += 1
+                return
+            await anyio.sleep(result.retry_after_us / SECOND or self._retry_pause_s(client))
+
+    async def _run_session(self, client: Client, due_s: float, end_s: float) -> SessionResult:
+        node = self._choose_node(client)
+        if node is None:
+            return SessionResult(established=False)
+        return await self._sessions.run(client, node, due_s=due_s, end_s=end_s)
+
+    def _end_s(self, client: Client) -> float:
+        """Return when a client has had what it came for, in seconds of the scenario."""
+        return min(self._scenario.span_s, (client.due + client.life_us) / SECOND)
+
+    def _choose_node(self, client: Client) -> NodeProcess | None:
+        """Return the node that a client is sent to: one of its own zone, if there is any."""
+        nodes = self._fleet.in_rotation()
+        near = [node for node in nodes if self._fleet.zone_of(node) == client.zone] or nodes
+        if not near:
+            return None
+        draw = self._streams.draw("front", client.number, client.sessions)
+        return near[front_of(draw, len(near), self._scenario.sessions.uneven)]
+
+    def _return_pause_s(self, client: Client) -> float:
+        """Return after how many seconds a client whose session has ended comes back."""
+        low, high = RETURN_US
+        draw = self._streams.draw("return", client.number, client.sessions)
+        return (low + (high - low) * draw) / SECOND
+
+    def _retry_pause_s(self, client: Client) -> float:
+        """Return after how many seconds a rejected client tries again, if the node does not say."""
+        mean_s = self._scenario.sessions.back_ms / 1e3
+        return mean_s * 2 * self._streams.draw("back", client.number, client.sessions)
--- /dev/null
+++ b/larchlatch/loadtest/client_sessions.py
@@ -0,0 +1,236 @@
+"""One session of a client: its request, the wait for the final answer, and its established time."""
+
+from __future__ import annotations
+
+import asyncio
+from contextlib import suppress
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+
+from larchlatch.loadtest.outside_observer import Rule
+from larchlatch.loadtest.streams import CONNECTION_ERRORS, abort_writer, close_writer
+from larchlatch.loadtest.upstream_stub import SOCKET_DELAY_US
+from larchlatch.node.clock import now_us
+from larchlatch.node.wire.lines import MOVE
+from larchlatch.scenario.amounts import SECOND
+
+if TYPE_CHECKING:
+    from random import Random
+
+    from larchlatch.invariants.tally import Tally
+    from larchlatch.loadtest.node_process import NodeProcess
+    from larchlatch.loadtest.outside_observer import OutsideObserver
+    from larchlatch.loadtest.scenario_clock import ScenarioClock
+    from larchlatch.scenario.clients import Client
+    from larchlatch.scenario.scenario import Day
+
+TOOL_DELAY_US = 50_000  # by which this process itself may read an answer late
+AFTER_ANSWER_S = 0.2  # within which something that wrongly follows a final answer would come
+MESSAGE = b"still here\r\n"
+ESTABLISHED = b"UP"
+REJECTED = b"BUSY"
+
+
+class SessionResult(NamedTuple):
+    """How a session ended for its client.
+
+    Attributes:
+        established: whether it was established.
+        retry_after_us: when its client may try again, as the node says; 0: the node does not say.
+
+    """
+
+    established: bool
+    retry_after_us: int = 0
+
+
+class Connection(NamedTuple):
+    """A client's connection to a node.
+
+    Attributes:
+        node: the node.
+        reader: what the node sends.
+        writer: what the client sends.
+        interruption_count: how often the node had been interrupted before the connection was made.
+
+    """
+
+    node: NodeProcess
+    reader: asyncio.StreamReader
+    writer: asyncio.StreamWriter
+    interruption_count: int
+
+
+class Request(NamedTuple):
+    """A client's request for a session.
+
+    Attributes:
+        client: the client.
+        session_id: id of the session.
+        due_s: when the client wanted the session, in seconds of the scenario.
+        end_s: until when it wants the session, in seconds of the scenario.
+        sent_us: when it was sent, by the clock of `now_us`.
+
+    """
+
+    client: Client
+    session_id: str
+    due_s: float
+    end_s: float
+    sent_us: int
+
+
+class ClientSessions:
+    """Runs sessions and counts how they end."""
+
+    def __init__(self, scenario: Day, clock: ScenarioClock, observer: OutsideObserver, tally: Tally) -> None:
+        self._scenario = scenario
+        self._clock = clock
+        self._observer = observer
+        self._tally = tally
+        self._session_count = 0
+        self._established: dict[int, asyncio.StreamWriter] = {}  # by client
+
+    async def run(self, client: Client, node: NodeProcess, *, due_s: float, end_s: float) -> SessionResult:
+        """Run a session until it is over.
+
+        Args:
+            client: The client.
+            node: The node that the client is sent to.
+            due_s: When the client wanted the session, in seconds of the scenario.
+            end_s: Until when it wants the session.
+
+        """
+        # A process accepts connections for some milliseconds after it was killed. By the count from before
+        # the connection, such a session is owed no answer.
+        interruption_count = node.interruption_count
+        try:
+            reader, writer = await asyncio.open_connection(node.address, node.port)
+        except OSError:
+            self._tally.counts["no node there"] += 1
+            return SessionResult(established=False)
+        self._session_count += 1
+        self._tally.counts["links"] += 1
+        request = Request(client, f"id{self._session_count}", due_s, end_s, now_us())
+        connection = Connection(node, reader, writer, interruption_count)
+        try:
+            return await self._request(request, connection)
+        except OSError as error:
+            self._count_unanswered(request, connection, type(error).__name__)
+            return SessionResult(established=False)
+        finally:
+            close_writer(writer)
+
+    def disconnect_clients(self, share: float, rng: Random) -> None:
+        """Reset a share of the established sessions; their clients come back at once."""
+        clients = list(self._established)
+        for client in rng.sample(clients, round(len(clients) * share)):
+            abort_writer(self._established.pop(client))
+
+    # Until the final answer.
+
+    async def _request(self, request: Request, connection: Connection) -> SessionResult:
+        if self._observer.quota is not None:
+            self._observer.quota.asked(request.sent_us, request.session_id)
+        connection.writer.write(self._request_line(request))
+        answer = await self._read_answer(connection.reader)
+        word, *values = answer.split() or [b""]
+        if word == ESTABLISHED:
+            latency_s = self._clock.elapsed_s() - request.due_s
+            self._tally.stood(round(latency_s * SECOND))
+            await self._stay_established(request, connection)
+            return SessionResult(established=True)
+        await self._check_final_answer(request, connection, answer)
+        if word == REJECTED:
+            self._tally.counts["shed"] += 1
+            return SessionResult(established=False, retry_after_us=int(values[0]) * 1000 if values else 0)
+        if word:
+            self._tally.counts["given_up"] += 1
+        else:
+            self._count_unanswered(request, connection, "no answer by its cut-off")
+        return SessionResult(established=False)
+
+    def _request_line(self, request: Request) -> bytes:
+        client, wait_ms = request.client, round(self._scenario.sessions.wait_ms)
+        values = f"c=t{client.traffic_class},d={wait_ms},g=g{client.group},h={client.load}"
+        return f"OPEN {request.session_id} k{client.key} {values}\r\n".encode()
+
+    async def _read_answer(self, reader: asyncio.StreamReader) -> bytes:
+        """Return the final answer; "" where none has come in time."""
+        wait_s = self._scenario.sessions.wait_ms / 1e3
+        with anyio.move_on_after(wait_s + (SOCKET_DELAY_US + TOOL_DELAY_US) / SECOND):
+            return await reader.readline()
+        return b""
+
+    async def _check_final_answer(self, request: Request, connection: Connection, answer: bytes) -> None:
+        """Report a node that goes on after a final answer which has ended the session."""
+        if answer.split() and await _sends_more(connection.reader):
+            node = connection.node.number
+            self._observer.report(
+                Rule.ONE_ANSWER, f"link {request.session_id}: node {node} went on after {answer!r}"
+            )
+
+    def _count_unanswered(self, request: Request, connection: Connection, reason: str) -> None:
+        """Count a session without an answer, and report its node if that has run all the time."""
+        self._tally.counts["ended unanswered"] += 1
+        node = connection.node
+        if node.has_run_since(connection.interruption_count):
+            after_ms = (now_us() - request.sent_us) // 1000
+            self._observer.report(
+                Rule.ONE_ANSWER,
+                f"link {request.session_id}: node {node.number}: {reason}, after {after_ms} ms",
+            )
+
+    # While it is established.
+
+    async def _stay_established(self, request: Request, connection: Connection) -> None:
+        """Send messages until the client has had enough, or the session ends; count how it ended."""
+        client, node, end_s = request.client, connection.node, request.end_s
+        interruption_count = node.interruption_count
+        began_s = self._clock.elapsed_s()
+        self._established[client.number] = connection.writer
+        try:
+            how = await self._read_until(end_s, connection)
+        finally:
+            disconnected = self._established.pop(client.number, None) is None
+            self._tally.served_us += (min(self._clock.elapsed_s(), end_s) - began_s) * SECOND
+        if how == "dropped" and disconnected:
+            how = "lost by the client"
+        elif how == "dropped" and node.interruption_count > interruption_count:
+            how = "lost with a node"
+        self._tally.counts[how] += 1
+
+    async def _read_until(self, end_s: float, connection: Connection) -> str:
+        """Read until `end_s` at the latest; return how the session ended, as a key of the tally."""
+        how = "finished"
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(self._send_messages, connection.writer)
+            with anyio.CancelScope(deadline=self._clock.loop_time(end_s)):
+                how = await _read_to_end(connection.reader)
+            tasks.cancel_scope.cancel()
+        return how
+
+    async def _send_messages(self, writer: asyncio.StreamWriter) -> None:
+        with suppress(*CONNECTION_ERRORS):
+            while True:
+                await anyio.sleep(self._scenario.sessions.beat_s)
+                writer.write(MESSAGE)
+
+
+async def _sends_more(reader: asyncio.StreamReader) -> bool:
+    """Return whether something follows a final answer."""
+    with suppress(OSError), anyio.move_on_after(AFTER_ANSWER_S):
+        return bool(await reader.read(1))
+    return False
+
+
+async def _read_to_end(reader: asyncio.StreamReader) -> str:
+    """Read until a session ends or is to move; return which, as a key of the tally."""
+    try:
+        while line := await reader.readline():
+            if line == MOVE:
+                return "moved"
+    except OSError:
+        pass  # it was reset
+    return "dropped"
--- /dev/null
+++ b/larchlatch/loadtest/cluster.py
@@ -0,0 +1,139 @@
+"""Nodes that know of each other: their cluster files, and the datagram proxy between them."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from larchlatch.loadtest import datagram_fault_proxy as proxy
+from larchlatch.loadtest.cluster_files import ClusterFiles, DatagramAddress
+from larchlatch.loadtest.helper_process import HelperProcess
+from larchlatch.loadtest.injected_faults import InjectedFaults
+from larchlatch.loadtest.node_process import NodeCommand
+from larchlatch.loadtest.node_settings import node_name
+from larchlatch.scenario.faults import SELF_INFLICTED
+from larchlatch.scenario.puppets import ORDERS
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from pathlib import Path
+
+    from larchlatch.loadtest.cluster_observer import ClusterObserver
+    from larchlatch.scenario.datagram_paths import PathImpairment
+    from larchlatch.scenario.scenario import Day
+
+NODE_MODULE = "larchlatch"
+FAULT_INJECTING_NODE_MODULE = "larchlatch.loadtest.fault_injecting_node"
+DATAGRAM_PROXY_MODULE = "larchlatch.loadtest.datagram_fault_proxy"
+
+
+class Cluster:
+    """The cluster of a scenario.
+
+    Attributes:
+        nodes: where each node receives datagrams.
+
+    """
+
+    def __init__(
+        self,
+        scenario: Day,
+        address: str,
+        folder: Path,
+        nodes: Sequence[DatagramAddress],
+        observer: ClusterObserver,
+    ) -> None:
+        """Make the cluster.
+
+        Args:
+            scenario: The scenario.
+            address: Address of the datagram proxy.
+            folder: Where files go.
+            nodes: Where each node receives datagrams.
+            observer: Is told of partitions.
+
+        """
+        self.nodes = nodes
+        self._scenario = scenario
+        self._address = address
+        self._folder = folder
+        self._observer = observer
+        self._proxy = HelperProcess(DATAGRAM_PROXY_MODULE)
+        self._files: ClusterFiles | None = None
+        self._injected = [InjectedFaults() for _ in nodes]
+        self._counts: dict[str, int] = {}
+
+    async def start(self) -> None:
+        """Start the datagram proxy, and write each node's files."""
+        setup = proxy.Setup(self._address, self._scenario.seed, list(self.nodes))
+        ports = await self._proxy.start(setup, list[list[int]])
+        proxies = [[DatagramAddress(self._address, port) for port in row] for row in ports]
+        self._files = ClusterFiles(self._scenario, self._folder, self.nodes, proxies)
+        for number in range(len(self.nodes)):
+            self._files.write(number)
+
+    async def stop(self) -> None:
+        """End the datagram proxy."""
+        self._counts = await self._proxy.stop()
+
+    @property
+    def files(self) -> ClusterFiles:
+        """The cluster files, which exist once it is started."""
+        if self._files is None:
+            raise RuntimeError("the cluster is not started")
+        return self._files
+
+    def bytes_per_node_and_s(self) -> int:
+        """Return how many bytes a second a node has sent to others, once the proxy has ended."""
+        return round(self._counts.get("bytes", 0) / (self._scenario.span_s * len(self.nodes)))
+
+    # How nodes are started.
+
+    def command(self, number: int) -> NodeCommand:
+        """Return how a node is started, apart from its own configuration."""
+        faults_file = str(self.injected_faults_file(number))
+        return NodeCommand(self._module(), self.arguments(number), {ORDERS: faults_file})
+
+    def arguments(self, number: int) -> list[str]:
+        """Return the arguments of `serve` that make a node take part."""
+        cluster_file, key_file = self.files.cluster_file(number), self.files.key_file(number)
+        return ["--cluster", str(cluster_file), "--cluster-key", str(key_file)]
+
+    def _module(self) -> str:
+        """Return what is run as a node: if the scenario needs it, one that commits faults and logs more."""
+        scenario = self._scenario
+        commits_faults = any(isinstance(fault, SELF_INFLICTED) for fault in scenario.faults)
+        return FAULT_INJECTING_NODE_MODULE if scenario.cluster.pace or commits_faults else NODE_MODULE
+
+    # Faults.
+
+    def injected_faults_file(self, number: int) -> Path:
+        """Return the path of the file that tells a node which faults to commit."""
+        return self._folder / f"{node_name(number)}.orders.json"
+
+    def set_clock_gain(self, number: int, gain: float) -> None:
+        """Let a node's clock gain a share, once the node reads its file of faults."""
+        self._inject(number, msgspec.structs.replace(self._injected[number], skew=gain))
+
+    def set_false_reports(self, number: int, subject: str) -> None:
+        """Let a node send false reports of a subject, once the node reads its file of faults."""
+        self._inject(number, msgspec.structs.replace(self._injected[number], about=subject))
+
+    def _inject(self, number: int, faults: InjectedFaults) -> None:
+        self._injected[number] = faults
+        self.injected_faults_file(number).write_bytes(msgspec.json.encode(faults))
+
+    async def partition(self, nodes: Sequence[int], *, oneway: bool) -> None:
+        """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+        await self._proxy.execute(proxy.BlockNodes(list(nodes), oneway))
+        self._observer.partitioned(nodes, oneway=oneway)
+
+    async def heal_partition(self, nodes: Sequence[int], *, oneway: bool) -> None:
+        """End a partition that was made with the same arguments."""
+        await self._proxy.execute(proxy.UnblockNodes(list(nodes), oneway))
+        self._observer.partition_healed(nodes, oneway=oneway)
+
+    async def impair_paths(self, impairment: PathImpairment) -> None:
+        """Treat all datagrams between nodes in this way from now on."""
+        await self._proxy.execute(proxy.ImpairPaths(impairment))
--- /dev/null
+++ b/larchlatch/loadtest/cluster_files.py
@@ -0,0 +1,109 @@
+"""The cluster file of each node, by which it reaches every other node through the datagram proxy."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, NamedTuple
+
+from larchlatch.cluster.keys import create_secret
+from larchlatch.loadtest.node_settings import node_name, zone_name
+
+if TYPE_CHECKING:
+    from collections.abc import Sequence
+    from pathlib import Path
+
+    from larchlatch.scenario.scenario import Day
+
+
+class DatagramAddress(NamedTuple):
+    """Where a process receives datagrams."""
+
+    address: str
+    port: int
+
+
+class ClusterFiles:
+    """Writes cluster files and keys into a folder.
+
+    Attributes:
+        removed: numbers of the nodes that files written from now on lack.
+
+    """
+
+    def __init__(
+        self,
+        scenario: Day,
+        folder: Path,
+        nodes: Sequence[DatagramAddress],
+        proxies: Sequence[Sequence[DatagramAddress]],
+    ) -> None:
+        """Create the nodes' keys.
+
+        Args:
+            scenario: The scenario.
+            folder: Where files go.
+            nodes: Where each node receives datagrams.
+            proxies: By sender and receiver, where the proxy receives datagrams for the receiver.
+
+        """
+        self.removed: set[int] = set()
+        self._scenario = scenario
+        self._folder = folder
+        self._nodes = nodes
+        self._proxies = proxies
+        self._keys = [create_secret(self.key_file(number)) for number in range(len(nodes))]
+
+    def cluster_file(self, number: int) -> Path:
+        """Return the path of a node's cluster file."""
+        return self._folder / f"{node_name(number)}.cluster.toml"
+
+    def key_file(self, number: int) -> Path:
+        """Return the path of a node's secret key."""
+        return self._folder / f"{node_name(number)}.key"
+
+    def write(self, number: int) -> None:
+        """Write a node's cluster file."""
+        lines = [*self._quota_lines(), *self._role_lines()]
+        for other in range(len(self._nodes)):
+            if other not in self.removed:
+                lines += self._node_lines(number, other)
+        self.cluster_file(number).write_text("\n".join(lines) + "\n")
+
+    def _node_lines(self, number: int, other: int) -> list[str]:
+        """Return the entry of a node in the file of another, or in its own."""
+        target = self._nodes[other] if other == number else self._proxies[number][other]
+        return [
+            "[[nodes]]",
+            f'name = "{node_name(other)}"',
+            f'address = "{target.address}:{target.port}"',
+            f'site = "{zone_name(other % self._scenario.zones)}"',
+            f'key = "{self._keys[other]}"',
+        ]
+
+    def _quota_lines(self) -> list[str]:
+        cluster = self._scenario.cluster
+        if not cluster.sessions_per_s:
+            return [f"beat_ms = {cluster.beat_ms}", f"skew = {cluster.skew}"]
+        traffic_classes = ", ".join(f'"t{index}"' for index in range(len(self._scenario.sessions.effects)))
+        return [
+            f"beat_ms = {cluster.beat_ms}",
+            f"floor = {cluster.floor}",
+            f"window_ms = {round(cluster.window_s * 1000)}",
+            f"term_ms = {round(cluster.term_s * 1000)}",
+            f"skew = {cluster.skew}",
+            "[[budgets]]",
+            'name = "all"',
+            f"links_per_s = {cluster.sessions_per_s}",
+            f"tariffs = [{traffic_classes}]",
+        ]
+
+    def _role_lines(self) -> list[str]:
+        cluster = self._scenario.cluster
+        if not (cluster.allot or cluster.pace):
+            return []
+        electors = ", ".join(f'"{node_name(number)}"' for number in range(cluster.electors))
+        lines = ["[duties]", f"electors = [{electors}]", f"term_ms = {round(cluster.term_s * 1000)}"]
+        if cluster.allot:
+            lines.append("allot = true")
+        if cluster.pace:
+            lines.append("pace = true")
+        return lines
--- /dev/null
+++ b/larchlatch/loadtest/datagram_fault_proxy.py
@@ -0,0 +1,163 @@
+"""A helper process between the nodes of a cluster: it blocks, loses, duplicates and delays datagrams.
+
+It listens on one port for each ordered pair of nodes.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, cast
+
+from msgspec import Struct
+
+from larchlatch.loadtest.cluster_files import DatagramAddress
+from larchlatch.loadtest.helper_process import serve_commands
+from larchlatch.scenario.amounts import SECOND
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
+
+if TYPE_CHECKING:
+    from typing import Any
+
+
+class Setup(Struct, frozen=True):
+    """The first message.
+
+    Attributes:
+        address: address of the proxy's ports.
+        seed: seed of what is lost, duplicated and delayed.
+        nodes: where each node receives datagrams.
+
+    """
+
+    address: str
+    seed: int
+    nodes: list[DatagramAddress]
+
+
+class BlockNodes(Struct, tag=True, frozen=True):
+    """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+
+    nodes: list[int]
+    oneway: bool
+
+
+class UnblockNodes(Struct, tag=True, frozen=True):
+    """End a block that was made with the same values."""
+
+    nodes: list[int]
+    oneway: bool
+
+
+class ImpairPaths(Struct, tag=True, frozen=True):
+    """Treat all datagrams in this way from now on."""
+
+    impairment: PathImpairment
+
+
+Command = BlockNodes | UnblockNodes | ImpairPaths
+
+
+class DatagramProxyPath(asyncio.DatagramProtocol):
+    """One port of the proxy: what one node sends to another."""
+
+    def __init__(self, proxy: DatagramFaultProxy, sender: int, receiver: int) -> None:
+        self._proxy = proxy
+        self._sender = sender
+        self._receiver = receiver
+        self._transport: asyncio.DatagramTransport | None = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keep the transport."""
+        self._transport = cast("asyncio.DatagramTransport", transport)
+
+    def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Pass a datagram on, as often and as late as the paths decide."""
+        delays_us = self._proxy.delays_of_next(self._sender, self._receiver, len(data))
+        for delay_us in delays_us:
+            if delay_us:
+                asyncio.get_running_loop().call_later(delay_us / SECOND, self._pass_on, data)
+            else:
+                self._pass_on(data)
+
+    def _pass_on(self, data: bytes) -> None:
+        if self._transport is not None and not self._transport.is_closing():
+            self._proxy.passed += 1
+            self._transport.sendto(data, self._proxy.nodes[self._receiver])
+
+    def error_received(self, exc: Exception) -> None:
+        """Ignore that the receiver's process is gone, as a network would."""
+
+
+class DatagramFaultProxy:
+    """All ports of the proxy.
+
+    Attributes:
+        nodes: where each node receives datagrams.
+        passed: number of datagrams that were passed on.
+
+    """
+
+    def __init__(self) -> None:
+        self.nodes: list[DatagramAddress] = []
+        self.passed = 0
+        self._paths = DatagramPaths(None)
+        self._received = self._dropped = self._received_bytes = 0
+
+    def delays_of_next(self, sender: int, receiver: int, size: int) -> list[int]:
+        """Count a datagram, and return the delays in microseconds after which it arrives."""
+        self._received += 1
+        self._received_bytes += size
+        delays_us = self._paths.delays_of_next(sender, receiver)
+        if not delays_us:
+            self._dropped += 1
+        return delays_us
+
+    async def set_up(self, setup: Setup) -> list[list[int]]:
+        """Open all ports, and return them by sender and receiver; 0 from a node to itself."""
+        self.nodes = setup.nodes
+        self._paths = DatagramPaths(Chance(setup.seed))
+        numbers = range(len(self.nodes))
+        return [
+            [
+                0 if sender == receiver else await self._open_port(setup.address, sender, receiver)
+                for receiver in numbers
+            ]
+            for sender in numbers
+        ]
+
+    async def _open_port(self, address: str, sender: int, receiver: int) -> int:
+        transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
+            lambda: DatagramProxyPath(self, sender, receiver), local_addr=(address, 0)
+        )
+        port: int = transport.get_extra_info("sockname")[1]
+        return port
+
+    async def execute(self, command: Command) -> None:
+        """Execute one command."""
+        match command:
+            case BlockNodes(nodes, oneway):
+                self._paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
+            case UnblockNodes(nodes, oneway):
+                self._paths.partitions.remove(PartitionedNodes(frozenset(nodes), oneway))
+            case ImpairPaths(impairment):
+                self._paths.impairment = impairment
+
+    def counts(self) -> dict[str, int]:
+        """Return numbers of datagrams, and of the bytes that came."""
+        return {
+            "came": self._received,
+            "passed": self.passed,
+            "dropped": self._dropped,
+            "bytes": self._received_bytes,
+        }
+
+
+async def main() -> None:
+    """Run the helper process."""
+    proxy = DatagramFaultProxy()
+    await serve_commands(Setup, proxy.set_up, Command, proxy.execute, proxy.counts)
+
+
+if __name__ == "__main__":
+    asyncio.run(main())
--- /dev/null
+++ b/larchlatch/loadtest/discovery_stub.py
@@ -0,0 +1,178 @@
+"""A stub of discovery: nodes watch the endpoint list, and each hears of a change after a drawn delay."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, Any
+
+import anyio
+import orjson
+
+from larchlatch.loadtest.node_settings import zone_name
+from larchlatch.loadtest.streams import CONNECTION_ERRORS, close_writer
+from larchlatch.node.clock import now_us
+from larchlatch.policy.types import EndpointState
+from larchlatch.scenario.amounts import SECOND, us
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Iterable
+
+    from larchlatch.loadtest.background_tasks import BackgroundTasks
+    from larchlatch.loadtest.upstream_stub import UpstreamStub
+    from larchlatch.scenario.scenario import Day
+
+KEEP_ALIVE_S = 1.0  # after which a watch without a change is sent an empty line
+UPSTREAM_PREFIX = "h-"
+PHASES = {
+    EndpointState.READY: "in_service",
+    EndpointState.DRAINING: "terminating",
+    EndpointState.GONE: "terminated",
+}
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+LAST_CHUNK = b"0\r\n\r\n"
+
+# An endpoint, or a list of them, as JSON.
+Endpoint = dict[str, Any]
+EndpointList = dict[str, Any]
+
+
+def upstream_name(number: int) -> str:
+    """Return the name under which an upstream is listed."""
+    return f"{UPSTREAM_PREFIX}{number}"
+
+
+def upstream_number(name: str) -> int:
+    """Return the number of the upstream that is listed under a name."""
+    return int(name.removeprefix(UPSTREAM_PREFIX))
+
+
+def endpoint(stub: UpstreamStub, state: EndpointState) -> Endpoint:
+    """Return an upstream's entry of the endpoint list."""
+    upstream = stub.upstream
+    return {
+        "id": upstream_name(upstream.number),
+        "host_port": f"{stub.address}:{stub.port}",
+        "locality": zone_name(upstream.zone),
+        "cell": upstream.cell,
+        "phase": PHASES[state],
+        "size": upstream.size,
+        "up_since_ms": upstream.started_at // 1000,
+    }
+
+
+class DiscoveryStub:
+    """Serves the endpoint list to nodes.
+
+    Attributes:
+        ports: one for each zone of nodes, which may reach upstreams by ports of their own.
+        proxy_ports: by zone of nodes and number of upstream, the port by which the one reaches the other;
+            empty where nodes connect to the upstreams themselves.
+
+    """
+
+    def __init__(self, scenario: Day, delay_s: Callable[[], float]) -> None:
+        """Make the stub; `delay_s` returns how late a watch hears of a change, in seconds."""
+        self.ports: list[int] = []
+        self.proxy_ports: list[list[int]] = []
+        self._zones = scenario.zones
+        self._max_delay_us = us(scenario.listing.late_ms / 1e3)
+        self._delay_s = delay_s
+        self._endpoints: dict[int, Endpoint] = {}
+        self._changes: list[Endpoint] = []  # one a revision
+        self._changed = anyio.Event()
+        self._outage_until = 0.0  # seconds of the clock of `now_us`
+        self._servers: list[asyncio.Server] = []
+
+    async def listen(self, address: str, tasks: BackgroundTasks) -> None:
+        """Accept connections; `tasks` owns the tasks that serve them."""
+        for zone in range(self._zones):
+
+            def accepted(
+                reader: asyncio.StreamReader, writer: asyncio.StreamWriter, zone: int = zone
+            ) -> None:
+                tasks.start(self._serve, zone, reader, writer)
+
+            server = await asyncio.start_server(accepted, address, 0)
+            self._servers.append(server)
+            self.ports.append(server.sockets[0].getsockname()[1])
+
+    def close(self) -> None:
+        """Refuse new connections from now on."""
+        for server in self._servers:
+            server.close()
+
+    # The list.
+
+    def list_at_start(self, stub: UpstreamStub) -> None:
+        """List an upstream from the beginning on."""
+        self._endpoints[stub.upstream.number] = endpoint(stub, EndpointState.READY)
+
+    def change(self, stub: UpstreamStub, state: EndpointState) -> None:
+        """Change an upstream's entry, and tell all watches of it after their delays."""
+        entry = endpoint(stub, state)
+        self._endpoints[stub.upstream.number] = entry
+        if state is EndpointState.GONE:
+            del self._endpoints[stub.upstream.number]
+        self._changes.append(entry)
+        if state is not EndpointState.READY:
+            told_at = max(now_us(), int(self._outage_until * SECOND))
+            stub.nothing_after_us = told_at + self._max_delay_us
+        self._changed.set()
+        self._changed = anyio.Event()
+
+    def begin_outage(self, for_s: float) -> None:
+        """Tell nobody of changes for so many seconds."""
+        self._outage_until = now_us() / SECOND + for_s
+
+    def known_endpoints(self, zone: int) -> EndpointList:
+        """Return the whole list, as nodes of a zone are told it."""
+        members = self._seen_from(zone, self._endpoints.values())
+        return {"revision": len(self._changes), "complete": True, "members": members}
+
+    def _seen_from(self, zone: int, entries: Iterable[Endpoint]) -> list[Endpoint]:
+        if not self.proxy_ports:
+            return list(entries)
+        return [{**entry, "host_port": self._proxy_address(zone, entry)} for entry in entries]
+
+    def _proxy_address(self, zone: int, entry: Endpoint) -> str:
+        address, _, _ = entry["host_port"].rpartition(":")
+        return f"{address}:{self.proxy_ports[zone][upstream_number(entry['id'])]}"
+
+    # Connections.
+
+    async def _serve(self, zone: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        try:
+            request_line, _, _ = (await reader.readuntil(b"\r\n\r\n")).decode().partition("\r\n")
+            writer.write(RESPONSE_HEAD)
+            if "watch=1" in request_line:
+                from_revision = int(request_line.partition("from=")[2].split("&")[0].split()[0])
+                await self._send_changes(zone, from_revision, writer)
+            else:
+                _write_chunk(writer, orjson.dumps(self.known_endpoints(zone)) + b"\n")
+                writer.write(LAST_CHUNK)
+        except (*CONNECTION_ERRORS, EOFError):
+            pass  # the node has left, or ended
+        finally:
+            close_writer(writer)
+
+    async def _send_changes(self, zone: int, from_revision: int, writer: asyncio.StreamWriter) -> None:
+        """Send all changes after a revision, as they come."""
+        told = from_revision if from_revision <= len(self._changes) else 0
+        while True:
+            if told < len(self._changes):
+                revision = len(self._changes)
+                await anyio.sleep(max(self._delay_s(), self._outage_until - now_us() / SECOND))
+                members = self._seen_from(zone, self._changes[told:revision])
+                update = {"revision": revision, "complete": False, "members": members}
+                _write_chunk(writer, orjson.dumps(update) + b"\n")
+                told = revision
+            else:
+                with anyio.move_on_after(KEEP_ALIVE_S):
+                    await self._changed.wait()
+                if told == len(self._changes):
+                    _write_chunk(writer, b"\n")
+            await writer.drain()
+
+
+def _write_chunk(writer: asyncio.StreamWriter, data: bytes) -> None:
+    writer.write(b"%x\r\n%s\r\n" % (len(data), data))
--- /dev/null
+++ b/larchlatch/loadtest/fault_injection.py
@@ -0,0 +1,224 @@
+"""What the scenario's faults do to the processes, stubs and proxies of a load test."""
+
+from __future__ import annotations
+
+import signal
+from functools import partial
+from typing import TYPE_CHECKING
+
+from larchlatch.loadtest import tcp_fault_proxy as tcp_proxy
+from larchlatch.node.clock import now_us
+from larchlatch.policy.types import EndpointState
+from larchlatch.scenario.upstreams import Condition
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+
+    from larchlatch.loadtest.background_tasks import BackgroundTasks
+    from larchlatch.loadtest.cluster import Cluster
+    from larchlatch.loadtest.cluster_observer import ClusterObserver
+    from larchlatch.loadtest.discovery_stub import DiscoveryStub
+    from larchlatch.loadtest.node_fleet import NodeFleet
+    from larchlatch.loadtest.node_process import NodeProcess
+    from larchlatch.loadtest.upstream_stub import UpstreamStub
+    from larchlatch.loadtest.zone_links import ZoneLinks
+    from larchlatch.scenario.datagram_paths import PathImpairment
+
+
+class UpstreamStubFaults:
+    """Faults of upstreams: `larchlatch.scenario.fault_injection.UpstreamFaults` on stubs."""
+
+    def __init__(
+        self,
+        stubs: Sequence[UpstreamStub],
+        discovery: DiscoveryStub,
+        zone_links: ZoneLinks,
+        observer: ClusterObserver,
+        tasks: BackgroundTasks,
+    ) -> None:
+        self._stubs = stubs
+        self._discovery = discovery
+        self._zone_links = zone_links
+        self._observer = observer
+        self._tasks = tasks
+
+    def ready_upstreams(self) -> list[UpstreamStub]:
+        """Return the upstreams that are healthy and listed as ready."""
+        return [
+            stub
+            for stub in self._stubs
+            if stub.upstream.condition is Condition.WELL and not stub.upstream.draining
+        ]
+
+    def absent_upstreams(self) -> list[UpstreamStub]:
+        """Return the upstreams that have not been started yet."""
+        return [
+            stub
+            for stub in self._stubs
+            if stub.upstream.condition is Condition.ABSENT and not stub.upstream.life
+        ]
+
+    def slow_down(self, upstream: UpstreamStub, factor: float) -> None:
+        """Multiply the time that an upstream takes for its work."""
+        upstream.upstream.slowness *= factor
+
+    def silence(self, upstream: UpstreamStub) -> None:
+        """Let an upstream answer nothing any more."""
+        self._note_gone(upstream)
+        upstream.upstream.condition = Condition.SILENT
+
+    def crash(self, upstream: UpstreamStub) -> None:
+        """End an upstream's process, so that its connections are reset."""
+        self._note_gone(upstream)
+        self._end_process(upstream)
+
+    def bring_up(self, upstream: UpstreamStub) -> None:
+        """Start an upstream anew, and list it as ready."""
+        self._observer.avoidance.back(now_us(), upstream.upstream.number)
+        self._tasks.start(self._start_again, upstream)
+
+    def drain(self, upstream: UpstreamStub) -> None:
+        """List an upstream as draining."""
+        upstream.upstream.draining = True
+        self._discovery.change(upstream, EndpointState.DRAINING)
+
+    def retire(self, upstream: UpstreamStub) -> None:
+        """End an upstream, and take it out of the endpoint list."""
+        self._end_process(upstream)
+        upstream.upstream.condition = Condition.ABSENT
+        self._discovery.change(upstream, EndpointState.GONE)
+
+    def slow_shared_store(self, factor: float) -> None:
+        """Multiply the time that each session's establishment waits for the shared store."""
+        for stub in self._stubs:
+            stub.setup_delay_factor *= factor
+
+    def _note_gone(self, stub: UpstreamStub) -> None:
+        self._observer.avoidance.gone(now_us(), stub.upstream.number)
+
+    def _end_process(self, stub: UpstreamStub) -> None:
+        self._tasks.start(self._zone_links.execute, tcp_proxy.CloseUpstream(stub.upstream.number))
+        stub.crash()
+
+    async def _start_again(self, stub: UpstreamStub) -> None:
+        await stub.start_again(self._tasks)
+        await self._zone_links.execute(tcp_proxy.OpenUpstream(stub.upstream.number))
+        self._discovery.change(stub, EndpointState.READY)
+
+
+class NodeProcessFaults:
+    """Faults of nodes: `larchlatch.scenario.fault_injection.NodeFaults` on processes."""
+
+    def __init__(
+        self,
+        fleet: NodeFleet,
+        cluster: Cluster | None,
+        observer: ClusterObserver,
+        call_later: Callable[..., None],
+    ) -> None:
+        self._fleet = fleet
+        self._cluster = cluster
+        self._observer = observer
+        self._call_later = call_later
+
+    def serving_nodes(self) -> list[NodeProcess]:
+        """Return the nodes that clients are sent to."""
+        return self._fleet.in_rotation()
+
+    def role_holders(self) -> list[NodeProcess]:
+        """Return the nodes that hold any role."""
+        return [self._fleet.nodes[number] for number in self._observer.role_holders()]
+
+    def nodes_in_zone(self, zone: int) -> list[NodeProcess]:
+        """Return the nodes of a zone."""
+        return [node for node in self._fleet.nodes if self._fleet.zone_of(node) == zone]
+
+    def kill(self, node: NodeProcess) -> None:
+        """Kill a node's process; it is started again after the scenario's time."""
+        self._fleet.kill(node)
+
+    def pause(self, node: NodeProcess) -> None:
+        """Stop a node's process, which keeps its connections."""
+        self._fleet.pause(node)
+
+    def resume(self, node: NodeProcess) -> None:
+        """End one pause of a node."""
+        self._fleet.resume(node)
+
+    def set_clock_gain(self, node: NodeProcess, gain: float) -> None:
+        """Let a node's clock gain this share from now on."""
+        if self._cluster is not None and node.running:
+            self._cluster.set_clock_gain(node.number, gain)
+            node.send_signal(signal.SIGUSR2)
+
+    def send_false_reports(self, node: NodeProcess, subject: str) -> None:
+        """Let a node tell other nodes false things of a subject; an empty subject ends it."""
+        if self._cluster is not None and node.running:
+            self._cluster.set_false_reports(node.number, subject)
+            node.send_signal(signal.SIGUSR2)
+
+    def decommission(self, node: NodeProcess) -> None:
+        """End a node for good."""
+        node.removed = True
+        self._fleet.kill(node)
+
+    def update_cluster_files(self, removed: Sequence[NodeProcess], draw_delay_s: Callable[[], float]) -> None:
+        """Take nodes out of the cluster file; each remaining node rereads it after a delay of its own."""
+        if self._cluster is None:
+            return
+        self._cluster.files.removed |= {node.number for node in removed}
+        for node in self._fleet.nodes:
+            if not node.removed:
+                self._call_later(draw_delay_s(), self._update_cluster_file, self._cluster, node)
+
+    def _update_cluster_file(self, cluster: Cluster, node: NodeProcess) -> None:
+        cluster.files.write(node.number)
+        if self._observer.is_running(node.number):  # else it reads the file as it starts
+            node.send_signal(signal.SIGHUP)
+
+
+class ProxyFaults:
+    """Faults of the network: `larchlatch.scenario.fault_injection.NetworkFaults` on proxies and discovery."""
+
+    def __init__(
+        self,
+        zone_links: ZoneLinks,
+        cluster: Cluster | None,
+        discovery: DiscoveryStub,
+        tasks: BackgroundTasks,
+    ) -> None:
+        self._zone_links = zone_links
+        self._cluster = cluster
+        self._discovery = discovery
+        self._tasks = tasks
+
+    def isolate_zone(self, zone: int) -> None:
+        """Block all connections between a zone and the others."""
+        self._tasks.start(self._zone_links.isolate, zone)
+
+    def reconnect_zone(self, zone: int) -> None:
+        """End the isolation of a zone."""
+        self._tasks.start(self._zone_links.reconnect, zone)
+
+    def partition(self, nodes: Sequence[NodeProcess], *, oneway: bool) -> None:
+        """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+        if self._cluster is not None:
+            self._tasks.start(partial(self._cluster.partition, _numbers(nodes), oneway=oneway))
+
+    def heal_partition(self, nodes: Sequence[NodeProcess], *, oneway: bool) -> None:
+        """End a partition that was made with the same arguments."""
+        if self._cluster is not None:
+            self._tasks.start(partial(self._cluster.heal_partition, _numbers(nodes), oneway=oneway))
+
+    def impair_paths(self, impairment: PathImpairment) -> None:
+        """Treat all datagrams between nodes in this way from now on."""
+        if self._cluster is not None:
+            self._tasks.start(self._cluster.impair_paths, impairment)
+
+    def suspend_discovery(self, for_s: float) -> None:
+        """Let no node hear of changes of the endpoint list for so many seconds."""
+        self._discovery.begin_outage(for_s)
+
+
+def _numbers(nodes: Sequence[NodeProcess]) -> list[int]:
+    return [node.number for node in nodes]
--- /dev/null
+++ b/larchlatch/loadtest/node_fleet.py
@@ -0,0 +1,189 @@
+"""All nodes under test: their processes, and what becomes of a node that is killed."""
+
+from __future__ import annotations
+
+import signal
+from typing import TYPE_CHECKING
+
+import anyio
+import orjson
+
+from larchlatch.loadtest.addresses import free_tcp_port, free_udp_port, next_run_number, node_address
+from larchlatch.loadtest.cluster_files import DatagramAddress
+from larchlatch.loadtest.errors import NodeProcessError
+from larchlatch.loadtest.node_process import NodeCommand, NodeProcess
+from larchlatch.loadtest.node_settings import node_configuration, node_name
+
+if TYPE_CHECKING:
+    from pathlib import Path
+
+    from larchlatch.loadtest.background_tasks import BackgroundTasks
+    from larchlatch.loadtest.cluster import Cluster
+    from larchlatch.loadtest.cluster_observer import ClusterObserver
+    from larchlatch.loadtest.discovery_stub import DiscoveryStub, EndpointList
+    from larchlatch.scenario.chance import Chance
+    from larchlatch.scenario.scenario import Day
+
+START_TIMEOUT_S = 20.0
+SINGLE_NODE = NodeCommand("larchlatch", [], {})  # one that takes part in no cluster
+
+
+class NodeFleet:
+    """Starts, kills and ends nodes; it owns all of their processes.
+
+    Attributes:
+        nodes: all nodes by their numbers, once they have been given addresses.
+
+    """
+
+    def __init__(
+        self,
+        scenario: Day,
+        streams: Chance,
+        discovery: DiscoveryStub,
+        observer: ClusterObserver,
+        tasks: BackgroundTasks,
+    ) -> None:
+        """Make the fleet.
+
+        Args:
+            scenario: The scenario.
+            streams: Source of the nodes' seeds.
+            discovery: What the nodes follow.
+            observer: Is told which processes run.
+            tasks: Owns the tasks that start nodes again.
+
+        """
+        self.nodes: list[NodeProcess] = []
+        self._scenario = scenario
+        self._streams = streams
+        self._discovery = discovery
+        self._observer = observer
+        self._tasks = tasks
+        self._cluster: Cluster | None = None
+        self._folder: Path | None = None
+        self._discovery_address = ""
+
+    # Which nodes there are.
+
+    def in_rotation(self) -> list[NodeProcess]:
+        """Return the nodes that clients are sent to."""
+        return [node for node in self.nodes if node.in_rotation]
+
+    def zone_of(self, node: NodeProcess) -> int:
+        """Return the zone of a node."""
+        return node.number % self._scenario.zones
+
+    def assign_addresses(self) -> list[DatagramAddress]:
+        """Give each node an address and a free port, and return where it may receive datagrams."""
+        run_number = next_run_number()
+        for number in range(self._scenario.nodes.count):
+            address = node_address(run_number, number)
+            self.nodes.append(NodeProcess(number, address, free_tcp_port(address)))
+        return [DatagramAddress(node.address, free_udp_port(node.address)) for node in self.nodes]
+
+    # Their processes.
+
+    async def start(self, folder: Path, discovery_address: str, cluster: Cluster | None) -> None:
+        """Start all nodes, and wait until they serve.
+
+        Args:
+            folder: Where configurations and logs go.
+            discovery_address: Address of discovery.
+            cluster: The cluster in which they take part; None: in none.
+
+        Raises:
+            ExceptionGroup: It contains a `NodeProcessError` for each node that does not serve.
+
+        """
+        self._folder = folder
+        self._cluster = cluster
+        self._discovery_address = discovery_address
+        self._observer.follow_logs([self._log_file(node) for node in self.nodes])
+        async with anyio.create_task_group() as starts:
+            for node in self.nodes:
+                starts.start_soon(self._start_in_time, node)
+
+    async def stop(self) -> None:
+        """Kill all processes, and wait for their ends."""
+        for node in self.nodes:
+            await node.stop()
+
+    async def _start_in_time(self, node: NodeProcess) -> None:
+        try:
+            with anyio.fail_after(START_TIMEOUT_S):
+                await self._start(node, self._known_endpoints(node))
+        except TimeoutError:
+            raise NodeProcessError(node.number, f"did not serve within {START_TIMEOUT_S:g} seconds") from None
+
+    async def _start(self, node: NodeProcess, endpoints: EndpointList) -> None:
+        """Start a process that knows these endpoints, and wait until it serves."""
+        seed = self._streams.stream(f"node {node.number} start {node.start_count + 1}").getrandbits(64)
+        configuration = node_configuration(
+            self._scenario,
+            node.number,
+            listen=f"{node.address}:{node.port}",
+            discovery=f"{self._discovery_address}:{self._discovery.ports[self.zone_of(node)]}",
+            seed=f"{seed:x}",
+            endpoints=endpoints,
+        )
+        path = self._file(node, "json")
+        path.write_bytes(orjson.dumps(configuration))
+        command = SINGLE_NODE if self._cluster is None else self._cluster.command(node.number)
+        command = command._replace(
+            arguments=["--config", str(path), *command.arguments],
+            environment={"TMPDIR": str(path.parent), **command.environment},
+        )
+        self._observer.node_starts(node.number)
+        await node.start(command, self._log_file(node))
+        self._observer.node_runs(node.number, running=True)
+
+    def _known_endpoints(self, node: NodeProcess) -> EndpointList:
+        return self._discovery.known_endpoints(self.zone_of(node))
+
+    def _log_file(self, node: NodeProcess) -> Path:
+        return self._file(node, "log")
+
+    def _file(self, node: NodeProcess, suffix: str) -> Path:
+        if self._folder is None:
+            raise RuntimeError("the fleet is not started")
+        return self._folder / f"{node_name(node.number)}.{suffix}"
+
+    # Faults.
+
+    def kill(self, node: NodeProcess) -> None:
+        """Kill a node's process; unless it is removed, another one takes its place later."""
+        if node.killed:
+            return
+        node.mark_killed()
+        self._observer.node_runs(node.number, running=False)
+        self._tasks.start(self._kill_and_restart, node, self._known_endpoints(node))
+
+    async def _kill_and_restart(self, node: NodeProcess, endpoints: EndpointList) -> None:
+        await node.stop()
+        nodes = self._scenario.nodes
+        await anyio.sleep(min(nodes.noticed_s, nodes.back_s))
+        node.in_rotation = False
+        if node.removed:
+            return
+        await anyio.sleep(max(0.0, nodes.back_s - nodes.noticed_s))
+        await self._start(node, endpoints)
+        node.mark_back()
+
+    def pause(self, node: NodeProcess) -> None:
+        """Stop a node's process from running."""
+        if node.pause():
+            self._observer.node_runs(node.number, running=False)
+
+    def resume(self, node: NodeProcess) -> None:
+        """End one pause of a node; its process runs again after the last one."""
+        if node.resume():
+            self._observer.node_runs(node.number, running=True)
+
+    async def request_status(self, interval_s: float) -> None:
+        """Let each node that runs log its status, again and again."""
+        while True:
+            await anyio.sleep(interval_s)
+            for node in self.nodes:
+                if self._observer.is_running(node.number):
+                    node.send_signal(signal.SIGUSR1)
--- /dev/null
+++ b/larchlatch/loadtest/node_process.py
@@ -0,0 +1,175 @@
+"""One node under test: its address, and the process that serves there."""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import signal
+import sys
+from contextlib import suppress
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+
+from larchlatch.loadtest.errors import NodeProcessError
+from larchlatch.loadtest.streams import close_writer
+from larchlatch.node.wire.lines import PING, PONG
+
+if TYPE_CHECKING:
+    from pathlib import Path
+    from typing import BinaryIO
+
+CONNECT_INTERVAL_S = 0.02  # between two tries to reach a node that starts
+
+
+class NodeCommand(NamedTuple):
+    """How a node's process is started.
+
+    Attributes:
+        module: the Python module that is run.
+        arguments: arguments of `serve`.
+        environment: variables beside those of this process.
+
+    """
+
+    module: str
+    arguments: list[str]
+    environment: dict[str, str]
+
+
+class NodeProcess:
+    """A node, through all processes that serve as it one after the other; it owns the present one.
+
+    Attributes:
+        number: the node's number.
+        address: address on which it listens.
+        port: port on which it listens.
+        in_rotation: whether clients are sent to it.
+        removed: whether it has left the cluster for good.
+        start_count: number of processes that have been started.
+        interruption_count: how often a fault has killed, paused or resumed it.
+
+    """
+
+    def __init__(self, number: int, address: str, port: int) -> None:
+        self.number = number
+        self.address = address
+        self.port = port
+        self.in_rotation = True
+        self.removed = False
+        self.start_count = 0
+        self.interruption_count = 0
+        self._process: asyncio.subprocess.Process | None = None
+        self._killed = False
+        self._paused = False
+        self._pause_count = 0  # faults that keep it paused; they may overlap
+
+    @property
+    def running(self) -> bool:
+        """Whether there is a process, paused or not."""
+        return self._process is not None and self._process.returncode is None
+
+    @property
+    def killed(self) -> bool:
+        """Whether a fault has killed it, and no process serves in its place yet."""
+        return self._killed
+
+    def has_run_since(self, interruption_count: int) -> bool:
+        """Return whether it has run ever since it had been interrupted so often: it owes an answer."""
+        return self.interruption_count == interruption_count and not self._killed and not self._paused
+
+    # Its process.
+
+    async def start(self, command: NodeCommand, log: Path) -> None:
+        """Start a process whose output is appended to a file, and wait until it serves.
+
+        Raises:
+            NodeProcessError: It has ended.
+
+        """
+        self.start_count += 1
+        with _open_log(log) as output:
+            self._process = await asyncio.create_subprocess_exec(
+                sys.executable,
+                "-m",
+                command.module,
+                "serve",
+                *command.arguments,
+                stdout=output,
+                stderr=asyncio.subprocess.STDOUT,
+                env={**os.environ, "EDGE_CONTROL": "", **command.environment},
+            )
+        while not await self._answers_ping():
+            if self._process.returncode is not None:
+                raise NodeProcessError(self.number, f"ended: {_last_line(log)}")
+            await anyio.sleep(CONNECT_INTERVAL_S)
+
+    async def _answers_ping(self) -> bool:
+        try:
+            reader, writer = await asyncio.open_connection(self.address, self.port)
+        except OSError:
+            return False
+        try:
+            writer.write(PING)
+            return await reader.readline() == PONG
+        except OSError:
+            return False
+        finally:
+            close_writer(writer)
+
+    async def stop(self) -> None:
+        """Kill the process, and wait for its end."""
+        process = self._process
+        if process is None or process.returncode is not None:
+            return
+        with suppress(ProcessLookupError):
+            process.kill()
+        await process.wait()
+
+    def send_signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process, which may have ended."""
+        if self._process is not None and self._process.returncode is None:
+            with suppress(ProcessLookupError):
+                self._process.send_signal(number)
+
+    # Faults.
+
+    def mark_killed(self) -> None:
+        """Note that a fault kills it: from now on it owes no answer."""
+        self._killed = True
+        self._paused = False
+        self._pause_count = 0
+        self.interruption_count += 1
+
+    def mark_back(self) -> None:
+        """Note that a process serves again after a kill."""
+        self._killed = False
+        self.interruption_count += 1
+        self.in_rotation = True
+
+    def pause(self) -> bool:
+        """Stop the process from running; return whether there is one to stop."""
+        self._pause_count += 1
+        return self._interrupt(paused=True)
+
+    def resume(self) -> bool:
+        """Let the process run again once no fault keeps it paused; return whether it does so now."""
+        self._pause_count = max(0, self._pause_count - 1)
+        return self._pause_count == 0 and self._interrupt(paused=False)
+
+    def _interrupt(self, *, paused: bool) -> bool:
+        if not self.running or not self.in_rotation:
+            return False  # it was killed meanwhile
+        self.send_signal(signal.SIGSTOP if paused else signal.SIGCONT)
+        self.interruption_count += 1
+        self._paused = paused
+        return True
+
+
+def _open_log(log: Path) -> BinaryIO:
+    return log.open("ab")
+
+
+def _last_line(log: Path) -> str:
+    lines = log.read_text().splitlines()
+    return lines[-1] if lines else "without a word"
--- /dev/null
+++ b/larchlatch/loadtest/run.py
@@ -0,0 +1,249 @@
+"""One load test from its start to its result."""
+
+from __future__ import annotations
+
+import asyncio
+import signal
+import tempfile
+from pathlib import Path
+from typing import TYPE_CHECKING, Any
+
+import anyio
+import uvloop
+
+from larchlatch.invariants.tally import Tally
+from larchlatch.loadtest.background_tasks import BackgroundTasks
+from larchlatch.loadtest.client_population import ClientPopulation
+from larchlatch.loadtest.client_sessions import ClientSessions
+from larchlatch.loadtest.cluster import Cluster
+from larchlatch.loadtest.cluster_observer import ClusterObserver
+from larchlatch.loadtest.discovery_stub import DiscoveryStub
+from larchlatch.loadtest.errors import LoadTestError
+from larchlatch.loadtest.fault_injection import NodeProcessFaults, ProxyFaults, UpstreamStubFaults
+from larchlatch.loadtest.node_fleet import NodeFleet
+from larchlatch.loadtest.outside_observer import OutsideObserver
+from larchlatch.loadtest.report import LoadTestResult, result_row
+from larchlatch.loadtest.scenario_clock import ScenarioClock
+from larchlatch.loadtest.tool_monitor import ToolMonitor
+from larchlatch.loadtest.upstream_stub import UpstreamStub
+from larchlatch.loadtest.zone_links import ZoneLinks
+from larchlatch.node.clock import now_us
+from larchlatch.scenario.chance import Chance
+from larchlatch.scenario.clients import demand
+from larchlatch.scenario.fault_injection import FaultInjector
+from larchlatch.scenario.faults import ZoneIsolation
+from larchlatch.scenario.upstreams import Condition, upstreams_of
+
+if TYPE_CHECKING:
+    from collections.abc import Callable
+
+    from larchlatch.loadtest.node_process import NodeProcess
+    from larchlatch.scenario.faults import AnyFault
+    from larchlatch.scenario.scenario import Day
+
+STATUS_INTERVAL_S = 1.0
+SLOW_START_INTERVAL_S = 1.0
+EXIT_TERMINATED = 128 + signal.SIGTERM  # as a shell shows a process that SIGTERM has ended
+MAX_LAST_ANSWERS_S = 2.0  # after the scenario, for clients that still wait for an answer
+
+
+class LoadTestRun:
+    """Plays a scenario on sockets, and owns every process, socket, task and file that this takes.
+
+    Attributes:
+        scenario: the scenario.
+        streams: source of all random numbers.
+        clients: all clients that will come.
+        observer: judges the rules of sessions from outside.
+        cluster_observer: judges the cluster from outside.
+        tally: counts of what clients met with.
+        stubs: the upstreams.
+        discovery: the endpoint list.
+        fleet: the nodes.
+        cluster: what makes a cluster of them; None before the start, and where the scenario has none.
+        zone_links: connections between zones.
+        sessions: the clients' sessions.
+        population: lets the clients come.
+        monitor: measures the load test itself.
+        clock: time of the scenario.
+        tasks: owner of all tasks.
+
+    """
+
+    def __init__(self, scenario: Day, address: str = "127.0.0.1") -> None:
+        """Prepare a load test; `address`: loopback address of everything but the nodes."""
+        self.scenario = scenario
+        self.streams = Chance(scenario.seed)
+        self.clients = list(demand(scenario, self.streams))
+        self.tasks = BackgroundTasks()
+        self.clock = ScenarioClock()
+        self.tally = Tally()
+        self.monitor = ToolMonitor()
+        self.observer = OutsideObserver(scenario)
+        by_key = {f"k{client.key}": client for client in self.clients}
+        self.stubs = [
+            UpstreamStub(upstream, scenario, by_key, self.observer) for upstream in upstreams_of(scenario)
+        ]
+        self.discovery = DiscoveryStub(scenario, self._discovery_delays())
+        self.zone_links = ZoneLinks(self.stubs)
+        self.cluster_observer = ClusterObserver(scenario, self.observer.quota, self.zone_links.can_reach)
+        self.fleet = NodeFleet(scenario, self.streams, self.discovery, self.cluster_observer, self.tasks)
+        self.cluster: Cluster | None = None
+        self.sessions = ClientSessions(scenario, self.clock, self.observer, self.tally)
+        self.population = ClientPopulation(
+            scenario, self.streams, self.clock, self.sessions, self.fleet, self.tally
+        )
+        self._address = address
+
+    def _discovery_delays(self) -> Callable[[], float]:
+        listing, delays = self.scenario.listing, self.streams.stream("list")
+        return lambda: delays.uniform(listing.soon_ms / 1e3, listing.late_ms / 1e3)
+
+    async def play(self) -> dict[str, Any]:
+        """Play the scenario, and return the row of its figures.
+
+        Everything that was started is ended on every path, cancellation included.
+
+        Raises:
+            ExceptionGroup: It contains a `LoadTestError` if the load test could not go on.
+
+        """
+        with tempfile.TemporaryDirectory() as folder:
+            try:
+                async with self.tasks:
+                    try:
+                        await self._start(Path(folder))
+                        await self.run()
+                        self.cluster_observer.read_logs()
+                    finally:
+                        self._close_servers()
+            finally:
+                with anyio.CancelScope(shield=True):
+                    await self._stop_processes()
+        return result_row(self)
+
+    # Start and end.
+
+    async def _start(self, folder: Path) -> None:
+        """Start everything, and wait until all nodes serve."""
+        for stub in self.stubs:
+            await self._start_stub(stub)
+        await self.discovery.listen(self._address, self.tasks)
+        datagram_addresses = self.fleet.assign_addresses()
+        if any(isinstance(fault, ZoneIsolation) for fault in self.scenario.faults):
+            ports = await self.zone_links.start_proxy(self._address, self.scenario.zones)
+            self.discovery.proxy_ports = ports
+        if self.scenario.cluster.on:
+            self.cluster = Cluster(
+                self.scenario, self._address, folder, datagram_addresses, self.cluster_observer
+            )
+            await self.cluster.start()
+            self.tasks.start(self.cluster_observer.run)
+            if self.observer.quota is not None:
+                self.tasks.start(self.fleet.request_status, STATUS_INTERVAL_S)
+        await self.fleet.start(folder, self._address, self.cluster)
+
+    async def _start_stub(self, stub: UpstreamStub) -> None:
+        """Give an upstream its port, and list it unless it is to come later."""
+        await stub.listen(self._address, self.tasks)
+        if stub.upstream.condition is Condition.ABSENT:
+            stub.close()
+        else:
+            self.discovery.list_at_start(stub)
+        self.tasks.start(stub.drop_when_overloaded)
+
+    def _close_servers(self) -> None:
+        for stub in self.stubs:
+            stub.close()
+        self.discovery.close()
+
+    async def _stop_processes(self) -> None:
+        await self.fleet.stop()
+        if self.cluster is not None:
+            await self.cluster.stop()
+        await self.zone_links.stop()
+
+    # The scenario.
+
+    async def run(self) -> None:
+        """Play the scenario on what has been started."""
+        self.clock.begin()
+        self.tasks.start(self.monitor.run)
+        self.tasks.start(self._observe_slow_start)
+        injector = self._fault_injector()
+        for index, fault in enumerate(self.scenario.faults):
+            self.tasks.start(self._inject, index, fault, injector)
+        await self.population.run(self.clients, self.tasks)
+        await self.clock.sleep_until(self.scenario.span_s)
+        # Clients that still wait for an answer get it; established sessions end with the scenario.
+        await anyio.sleep(min(MAX_LAST_ANSWERS_S, self.scenario.sessions.wait_ms / 1e3))
+
+    async def _observe_slow_start(self) -> None:
+        observed_at = now_us()
+        while True:
+            await anyio.sleep(SLOW_START_INTERVAL_S)
+            now = now_us()
+            upstreams = [stub.upstream for stub in self.stubs]
+            self.observer.slow_start.look(now, upstreams, now - observed_at)
+            observed_at = now
+
+    # Faults.
+
+    async def _inject(
+        self, index: int, fault: AnyFault, injector: FaultInjector[UpstreamStub, NodeProcess]
+    ) -> None:
+        await self.clock.sleep_until(fault.at_s)
+        fault.apply(injector, self.streams.stream(f"fault {index}"))
+
+    def _fault_injector(self) -> FaultInjector[UpstreamStub, NodeProcess]:
+        return FaultInjector(
+            upstreams=UpstreamStubFaults(
+                self.stubs, self.discovery, self.zone_links, self.cluster_observer, self.tasks
+            ),
+            nodes=NodeProcessFaults(self.fleet, self.cluster, self.cluster_observer, self.tasks.call_later),
+            network=ProxyFaults(self.zone_links, self.cluster, self.discovery, self.tasks),
+            clients=self.sessions,
+            scheduler=self.tasks,
+        )
+
+
+def run_load_test(scenario: Day, address: str) -> LoadTestResult:
+    """Play a scenario on sockets, and return its figures and the rules that were violated.
+
+    SIGINT and SIGTERM end it early, after everything that it has started.
+
+    Raises:
+        LoadTestError: It could not go on: a node or the load test itself is broken.
+
+    """
+    run = LoadTestRun(scenario, address)
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        try:
+            row = runner.run(_play_until_terminated(run))
+        except asyncio.CancelledError:  # by SIGTERM; the runner makes a KeyboardInterrupt of SIGINT
+            raise SystemExit(EXIT_TERMINATED) from None
+        except BaseExceptionGroup as group:
+            raise _cause_of(group) from group
+    return LoadTestResult(row, run.observer.descriptions)
+
+
+async def _play_until_terminated(run: LoadTestRun) -> dict[str, Any]:
+    task = asyncio.current_task()
+    loop = asyncio.get_running_loop()
+    if task is not None:
+        loop.add_signal_handler(signal.SIGTERM, task.cancel)
+    try:
+        return await run.play()
+    finally:
+        loop.remove_signal_handler(signal.SIGTERM)
+
+
+def _cause_of(group: BaseExceptionGroup) -> BaseException:
+    """Return why a load test could not go on; the group itself if it contains anything else."""
+    expected, unexpected = group.split(LoadTestError)
+    if expected is None or unexpected is not None:
+        return group
+    cause: BaseException = expected
+    while isinstance(cause, BaseExceptionGroup):
+        cause = cause.exceptions[0]
+    return cause
--- /dev/null
+++ b/larchlatch/loadtest/upstream_stub.py
@@ -0,0 +1,239 @@
+"""A stub of an upstream: a server on loopback that answers as the simulated upstream behind it says."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import TYPE_CHECKING, NamedTuple
+
+import anyio
+
+from larchlatch.loadtest.outside_observer import Rule
+from larchlatch.loadtest.streams import CONNECTION_ERRORS, abort_writer, close_writer
+from larchlatch.node.clock import now_us
+from larchlatch.node.wire.lines import PING, PONG, STATS, Opening, parse_opening
+from larchlatch.policy.types import Idempotency
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.upstreams import Condition
+
+if TYPE_CHECKING:
+    from collections.abc import Iterable
+
+    from larchlatch.loadtest.background_tasks import BackgroundTasks
+    from larchlatch.loadtest.outside_observer import OutsideObserver
+    from larchlatch.scenario.clients import Client
+    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.upstreams import Upstream
+
+OVERLOAD_CHECK_INTERVAL_S = 1.0
+DRAIN_GRACE_US = 500_000  # within which nodes may still send to an upstream that discovery has withdrawn
+SOCKET_DELAY_US = 50_000  # allowed for the way through sockets
+BACKLOG = 1024
+
+BUSY_LINE = b"BUSY\r\n"
+SYNTAX_ERROR_LINE = b"SYNTAX\r\n"
+ESTABLISHED_LINE = b"UP stands\r\n"
+
+
+class EstablishedSession(NamedTuple):
+    """A session at the stub.
+
+    Attributes:
+        number: its number at this upstream, from 1 on.
+        group: group of its client.
+
+    """
+
+    number: int
+    group: int
+
+
+class UpstreamStub:
+    """Serves an upstream's address.
+
+    Attributes:
+        upstream: the simulated upstream, which decides on delays and refusals.
+        address: address that it listens on.
+        port: port that it listens on; the same after a restart.
+        attempts: number of requests for a session that have come.
+        probes: number of probes that have come.
+        nothing_after_us: when discovery has told every node to send nothing here any more; None: it has not.
+        setup_delay_factor: by how much the delay that all setups share is longer than usual.
+
+    """
+
+    def __init__(
+        self, upstream: Upstream, scenario: Day, clients: dict[str, Client], observer: OutsideObserver
+    ) -> None:
+        """Make a stub; `clients`: all clients of the scenario by the keys that they send."""
+        self.upstream = upstream
+        self.address = ""
+        self.port = 0
+        self.attempts = 0
+        self.probes = 0
+        self.nothing_after_us: int | None = None
+        self.setup_delay_factor = 1.0
+        self._clients = clients
+        self._observer = observer
+        self._idempotencies = [Idempotency(effect) for effect in scenario.sessions.effects]
+        self._setup_delay_us = us(scenario.store_ms / 1e3)
+        self._group_load = scenario.sessions.group_ms * 1000
+        self._message_objective_us = us(scenario.sessions.message_ms / 1e3)
+        self._server: asyncio.Server | None = None
+        self._sessions: dict[asyncio.StreamWriter, EstablishedSession | None] = {}
+        self._session_count = 0
+
+    @property
+    def silent(self) -> bool:
+        """Whether it receives everything and says nothing."""
+        return self.upstream.condition is Condition.SILENT
+
+    @property
+    def setup_delay_us(self) -> int:
+        """The delay that all setups share, in microseconds."""
+        return round(self._setup_delay_us * self.setup_delay_factor)
+
+    # Its process.
+
+    async def listen(self, address: str, tasks: BackgroundTasks) -> None:
+        """Accept connections; `tasks` owns the tasks that serve them."""
+        self.address = address
+
+        def accepted(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            tasks.start(self._serve, reader, writer)
+
+        self._server = await asyncio.start_server(accepted, address, self.port, backlog=BACKLOG)
+        self.port = self._server.sockets[0].getsockname()[1]
+
+    def close(self) -> None:
+        """Refuse new connections from now on."""
+        if self._server is not None:
+            self._server.close()
+
+    def crash(self) -> None:
+        """Let its process end: it refuses connections, and those it has are reset."""
+        self.upstream.condition = Condition.DEAD
+        self.upstream.stop()
+        self.close()
+        self._reset(list(self._sessions))
+
+    async def start_again(self, tasks: BackgroundTasks) -> None:
+        """Let a new process begin, which has no sessions and warms up."""
+        self._reset(list(self._sessions))
+        self.upstream.start(now_us())
+        self.nothing_after_us = None
+        if self._server is None or not self._server.is_serving():
+            await self.listen(self.address, tasks)
+
+    async def drop_when_overloaded(self) -> None:
+        """Reset some sessions, again and again, while there are far too many."""
+        while True:
+            await anyio.sleep(OVERLOAD_CHECK_INTERVAL_S)
+            count = self.upstream.drops(now_us())
+            established = [writer for writer, session in self._sessions.items() if session is not None]
+            self._reset(established[:count])
+
+    @staticmethod
+    def _reset(writers: Iterable[asyncio.StreamWriter]) -> None:
+        for writer in writers:
+            abort_writer(writer)
+
+    # Connections.
+
+    async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        self._sessions[writer] = None
+        try:
+            line = await self._answer_probes(reader, writer)
+            opening = parse_opening(line)
+            if isinstance(opening, Opening):
+                await self._answer_request(opening, reader, writer)
+            elif line:
+                writer.write(SYNTAX_ERROR_LINE)
+        except CONNECTION_ERRORS:
+            pass  # the node has left: its client learns of it there
+        finally:
+            session = self._sessions.pop(writer, None)
+            if session is not None:
+                self.upstream.remove(session.number, session.group, self._group_load)
+            close_writer(writer)
+
+    async def _answer_probes(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
+        """Answer probes, and return the first line that is none."""
+        line = await reader.readline()
+        while line in (PING, STATS):
+            if self.silent:
+                await anyio.sleep_forever()
+            self.probes += 1
+            writer.write(PONG if line == PING else self._load_report())
+            line = await reader.readline()
+        return line
+
+    def _load_report(self) -> bytes:
+        utilization = self.upstream.fullness(now_us())
+        return f"PONG x0={utilization:.4f},inflight={len(self.upstream.sessions)}\r\n".encode()
+
+    async def _answer_request(
+        self, opening: Opening, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        client = self._clients.get(opening.key)
+        if client is None:
+            return  # no client of the scenario has sent it: the node is broken, and gets no answer
+        now = now_us()
+        self._observe_attempt(opening, client, now)
+        done_at = self.upstream.admit(now, client.work_us)
+        if done_at is None:
+            self._observer.attempt_ended(opening.ident, never_ran=True)
+            writer.write(BUSY_LINE)
+            return
+        # The node may leave, or send the first byte of a message, while the setup is under way.
+        first_byte = asyncio.ensure_future(reader.read(1))
+        try:
+            await asyncio.wait([first_byte], timeout=(done_at + self.setup_delay_us - now_us()) / SECOND)
+            if self.silent:
+                # It says nothing; but an attempt that its node has given up is over, for the observer.
+                await first_byte
+            elif not first_byte.done():
+                self._observer.attempt_ended(opening.ident)
+                self._establish(client, writer)
+                await self._echo_messages(first_byte, reader, writer)
+        finally:
+            first_byte.cancel()
+            self._observer.attempt_ended(opening.ident)
+
+    def _observe_attempt(self, opening: Opening, client: Client, now: int) -> None:
+        """Tell the observer of an attempt that has come, and of rules that it breaks."""
+        upstream, observer = self.upstream, self._observer
+        self.attempts += 1
+        observer.attempt_started(opening.ident, self._idempotencies[client.traffic_class])
+        withdrawn_at = self.nothing_after_us
+        if withdrawn_at is not None and now > withdrawn_at + DRAIN_GRACE_US + SOCKET_DELAY_US:
+            late_us = now - withdrawn_at
+            observer.report(
+                Rule.DRAINING_LEFT_ALONE,
+                f"link {opening.ident}: to host {upstream.number}, {late_us} us late",
+            )
+        observer.slow_start.sent(now, upstream, client.load)
+        if upstream.pushed(now, client.load):
+            observer.report(Rule.NO_OVERLOAD, f"host {upstream.number}: more than it bears while it warms up")
+
+    def _establish(self, client: Client, writer: asyncio.StreamWriter) -> None:
+        self._session_count += 1
+        session = EstablishedSession(self._session_count, client.group)
+        self._sessions[writer] = session
+        self.upstream.add(session.number, client.load, session.group, self._group_load)
+        writer.write(ESTABLISHED_LINE + f"LOAD {client.load:.1f}\r\n".encode())
+
+    async def _echo_messages(
+        self, first_byte: asyncio.Future[bytes], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
+        """Send each message back, as late as the upstream's load makes it, until the session is over."""
+        life = self.upstream.life
+        begin = await first_byte
+        while begin and (rest := await reader.readline()):
+            if self.silent:
+                await anyio.sleep_forever()
+            if self.upstream.life != life:
+                return
+            delay_us = self.upstream.message_objective_us(now_us(), self._message_objective_us)
+            await anyio.sleep(delay_us / SECOND)
+            writer.write(begin + rest)
+            begin = await reader.read(1)
--- a/tests/loadtest/test_cluster_faults.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -9,9 +9,9 @@
 
 import pytest
 
-from larchlatch.loadtest.bounds import playable
-from larchlatch.loadtest.company import Company
-from larchlatch.loadtest.play import LoadTest
+from larchlatch.loadtest.cluster import Cluster
+from larchlatch.loadtest.limits import check_playable
+from larchlatch.loadtest.run import LoadTestRun
 from larchlatch.scenario.scenario import checked
 
 WITHIN_S = 8.0  # for all to agree: four times what it takes, as the machine may be busy
@@ -38,29 +38,29 @@
 }
 
 
-class Meddled(LoadTest):
+class Meddled(LoadTestRun):
     """Rubbish comes at one node's port all the time, and another's own datagrams of long before."""
 
     sent = 0
 
     async def run(self) -> None:
-        self.spawn(self.meddle())
+        self.tasks.start(self.meddle)
         await super().run()
 
     async def meddle(self) -> None:
-        assert self.company is not None
+        assert self.cluster is not None
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with sock:
             while True:
                 for number in range(50):
-                    noise = self.chance.stream(f"noise {self.sent}").randbytes(8 + number * 11)
-                    sock.sendto(noise, self.company.nodes[0])
+                    noise = self.streams.stream(f"noise {self.sent}").randbytes(8 + number * 11)
+                    sock.sendto(noise, self.cluster.nodes[0])
                     self.sent += 1
                 await asyncio.sleep(0.01)
 
 
 def day_with(faults: list[dict[str, Any]], span_s: float, **changes: Any) -> Any:
-    return playable(
+    return check_playable(
         checked(
             {
                 "span_s": span_s,
@@ -78,24 +78,24 @@
 
 def test_nodes_agree_on_who_is_there_and_overspend_nothing_through_faults_between_them() -> None:
     """Three days at once."""
-    load_tests = [LoadTest(day_with(faults, 25.0)) for faults in FAULTS.values()]
+    runs = [LoadTestRun(day_with(faults, 25.0)) for faults in FAULTS.values()]
 
     async def played() -> list[dict[str, Any]]:
-        return await asyncio.gather(*(load_test.play() for load_test in load_tests))
+        return await asyncio.gather(*(run.play() for run in runs))
 
-    for load_test, row in zip(load_tests, asyncio.run(played()), strict=True):
-        sound(load_test, row)
+    for run, row in zip(runs, asyncio.run(played()), strict=True):
+        sound(run, row)
 
 
-def sound(load_test: LoadTest, row: dict[str, Any]) -> None:
-    judge = load_test.company.agreement if load_test.company is not None else None
-    assert judge is not None and not judge.apart, "at the end all that can hear each other know it"
+def sound(run: LoadTestRun, row: dict[str, Any]) -> None:
+    judge = run.cluster_observer.agreement
+    assert run.cluster is not None and not judge.apart, "at the end all that can hear each other know it"
     assert len(judge.took_us) >= 4 and max(judge.took_us) < WITHIN_S * 1e6, judge.took_us
     assert row["cluster_bytes_s"] < 20_000
     assert row["over_budget"] == 0 and row["budget_used"] > 0.3 and row["shed"] > 20
-    assert row["outside"] == 0 and load_test.watch.spending is not None
-    assert load_test.watch.spending.ranges > 100, "each node tells its range once a second"
-    assert not any(row["broken"].values()), load_test.watch.words
+    assert row["outside"] == 0 and run.observer.quota is not None
+    assert run.observer.quota.ranges > 100, "each node tells its range once a second"
+    assert not any(row["broken"].values()), run.observer.descriptions
 
 
 def test_a_host_that_dies_is_avoided_by_all_and_a_liar_changes_nothing() -> None:
@@ -103,7 +103,7 @@
         {"kind": "liar", "at_s": 1.0, "nodes": 1, "about": "hosts", "for_s": 12.0},
         {"kind": "crash", "at_s": 5.0, "hosts": 1, "for_s": 7.0},
     ]
-    row = asyncio.run(LoadTest(day_with(faults, 14.0)).play())
+    row = asyncio.run(LoadTestRun(day_with(faults, 14.0)).play())
     assert row["avoided_not"] == 0 and 0 < row["avoided_s"] < WITHIN_S, "also by nodes with no link there"
     assert row["hearsay_wrong"] == 0 and not any(row["broken"].values())
 
@@ -116,11 +116,11 @@
         "hosts": [{"count": 6, "size": 2.0}],
         "links": {"rate": 14.0, "life_s": 3.0, "beat_s": 0.5},
     }
-    load_test = LoadTest(day_with(faults, 16.0, **changes, cluster={"on": True}))
-    row = asyncio.run(load_test.play())
+    run = LoadTestRun(day_with(faults, 16.0, **changes, cluster={"on": True}))
+    row = asyncio.run(run.play())
     assert row["hearsay_wrong"] == 0 and row["members_wrong"] == 0
-    assert row["delivered"] > 100 and not any(row["broken"].values()), load_test.watch.words
-    assert load_test.severed == [] and load_test.ways is not None
+    assert row["delivered"] > 100 and not any(row["broken"].values()), run.observer.descriptions
+    assert run.zone_links.isolated_zones == [] and run.discovery.proxy_ports != []
 
 
 def test_one_node_holds_a_duty_through_faults_between_nine() -> None:
@@ -144,40 +144,39 @@
         "hosts": [{"count": 4, "size": 4.0}],
         "links": {"rate": 60.0, "life_s": 2.0, "beat_s": 0.5, "uneven": 1.0, "retries": 1},
     }
-    load_test = LoadTest(day_with(faults, 36.0, **changes))
-    row = asyncio.run(load_test.play())
+    run = LoadTestRun(day_with(faults, 36.0, **changes))
+    row = asyncio.run(run.play())
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
     assert row["duty_changes"] >= 4 and row["orders"] > 50
-    assert load_test.company is not None and load_test.company.tenures["pacer"].orders > 0
+    assert run.cluster_observer.leadership["pacer"].orders > 0
     assert row["cold_over"] == 0 and row["bears_s"] is not None
     assert row["unheld_s"] < 2.0 + WITHIN_S, "a term and a margin, also where the machine is busy"
-    assert not any(row["broken"].values()), load_test.watch.words
+    assert not any(row["broken"].values()), run.observer.descriptions
 
 
-class Ended(LoadTest):
+class Ended(LoadTestRun):
     """The node that holds the duty is told to end; how long until another has it."""
 
     took_s = 0.0
 
     async def run(self) -> None:
-        self.spawn(self.ends())
+        self.tasks.start(self.ends)
         await super().run()
 
     async def ends(self) -> None:
-        assert self.company is not None
-        tenures = self.company.tenures["allotter"]
-        while tenures.holder is None:
+        leadership = self.cluster_observer.leadership["allotter"]
+        while leadership.holder is None:
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.0)
-        old, began = tenures.holder, self.now_s()
-        place = self.places[old]
-        assert place.process is not None
-        place.process.send_signal(signal.SIGTERM)
-        await asyncio.sleep(self.day.nodes.noticed_s)
-        place.front = False  # as its front sees by then: who came at its very end would find nobody
-        while tenures.holder in (None, old):
+        old, began = leadership.holder, self.clock.elapsed_s()
+        node = self.fleet.nodes[old]
+        assert node.running
+        node.send_signal(signal.SIGTERM)
+        await asyncio.sleep(self.scenario.nodes.noticed_s)
+        node.in_rotation = False  # as its front sees by then: who came at its very end would find nobody
+        while leadership.holder in (None, old):
             await asyncio.sleep(0.02)
-        self.took_s = self.now_s() - began
+        self.took_s = self.clock.elapsed_s() - began
 
 
 def test_a_holder_that_ends_hands_its_duty_over_long_before_its_term_is_over() -> None:
@@ -188,23 +187,23 @@
         "nodes": {"count": 3},
         "links": {"rate": 20.0, "life_s": 2.0, "beat_s": 0.5},
     }
-    load_test = Ended(day_with([], 14.0, **changes))
-    row = asyncio.run(load_test.play())
-    assert 0 < load_test.took_s < term_s / 2 and row["two_holders"] == 0 and row["over_budget"] == 0
-    assert not any(row["broken"].values()), load_test.watch.words
+    run = Ended(day_with([], 14.0, **changes))
+    row = asyncio.run(run.play())
+    assert 0 < run.took_s < term_s / 2 and row["two_holders"] == 0 and row["over_budget"] == 0
+    assert not any(row["broken"].values()), run.observer.descriptions
 
 
 def test_rubbish_at_a_nodes_port_changes_nothing() -> None:
-    load_test = Meddled(day_with([], 6.0))
-    row = asyncio.run(load_test.play())
-    assert load_test.sent > 2000 and load_test.company is not None
-    assert not load_test.company.agreement.apart and row["members_wrong"] == 0
+    run = Meddled(day_with([], 6.0))
+    row = asyncio.run(run.play())
+    assert run.sent > 2000 and run.cluster is not None
+    assert not run.cluster_observer.agreement.apart and row["members_wrong"] == 0
     assert row["delivered"] > 20 and not any(row["broken"].values())
 
 
 def test_the_judge_sees_nodes_that_hear_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check can fail: nodes that were not told to talk never agree."""
-    monkeypatch.setattr(Company, "arguments", lambda company, number: [])
-    load_test = LoadTest(day_with([], 3.0))
-    asyncio.run(load_test.play())
-    assert load_test.company is not None and load_test.company.agreement.row()["agreed_s"] is None
+    monkeypatch.setattr(Cluster, "arguments", lambda cluster, number: [])
+    run = LoadTestRun(day_with([], 3.0))
+    asyncio.run(run.play())
+    assert run.cluster_observer.agreement.row()["agreed_s"] is None
--- /dev/null
+++ b/tests/loadtest/test_cluster_observer.py
@@ -0,0 +1,91 @@
+"""What the load test reads from the nodes' logs."""
+
+from __future__ import annotations
+
+import random
+from pathlib import Path
+
+import orjson
+from structlog.testing import capture_logs
+
+from larchlatch.cluster.cluster_file import read_cluster_file
+from larchlatch.cluster.election.candidate_side import RoleChange, RoleEvent
+from larchlatch.cluster.election.electorate import QUOTA_ALLOCATOR
+from larchlatch.cluster.exchange.results import ExecutedOrder
+from larchlatch.cluster.health.observations import EjectionAdvice, ReportedFailure
+from larchlatch.cluster.keys import create_secret, own_signer, read_secret
+from larchlatch.cluster.membership.member import MemberChange, MemberState
+from larchlatch.cluster.service import ClusterService
+from larchlatch.loadtest.cluster_observer import ClusterObserver
+from larchlatch.loadtest.node_log import LoggedEvent, NodeLogReader
+from larchlatch.node.messages import EjectionAdvised, SlowStartTokens
+from larchlatch.node.metrics import Counters
+from larchlatch.scenario.scenario import checked
+from tests.loadtest.scenarios import SHORT
+
+
+class AcceptingBalancer:
+    """A balancer that takes all that its cluster tells it."""
+
+    def advise_ejection(self, advice: EjectionAdvised) -> None:
+        pass
+
+    def receive_tokens(self, tokens: SlowStartTokens) -> bool:
+        return True
+
+
+def test_events_that_the_cluster_service_logs_are_those_that_the_observer_reads(tmp_path: Path) -> None:
+    """Nodes are judged by their logs: an event that the observer does not know would count as sound."""
+    key = create_secret(tmp_path / "n0.key")
+    node = f'[[nodes]]\nname = "n0"\naddress = "127.0.0.1:7400"\nkey = "{key}"\n'
+    (tmp_path / "cluster.toml").write_text(node)
+    configuration = read_cluster_file(tmp_path / "cluster.toml")
+    signer = own_signer(configuration, "n0", read_secret(tmp_path / "n0.key"))
+    path, chance = tmp_path / "cluster.toml", random.Random(1)
+    service = ClusterService("n0", [], path, configuration, signer, Counters(), chance, AcceptingBalancer())
+    service.update_endpoints(["h-3"], slow_start_us=0, overload_window_us=0)
+    [upstream] = service.upstreams
+    with service._socket, capture_logs() as lines:
+        service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
+        service._pass_on_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
+        service.state.election._candidate_side._events.append(
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, "nobody held it")
+        )
+        service.log_orders([ExecutedOrder(QUOTA_ALLOCATOR, 7, "n1")])
+        service.state.election._candidate_side._events.append(
+            RoleEvent(QUOTA_ALLOCATOR, RoleChange.ENDED, 7, "not renewed in time")
+        )
+        service.log_orders([])
+
+    cluster = {"on": True, "links_per_s": 9.0, "allot": True, "electors": 3}
+    day = checked({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
+    observer = ClusterObserver(day, None, lambda *_: True)
+    observer.avoidance.gone(0, 3)
+    observer.avoidance.runs(0, 0, True)
+    for number in range(3):
+        observer.node_runs(number, running=True)
+    log = tmp_path / "n0.log"
+    observer.follow_logs([log])
+    allocator = observer.leadership[QUOTA_ALLOCATOR]
+    for line in lines:
+        if line["event"] == "role_ended":
+            assert allocator.claims == [0], "it was said to be held"
+        with log.open("ab") as out:
+            out.write(orjson.dumps(line) + b"\n")
+        observer.read_logs()
+    assert observer.agreement.views[0][1]
+    assert (0, 3) in observer.avoidance.said and observer.avoidance.heeded == 1
+    assert allocator.orders == 1 and allocator.claims == []
+    assert len(lines) == 6, "each of them was read"
+
+
+def test_log_is_read_line_by_line_as_it_grows(tmp_path: Path) -> None:
+    logs = [tmp_path / "n0.log", tmp_path / "n1.log"]
+    reader = NodeLogReader(logs, ["known"])
+    assert list(reader.read()) == [], "no node has been started"
+    logs[1].write_bytes(b'{"event":"known","a":1}\n{"event":"other"}\n{"event":"kno')
+    assert list(reader.read()) == [LoggedEvent(1, {"event": "known", "a": 1})]
+    with logs[1].open("ab") as out:
+        out.write(b'wn","a":2}\n')
+    assert list(reader.read()) == [LoggedEvent(1, {"event": "known", "a": 2})]
+    assert list(reader.read()) == []
--- /dev/null
+++ b/tests/loadtest/test_interruption.py
@@ -0,0 +1,186 @@
+"""A load test that is cut off, or can't go on, leaves no process and no folder behind."""
+
+from __future__ import annotations
+
+import os
+import signal
+import subprocess
+import sys
+import time
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from pathlib import Path
+
+import pytest
+from click.testing import CliRunner
+
+from larchlatch.__main__ import cli
+from larchlatch.loadtest import node_fleet
+from larchlatch.loadtest.node_process import NodeCommand
+
+WITHIN_S = 30.0
+PROXY_MODULES = ("datagram_fault_proxy", "tcp_fault_proxy")
+
+# Both proxies are there, and nodes of which some are stopped and some killed.
+SCENARIO = """
+span_s = 60.0
+[cluster]
+on = true
+links_per_s = 10.0
+[nodes]
+count = 3
+back_s = 50.0
+[[hosts]]
+count = 2
+[[faults]]
+kind = "stall"
+at_s = 0.1
+nodes = 1
+for_s = 50.0
+[[faults]]
+kind = "kill"
+at_s = 0.5
+nodes = 1
+[[faults]]
+kind = "cut"
+at_s = 1.0
+zone = 1
+for_s = 50.0
+[[faults]]
+kind = "lossy"
+at_s = 3.0
+loss = 0.5
+"""
+
+
+class RunningTool:
+    """The command `load`, and every process that it has started, known by the folder for temporary files."""
+
+    def __init__(self, folder: Path) -> None:
+        self.temporary = folder / "temporary"
+        self.temporary.mkdir()
+        scenario = folder / "scenario.toml"
+        scenario.write_text(SCENARIO)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "larchlatch", "load", str(scenario)],
+            env={**os.environ, "TMPDIR": str(self.temporary)},
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            start_new_session=True,
+        )
+
+    def started(self) -> dict[int, str]:
+        """Return the command lines of the processes that it has started and that have not ended."""
+        mark = f"TMPDIR={self.temporary}".encode()
+        found = {}
+        for entry in Path("/proc").iterdir():
+            try:
+                if not entry.name.isdigit() or mark not in (entry / "environ").read_bytes():
+                    continue
+                found[int(entry.name)] = (entry / "cmdline").read_bytes().replace(b"\0", b" ").decode()
+            except OSError:
+                continue  # it has ended meanwhile
+        found.pop(self.process.pid, None)
+        return found
+
+    def nodes(self) -> list[int]:
+        return [pid for pid, command in self.started().items() if " serve " in command]
+
+    def proxies(self) -> list[int]:
+        return [pid for pid, line in self.started().items() if any(name in line for name in PROXY_MODULES)]
+
+    def some_node_is_stopped(self) -> bool:
+        return any(self.state_of(pid) == "T" for pid in self.nodes())
+
+    @staticmethod
+    def state_of(pid: int) -> str:
+        try:
+            return (Path("/proc") / str(pid) / "stat").read_text().rpartition(")")[2].split()[0]
+        except OSError:
+            return ""
+
+    def wait_for(self, condition: Callable[[], bool]) -> None:
+        ends_at = time.monotonic() + WITHIN_S
+        while not condition():
+            assert self.process.poll() is None, self.process.communicate()
+            assert time.monotonic() < ends_at, self.started()
+            time.sleep(0.01)
+
+    def end(self) -> tuple[int, str]:
+        """Wait for its end, and return its exit code and what it has written to standard error."""
+        _, errors = self.process.communicate(timeout=WITHIN_S)
+        return self.process.returncode, errors.decode()
+
+
+@contextmanager
+def running_tool(folder: Path) -> Iterator[RunningTool]:
+    tool = RunningTool(folder)
+    try:
+        yield tool
+    finally:
+        for pid in (*tool.started(), tool.process.pid):
+            try:
+                os.kill(pid, signal.SIGKILL)
+            except ProcessLookupError:
+                continue
+        tool.process.communicate()
+
+
+def assert_nothing_is_left(tool: RunningTool) -> None:
+    assert tool.started() == {}
+    assert list(tool.temporary.iterdir()) == []
+
+
+@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
+def test_run_that_is_cut_off_half_way_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
+    with running_tool(tmp_path) as tool:
+        tool.wait_for(tool.some_node_is_stopped)
+        tool.wait_for(lambda: len(tool.nodes()) == 2)  # one has been killed
+        assert len(tool.proxies()) == 2
+        tool.process.send_signal(number)
+        code, errors = tool.end()
+        assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
+        assert "Traceback" not in errors
+        assert_nothing_is_left(tool)
+
+
+@pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
+def test_run_that_is_cut_off_while_nodes_start_leaves_nothing_behind(
+    number: signal.Signals, tmp_path: Path
+) -> None:
+    with running_tool(tmp_path) as tool:
+        tool.wait_for(lambda: len(tool.nodes()) > 0)
+        tool.process.send_signal(number)
+        code, errors = tool.end()
+        assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
+        assert_nothing_is_left(tool)
+
+
+def test_interrupt_from_the_terminal_reaches_all_processes_and_leaves_nothing_behind(tmp_path: Path) -> None:
+    with running_tool(tmp_path) as tool:
+        tool.wait_for(tool.some_node_is_stopped)
+        os.killpg(tool.process.pid, signal.SIGINT)
+        code, errors = tool.end()
+        assert code == 1 and "Traceback" not in errors, errors
+        assert_nothing_is_left(tool)
+
+
+def test_run_whose_proxy_has_ended_says_so_and_leaves_nothing_behind(tmp_path: Path) -> None:
+    with running_tool(tmp_path) as tool:
+        tool.wait_for(tool.some_node_is_stopped)
+        [proxy] = [pid for pid, line in tool.started().items() if "datagram_fault_proxy" in line]
+        os.kill(proxy, signal.SIGKILL)
+        code, errors = tool.end()
+        assert code == 1 and "helper process" in errors and "Traceback" not in errors, errors
+        assert_nothing_is_left(tool)
+
+
+def test_node_that_does_not_start_ends_the_run_with_the_last_line_of_its_log(
+    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+) -> None:
+    monkeypatch.setattr(node_fleet, "SINGLE_NODE", NodeCommand("larchlatch", ["--nonsense"], {}))
+    scenario = tmp_path / "scenario.toml"
+    scenario.write_text("[nodes]\ncount = 1\n[[hosts]]\ncount = 1\n")
+    result = CliRunner().invoke(cli, ["load", str(scenario)])
+    assert result.exit_code == 1
+    assert "node 0 ended" in result.stderr and "--nonsense" in result.stderr, result.stderr
--- /dev/null
+++ b/tests/loadtest/test_node_settings.py
@@ -0,0 +1,22 @@
+"""The configuration that nodes under test are given."""
+
+from __future__ import annotations
+
+from larchlatch.config.node import parse_node_configuration
+from larchlatch.emulator.world import World
+from larchlatch.loadtest.node_settings import node_configuration
+from larchlatch.scenario.scenario import checked
+from tests.loadtest.scenarios import SHORT
+
+NO_ENDPOINTS = {"revision": 0, "complete": True, "members": []}
+
+
+def test_configuration_for_a_scenario_is_read_by_nodes_as_the_emulator_has_it() -> None:
+    day = checked(SHORT, "day")
+    raw = node_configuration(
+        day, 1, listen="127.0.0.1:1", discovery="127.0.0.1:2", seed="1", endpoints=NO_ENDPOINTS
+    )
+    plan = parse_node_configuration(raw)
+    world = World(day)
+    assert plan.settings == world.nodes[1].policy.settings  # type: ignore[attr-defined]
+    assert plan.max_deadline_us == 3_000_000
--- /dev/null
+++ b/tests/loadtest/test_tcp_fault_proxy.py
@@ -0,0 +1,67 @@
+"""The TCP proxy between zones."""
+
+from __future__ import annotations
+
+import asyncio
+
+import pytest
+
+from larchlatch.loadtest.background_tasks import BackgroundTasks
+from larchlatch.loadtest.tcp_fault_proxy import (
+    CloseUpstream,
+    IsolateZone,
+    OpenUpstream,
+    ReconnectZone,
+    Setup,
+    TcpFaultProxy,
+)
+
+
+def test_isolated_zone_takes_no_connection_and_carries_nothing_until_it_is_reconnected() -> None:
+    async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while line := await reader.readline():
+            writer.write(line)
+
+    async def reached(port: int) -> str:
+        """What becomes of a new connection within half a second."""
+        try:
+            async with asyncio.timeout(0.5):
+                _, writer = await asyncio.open_connection("127.0.0.1", port)
+        except TimeoutError:
+            return "nothing"
+        except OSError:
+            return "refused"
+        writer.close()
+        return "had"
+
+    async def body() -> None:
+        server = await asyncio.start_server(echo, "127.0.0.1", 0)
+        port = server.sockets[0].getsockname()[1]
+        async with BackgroundTasks() as tasks:
+            proxy = TcpFaultProxy(tasks)
+            await through_isolation(proxy, port)
+            proxy.close()
+        server.close()
+
+    async def through_isolation(proxy: TcpFaultProxy, port: int) -> None:
+        setup = Setup("127.0.0.1", zones=2, upstream_ports=[port, port], upstream_zones=[0, 1])
+        [[near, far], [other, own]] = await proxy.set_up(setup)
+        reader, writer = await asyncio.open_connection("127.0.0.1", far)
+        writer.write(b"one\r\n")
+        assert await reader.readline() == b"one\r\n"
+        await proxy.execute(IsolateZone(0))
+        assert [await reached(at) for at in (near, far, other, own)] == ["had", "nothing", "nothing", "had"]
+        writer.write(b"two\r\n")
+        with pytest.raises(TimeoutError):
+            async with asyncio.timeout(0.3):
+                await reader.readline()
+        await proxy.execute(CloseUpstream(1))
+        assert await reached(own) == "refused"
+        await proxy.execute(OpenUpstream(1))
+        assert [await reached(at) for at in (far, own)] == ["nothing", "had"], "it came back behind the cut"
+        await proxy.execute(ReconnectZone(0))
+        assert await reader.readline() == b"two\r\n", "what was under way goes on"
+        assert await reached(far) == "had"
+        writer.close()
+
+    asyncio.run(body())
