--- a/larchlatch/loadtest/client_population.py
+++ b/larchlatch/loadtest/client_population.py
@@ -10,23 +10,23 @@
 
 import anyio
 
-from larchlatch.invariants.tally import histogram
+from larchlatch.invariants.session_figures import SessionEvent, time_histogram
 from larchlatch.loadtest.client_sessions import SessionResult
 from larchlatch.scenario.amounts import SECOND
-from larchlatch.scenario.clients import RETURN_US, front_of
+from larchlatch.scenario.clients import MAX_RECONNECT_US, MIN_RECONNECT_US, entry_node_index
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from larchlatch.invariants.tally import Tally
+    from larchlatch.invariants.session_figures import SessionFigures
     from larchlatch.loadtest.background_tasks import BackgroundTasks
     from larchlatch.loadtest.client_sessions import ClientSessions
     from larchlatch.loadtest.node_fleet import NodeFleet
     from larchlatch.loadtest.node_process import NodeProcess
     from larchlatch.loadtest.scenario_clock import ScenarioClock
-    from larchlatch.scenario.chance import Chance
     from larchlatch.scenario.clients import Client
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.random_streams import RandomStreams
+    from larchlatch.scenario.scenario import Scenario
 
 
 class ClientPopulation:
@@ -39,20 +39,20 @@
 
     def __init__(
         self,
-        scenario: Day,
-        streams: Chance,
+        scenario: Scenario,
+        streams: RandomStreams,
         clock: ScenarioClock,
         sessions: ClientSessions,
         fleet: NodeFleet,
-        tally: Tally,
+        figures: SessionFigures,
     ) -> None:
-        self.lateness = histogram()
+        self.lateness = time_histogram()
         self._scenario = scenario
         self._streams = streams
         self._clock = clock
         self._sessions = sessions
         self._fleet = fleet
-        self._tally = tally
+        self._figures = figures
 
     async def run(self, clients: Sequence[Client], tasks: BackgroundTasks) -> None:
         """Let each client come when it is due; `tasks` owns the clients' tasks."""
@@ -67,8 +67,8 @@
         """Run a client from its coming to its end."""
         due_s = client.due / SECOND
         end_s = self._end_s(client)
-        self._tally.counts["clients"] += 1
-        self._tally.wanted_us += (end_s - due_s) * SECOND
+        self._figures.counts[SessionEvent.CLIENT_ARRIVED] += 1
+        self._figures.wanted_us += (end_s - due_s) * SECOND
         while self._clock.elapsed_s() < end_s:
             client.sessions += 1
             result = await self._run_session(client, due_s, end_s)
@@ -78,8 +78,8 @@
                 due_s = self._clock.elapsed_s()
                 continue
             client.rejections += 1
-            if client.rejections > self._scenario.sessions.retries:
-                self._tally.counts["abandoned"] += 1
+            if client.rejections > self._scenario.sessions.max_retries:
+                self._figures.counts[SessionEvent.ABANDONED] += 1
                 return
             await anyio.sleep(result.retry_after_us / SECOND or self._retry_pause_s(client))
 
@@ -100,15 +100,15 @@
         if not near:
             return None
         draw = self._streams.draw("front", client.number, client.sessions)
-        return near[front_of(draw, len(near), self._scenario.sessions.uneven)]
+        return near[entry_node_index(draw, len(near), self._scenario.sessions.imbalance)]
 
     def _return_pause_s(self, client: Client) -> float:
         """Return after how many seconds a client whose session has ended comes back."""
-        low, high = RETURN_US
+        low, high = MIN_RECONNECT_US, MAX_RECONNECT_US
         draw = self._streams.draw("return", client.number, client.sessions)
         return (low + (high - low) * draw) / SECOND
 
     def _retry_pause_s(self, client: Client) -> float:
         """Return after how many seconds a rejected client tries again, if the node does not say."""
-        mean_s = self._scenario.sessions.back_ms / 1e3
+        mean_s = self._scenario.sessions.retry_pause_ms / 1e3
         return mean_s * 2 * self._streams.draw("back", client.number, client.sessions)
--- a/larchlatch/loadtest/client_sessions.py
+++ b/larchlatch/loadtest/client_sessions.py
@@ -8,6 +8,8 @@
 
 import anyio
 
+from larchlatch.invariants.observations import SessionRequested
+from larchlatch.invariants.session_figures import SessionEvent
 from larchlatch.loadtest.outside_observer import Rule
 from larchlatch.loadtest.streams import CONNECTION_ERRORS, abort_writer, close_writer
 from larchlatch.loadtest.upstream_stub import SOCKET_DELAY_US
@@ -18,12 +20,12 @@
 if TYPE_CHECKING:
     from random import Random
 
-    from larchlatch.invariants.tally import Tally
+    from larchlatch.invariants.session_figures import SessionFigures
     from larchlatch.loadtest.node_process import NodeProcess
     from larchlatch.loadtest.outside_observer import OutsideObserver
     from larchlatch.loadtest.scenario_clock import ScenarioClock
     from larchlatch.scenario.clients import Client
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 TOOL_DELAY_US = 50_000  # by which this process itself may read an answer late
 AFTER_ANSWER_S = 0.2  # within which something that wrongly follows a final answer would come
@@ -84,11 +86,13 @@
 class ClientSessions:
     """Runs sessions and counts how they end."""
 
-    def __init__(self, scenario: Day, clock: ScenarioClock, observer: OutsideObserver, tally: Tally) -> None:
+    def __init__(
+        self, scenario: Scenario, clock: ScenarioClock, observer: OutsideObserver, figures: SessionFigures
+    ) -> None:
         self._scenario = scenario
         self._clock = clock
         self._observer = observer
-        self._tally = tally
+        self._figures = figures
         self._session_count = 0
         self._established: dict[int, asyncio.StreamWriter] = {}  # by client
 
@@ -108,10 +112,10 @@
         try:
             reader, writer = await asyncio.open_connection(node.address, node.port)
         except OSError:
-            self._tally.counts["no node there"] += 1
+            self._figures.counts[SessionEvent.NO_NODE] += 1
             return SessionResult(established=False)
         self._session_count += 1
-        self._tally.counts["links"] += 1
+        self._figures.counts[SessionEvent.REQUESTED] += 1
         request = Request(client, f"id{self._session_count}", due_s, end_s, now_us())
         connection = Connection(node, reader, writer, interruption_count)
         try:
@@ -132,21 +136,21 @@
 
     async def _request(self, request: Request, connection: Connection) -> SessionResult:
         if self._observer.quota is not None:
-            self._observer.quota.asked(request.sent_us, request.session_id)
+            self._observer.quota.observe(SessionRequested(request.sent_us, request.session_id))
         connection.writer.write(self._request_line(request))
         answer = await self._read_answer(connection.reader)
         word, *values = answer.split() or [b""]
         if word == ESTABLISHED:
             latency_s = self._clock.elapsed_s() - request.due_s
-            self._tally.stood(round(latency_s * SECOND))
+            self._figures.record_established(round(latency_s * SECOND))
             await self._stay_established(request, connection)
             return SessionResult(established=True)
         await self._check_final_answer(request, connection, answer)
         if word == REJECTED:
-            self._tally.counts["shed"] += 1
+            self._figures.counts[SessionEvent.SHED] += 1
             return SessionResult(established=False, retry_after_us=int(values[0]) * 1000 if values else 0)
         if word:
-            self._tally.counts["given_up"] += 1
+            self._figures.counts[SessionEvent.FAILED] += 1
         else:
             self._count_unanswered(request, connection, "no answer by its cut-off")
         return SessionResult(established=False)
@@ -173,7 +177,7 @@
 
     def _count_unanswered(self, request: Request, connection: Connection, reason: str) -> None:
         """Count a session without an answer, and report its node if that has run all the time."""
-        self._tally.counts["ended unanswered"] += 1
+        self._figures.counts[SessionEvent.UNANSWERED] += 1
         node = connection.node
         if node.has_run_since(connection.interruption_count):
             after_ms = (now_us() - request.sent_us) // 1000
@@ -194,16 +198,16 @@
             how = await self._read_until(end_s, connection)
         finally:
             disconnected = self._established.pop(client.number, None) is None
-            self._tally.served_us += (min(self._clock.elapsed_s(), end_s) - began_s) * SECOND
-        if how == "dropped" and disconnected:
-            how = "lost by the client"
-        elif how == "dropped" and node.interruption_count > interruption_count:
-            how = "lost with a node"
-        self._tally.counts[how] += 1
-
-    async def _read_until(self, end_s: float, connection: Connection) -> str:
-        """Read until `end_s` at the latest; return how the session ended, as a key of the tally."""
-        how = "finished"
+            self._figures.served_us += (min(self._clock.elapsed_s(), end_s) - began_s) * SECOND
+        if how is SessionEvent.DROPPED and disconnected:
+            how = SessionEvent.LOST_BY_CLIENT
+        elif how is SessionEvent.DROPPED and node.interruption_count > interruption_count:
+            how = SessionEvent.LOST_WITH_NODE
+        self._figures.counts[how] += 1
+
+    async def _read_until(self, end_s: float, connection: Connection) -> SessionEvent:
+        """Read until `end_s` at the latest; return how the session ended, as an event."""
+        how = SessionEvent.FINISHED
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_messages, connection.writer)
             with anyio.CancelScope(deadline=self._clock.loop_time(end_s)):
@@ -214,7 +218,7 @@
     async def _send_messages(self, writer: asyncio.StreamWriter) -> None:
         with suppress(*CONNECTION_ERRORS):
             while True:
-                await anyio.sleep(self._scenario.sessions.beat_s)
+                await anyio.sleep(self._scenario.sessions.message_interval_s)
                 writer.write(MESSAGE)
 
 
@@ -225,12 +229,12 @@
     return False
 
 
-async def _read_to_end(reader: asyncio.StreamReader) -> str:
-    """Read until a session ends or is to move; return which, as a key of the tally."""
+async def _read_to_end(reader: asyncio.StreamReader) -> SessionEvent:
+    """Read until a session ends or is to move; return which, as an event."""
     try:
         while line := await reader.readline():
             if line == MOVE:
-                return "moved"
+                return SessionEvent.MIGRATED
     except OSError:
         pass  # it was reset
-    return "dropped"
+    return SessionEvent.DROPPED
--- a/larchlatch/loadtest/cluster.py
+++ b/larchlatch/loadtest/cluster.py
@@ -12,8 +12,8 @@
 from larchlatch.loadtest.injected_faults import InjectedFaults
 from larchlatch.loadtest.node_process import NodeCommand
 from larchlatch.loadtest.node_settings import node_name
+from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE
 from larchlatch.scenario.faults import SELF_INFLICTED
-from larchlatch.scenario.puppets import ORDERS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -21,7 +21,7 @@
 
     from larchlatch.loadtest.cluster_observer import ClusterObserver
     from larchlatch.scenario.datagram_paths import PathImpairment
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 NODE_MODULE = "larchlatch"
 FAULT_INJECTING_NODE_MODULE = "larchlatch.loadtest.fault_injecting_node"
@@ -38,7 +38,7 @@
 
     def __init__(
         self,
-        scenario: Day,
+        scenario: Scenario,
         address: str,
         folder: Path,
         nodes: Sequence[DatagramAddress],
@@ -93,7 +93,7 @@
     def command(self, number: int) -> NodeCommand:
         """Return how a node is started, apart from its own configuration."""
         faults_file = str(self.injected_faults_file(number))
-        return NodeCommand(self._module(), self.arguments(number), {ORDERS: faults_file})
+        return NodeCommand(self._module(), self.arguments(number), {ORDERS_VARIABLE: faults_file})
 
     def arguments(self, number: int) -> list[str]:
         """Return the arguments of `serve` that make a node take part."""
@@ -104,7 +104,7 @@
         """Return what is run as a node: if the scenario needs it, one that commits faults and logs more."""
         scenario = self._scenario
         commits_faults = any(isinstance(fault, SELF_INFLICTED) for fault in scenario.faults)
-        return FAULT_INJECTING_NODE_MODULE if scenario.cluster.pace or commits_faults else NODE_MODULE
+        return FAULT_INJECTING_NODE_MODULE if scenario.cluster.token_issuer or commits_faults else NODE_MODULE
 
     # Faults.
 
--- a/larchlatch/loadtest/cluster_files.py
+++ b/larchlatch/loadtest/cluster_files.py
@@ -11,7 +11,7 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 
 class DatagramAddress(NamedTuple):
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        scenario: Day,
+        scenario: Scenario,
         folder: Path,
         nodes: Sequence[DatagramAddress],
         proxies: Sequence[Sequence[DatagramAddress]],
@@ -82,14 +82,16 @@
     def _quota_lines(self) -> list[str]:
         cluster = self._scenario.cluster
         if not cluster.sessions_per_s:
-            return [f"beat_ms = {cluster.beat_ms}", f"skew = {cluster.skew}"]
-        traffic_classes = ", ".join(f'"t{index}"' for index in range(len(self._scenario.sessions.effects)))
+            return [f"beat_ms = {cluster.heartbeat_ms}", f"skew = {cluster.max_clock_skew}"]
+        traffic_classes = ", ".join(
+            f'"t{index}"' for index in range(len(self._scenario.sessions.idempotencies))
+        )
         return [
-            f"beat_ms = {cluster.beat_ms}",
+            f"beat_ms = {cluster.heartbeat_ms}",
             f"floor = {cluster.floor}",
             f"window_ms = {round(cluster.window_s * 1000)}",
             f"term_ms = {round(cluster.term_s * 1000)}",
-            f"skew = {cluster.skew}",
+            f"skew = {cluster.max_clock_skew}",
             "[[budgets]]",
             'name = "all"',
             f"links_per_s = {cluster.sessions_per_s}",
@@ -98,12 +100,12 @@
 
     def _role_lines(self) -> list[str]:
         cluster = self._scenario.cluster
-        if not (cluster.allot or cluster.pace):
+        if not cluster.has_roles:
             return []
         electors = ", ".join(f'"{node_name(number)}"' for number in range(cluster.electors))
         lines = ["[duties]", f"electors = [{electors}]", f"term_ms = {round(cluster.term_s * 1000)}"]
-        if cluster.allot:
+        if cluster.quota_allocator:
             lines.append("allot = true")
-        if cluster.pace:
+        if cluster.token_issuer:
             lines.append("pace = true")
         return lines
--- a/larchlatch/loadtest/datagram_fault_proxy.py
+++ b/larchlatch/loadtest/datagram_fault_proxy.py
@@ -13,8 +13,8 @@
 from larchlatch.loadtest.cluster_files import DatagramAddress
 from larchlatch.loadtest.helper_process import serve_commands
 from larchlatch.scenario.amounts import SECOND
-from larchlatch.scenario.chance import Chance
 from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes, PathImpairment
+from larchlatch.scenario.random_streams import RandomStreams
 
 if TYPE_CHECKING:
     from typing import Any
@@ -116,7 +116,7 @@
     async def set_up(self, setup: Setup) -> list[list[int]]:
         """Open all ports, and return them by sender and receiver; 0 from a node to itself."""
         self.nodes = setup.nodes
-        self._paths = DatagramPaths(Chance(setup.seed))
+        self._paths = DatagramPaths(RandomStreams(setup.seed))
         numbers = range(len(self.nodes))
         return [
             [
--- a/larchlatch/loadtest/discovery_stub.py
+++ b/larchlatch/loadtest/discovery_stub.py
@@ -19,7 +19,7 @@
 
     from larchlatch.loadtest.background_tasks import BackgroundTasks
     from larchlatch.loadtest.upstream_stub import UpstreamStub
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 KEEP_ALIVE_S = 1.0  # after which a watch without a change is sent an empty line
 UPSTREAM_PREFIX = "h-"
@@ -70,12 +70,12 @@
 
     """
 
-    def __init__(self, scenario: Day, delay_s: Callable[[], float]) -> None:
+    def __init__(self, scenario: Scenario, delay_s: Callable[[], float]) -> None:
         """Make the stub; `delay_s` returns how late a watch hears of a change, in seconds."""
         self.ports: list[int] = []
         self.proxy_ports: list[list[int]] = []
         self._zones = scenario.zones
-        self._max_delay_us = us(scenario.listing.late_ms / 1e3)
+        self._max_delay_us = us(scenario.discovery.max_delay_ms / 1e3)
         self._delay_s = delay_s
         self._endpoints: dict[int, Endpoint] = {}
         self._changes: list[Endpoint] = []  # one a revision
--- a/larchlatch/loadtest/fault_injecting_node.py
+++ b/larchlatch/loadtest/fault_injecting_node.py
@@ -19,17 +19,18 @@
 from larchlatch.cluster import service
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.loadtest.injected_faults import InjectedFaults
-from larchlatch.scenario.puppets import ORDERS, Drift, Lying
+from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE, ByzantineExchange
+from larchlatch.scenario.drifting_clock import DriftingClock
 
 if TYPE_CHECKING:
     from larchlatch.cluster.exchange.results import ExecutedOrder
 
 true_time_us = service.steady_us
-clock = Drift(true_time_us())
+clock = DriftingClock(true_time_us())
 exchanges: weakref.WeakSet[FaultInjectingExchange] = weakref.WeakSet()
 
 
-class FaultInjectingExchange(Lying):
+class FaultInjectingExchange(ByzantineExchange):
     """An exchange that can be found, so as to be told what to send false reports of."""
 
     def __init__(self, *args: Any) -> None:
@@ -43,7 +44,7 @@
     def update_endpoints(self, *args: Any, **named: Any) -> None:
         """Pass new endpoints on to the exchange as well, which may send false reports of them."""
         super().update_endpoints(*args, **named)
-        if isinstance(self.exchange, Lying):
+        if isinstance(self.exchange, ByzantineExchange):
             self.exchange.upstreams = list(self.upstreams)
 
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
@@ -56,10 +57,10 @@
 
 def read_faults(*_: object) -> None:
     """Commit the faults of the file from now on."""
-    faults = msgspec.json.decode(Path(os.environ[ORDERS]).read_bytes(), type=InjectedFaults)
-    clock.run(true_time_us(), faults.skew)
+    faults = msgspec.json.decode(Path(os.environ[ORDERS_VARIABLE]).read_bytes(), type=InjectedFaults)
+    clock.set_gain(true_time_us(), faults.skew)
     for exchange in exchanges:
-        exchange.about = faults.about
+        exchange.false_subject = faults.about
 
 
 def main() -> None:
--- a/larchlatch/loadtest/fault_injection.py
+++ b/larchlatch/loadtest/fault_injection.py
@@ -7,7 +7,6 @@
 from typing import TYPE_CHECKING
 
 from larchlatch.loadtest import tcp_fault_proxy as tcp_proxy
-from larchlatch.node.clock import now_us
 from larchlatch.policy.types import EndpointState
 from larchlatch.scenario.upstreams import Condition
 
@@ -44,19 +43,11 @@
 
     def ready_upstreams(self) -> list[UpstreamStub]:
         """Return the upstreams that are healthy and listed as ready."""
-        return [
-            stub
-            for stub in self._stubs
-            if stub.upstream.condition is Condition.WELL and not stub.upstream.draining
-        ]
+        return [stub for stub in self._stubs if stub.upstream.is_ready]
 
     def absent_upstreams(self) -> list[UpstreamStub]:
         """Return the upstreams that have not been started yet."""
-        return [
-            stub
-            for stub in self._stubs
-            if stub.upstream.condition is Condition.ABSENT and not stub.upstream.life
-        ]
+        return [stub for stub in self._stubs if stub.upstream.was_never_started]
 
     def slow_down(self, upstream: UpstreamStub, factor: float) -> None:
         """Multiply the time that an upstream takes for its work."""
@@ -64,17 +55,17 @@
 
     def silence(self, upstream: UpstreamStub) -> None:
         """Let an upstream answer nothing any more."""
-        self._note_gone(upstream)
+        self._observer.upstream_lost(upstream.upstream.number)
         upstream.upstream.condition = Condition.SILENT
 
     def crash(self, upstream: UpstreamStub) -> None:
         """End an upstream's process, so that its connections are reset."""
-        self._note_gone(upstream)
+        self._observer.upstream_lost(upstream.upstream.number)
         self._end_process(upstream)
 
     def bring_up(self, upstream: UpstreamStub) -> None:
         """Start an upstream anew, and list it as ready."""
-        self._observer.avoidance.back(now_us(), upstream.upstream.number)
+        self._observer.upstream_returned(upstream.upstream.number)
         self._tasks.start(self._start_again, upstream)
 
     def drain(self, upstream: UpstreamStub) -> None:
@@ -93,9 +84,6 @@
         for stub in self._stubs:
             stub.setup_delay_factor *= factor
 
-    def _note_gone(self, stub: UpstreamStub) -> None:
-        self._observer.avoidance.gone(now_us(), stub.upstream.number)
-
     def _end_process(self, stub: UpstreamStub) -> None:
         self._tasks.start(self._zone_links.execute, tcp_proxy.CloseUpstream(stub.upstream.number))
         stub.crash()
@@ -127,7 +115,7 @@
 
     def role_holders(self) -> list[NodeProcess]:
         """Return the nodes that hold any role."""
-        return [self._fleet.nodes[number] for number in self._observer.role_holders()]
+        return [self._fleet.nodes[number] for number in self._observer.checkers.role_holders()]
 
     def nodes_in_zone(self, zone: int) -> list[NodeProcess]:
         """Return the nodes of a zone."""
--- a/larchlatch/loadtest/limits.py
+++ b/larchlatch/loadtest/limits.py
@@ -9,7 +9,7 @@
 from larchlatch.errors import ConfigurationError
 
 if TYPE_CHECKING:
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 MAX_NODES = 16
 MAX_ESTABLISHED = 4000  # sessions at once: each has two descriptors here and two at a node
@@ -35,18 +35,18 @@
     return text
 
 
-def check_playable(scenario: Day) -> Day:
+def check_playable(scenario: Scenario) -> Scenario:
     """Return a scenario that can be played on sockets, after raising the limit of descriptors as it needs.
 
     Raises:
         ConfigurationError: It is too large, or asks for what sockets can't do.
 
     """
-    if scenario.passes:
+    if scenario.packet_forwarding:
         raise ConfigurationError(
             "day", "passes: packets can't be made to pass through another process on sockets"
         )
-    established = scenario.sessions.rate * scenario.sessions.life_s
+    established = scenario.sessions.rate * scenario.sessions.lifetime_s
     for key, asked, limit in (
         ("nodes.count", float(scenario.nodes.count), float(MAX_NODES)),
         ("links.rate", scenario.sessions.rate, MAX_SESSIONS_PER_S),
--- a/larchlatch/loadtest/node_fleet.py
+++ b/larchlatch/loadtest/node_fleet.py
@@ -21,8 +21,8 @@
     from larchlatch.loadtest.cluster import Cluster
     from larchlatch.loadtest.cluster_observer import ClusterObserver
     from larchlatch.loadtest.discovery_stub import DiscoveryStub, EndpointList
-    from larchlatch.scenario.chance import Chance
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.random_streams import RandomStreams
+    from larchlatch.scenario.scenario import Scenario
 
 START_TIMEOUT_S = 20.0
 SINGLE_NODE = NodeCommand("larchlatch", [], {})  # one that takes part in no cluster
@@ -38,8 +38,8 @@
 
     def __init__(
         self,
-        scenario: Day,
-        streams: Chance,
+        scenario: Scenario,
+        streams: RandomStreams,
         discovery: DiscoveryStub,
         observer: ClusterObserver,
         tasks: BackgroundTasks,
@@ -162,11 +162,11 @@
     async def _kill_and_restart(self, node: NodeProcess, endpoints: EndpointList) -> None:
         await node.stop()
         nodes = self._scenario.nodes
-        await anyio.sleep(min(nodes.noticed_s, nodes.back_s))
+        await anyio.sleep(min(nodes.detection_s, nodes.restart_after_s))
         node.in_rotation = False
         if node.removed:
             return
-        await anyio.sleep(max(0.0, nodes.back_s - nodes.noticed_s))
+        await anyio.sleep(max(0.0, nodes.restart_after_s - nodes.detection_s))
         await self._start(node, endpoints)
         node.mark_back()
 
--- a/larchlatch/loadtest/node_settings.py
+++ b/larchlatch/loadtest/node_settings.py
@@ -8,7 +8,7 @@
 from larchlatch.scenario.amounts import SECOND, us
 
 if TYPE_CHECKING:
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 MAX_ATTEMPTS = 6
 MAX_SOCKETS = 8192
@@ -21,7 +21,7 @@
 
 
 def node_configuration(
-    scenario: Day, number: int, *, listen: str, discovery: str, seed: str, endpoints: dict[str, Any]
+    scenario: Scenario, number: int, *, listen: str, discovery: str, seed: str, endpoints: dict[str, Any]
 ) -> dict[str, Any]:
     """Return a node's configuration file.
 
@@ -55,13 +55,13 @@
     return f"z{zone}"
 
 
-def deployment_settings(scenario: Day, number: int) -> dict[str, Any]:
+def deployment_settings(scenario: Scenario, number: int) -> dict[str, Any]:
     """Return the `settings` of a node's configuration."""
-    sessions, slow_start = scenario.sessions, scenario.cold
+    sessions, slow_start = scenario.sessions, scenario.slow_start
     return {
         "areas": [zone_name(zone) for zone in range(scenario.zones)],
         "caps": {
-            "dial_timeout_us": us(scenario.network.dial_ms / 1e3),
+            "dial_timeout_us": us(scenario.network.connect_timeout_ms / 1e3),
             "most_setup_tries": MAX_ATTEMPTS,
             "probes": scenario.network.probes,
             "cancel": True,
@@ -71,7 +71,7 @@
         "discovery": "pushed",
         "domain": {
             "groups": True,
-            "message_aim_us": [us(sessions.message_ms / 1e3)] * len(sessions.effects),
+            "message_aim_us": [us(sessions.message_ms / 1e3)] * len(sessions.idempotencies),
             "mode": "proxy",
             "tells_delay": True,
         },
@@ -79,10 +79,10 @@
         "peers_total": scenario.nodes.count,
         "rules": {
             "ask_within_us": POLL_WITHIN_US,
-            "cold_from": slow_start.least,
-            "cold_us": us(slow_start.warm_s),
+            "cold_from": slow_start.initial_share,
+            "cold_us": us(slow_start.duration_s),
             "tip_multiple": slow_start.overload_multiple,
-            "tip_after_us": us(slow_start.tip_s),
+            "tip_after_us": us(slow_start.overload_window_s),
         },
         "tariffs": _traffic_classes(scenario),
         "telemetry": {"via": "probe", "fields": ["inflight", "x0"]},
@@ -90,7 +90,7 @@
     }
 
 
-def _traffic_classes(scenario: Day) -> list[dict[str, Any]]:
+def _traffic_classes(scenario: Scenario) -> list[dict[str, Any]]:
     sessions = scenario.sessions
     return [
         {
@@ -98,7 +98,7 @@
             "expected_time_us": us(sessions.expected_ms / 1e3),
             "cut_off_us": us(sessions.wait_ms / 1e3),
             "effect": EFFECTS[Idempotency(effect)],
-            "repeat_window_us": us(sessions.memory_s),
+            "repeat_window_us": us(sessions.dedup_window_s),
         }
-        for index, effect in enumerate(sessions.effects)
+        for index, effect in enumerate(sessions.idempotencies)
     ]
--- a/larchlatch/loadtest/outside_observer.py
+++ b/larchlatch/loadtest/outside_observer.py
@@ -5,14 +5,15 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from larchlatch.invariants.quota_safety import spending_of
-from larchlatch.invariants.slow_start_safety import Warming
+from larchlatch.invariants.observations import SessionAdmitted
+from larchlatch.invariants.scenario_checkers import slow_start_checker
 from larchlatch.node.clock import now_us
 from larchlatch.policy.types import Idempotency
 from larchlatch.scenario.amounts import SECOND
 
 if TYPE_CHECKING:
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.invariants.quota_safety import QuotaSafety
+    from larchlatch.scenario.scenario import Scenario
 
 MAX_DESCRIPTIONS = 20  # violations described in words; all of them are counted
 
@@ -32,16 +33,16 @@
     Attributes:
         violations: number of violations of each rule.
         descriptions: the first of them in words.
-        quota: judges what is spent of a shared quota; None where the scenario has none.
-        slow_start: judges what is sent to upstreams that warm up.
+        quota: checks what is spent of the shared quota; None where the scenario has none.
+        slow_start: checks what is sent to upstreams that warm up.
 
     """
 
-    def __init__(self, scenario: Day) -> None:
+    def __init__(self, scenario: Scenario, quota: QuotaSafety | None) -> None:
         self.violations = dict.fromkeys(Rule, 0)
         self.descriptions: list[str] = []
-        self.quota = spending_of(scenario)
-        self.slow_start = Warming(scenario)
+        self.quota = quota
+        self.slow_start = slow_start_checker(scenario)
         self._in_attempt: set[str] = set()  # ids of sessions with an attempt out
         self._may_have_run: set[str] = set()  # ids of sessions an attempt of which may have had its effect
 
@@ -60,7 +61,7 @@
         self._in_attempt.add(session_id)
         self._may_have_run.add(session_id)
         if self.quota is not None:
-            self.quota.seen(now_us(), session_id)
+            self.quota.observe(SessionAdmitted(now_us(), session_id))
 
     def attempt_ended(self, session_id: str, *, never_ran: bool = False) -> None:
         """Note that an attempt is over; `never_ran`: it has had no effect for certain."""
--- a/larchlatch/loadtest/report.py
+++ b/larchlatch/loadtest/report.py
@@ -4,6 +4,7 @@
 
 from typing import TYPE_CHECKING, Any, NamedTuple
 
+from larchlatch.invariants.session_figures import SessionEvent
 from larchlatch.node.clock import now_us
 
 if TYPE_CHECKING:
@@ -28,13 +29,13 @@
 
 def result_row(run: LoadTestRun) -> dict[str, Any]:
     """Return the figures of a load test that is over, by the keys that users read."""
-    run.tally.counts["tries"] = sum(stub.attempts for stub in run.stubs)
-    run.tally.counts["probes"] = sum(stub.probes for stub in run.stubs)
+    run.figures.counts[SessionEvent.ATTEMPTED] = sum(stub.attempts for stub in run.stubs)
+    run.figures.counts[SessionEvent.PROBED] = sum(stub.probes for stub in run.stubs)
     late_us = run.population.lateness.get_value_at_percentile(PERCENTILE)
     lag_us = run.monitor.lag.get_value_at_percentile(PERCENTILE)
     return {
-        **run.tally.row(),
-        **run.observer.slow_start.row(now_us()),
+        **run.figures.figures(),
+        **run.observer.slow_start.figures(now_us()),
         **_cluster_figures(run),
         "broken": {rule.value: count for rule, count in run.observer.violations.items()},
         "late_p99_ms": late_us / 1000,
@@ -46,4 +47,4 @@
 def _cluster_figures(run: LoadTestRun) -> dict[str, Any]:
     if run.cluster is None:
         return {}
-    return {**run.cluster_observer.figures(), "cluster_bytes_s": run.cluster.bytes_per_node_and_s()}
+    return {**run.checkers.figures(now_us()), "cluster_bytes_s": run.cluster.bytes_per_node_and_s()}
--- a/larchlatch/loadtest/run.py
+++ b/larchlatch/loadtest/run.py
@@ -11,7 +11,9 @@
 import anyio
 import uvloop
 
-from larchlatch.invariants.tally import Tally
+from larchlatch.invariants.observations import UpstreamsSampled
+from larchlatch.invariants.scenario_checkers import ClusterCheckers
+from larchlatch.invariants.session_figures import SessionFigures
 from larchlatch.loadtest.background_tasks import BackgroundTasks
 from larchlatch.loadtest.client_population import ClientPopulation
 from larchlatch.loadtest.client_sessions import ClientSessions
@@ -28,18 +30,18 @@
 from larchlatch.loadtest.upstream_stub import UpstreamStub
 from larchlatch.loadtest.zone_links import ZoneLinks
 from larchlatch.node.clock import now_us
-from larchlatch.scenario.chance import Chance
-from larchlatch.scenario.clients import demand
+from larchlatch.scenario.clients import client_arrivals
 from larchlatch.scenario.fault_injection import FaultInjector
 from larchlatch.scenario.faults import ZoneIsolation
-from larchlatch.scenario.upstreams import Condition, upstreams_of
+from larchlatch.scenario.random_streams import RandomStreams
+from larchlatch.scenario.upstreams import Condition, create_upstreams
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
     from larchlatch.loadtest.node_process import NodeProcess
     from larchlatch.scenario.faults import AnyFault
-    from larchlatch.scenario.scenario import Day
+    from larchlatch.scenario.scenario import Scenario
 
 STATUS_INTERVAL_S = 1.0
 SLOW_START_INTERVAL_S = 1.0
@@ -54,9 +56,10 @@
         scenario: the scenario.
         streams: source of all random numbers.
         clients: all clients that will come.
+        checkers: the checkers of the cluster's invariants.
         observer: judges the rules of sessions from outside.
-        cluster_observer: judges the cluster from outside.
-        tally: counts of what clients met with.
+        cluster_observer: observes the cluster for its checkers.
+        figures: counts and times of sessions.
         stubs: the upstreams.
         discovery: the endpoint list.
         fleet: the nodes.
@@ -70,34 +73,35 @@
 
     """
 
-    def __init__(self, scenario: Day, address: str = "127.0.0.1") -> None:
+    def __init__(self, scenario: Scenario, address: str = "127.0.0.1") -> None:
         """Prepare a load test; `address`: loopback address of everything but the nodes."""
         self.scenario = scenario
-        self.streams = Chance(scenario.seed)
-        self.clients = list(demand(scenario, self.streams))
+        self.streams = RandomStreams(scenario.seed)
+        self.clients = list(client_arrivals(scenario, self.streams))
         self.tasks = BackgroundTasks()
         self.clock = ScenarioClock()
-        self.tally = Tally()
+        self.figures = SessionFigures()
         self.monitor = ToolMonitor()
-        self.observer = OutsideObserver(scenario)
+        self.checkers = ClusterCheckers(scenario, now_us())
+        self.observer = OutsideObserver(scenario, self.checkers.quota)
         by_key = {f"k{client.key}": client for client in self.clients}
         self.stubs = [
-            UpstreamStub(upstream, scenario, by_key, self.observer) for upstream in upstreams_of(scenario)
+            UpstreamStub(upstream, scenario, by_key, self.observer) for upstream in create_upstreams(scenario)
         ]
         self.discovery = DiscoveryStub(scenario, self._discovery_delays())
         self.zone_links = ZoneLinks(self.stubs)
-        self.cluster_observer = ClusterObserver(scenario, self.observer.quota, self.zone_links.can_reach)
+        self.cluster_observer = ClusterObserver(scenario, self.checkers, self.zone_links.can_reach)
         self.fleet = NodeFleet(scenario, self.streams, self.discovery, self.cluster_observer, self.tasks)
         self.cluster: Cluster | None = None
-        self.sessions = ClientSessions(scenario, self.clock, self.observer, self.tally)
+        self.sessions = ClientSessions(scenario, self.clock, self.observer, self.figures)
         self.population = ClientPopulation(
-            scenario, self.streams, self.clock, self.sessions, self.fleet, self.tally
+            scenario, self.streams, self.clock, self.sessions, self.fleet, self.figures
         )
         self._address = address
 
     def _discovery_delays(self) -> Callable[[], float]:
-        listing, delays = self.scenario.listing, self.streams.stream("list")
-        return lambda: delays.uniform(listing.soon_ms / 1e3, listing.late_ms / 1e3)
+        discovery, delays = self.scenario.discovery, self.streams.stream("list")
+        return lambda: delays.uniform(discovery.min_delay_ms / 1e3, discovery.max_delay_ms / 1e3)
 
     async def play(self) -> dict[str, Any]:
         """Play the scenario, and return the row of its figures.
@@ -184,7 +188,7 @@
             await anyio.sleep(SLOW_START_INTERVAL_S)
             now = now_us()
             upstreams = [stub.upstream for stub in self.stubs]
-            self.observer.slow_start.look(now, upstreams, now - observed_at)
+            self.observer.slow_start.observe(UpstreamsSampled(now, upstreams, now - observed_at))
             observed_at = now
 
     # Faults.
@@ -207,7 +211,7 @@
         )
 
 
-def run_load_test(scenario: Day, address: str) -> LoadTestResult:
+def run_load_test(scenario: Scenario, address: str) -> LoadTestResult:
     """Play a scenario on sockets, and return its figures and the rules that were violated.
 
     SIGINT and SIGTERM end it early, after everything that it has started.
--- a/larchlatch/loadtest/tool_monitor.py
+++ b/larchlatch/loadtest/tool_monitor.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from larchlatch.invariants.tally import histogram
+from larchlatch.invariants.session_figures import time_histogram
 from larchlatch.scenario.amounts import SECOND
 
 INTERVAL_S = 0.02
@@ -19,7 +19,7 @@
     """
 
     def __init__(self) -> None:
-        self.lag = histogram()
+        self.lag = time_histogram()
 
     async def run(self) -> None:
         """Measure until cancelled."""
--- a/larchlatch/loadtest/upstream_stub.py
+++ b/larchlatch/loadtest/upstream_stub.py
@@ -7,6 +7,7 @@
 
 import anyio
 
+from larchlatch.invariants.observations import SessionArrived
 from larchlatch.loadtest.outside_observer import Rule
 from larchlatch.loadtest.streams import CONNECTION_ERRORS, abort_writer, close_writer
 from larchlatch.node.clock import now_us
@@ -21,8 +22,8 @@
     from larchlatch.loadtest.background_tasks import BackgroundTasks
     from larchlatch.loadtest.outside_observer import OutsideObserver
     from larchlatch.scenario.clients import Client
-    from larchlatch.scenario.scenario import Day
-    from larchlatch.scenario.upstreams import Upstream
+    from larchlatch.scenario.scenario import Scenario
+    from larchlatch.scenario.upstreams import SimulatedUpstream
 
 OVERLOAD_CHECK_INTERVAL_S = 1.0
 DRAIN_GRACE_US = 500_000  # within which nodes may still send to an upstream that discovery has withdrawn
@@ -62,7 +63,11 @@
     """
 
     def __init__(
-        self, upstream: Upstream, scenario: Day, clients: dict[str, Client], observer: OutsideObserver
+        self,
+        upstream: SimulatedUpstream,
+        scenario: Scenario,
+        clients: dict[str, Client],
+        observer: OutsideObserver,
     ) -> None:
         """Make a stub; `clients`: all clients of the scenario by the keys that they send."""
         self.upstream = upstream
@@ -74,8 +79,8 @@
         self.setup_delay_factor = 1.0
         self._clients = clients
         self._observer = observer
-        self._idempotencies = [Idempotency(effect) for effect in scenario.sessions.effects]
-        self._setup_delay_us = us(scenario.store_ms / 1e3)
+        self._idempotencies = [Idempotency(effect) for effect in scenario.sessions.idempotencies]
+        self._setup_delay_us = us(scenario.shared_store_ms / 1e3)
         self._group_load = scenario.sessions.group_ms * 1000
         self._message_objective_us = us(scenario.sessions.message_ms / 1e3)
         self._server: asyncio.Server | None = None
@@ -111,7 +116,7 @@
 
     def crash(self) -> None:
         """Let its process end: it refuses connections, and those it has are reset."""
-        self.upstream.condition = Condition.DEAD
+        self.upstream.condition = Condition.CRASHED
         self.upstream.stop()
         self.close()
         self._reset(list(self._sessions))
@@ -128,7 +133,7 @@
         """Reset some sessions, again and again, while there are far too many."""
         while True:
             await anyio.sleep(OVERLOAD_CHECK_INTERVAL_S)
-            count = self.upstream.drops(now_us())
+            count = self.upstream.sessions_to_drop(now_us())
             established = [writer for writer, session in self._sessions.items() if session is not None]
             self._reset(established[:count])
 
@@ -153,7 +158,7 @@
         finally:
             session = self._sessions.pop(writer, None)
             if session is not None:
-                self.upstream.remove(session.number, session.group, self._group_load)
+                self.upstream.remove_session(session.number, session.group, self._group_load)
             close_writer(writer)
 
     async def _answer_probes(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
@@ -168,7 +173,7 @@
         return line
 
     def _load_report(self) -> bytes:
-        utilization = self.upstream.fullness(now_us())
+        utilization = self.upstream.utilization(now_us())
         return f"PONG x0={utilization:.4f},inflight={len(self.upstream.sessions)}\r\n".encode()
 
     async def _answer_request(
@@ -179,7 +184,7 @@
             return  # no client of the scenario has sent it: the node is broken, and gets no answer
         now = now_us()
         self._observe_attempt(opening, client, now)
-        done_at = self.upstream.admit(now, client.work_us)
+        done_at = self.upstream.schedule_setup(now, client.work_us)
         if done_at is None:
             self._observer.attempt_ended(opening.ident, never_ran=True)
             writer.write(BUSY_LINE)
@@ -211,29 +216,29 @@
                 Rule.DRAINING_LEFT_ALONE,
                 f"link {opening.ident}: to host {upstream.number}, {late_us} us late",
             )
-        observer.slow_start.sent(now, upstream, client.load)
-        if upstream.pushed(now, client.load):
+        observer.slow_start.observe(SessionArrived(now, upstream, client.load))
+        if upstream.is_overloaded_by(now, client.load):
             observer.report(Rule.NO_OVERLOAD, f"host {upstream.number}: more than it bears while it warms up")
 
     def _establish(self, client: Client, writer: asyncio.StreamWriter) -> None:
         self._session_count += 1
         session = EstablishedSession(self._session_count, client.group)
         self._sessions[writer] = session
-        self.upstream.add(session.number, client.load, session.group, self._group_load)
+        self.upstream.add_session(session.number, client.load, session.group, self._group_load)
         writer.write(ESTABLISHED_LINE + f"LOAD {client.load:.1f}\r\n".encode())
 
     async def _echo_messages(
         self, first_byte: asyncio.Future[bytes], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         """Send each message back, as late as the upstream's load makes it, until the session is over."""
-        life = self.upstream.life
+        incarnation = self.upstream.incarnation
         begin = await first_byte
         while begin and (rest := await reader.readline()):
             if self.silent:
                 await anyio.sleep_forever()
-            if self.upstream.life != life:
+            if self.upstream.incarnation != incarnation:
                 return
-            delay_us = self.upstream.message_objective_us(now_us(), self._message_objective_us)
+            delay_us = self.upstream.message_latency_us(now_us(), self._message_objective_us)
             await anyio.sleep(delay_us / SECOND)
             writer.write(begin + rest)
             begin = await reader.read(1)
--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -5,15 +5,18 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Sequence
 from dataclasses import dataclass
-from random import Random
-from typing import Generic, Protocol, TypeVar
+from typing import TYPE_CHECKING, Generic, Protocol, TypeVar
 
-from larchlatch.scenario.datagram_paths import PathImpairment
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from random import Random
+
+    from larchlatch.scenario.datagram_paths import PathImpairment
 
 UpstreamT = TypeVar("UpstreamT")
 NodeT = TypeVar("NodeT")
+NodeT_contra = TypeVar("NodeT_contra", contravariant=True)
 
 
 class UpstreamFaults(Protocol[UpstreamT]):
@@ -100,7 +103,7 @@
         ...
 
 
-class NetworkFaults(Protocol[NodeT]):
+class NetworkFaults(Protocol[NodeT_contra]):
     """Faults of the paths between zones and between nodes, and of discovery."""
 
     def isolate_zone(self, zone: int) -> None:
@@ -111,11 +114,11 @@
         """End the isolation of a zone."""
         ...
 
-    def partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+    def partition(self, nodes: Sequence[NodeT_contra], *, oneway: bool) -> None:
         """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
         ...
 
-    def heal_partition(self, nodes: Sequence[NodeT], *, oneway: bool) -> None:
+    def heal_partition(self, nodes: Sequence[NodeT_contra], *, oneway: bool) -> None:
         """End a partition that was made with the same arguments."""
         ...
 
