--- /dev/null
+++ b/larchlatch/loadtest/cluster_observer.py
@@ -0,0 +1,160 @@
+"""Judges a cluster from outside: by what nodes log, and by what the load test does to them."""
+
+from __future__ import annotations
+
+from datetime import datetime
+from typing import TYPE_CHECKING
+
+import anyio
+
+from larchlatch.cluster.quota.counts import WINDOWS
+from larchlatch.invariants.observations import (
+    FleetChanged,
+    MemberReported,
+    NodeStarted,
+    OrderExecuted,
+    QuotaUsageReported,
+    RoleChanged,
+    UpstreamEjected,
+    UpstreamFailureDetected,
+    UpstreamLost,
+    UpstreamReturned,
+)
+from larchlatch.loadtest.discovery_stub import upstream_number
+from larchlatch.loadtest.node_log import NodeLogReader
+from larchlatch.loadtest.node_settings import node_name
+from larchlatch.node.clock import now_us
+from larchlatch.scenario.amounts import SECOND, us
+from larchlatch.scenario.datagram_paths import DatagramPaths, PartitionedNodes
+
+if TYPE_CHECKING:
+    from collections.abc import Callable, Sequence
+    from pathlib import Path
+
+    from larchlatch.invariants.scenario_checkers import ClusterCheckers
+    from larchlatch.loadtest.node_log import LoggedEvent
+    from larchlatch.scenario.scenario import Scenario
+
+LOG_READ_INTERVAL_S = 0.02
+
+# The events of nodes' logs that are read.
+EVENTS = (
+    "member_state_changed",
+    "upstream_unreachable",
+    "upstream_ejection_advised",
+    "quota_status",
+    "order_executed",
+    "role_acquired",
+    "role_ended",
+)
+
+
+class ClusterObserver:
+    """Tells the checkers of a cluster's invariants what it observes.
+
+    Attributes:
+        checkers: the checkers.
+
+    """
+
+    def __init__(
+        self, scenario: Scenario, checkers: ClusterCheckers, can_reach: Callable[[int, int], bool]
+    ) -> None:
+        """Make the observer.
+
+        Args:
+            scenario: The scenario.
+            checkers: The checkers of its invariants.
+            can_reach: Returns whether the nodes of a zone can reach an upstream, by their numbers.
+
+        """
+        count = scenario.nodes.count
+        self.checkers = checkers
+        self._scenario = scenario
+        self._can_reach = can_reach
+        self._numbers = {node_name(number): number for number in range(count)}
+        self._running = [False] * count
+        self._paths = DatagramPaths(None)  # as the proxy treats them by now
+        self._logs = NodeLogReader([], EVENTS)
+
+    def is_running(self, node: int) -> bool:
+        """Return whether a node's process runs, and is not paused."""
+        return self._running[node]
+
+    # What the load test does.
+
+    def node_starts(self, node: int) -> None:
+        """Note that a process of a node is about to start: what it logs from then on is of a new life."""
+        self.read_logs()
+        self.checkers.observe(NodeStarted(now_us(), node))
+        for role in self.checkers.leaders:
+            self.checkers.observe(RoleChanged(now_us(), role, node, held=False))
+
+    def node_runs(self, node: int, *, running: bool) -> None:
+        """Note that a node's process runs from now on, or no longer."""
+        self._running[node] = running
+        self._observe_fleet()
+
+    def partitioned(self, nodes: Sequence[int], *, oneway: bool) -> None:
+        """Note that datagrams between these nodes and the others are blocked from now on."""
+        self._paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
+        self._observe_fleet()
+
+    def partition_healed(self, nodes: Sequence[int], *, oneway: bool) -> None:
+        """Note the end of a partition that was made with the same arguments."""
+        self._paths.partitions.remove(PartitionedNodes(frozenset(nodes), oneway))
+        self._observe_fleet()
+
+    def _observe_fleet(self) -> None:
+        self.checkers.observe(FleetChanged(now_us(), self._running, self._paths.is_blocked))
+
+    def upstream_lost(self, upstream: int) -> None:
+        """Note that an upstream has crashed or fallen silent."""
+        self.checkers.observe(UpstreamLost(now_us(), upstream))
+
+    def upstream_returned(self, upstream: int) -> None:
+        """Note that an upstream is there again."""
+        self.checkers.observe(UpstreamReturned(now_us(), upstream))
+
+    # What nodes log.
+
+    def follow_logs(self, logs: Sequence[Path]) -> None:
+        """Read these files from now on, the log of each node."""
+        self._logs = NodeLogReader(logs, EVENTS)
+
+    async def run(self) -> None:
+        """Read logs until cancelled."""
+        while True:
+            self.read_logs()
+            await anyio.sleep(LOG_READ_INTERVAL_S)
+
+    def read_logs(self) -> None:
+        """Judge all that nodes have logged since the last call."""
+        for event in self._logs.read():
+            self._judge(event)
+
+    def _judge(self, event: LoggedEvent) -> None:
+        node, observe = event.node, self.checkers.observe
+        match event.fields:
+            case {"event": "member_state_changed", "name": name, "state": state}:
+                observe(MemberReported(now_us(), node, self._numbers[name], state == "present"))
+            case {"event": "upstream_unreachable", "upstream": name}:
+                observe(UpstreamFailureDetected(now_us(), node, upstream_number(name)))
+            case {"event": "upstream_ejection_advised", "upstream": name}:
+                observe(self._upstream_ejected(node, upstream_number(name)))
+            case {"event": "order_executed", "role": role, "lease": lease}:
+                observe(OrderExecuted(now_us(), role, lease))
+            case {"event": "role_acquired" | "role_ended" as change, "role": role}:
+                observe(RoleChanged(now_us(), role, node, held=change == "role_acquired"))
+            case {"event": "quota_status", "fleet_least": least, "fleet_most": most, "timestamp": at}:
+                observe(self._quota_usage_reported(least, most, datetime.fromisoformat(at)))
+
+    def _upstream_ejected(self, node: int, upstream: int) -> UpstreamEjected:
+        zone = node % self._scenario.zones
+        return UpstreamEjected(now_us(), upstream, self._can_reach(zone, upstream))
+
+    def _quota_usage_reported(self, least: int, most: int, logged_at: datetime) -> QuotaUsageReported:
+        # By the line's own time: what is admitted between that and the reading is not in the range.
+        logged_us = round(logged_at.timestamp() * SECOND)
+        span_us = WINDOWS * us(self._scenario.cluster.window_s)
+        return QuotaUsageReported(logged_us, least, most, span_us)
