--- a/larchlatch/cli/emulator.py
+++ b/larchlatch/cli/emulator.py
@@ -40,11 +40,18 @@
 @CHANGES
 @SEED
 @DRAW
-@click.option("--trace", type=click.Path(path_type=Path), help="Write all that happens, a line each.")
+@click.option(
+    "--trace", type=click.Path(path_type=Path), help="Write each event to this file, one line each."
+)
 def emulate(
     *, day: Path, policy: str, changes: tuple[str, ...], seed: int | None, draw: int, trace: Path | None
 ) -> None:
-    """Play a day in the emulator; exit code 3 if a rule was broken."""
+    r"""Play a scenario in the emulator; exit code 3 if a rule was broken.
+
+    \b
+    Example:
+      python -m larchlatch emulate scenarios/hosts.toml --seed 7 --set links.rate=40
+    """
     scenario = read_scenario(day, changes, seed, draw)
     began = time.perf_counter()
     simulation, result = play_scenario(scenario, policy, trace)
@@ -74,13 +81,13 @@
 @click.command()
 @SCENARIO
 @click.option(
-    "--vary", multiple=True, metavar="KEY=A,B,C", help="What is varied; all combinations are played."
+    "--vary", multiple=True, metavar="KEY=A,B,C", help="Values to vary; all combinations are played."
 )
 @click.option("--seeds", type=click.IntRange(1, MAX_SEEDS), default=5, show_default=True)
 @click.option("--policy", "policies", multiple=True, type=POLICY, default=("larchlatch",))
 @click.option("--jobs", type=click.IntRange(1, MAX_JOBS), default=lambda: os.cpu_count() or 1)
 @DRAW
-@click.option("--figure", default="served", show_default=True, help="What is summed up at the end.")
+@click.option("--figure", default="served", show_default=True, help="The figure to summarize at the end.")
 def sweep(
     *,
     day: Path,
@@ -91,7 +98,14 @@
     draw: int,
     figure: str,
 ) -> None:
-    """Play a day many times: a row a run on standard output, medians and intervals on standard error."""
+    r"""Play a scenario many times.
+
+    Prints one row for each run to standard output, and medians with their intervals to standard error.
+
+    \b
+    Example:
+      python -m larchlatch sweep scenarios/half.toml --vary faults.0.hosts=1,2,3,4 --policy random
+    """
     variations = [sweeps.parse_variation(text) for text in vary]
     results = []
     runs = sweeps.plan_runs(day, variations, seeds=seeds, policies=list(policies), random_faults=draw)
@@ -111,12 +125,17 @@
 @click.command()
 @click.argument("results", type=click.Path(path_type=Path))
 @click.option("--over", required=True, help="The key that was varied.")
-@click.option("--by", default="policy", show_default=True, help="The key that there is a line for each of.")
+@click.option("--by", default="policy", show_default=True, help="The key with a line for each of its values.")
 @click.option("--figure", default="served", show_default=True)
-@click.option("--log", is_flag=True, help="What was varied goes by powers.")
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="A PNG.")
+@click.option("--log", is_flag=True, help="Use a logarithmic axis for the varied key.")
+@click.option("--out", type=click.Path(path_type=Path), required=True, help="The PNG file to write.")
 def plot(*, results: Path, over: str, by: str, figure: str, log: bool, out: Path) -> None:
-    """Draw what a sweep has printed."""
+    r"""Draw the rows that a sweep has printed.
+
+    \b
+    Example:
+      python -m larchlatch plot rows.jsonl --over faults.0.hosts --out half.png
+    """
     # matplotlib takes a second to load.
     from larchlatch.emulator.plot import plot as draw_plot
 
@@ -125,18 +144,18 @@
 
 
 @click.command()
-@click.option("--deep", is_flag=True, help="Also what takes minutes.")
+@click.option("--deep", is_flag=True, help="Also search the cases that take minutes.")
 @click.option(
     "--most",
     type=click.IntRange(1),
     default=DEFAULT_SEARCH_STATES,
     show_default=True,
-    help="States a search.",
+    help="The most states to visit in one search.",
 )
 def search(*, deep: bool, most: int) -> None:
-    """Look for two holders of a duty in every order of events; exit code 3 if there are.
+    """Search every order of events for two nodes that hold one role at once.
 
-    The same where a planted fault is not found.
+    Exit code 3 if there are two holders, or if a planted fault of the protocol is not found.
     """
     # The other commands need none of it.
     from larchlatch.model_checker.cases import DEEP_CASES, DEEP_PLANTED_FAULTS, PLANTED_FAULTS, SOUND_CASES
--- a/larchlatch/cli/inspect.py
+++ b/larchlatch/cli/inspect.py
@@ -11,9 +11,14 @@
 
 
 @click.command()
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="The secret key; must not exist.")
+@click.option(
+    "--out",
+    type=click.Path(path_type=Path),
+    required=True,
+    help="The file for the secret key; it must not exist.",
+)
 def cluster_key(out: Path) -> None:
-    """Make a node's key: the secret one into a file, the public one, for the cluster file, printed."""
+    """Create a node's key: write the secret key to a file, print the public key for the cluster file."""
     # A node without a cluster must not load this package.
     from larchlatch.cluster.keys import create_secret
 
@@ -21,11 +26,21 @@
 
 
 @click.command()
-@click.option("--config", envvar="EDGE_CONFIG", type=click.Path(path_type=Path), help="A configuration.")
-@click.option("--contracts", type=click.Path(path_type=Path), help="Contracts of teams, a TOML file.")
+@click.option(
+    "--config",
+    envvar="EDGE_CONFIG",
+    type=click.Path(path_type=Path),
+    help="A node's configuration, in JSON.  [env: EDGE_CONFIG]",
+)
+@click.option("--contracts", type=click.Path(path_type=Path), help="Contracts of teams, in TOML.")
 @click.option("--cluster", type=click.Path(path_type=Path), help="A cluster file, in TOML.")
 def check(config: Path | None, contracts: Path | None, cluster: Path | None) -> None:
-    """Read a configuration, contracts or a cluster file, and say what is wrong with it."""
+    r"""Check a node's configuration, contracts or a cluster file, and name the key that is wrong.
+
+    \b
+    Example:
+      python -m larchlatch check --config node.json
+    """
     if cluster is not None:
         click.echo(describe_cluster_file(cluster))
     elif contracts is not None:
@@ -37,10 +52,10 @@
 
 
 def describe_cluster_file(path: Path) -> str:
-    """Return a line on a cluster file that is in order.
+    """Return a summary of a valid cluster file, in one line.
 
     Raises:
-        InvalidInputError: It is not.
+        InvalidInputError: The file is not valid.
 
     """
     # A node without a cluster must not load this package.
@@ -55,10 +70,10 @@
 
 
 def describe_contracts(path: Path) -> str:
-    """Return a line on contracts that are in order.
+    """Return a summary of valid contracts, in one line.
 
     Raises:
-        InvalidInputError: They are not.
+        InvalidInputError: The file is not valid.
 
     """
     # Contracts are read with msgspec, which a node need not have.
@@ -69,10 +84,10 @@
 
 
 def describe_configuration(path: Path) -> str:
-    """Return a line on a node's configuration that is in order.
+    """Return a summary of a node's valid configuration, in one line.
 
     Raises:
-        InvalidInputError: It is not.
+        InvalidInputError: The file is not valid.
 
     """
     configuration = read_node_configuration(path)
--- a/larchlatch/cli/load.py
+++ b/larchlatch/cli/load.py
@@ -28,10 +28,17 @@
 @CHANGES
 @SEED
 @DRAW
-@click.option("--address", default="127.0.0.1", show_default=True, help="Loopback; all else is refused.")
+@click.option(
+    "--address", default="127.0.0.1", show_default=True, help="A loopback address; any other one is refused."
+)
 def load(*, day: Path, changes: tuple[str, ...], seed: int | None, draw: int, address: str) -> None:
-    """Play a day on sockets: nodes as processes; exit code 3 if a rule was broken, 4 if void."""
-    # The list of commands in `--help` needs none of it.
+    r"""Play a scenario on sockets, with nodes as processes; exit code 3 if a rule was broken, 4 if void.
+
+    \b
+    Example:
+      python -m larchlatch load scenarios/eight.toml --seed 7
+    """
+    # Imported only to run the command: the list of commands in `--help` must not load the load test.
     from larchlatch.loadtest.errors import LoadTestError
     from larchlatch.loadtest.limits import check_address, check_playable
     from larchlatch.loadtest.run import run_load_test
--- a/larchlatch/cli/main.py
+++ b/larchlatch/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `larchlatch` and what it consists of."""
+"""The command `larchlatch` and its subcommands."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 class LazyGroup(click.Group):
     """A group that imports the commands of the tools only when they are called.
 
-    A node must start fast and hold no memory for the tools, and their packages need not be installed with it.
+    A node must start fast and use no memory for the tools, and their packages need not be installed with it.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
--- a/larchlatch/cli/scenario_options.py
+++ b/larchlatch/cli/scenario_options.py
@@ -1,4 +1,4 @@
-"""What the commands that play a scenario have in common."""
+"""Options, exit codes and output that the commands playing a scenario share."""
 
 from __future__ import annotations
 
@@ -16,20 +16,24 @@
     from larchlatch.scenario.scenario import Scenario
 
 EXIT_RULE_BROKEN = 3
-EXIT_VOID = 4  # the tool itself was late: its figures can't be trusted
+EXIT_VOID = 4  # the tool itself was late, so that its figures don't count
 
 MAX_DRAWN_FAULTS = 1000
 
-SCENARIO = click.argument("day", type=click.Path(path_type=Path))
+SCENARIO = click.argument("day", metavar="SCENARIO", type=click.Path(path_type=Path))
 CHANGES = click.option(
-    "--set", "changes", multiple=True, metavar="KEY=VALUE", help="Another value of the day's file."
+    "--set",
+    "changes",
+    multiple=True,
+    metavar="KEY=VALUE",
+    help="Replace a value of the scenario file, as `links.rate=40`.",
 )
-SEED = click.option("--seed", type=int, help="Another seed than the day's.")
+SEED = click.option("--seed", type=int, help="Use this seed instead of the scenario's.")
 DRAW = click.option(
     "--draw",
     type=click.IntRange(0, MAX_DRAWN_FAULTS),
     default=0,
-    help="So many faults more, drawn from the seed.",
+    help="Add this many random faults, drawn from the seed.",
 )
 
 
@@ -58,5 +62,5 @@
 
 
 def is_overspent(result: dict[str, Any]) -> bool:
-    """Return whether nodes together spent more than a shared quota, or reported what was not so."""
+    """Return whether nodes together spent more than a shared quota, or reported a false range."""
     return bool(result.get("over_budget") or result.get("outside"))
--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -25,16 +25,21 @@
     type=click.Path(path_type=Path),
     help="The configuration, a JSON file.  [env: EDGE_CONFIG]",
 )
-@click.option("--verbose", is_flag=True, help="Log also what happens to single connections.")
+@click.option("--verbose", is_flag=True, help="Also log what happens to single sessions.")
 @click.option("--cluster", type=click.Path(path_type=Path), help="The cluster file, in TOML.")
 @click.option(
     "--cluster-key",
     envvar="LARCHLATCH_CLUSTER_KEY",
     type=click.Path(path_type=Path),
-    help="This node's secret key, as `cluster-key` writes it.  [env: LARCHLATCH_CLUSTER_KEY]",
+    help="This node's secret key, written by `cluster-key`.  [env: LARCHLATCH_CLUSTER_KEY]",
 )
 def serve(*, config: Path, verbose: bool, cluster: Path | None, cluster_key: Path | None) -> None:
-    """Run one node until SIGTERM; SIGHUP rereads its configuration, SIGUSR1 prints its counters."""
+    r"""Run one node until SIGTERM; SIGHUP rereads its configuration, SIGUSR1 logs its counters.
+
+    \b
+    Example:
+      python -m larchlatch serve --config node.json
+    """
     configuration = read_node_configuration(config)
     join = None if cluster is None else prepare_join(configuration, cluster, cluster_key)
     configure_log(verbose=verbose)
@@ -42,7 +47,7 @@
 
 
 def configure_log(*, verbose: bool) -> None:
-    """Log to standard output, a line of JSON an event."""
+    """Log to standard output, one line of JSON for each event."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -56,13 +61,13 @@
 
 
 def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> ClusterFactory:
-    """Return what joins the node to its cluster once it runs.
+    """Return a factory that makes the node's part in its cluster once the node runs.
 
-    The cluster file and the key are read now, so that a fault in them stops the start.
+    The cluster file and the key are read now, so that a fault in them prevents the start.
 
     Raises:
         click.UsageError: No key was named.
-        InvalidInputError: The file or the key is wrong, or they don't fit each other or the configuration.
+        InvalidInputError: The file or the key is wrong, or they do not match each other or the configuration.
 
     """
     # A node without a cluster must not load this package.
--- a/larchlatch/cli/tools.py
+++ b/larchlatch/cli/tools.py
@@ -1,4 +1,4 @@
-"""The commands of the emulator and the load tool, imported when one of them is called."""
+"""The commands of the tools for trying designs, imported only when one of them is called."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import click
 
-# Module by name of the command, so that the commands are known without being imported.
+# The module of each command, so that the commands can be listed without importing them.
 TOOL_COMMANDS = {
     "emulate": "larchlatch.cli.emulator",
     "sweep": "larchlatch.cli.emulator",
@@ -17,7 +17,7 @@
 
 
 def load_tool_command(name: str) -> click.Command:
-    """Import a command of the tools.
+    """Return a command of the tools, importing its module.
 
     Raises:
         click.ClickException: A package that the tools need is not installed.
