--- a/larchlatch/policy/outcomes.py
+++ b/larchlatch/policy/outcomes.py
@@ -8,7 +8,7 @@
 
 from larchlatch.policy.backoff import BACKOFF_US, RESET_BACKOFF_US, RESET_TRIAL_INTERVAL_US
 from larchlatch.policy.load import running_mean
-from larchlatch.policy.types import Outcome
+from larchlatch.policy.types import NEVER_RAN, Outcome
 
 if TYPE_CHECKING:
     from larchlatch.policy.backoff import Backoff
@@ -76,7 +76,9 @@
         if outcome in RECORDED_FOR_NODE and not _has_settled(now, session):
             succeeded = outcome is Outcome.COMPLETED
             self.node_backoff.record(now, session.sent_at, succeeded=succeeded)
-        session.attempt_ended(outcome, self.settings.class_of(session))
+        session.attempt_ended()
+        if outcome not in NEVER_RAN:
+            session.attempt_may_have_run(self.settings.class_of(session))
 
     def credit_settled(self, now: int) -> None:
         """Count sessions as successes that have stayed established for a while.
--- a/larchlatch/policy/types.py
+++ b/larchlatch/policy/types.py
@@ -200,14 +200,18 @@
         self.established = True
         self.established_at = now
 
-    def attempt_ended(self, outcome: Outcome, traffic_class: TrafficClass) -> None:
+    def attempt_ended(self) -> None:
         """Record that the attempt, or the established session, has ended."""
         self.attempt_in_flight = False
         self.established = False
-        if outcome not in NEVER_RAN and self.maybe_executed_at < 0:
-            self.maybe_executed_at = self.sent_at
-            self.maybe_executed_upstream = self.upstream
-            self.repeat_until = traffic_class.repeat_until(self.sent_at)
+
+    def attempt_may_have_run(self, traffic_class: TrafficClass) -> None:
+        """Record that the last attempt may have run; the first such attempt counts."""
+        if self.maybe_executed_at >= 0:
+            return
+        self.maybe_executed_at = self.sent_at
+        self.maybe_executed_upstream = self.upstream
+        self.repeat_until = traffic_class.repeat_until(self.sent_at)
 
 
 class Endpoint(NamedTuple):
