--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def client_connections(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[ClientConnections]]:
-    """The doors of the nodes that a test starts in this process."""
+    """Collect the client connections of the nodes that a test starts in this process."""
     made: list[ClientConnections] = []
 
     class Kept(ClientConnections):
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -34,7 +34,7 @@
 )
 from tests.support.stand_ins import UpstreamStubs
 
-# An attempt, between its decision and its sending.
+# An attempt between the decision and its sending.
 
 
 def drains(alone: ActorHarness, record: SessionRecord) -> None:
@@ -94,7 +94,7 @@
 
 
 def test_a_request_line_not_written_completely_is_a_failed_connection() -> None:
-    """Reset before its last byte: the attempt may go out again, whatever its class. Later it may have run."""
+    """Reset before its last byte, an attempt may be repeated in any traffic class; later it may have run."""
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -122,13 +122,13 @@
 
 
 def descriptors() -> int:
-    gc.collect()  # what other tests have left
+    gc.collect()  # objects that other tests have left
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("broken_off", [False, True])
 def test_connecting_leaves_no_descriptor_open(broken_off: bool) -> None:
-    """Given up by time, and broken off from outside, in the middle and in the instant it comes up."""
+    """Ended by timeout and by cancellation, while it connects and just as it has connected."""
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as server:
@@ -158,7 +158,7 @@
 def test_an_established_connection_is_used_although_the_event_loop_lagged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The time is over when the loop comes to look: a host that answered is not one that did not."""
+    """The timeout is over when the event loop runs again, but the upstream had accepted the connection."""
 
     async def never(sock: socket.socket) -> None:
         await anyio.sleep_forever()
@@ -182,13 +182,13 @@
     run_on_loopback(body)
 
 
-# Answers that cross with the end of an attempt.
+# Answers that arrive as the attempt ends.
 
 
 @pytest.mark.parametrize(
     ("said", "comes"),
     [
-        ([b"UP r1\r\nUP r2\r\n"], Outcome.ESTABLISHED),  # a second answer is the link's by then, as any line
+        ([b"UP r1\r\nUP r2\r\n"], Outcome.ESTABLISHED),  # a second answer is relayed like any line
         ([b"BUSY\r\nUP r2\r\n"], Outcome.REJECTED),
         ([b"ERR\r\n", b"UP r2\r\n"], Outcome.ERROR),
         ([b"UP r", b"1\r\n"], Outcome.ESTABLISHED),
@@ -205,7 +205,7 @@
         upstream = await ScriptedUpstream().start(tasks, answer)
         alone, record = ActorHarness(upstream.named), make_record()
         await alone.upstream_actor.attempts.run(record, now_us() + 5_000_000)
-        (told,) = [word for word in alone.words if isinstance(word, AttemptFinished)]
+        (told,) = [word for word in alone.messages if isinstance(word, AttemptFinished)]
         assert told.outcome is comes
         if isinstance(record.final_answer, Delivered):
             assert record.final_answer.line in (b"UP r1\r\n", b"BYE\r\n")
@@ -222,7 +222,7 @@
 
 @pytest.mark.parametrize("rest", [b"1\r\n", None])
 def test_an_answer_completed_after_the_deadline_does_not_count(rest: bytes | None) -> None:
-    """The first piece in time, the second not, or never: whoever gets it, the client does not."""
+    """The first piece arrives in time, the second too late or never: the client gets neither."""
 
     async def body(tasks: TaskGroup) -> None:
         given_up = anyio.Event()
@@ -247,7 +247,7 @@
 def test_an_answer_during_cancellation_is_delivered_or_leaves_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It lies read in this process when the attempt is broken off: one outcome, nothing left open."""
+    """The answer was read when the attempt is cancelled: there is one outcome, and nothing stays open."""
 
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -39,14 +39,14 @@
 )
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-# Closing over bytes that nobody has read.
+# Closing a connection over unread bytes.
 
 
 @pytest.mark.parametrize("first", [b"nonsense\r\n", b"OPEN a\r\n", b"x" * 5000, b"OPEN half"])
 def test_an_answer_arrives_although_unread_bytes_follow_the_request(
     first: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They come between the reading of the line and its answer."""
+    """They arrive between the reading of the request and its answer."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
     real = stream.Lines.send
@@ -88,7 +88,7 @@
 def test_a_client_whose_end_follows_other_bytes_counts_as_gone(
     client_connections: list[ClientConnections],
 ) -> None:
-    """It goes on from elsewhere, says more, and leaves while its link waits for a place."""
+    """It continues a session, sends more lines, and leaves while its session is held."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -116,7 +116,7 @@
 def test_no_attempt_is_sent_for_a_client_that_left_after_the_decision(
     behind: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end lies in this machine when the connection to the host comes up; nobody has read it yet."""
+    """Its end has arrived, but is not read yet, when the connection to the upstream is established."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -147,7 +147,7 @@
     real = Mailbox.submit
 
     async def submit(mailbox: Mailbox, word: Any) -> None:
-        await gate.wait()  # as long as its mailbox is full
+        await gate.wait()  # while the mailbox is full
         await real(mailbox, word)
 
     monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
@@ -194,13 +194,13 @@
     run_on_loopback(body)
 
 
-# Many at once.
+# Many clients or nodes at once.
 
 
 def test_idle_clients_with_all_descriptors_block_neither_discovery_nor_operators(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Discovery is down while they come; when it is back its news are heard, and a sound client is served."""
+    """They arrive while discovery is down; later its changes are followed, and a client is served."""
     monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
@@ -241,7 +241,7 @@
 
 
 def test_many_nodes_that_start_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    """Thirty processes on the cores there are, before a list that is out of reach."""
+    """Thirty processes start while discovery can't be reached."""
 
     async def body(tasks: TaskGroup) -> None:
         path = tmp_path / "node.json"
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -18,7 +18,7 @@
 
 
 def test_the_list_is_followed_through_invalid_answers_and_broken_watches() -> None:
-    """A list that is not followed any more sends links to hosts that are gone."""
+    """By a list that is no longer followed, sessions would be placed on upstreams that are gone."""
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
@@ -37,8 +37,8 @@
 
 
 def test_a_jump_of_the_revision_causes_no_further_call() -> None:
-    """A line holds all that changed since the one before: a whole list fetched for each jump by every node
-    overbooks the list service, and while it waits its turn the drain behind it is not read."""
+    """A line has all changes since the one before. A complete list for every node after each jump would
+    overload discovery, and meanwhile the drain in the next line would not be read."""
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
@@ -100,7 +100,7 @@
 
 
 def test_a_node_with_an_old_list_serves_by_the_upstreams_that_are_left() -> None:
-    """Discovery tells nothing: each gone host costs a refused connection or two, not a link's whole time."""
+    """While discovery is silent, an upstream that is gone costs a refused connection or two."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -111,8 +111,8 @@
         for number in range(20):
             client = await open_session(port, key=f"k{number}")
             answers.append(await client.line())
-        # Each gone host is tried once, and again when its rest is over, which doubles: a slow machine meets
-        # more of them. Six such tries cost a link its answer.
+        # Each upstream that is gone is tried once, and again after its backoff, which doubles: a slow machine
+        # makes more such attempts. After six of them a session has no answer.
         took_us = (time.monotonic() - began) * 1e6
         refused = sum(1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1])
         assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -37,7 +37,7 @@
 
 @pytest.mark.parametrize("mode", ["proxy", "pass"])
 def test_two_hot_restarts_under_load_affect_no_client(mode: str, tmp_path: Path) -> None:
-    """Exclusive links all along: each host counts what it is sent, each client what it is answered."""
+    """All sessions are non-idempotent; upstreams count the requests, and clients the answers."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
@@ -104,7 +104,7 @@
                 await anyio.sleep(0.005)
 
         async with site.node_process() as first, anyio.create_task_group() as clients:
-            for _ in range(140):  # more than there is room for: some wait, some are shed
+            for _ in range(140):  # more than the descriptors suffice for: some wait, some are shed
                 clients.start_soon(site.talk, 0.2)
             await anyio.sleep(1.0)
             async with site.node_process() as second:
@@ -128,9 +128,9 @@
                 tasks.start_soon(site.talk)
             await anyio.sleep(0.3)
             async with site.node_process() as second:
-                # Told of the drain just before it is followed.
+                # The drain starts just before the successor takes over.
                 assert (await call_admin_api(first.admin_address, "POST /ops/drain/start"))[0] == 200
-            # That one failed and is gone: the first one takes clients again, and drains.
+            # The successor has failed: the predecessor accepts clients again, and drains.
             async with site.node_process() as second:
                 first.signal(signal.SIGTERM)
                 assert '"draining":true' in (await call_admin_api(second.admin_address, READY))[1]
@@ -161,7 +161,7 @@
         async with site.node_process() as first:
             for _ in range(5):
                 tasks.start_soon(site.talk)
-            # Else one may wait in the queue still when the new process says that it serves, and stay there.
+            # Otherwise one may still wait in the backlog when the successor reports that it serves.
             await wait_until(lambda: site.seen["UP"] == 5)
             channel = await connect_to_rendezvous(site)
             greeting = hello_of(parse_node_configuration(site.raw))
@@ -181,7 +181,7 @@
                     assert came is not None and isinstance(came[0], word)
                     for sock in came[1]:
                         sock.close()
-                # Nobody takes clients now: who comes waits in the queue that both would share.
+                # Neither process accepts clients now: those that connect wait in the shared backlog.
                 tasks.start_soon(site.talk)
                 await anyio.sleep(0.2)
                 assert site.seen["UP"] == 5
@@ -191,7 +191,7 @@
             await anyio.sleep(0.3)
             assert site.seen["lines"] > before
             assert set(site.seen) == {"UP", "lines"}
-            # And a sound one still finds it.
+            # A valid successor still finds it.
             async with site.node_process():
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
@@ -210,7 +210,7 @@
             await anyio.sleep(0.5)
             async with site.node_process() as second:
                 first.signal(signal.SIGTERM)
-                await anyio.sleep(0.6)  # some of the links have been handed over, some not
+                await anyio.sleep(0.6)  # some of the sessions have been handed over, some not
                 first.signal(signal.SIGKILL)
                 await second.next_event("hot_restart_predecessor_ended")
                 await site.talk_once()
@@ -233,7 +233,7 @@
             await site.talk_once()
             first.signal(signal.SIGKILL)
             await first.ended()
-        async with site.node_process() as second:  # the socket of the first one is there still
+        async with site.node_process() as second:  # the socket file of the first one still exists
             await site.talk_once()
             async with site.node_process():
                 second.signal(signal.SIGTERM)
@@ -249,7 +249,7 @@
         told = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
         site = await RestartedNode(tasks, tmp_path).start(upstreams)
         discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": told}], []).start(tasks)
-        # The file has never heard of these hosts, and from now on nobody tells of them.
+        # These upstreams are not in the file, and from now on discovery is silent.
         site.raw["known"] = {"revision": 1, "complete": True, "members": []}
         site.raw["discovery"] = f"127.0.0.1:{discovery.port}"
         site.write()
@@ -268,7 +268,7 @@
 def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
     judge = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
-    out: set[str] = set()  # links without an answer yet: none may be when the last process ends
+    out: set[str] = set()  # sessions without an answer; none may be left when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
@@ -321,7 +321,7 @@
 
 
 def test_a_process_that_was_stopped_judges_no_upstream_unresponsive(tmp_path: Path) -> None:
-    """What its hosts answered meanwhile lies unread: it moves no link, and turns nobody away."""
+    """Its upstreams' answers are unread: it must migrate no session and shed no client."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP slow echo").start(tasks, 3)
@@ -348,7 +348,7 @@
 def test_a_platform_without_unix_sockets_only_lacks_hot_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Danger: where the system refuses the family, a node with a door and a TMPDIR would not start at all.
+    # Where the system has no such sockets, a node with an admin API and a TMPDIR must start all the same.
     def refused(family: int, kind: int) -> socket.socket:
         raise OSError(97, "Address family not supported by protocol")
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -66,7 +66,7 @@
 
 
 def test_a_late_answer_never_reaches_the_client() -> None:
-    """The try was given up: its host must find the connection closed, and the client one answer alone."""
+    """The attempt has timed out: its upstream finds the connection closed, and the client gets one answer."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -79,7 +79,7 @@
 
 
 def test_a_request_that_waited_unread_is_answered_in_its_clients_time() -> None:
-    """A crowd keeps the loop busy: the client's time runs from when its line came, not from its reading."""
+    """While the event loop is busy, the client's time counts from the arrival of its line."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
@@ -117,7 +117,7 @@
 def test_a_session_on_a_silent_upstream_migrates_between_two_lines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A vanished host resets nothing; half a line of it must not run into what the node says."""
+    """A vanished upstream resets nothing, and half a line of it must not precede the node's own line."""
     monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 300_000)
 
     async def body(tasks: TaskGroup) -> None:
@@ -135,7 +135,7 @@
 def test_an_unresponsive_upstream_is_reported_before_its_sessions_migrate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Only the module can take all its links away; a host that answers another link is not quiet."""
+    """Only the balancer migrates all its sessions; an upstream that answers on any of them is responsive."""
     told: list[int] = []
     monkeypatch.setattr(
         Balancer, "record_unresponsive", lambda balancer, now, upstream: told.append(upstream)
@@ -163,7 +163,7 @@
 
 
 def test_many_silent_clients_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Whoever only connects, or sends half a line, holds a descriptor that a link needs."""
+    """A client that only connects, or sends half a line, uses a descriptor that a session needs."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.6)
 
     async def body(tasks: TaskGroup) -> None:
@@ -187,7 +187,7 @@
 
 
 def test_a_fault_in_the_balancer_fails_one_session_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that ended by it would take all standing links along."""
+    """If the node ended by it, all established sessions would end as well."""
     place = Balancer.place
 
     def faulty(balancer: Balancer, now: int, session: Session) -> Answer:
@@ -234,7 +234,7 @@
 
 
 def test_sessions_are_answered_when_descriptors_run_out() -> None:
-    """A try that can't even be opened has not run: its link is told so at once, whatever its tariff."""
+    """An attempt that can't connect has not run: its session is shed at once in any traffic class."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -257,7 +257,7 @@
 
 
 def test_a_failed_connection_is_distinguished_from_an_attempt_that_may_have_run() -> None:
-    """Nobody listens there: proven not to have run, so even an exclusive link goes on to the next host."""
+    """Nobody listens there, so nothing has run: even a non-idempotent session is placed elsewhere."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -54,14 +54,14 @@
         assert len(upstreams.lines) == 1
         await standing.send(b"still there\r\n")
         assert await standing.line() == b"still there\r\n"
-        # Descriptors are the node's first limit: none may stay behind.
+        # No descriptor may stay open.
         await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
     run_on_loopback(body)
 
 
 def test_the_id_of_an_open_session_is_rejected() -> None:
-    """Hosts turn it away with an error: a few such clients would have all hosts rest that the node knows."""
+    """Upstreams answer it with an error: a few such clients would have all known upstreams ejected."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -78,7 +78,7 @@
 
 
 def test_a_second_line_before_the_answer_is_an_error() -> None:
-    """What it says besides would be passed on, and no host could read it."""
+    """The second line would be relayed, and no upstream could read it."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -31,11 +31,11 @@
 )
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-# The end of a node.
+# SIGTERM, and the end of a node.
 
 
 def short_lived(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
-    """A configuration whose node is granted little time after SIGTERM."""
+    """Return a configuration with a short longest deadline, so that a stop is short."""
     raw = node_configuration(upstreams.addresses, discovery, **changes)
     for traffic_class in raw["settings"]["tariffs"]:
         traffic_class["cut_off_us"] = 400_000
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("mode", ["proxy", "pass"])
 def test_idle_clients_get_an_answer_and_no_reset_when_the_node_ends(mode: str, tmp_path: Path) -> None:
-    """One says nothing at all, one half a line; a link waits for its host's answer, and gets it."""
+    """One client sends nothing, one half a line; a session waits for its upstream's answer, and gets it."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -57,7 +57,7 @@
             resting = [connect_raw(node.port, said) for said in (b"", b"OPEN half")]
             waiting = await open_session(node.port)
             await wait_until(lambda: len(upstreams.lines) == 1)
-            for _ in range(2):  # the second changes nothing
+            for _ in range(2):  # the second one changes nothing
                 node.signal(signal.SIGTERM)
             assert await waiting.line() == b"UP r1\r\n"
             await waiting.close()
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("crossing", ["start", "SIGHUP"])
 def test_sigterm_during_another_operation_ends_the_node_normally(crossing: str, tmp_path: Path) -> None:
-    """Told to end while it waits for its first list, and in one breath with a new configuration."""
+    """SIGTERM while it waits for its first list, and right after SIGHUP."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -126,7 +126,7 @@
 def test_clients_in_the_backlog_are_answered_at_the_end_and_later_ones_refused(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The system has accepted them, and holds their requests, when the node shuts its entrance."""
+    """The system has accepted them and received their requests when the node closes its listener."""
     listeners: list[ClientListener] = []
 
     class Kept(ClientListener):
@@ -180,7 +180,7 @@
 def test_sessions_in_flight_are_answered_before_the_node_ends(
     client_connections: list[ClientConnections],
 ) -> None:
-    """However long a client would wait: what is still out when the process is killed has no answer."""
+    """However long a client would wait, as a request in flight when the process is killed has no answer."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -23,7 +23,7 @@
 
 
 def test_sigterm_migrates_established_sessions_gradually_and_ends_the_node(tmp_path: Path) -> None:
-    """All at once they would come back as a crowd; cut off without a word they would be lost."""
+    """All at once they would come back as one burst; closed without `MOVE` they would be lost."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -58,12 +58,12 @@
 
 
 def test_sighup_follows_a_new_discovery_address_and_rejects_a_wrong_file(tmp_path: Path) -> None:
-    """By default a process ends at SIGHUP: its links would be lost, and a slip in a file as well."""
+    """By default SIGHUP ends a process, which would lose its sessions; so would a wrong file."""
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP echo").start(tasks), await UpstreamStubs("UP new").start(tasks)
         first = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
-        # Its version is older than what the node has heard of, and it does not name the first host.
+        # Its revision is lower than the one that the node knows, and it lacks the first upstream.
         whole = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
         second = await DiscoveryStub([whole], []).start(tasks)
         path = tmp_path / "node.json"
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -32,7 +32,7 @@
 
 
 def connected() -> tuple[socket.socket, socket.socket]:
-    """Two ends of a connection, as a link's are."""
+    """Return the two ends of a connection."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         ours = socket.create_connection(server.getsockname())
         theirs, _ = server.accept()
@@ -41,7 +41,7 @@
 
 
 def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
-    """While it changed hands nobody read: a process that has just begun must not call its hosts quiet."""
+    """Nobody read during the hand-over: the successor must not judge the upstream as unresponsive for it."""
 
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
@@ -72,7 +72,7 @@
     run_on_loopback(body)
 
 
-# What Brain hands on.
+# What the balancer has learned.
 
 
 def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
@@ -90,7 +90,7 @@
 
 
 def filled(made: Balancer, now: int, first: int, times: int) -> int:
-    """How many of so many new links go to the cold host."""
+    """Return how many of so many new sessions go to the warming upstream."""
     went = 0
     for number in range(first, first + times):
         session = Session(number, 0, number, number, now + 2 * SECOND_US)
@@ -123,7 +123,7 @@
         restore_state(new, export_state(old), 0)
         assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
-        old.release_slow_start_budget(released=False)  # the new one failed: the window is spent all the same
+        old.release_slow_start_budget(released=False)  # the successor failed, but the window is spent
         assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
 
 
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -27,19 +27,19 @@
 
 
 class RestartedNode:
-    """A node's file, its shared folder, and clients that keep count of what they were answered."""
+    """A node's file, the folder that its processes share, and clients that count their answers."""
 
     def __init__(self, tasks: TaskGroup, path: Path) -> None:
         self.tasks = tasks
         self.path = path
         self.seen: Counter[str] = Counter()
         self.number = 0
-        self.arguments: list[str] = []  # that its processes are started with
+        self.arguments: list[str] = []  # of the command of its processes
 
     async def start(self, upstreams: UpstreamStubs, **changes: Any) -> RestartedNode:
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(self.tasks)
-        # The stand-ins share this machine with the tests: late by its load, hosts would count as slow, and
-        # links be shed as they should. Nothing here is about slow hosts.
+        # The stand-ins run on the machine that runs the tests. Delayed by its load, upstreams would count as
+        # slow, and sessions be shed, which these tests are not about.
         changes["domain"] = {"tells_delay": False, **changes.get("domain", {})}
         self.raw = node_configuration(upstreams.addresses, discovery.port, **changes)
         self.raw["listen"] = admin_address()
@@ -70,7 +70,7 @@
         return client
 
     async def talk(self, beat_s: float = 0.02) -> None:
-        """A client for as long as it is let: a line at a time, each to come back before the next."""
+        """Run a client until cancelled, which sends one line at a time and waits for its echo."""
         try:
             client = await self.opened()
             answer = await client.line()
@@ -79,7 +79,7 @@
             while answer in (b"UP echo\r\n", b"UP slow echo\r\n"):
                 number += 1
                 sent = f"line {number} of many\r\n".encode()
-                # In two pieces: a hand-over may come between them.
+                # In two pieces, so that a hand-over may happen between them.
                 await client.send(sent[:6])
                 await anyio.sleep(beat_s)
                 await client.send(sent[6:])
@@ -92,7 +92,7 @@
             self.seen["turned back"] += 1
 
     async def talk_once(self) -> None:
-        """One more client, which stays after its answer."""
+        """Start one more client, and wait for its answer."""
         answered = sum(self.seen[word] for word in ("UP", "no answer", "turned back"))
         self.tasks.start_soon(self.talk)
         while sum(self.seen[word] for word in ("UP", "no answer", "turned back")) == answered:
@@ -105,7 +105,7 @@
 
 
 async def connect_to_rendezvous(site: RestartedNode) -> Channel:
-    """The Unix socket of the process that serves, as a new one would find it."""
+    """Connect with the process that serves, as a successor does."""
     os.environ["TMPDIR"] = str(site.path)
     rendezvous = Rendezvous.for_node(parse_node_configuration(site.raw, admin_address()))
     assert rendezvous is not None
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -26,8 +26,8 @@
 from tests.support.loopback import port_of, wait_until
 
 MANY_LINES = b"more and more\r\n" * 27_000  # more than is read at once, less than is read at all
-PATIENT_US = 15_000_000  # how long a client waits that must not be answered by its time alone
-SOON_S = 8.0  # well before that, and long enough for any machine
+PATIENT_US = 15_000_000  # the wait of a client whose answer must not come from its deadline
+SOON_S = 8.0  # much shorter, and long enough on any machine
 
 
 def connect_raw(port: int, said: bytes) -> socket.socket:
@@ -38,7 +38,7 @@
 
 
 async def send_and_read_all(client: socket.socket, more: bytes = b"") -> bytes:
-    """What a client that says more gets up to the end; a reset is an error."""
+    """Send more and return all that the client gets up to the end; a reset raises an error."""
 
     def read() -> bytes:
         got = b""
@@ -56,34 +56,35 @@
     return f"OPEN {ident} k1 c=rerun,t=acme,d={wait_ms}{more}\r\n".encode()
 
 
-async def wait_until_idle(door: ClientConnections) -> None:
-    """Nothing is left of what went through it: no connection, id, attempt or descriptor."""
-    module = door._balancer_actor
+async def wait_until_idle(connections: ClientConnections) -> None:
+    """Wait until nothing is left of what it served: no connection, id, attempt or descriptor."""
+    balancer_actor = connections._balancer_actor
     await wait_until(
         lambda: (
             not (
-                door.connection_count
-                or door.sessions.open_count
-                or door.requests.ids.records
-                or door.sessions.established
-                or module.records
+                connections.connection_count
+                or connections.sessions.open_count
+                or connections.requests.ids.records
+                or connections.sessions.established
+                or balancer_actor.records
             )
-            and not (door.reader.waiting or door.reader.without_line)
+            and not (connections.reader.waiting or connections.reader.without_line)
             and all(
                 not upstream_actor.attempts.in_flight and not upstream_actor.session_watch.sessions
-                for upstream_actor in module.upstreams.actors.values()
+                for upstream_actor in balancer_actor.upstreams.actors.values()
             )
-            and door.descriptors.free == door.descriptors.capacity - 1  # for the next one to be accepted
+            and connections.descriptors.free
+            == connections.descriptors.capacity - 1  # reserved for the next client
         )
     )
 
 
 class ActorHarness:
-    """A host's actor without a node."""
+    """An upstream actor without a node."""
 
     def __init__(self, address: str) -> None:
         name, _, port = address.rpartition(":")
-        self.words: list[Message] = []
+        self.messages: list[Message] = []
         self.descriptors = DescriptorBudget(1024)
         self.counters = Counters()
         reach = UpstreamSettings(250_000, False, False, 0)
@@ -92,15 +93,15 @@
             UpstreamContext(reach, self.descriptors, self.counters, self.post),
         )
 
-    async def post(self, word: Message) -> None:
-        self.words.append(word)
+    async def post(self, message: Message) -> None:
+        self.messages.append(message)
 
     async def attempt(self, record: SessionRecord, within_us: int = 1_000_000) -> Outcome:
         await self.upstream_actor.attempts.run(record, now_us() + within_us)
-        (word,) = self.words
-        assert isinstance(word, AttemptFinished)
+        (message,) = self.messages
+        assert isinstance(message, AttemptFinished)
         assert self.upstream_actor.attempts.in_flight == 0 and record.attempt_scope is None
-        return word.outcome
+        return message.outcome
 
 
 def make_record(traffic_class: str = "once") -> SessionRecord:
@@ -114,7 +115,7 @@
 
 
 class ScriptedUpstream:
-    """A host that does as told with each connection's first line, step by step."""
+    """An upstream stand-in that answers each connection by a given function."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
