--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -16,6 +16,7 @@
 from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.config.upstream import UpstreamSettings
 from larchlatch.node.clients.connections import ClientConnections
+from larchlatch.node.clients.requests import RequestChecker
 from larchlatch.node.clock import now_us
 from larchlatch.node.descriptor_budget import DescriptorBudget
 from larchlatch.node.hot_restart.packets import (
@@ -52,22 +53,25 @@
         entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
         upstreams.update(EndpointList(1, True, [entry]))
         mailbox = SimpleNamespace(post=post)
-        module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
+        balancer_actor: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
         phase = LifecycleState(5.0, sessions_outlive_node=False)
-        door = ClientConnections(module, ["once"], [], 3_000_000, room, counters, anyio.Event(), phase)
+        requests = RequestChecker(
+            traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=phase
+        )
+        connections = ClientConnections(balancer_actor, requests, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND_US, 0):
             pairs = [connected(), connected()]
-            told = SessionHandover(
+            packet = SessionHandover(
                 b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
             )
-            tasks.start_soon(door.adopt, told, [ours for ours, _ in pairs])
-            await wait_until(lambda: bool(door.sessions.established))
-            [record] = door.sessions.established.values()
+            tasks.start_soon(connections.adopt, packet, [ours for ours, _ in pairs])
+            await wait_until(lambda: bool(connections.sessions.established))
+            [record] = connections.sessions.established.values()
             assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
             for _, theirs in pairs:
                 theirs.close()
-            await wait_until(lambda: not door.sessions.established)
+            await wait_until(lambda: not connections.sessions.established)
 
     run_on_loopback(body)
 
