--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -33,7 +33,7 @@
 
 
 def connected() -> tuple[socket.socket, socket.socket]:
-    """Two ends of a connection, as a link's are."""
+    """Return the two ends of a connection."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         ours = socket.create_connection(server.getsockname())
         theirs, _ = server.accept()
@@ -42,7 +42,7 @@
 
 
 def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
-    """While it changed hands nobody read: a process that has just begun must not call its hosts quiet."""
+    """Nobody read during the hand-over: the successor must not judge the upstream as unresponsive for it."""
 
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
@@ -53,30 +53,30 @@
         entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
         upstreams.update(EndpointList(1, True, [entry]))
         mailbox = SimpleNamespace(post=post)
-        module: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
+        balancer_actor: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
         phase = LifecycleState(5.0, sessions_outlive_node=False)
         requests = RequestChecker(
             traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=phase
         )
-        door = ClientConnections(module, requests, room, counters, anyio.Event(), phase)
+        connections = ClientConnections(balancer_actor, requests, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND_US, 0):
             pairs = [connected(), connected()]
-            told = SessionHandover(
+            packet = SessionHandover(
                 b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
             )
-            tasks.start_soon(door.adopt, told, [ours for ours, _ in pairs])
-            await wait_until(lambda: bool(door.sessions.established))
-            [record] = door.sessions.established.values()
+            tasks.start_soon(connections.adopt, packet, [ours for ours, _ in pairs])
+            await wait_until(lambda: bool(connections.sessions.established))
+            [record] = connections.sessions.established.values()
             assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
             for _, theirs in pairs:
                 theirs.close()
-            await wait_until(lambda: not door.sessions.established)
+            await wait_until(lambda: not connections.sessions.established)
 
     run_on_loopback(body)
 
 
-# What Brain hands on.
+# What the balancer has learned.
 
 
 def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
@@ -94,7 +94,7 @@
 
 
 def filled(made: Balancer, now: int, first: int, times: int) -> int:
-    """How many of so many new links go to the cold host."""
+    """Return how many of so many new sessions go to the warming upstream."""
     went = 0
     for number in range(first, first + times):
         session = Session(number, 0, number, number, now + 2 * SECOND_US)
@@ -127,7 +127,7 @@
         restore_state(new, export_state(old), 0)
         assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
-        old.release_slow_start_budget(released=False)  # the new one failed: the window is spent all the same
+        old.release_slow_start_budget(released=False)  # the successor failed, but the window is spent
         assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
 
 
