--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -15,8 +15,8 @@
     from larchlatch.cluster.election.ballots import Ballot
     from larchlatch.cluster.election.electorate import Electorate
 
-LATE_HEARTBEATS = 3  # a heartbeat counts as late if it follows the previous one after so many intervals
-MAX_LATE_HEARTBEATS = 3  # within a term; a node with so many resigns, as its orders would come late, too
+LATE_HEARTBEATS = 3  # heartbeat intervals since the previous heartbeat after which one counts as late
+MAX_LATE_HEARTBEATS = 3  # late heartbeats within a term at which a node resigns
 PAUSE_TERMS = 10  # terms for which such a node is no candidate
 
 
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -126,17 +126,17 @@
             self._known_holders.update(now, role, holder)
             if self._candidate_side.shutting_down:
                 self._resign(now, role, records)
-            requests += self._step_candidate(now, origin.created_us, index, records)
+            requests += self._step_candidate(now, origin, index, records)
         return requests
 
     def _step_candidate(
-        self, now: int, wall: int, role_index: int, present: Collection[str]
+        self, now: int, origin: RequestOrigin, role_index: int, present: Collection[str]
     ) -> list[BallotRequest]:
         role = self.electorate.roles[role_index]
         eligible = self._candidate_side.may_stand(now) and self._known_holders.is_standby(now, role, present)
-        ballots = self._candidate_side.candidates[role].step(now, wall, eligible=eligible)
-        repeated = [] if ballots else self._repeated_requests(now, wall, role_index)
-        return repeated + self._submit(now, wall, role_index, ballots)
+        ballots = self._candidate_side.candidates[role].step(now, origin.created_us, eligible=eligible)
+        repeated = [] if ballots else self._repeated_requests(now, origin, role_index)
+        return repeated + self._submit(now, origin, role_index, ballots)
 
     def _resign(self, now: int, role: str, present: Collection[str]) -> None:
         """Hand a role over to the next node in the order of preference."""
@@ -161,7 +161,9 @@
 
     # Ballots and votes.
 
-    def _submit(self, now: int, wall: int, role_index: int, ballots: Sequence[Ballot]) -> list[BallotRequest]:
+    def _submit(
+        self, now: int, origin: RequestOrigin, role_index: int, ballots: Sequence[Ballot]
+    ) -> list[BallotRequest]:
         """Return ballot requests to the other electors, after this node's own elector has answered."""
         role = self.electorate.roles[role_index]
         candidate = self._candidate_side.candidates[role]
@@ -170,7 +172,7 @@
         waiting = list(ballots)
         while waiting:
             ballot = waiting.pop(0)
-            requests += self._ballot_requests(wall, role_index, ballot)
+            requests += self._ballot_requests(origin, role_index, ballot)
             if ballot.kind is BallotKind.RELEASE:
                 self._candidate_side.record_release(role, ballot)
             answer = self._elector_side.answer(now, role, own_id, ballot)
@@ -180,10 +182,9 @@
         return requests
 
     def _ballot_requests(
-        self, wall: int, role_index: int, ballot: Ballot, answered: Collection[str] = frozenset()
+        self, origin: RequestOrigin, role_index: int, ballot: Ballot, answered: Collection[str] = frozenset()
     ) -> list[BallotRequest]:
         """Return a ballot request to each elector that has not answered, and to the named successor."""
-        origin = RequestOrigin(self.own_name, self.incarnation, wall)
         recipients = {*self.electorate.electors, ballot.successor} - {self.own_name, "", *answered}
         return [
             BallotRequest(
@@ -198,7 +199,7 @@
             for recipient in sorted(recipients)
         ]
 
-    def _repeated_requests(self, now: int, wall: int, role_index: int) -> list[BallotRequest]:
+    def _repeated_requests(self, now: int, origin: RequestOrigin, role_index: int) -> list[BallotRequest]:
         """Return requests that may have been lost, to send them again."""
         role = self.electorate.roles[role_index]
         candidate = self._candidate_side.candidates[role]
@@ -206,10 +207,10 @@
         # If a release is lost, unused promises keep other nodes from the role for a term.
         released = self._candidate_side.take_release(role)
         if released is not None:
-            requests += self._ballot_requests(wall, role_index, released)
+            requests += self._ballot_requests(origin, role_index, released)
         ballot = candidate.repeated_ballot(now)
         if ballot is not None:
-            requests += self._ballot_requests(wall, role_index, ballot, candidate.granted_by)
+            requests += self._ballot_requests(origin, role_index, ballot, candidate.granted_by)
         return requests
 
     def answer_ballot(self, now: int, request: BallotRequest) -> Vote | None:
@@ -254,7 +255,7 @@
             return False
         return vote.sender not in candidate.granted_by
 
-    def count_vote(self, now: int, wall: int, vote: Vote) -> list[BallotRequest]:
+    def count_vote(self, now: int, vote: Vote, *, wall: int) -> list[BallotRequest]:
         """Count an elector's vote, and return the ballot requests that follow from it."""
         candidate = self._candidate_side.candidates[self.electorate.roles[vote.role_index]]
         answer = Answer(
@@ -263,7 +264,8 @@
             blocked_us=min(vote.remaining_us, self.electorate.lease_terms.promise_us),
         )
         ballots = candidate.count_answer(now, vote.sender, vote.request_id, answer)
-        return self._submit(now, wall, vote.role_index, ballots)
+        origin = RequestOrigin(self.own_name, self.incarnation, wall)
+        return self._submit(now, origin, vote.role_index, ballots)
 
     # Orders.
 
--- a/larchlatch/cluster/exchange/ballots.py
+++ b/larchlatch/cluster/exchange/ballots.py
@@ -25,4 +25,4 @@
 
     def handle_vote(self, vote: Vote, *, now: int, wall: int, result: ExchangeResult) -> None:
         """Count a vote, and send the ballot requests that follow from it."""
-        result.datagrams += map(self._pack, self._election.count_vote(now, wall, vote))
+        result.datagrams += map(self._pack, self._election.count_vote(now, vote, wall=wall))
--- a/larchlatch/cluster/exchange/receiver.py
+++ b/larchlatch/cluster/exchange/receiver.py
@@ -143,7 +143,7 @@
         if message.recipient != self._membership.own_name:
             return DropReason.WRONG_RECIPIENT
         if isinstance(message, Request):
-            return self._membership.check_time(message.created_us, wall)
+            return self._membership.check_time(message.created_us, wall_us=wall)
         return None  # responses carry no time: `_is_expected` compares them with the pending requests
 
     def _is_expected(self, message: DirectMessage) -> bool:
--- a/larchlatch/cluster/exchange/state.py
+++ b/larchlatch/cluster/exchange/state.py
@@ -6,7 +6,7 @@
 
 from larchlatch.cluster.election.election import Election
 from larchlatch.cluster.health.observations import HealthObservations
-from larchlatch.cluster.quota.counts import FleetCounts
+from larchlatch.cluster.quota.counts import ClusterUsage
 from larchlatch.cluster.quota.shared_quotas import SharedQuotas
 from larchlatch.cluster.slow_start.tokens import SlowStartTokens
 
@@ -30,7 +30,7 @@
     """
 
     quotas: SharedQuotas
-    quota_usage: FleetCounts
+    quota_usage: ClusterUsage
     health: HealthObservations
     election: Election
     tokens: SlowStartTokens
@@ -61,7 +61,7 @@
         """
         return cls(
             SharedQuotas(name, quota_settings, heartbeat_us, now, random),
-            FleetCounts(quota_settings, clock_difference_us=max_clock_difference_us),
+            ClusterUsage(quota_settings, clock_difference_us=max_clock_difference_us),
             HealthObservations(),
             Election(name, electorate, heartbeat_us, now, random),
             SlowStartTokens(name, electorate, now),
--- a/larchlatch/cluster/health/reports.py
+++ b/larchlatch/cluster/health/reports.py
@@ -10,8 +10,8 @@
     from larchlatch.cluster.protocol.messages import HealthObservation
 
 REPORTABLE_FAILURES = 2  # failures in a row before an upstream is reported; one may be a lost packet
-OBSERVATION_TTL_US = 3_000_000  # an observation counts for so long: more than the 2 s between probes
-ACTIONABLE_US = 1_000_000  # a report leads to ejection only while it is so new, as the upstream may recover
+OBSERVATION_TTL_US = 3_000_000  # time for which an observation counts: more than the 2 s between probes
+ACTIONABLE_US = 1_000_000  # age up to which a report may lead to ejection, as the upstream may recover
 
 
 class Reporters(NamedTuple):
--- a/larchlatch/cluster/membership/clock.py
+++ b/larchlatch/cluster/membership/clock.py
@@ -3,17 +3,17 @@
 from __future__ import annotations
 
 REFERENCE_HEARTBEAT_US = 200_000  # the interval at which the thresholds below hold; others are scaled to it
-BASE_SILENCE_US = 1_600_000  # without news for so long a member of a small cluster counts as silent
+BASE_SILENCE_US = 1_600_000  # time without news until a member of a small cluster counts as silent
 SILENCE_HEARTBEATS = 8  # the lower bound of the same with longer heartbeat intervals
 # Added for each member: a heartbeat carries some twenty records, so in a larger cluster records are older.
 SILENCE_PER_MEMBER_US = 90_000
-# One advance counts at most so many: a node that was stopped has to listen again before it judges others.
+# Upper bound of one advance: a node that was stopped has to listen again before it judges others.
 MAX_ADVANCE_HEARTBEATS = 3
-SUSPICION_US = 2_400_000  # without direct news for so long a watcher suspects a member: six of its datagrams
+SUSPICION_US = 2_400_000  # time without direct news until a watcher suspects a member: six of its datagrams
 SUSPICION_HEARTBEATS = SUSPICION_US // REFERENCE_HEARTBEAT_US
 FAN_OUT = 3  # members that each heartbeat is sent to
-# In each round of the shuffled order a node sends to each member once; a member without direct news for so
-# many rounds no longer counts as heard directly.
+# In each round of the shuffled order a node sends to each member once. After this number of rounds without
+# direct news a member no longer counts as heard directly.
 DIRECT_ROUNDS = 4
 
 
--- a/larchlatch/cluster/membership/member.py
+++ b/larchlatch/cluster/membership/member.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
-RECOVERY_US = SUSPICION_US  # for so long after its own silence a watcher's suspicions are ignored
+RECOVERY_US = SUSPICION_US  # time after a watcher's own silence in which its suspicions are ignored
 NEVER_US = -1  # earlier than any time of the listening clock
 
 
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -123,10 +123,10 @@
             return DropReason.UNKNOWN_MEMBER
         if member.record is not None and record.version <= member.record.version:
             return RecordNovelty.KNOWN
-        return self.check_time(record.created_us, wall_us) or RecordNovelty.NEWER
+        return self.check_time(record.created_us, wall_us=wall_us) or RecordNovelty.NEWER
 
     @staticmethod
-    def check_time(created_us: int, wall_us: int) -> DropReason | None:
+    def check_time(created_us: int, *, wall_us: int) -> DropReason | None:
         """Return why a message created at this Unix time must be dropped; None if it may be accepted."""
         if created_us < wall_us - MAX_CLOCK_DIFFERENCE_US:
             return DropReason.TOO_OLD
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -18,7 +18,7 @@
 MAX_REQUESTS = 8  # in one heartbeat, for all quotas together
 MAX_LENDERS = 3  # asked for one quota in one heartbeat: each loan has to be renewed separately
 MAX_LOANS = 24  # of one quota at a time: each has to be renewed once in half a term
-ANSWER_HEARTBEATS = 3  # after so many a request without an answer counts as lost
+ANSWER_HEARTBEATS = 3  # heartbeats after which a request without an answer counts as lost
 
 
 class Offer(NamedTuple):
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -72,7 +72,7 @@
     gaps: list[Gap]
 
 
-class FleetCounts:
+class ClusterUsage:
     """Samples of the counts of all nodes, this node included.
 
     Attributes:
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -11,7 +11,7 @@
     from larchlatch.cluster.protocol.messages import LoanRequest
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-ACTIVE_TERMS = 2  # a node that has asked within so many loan terms gets an equal share of a pool
+ACTIVE_TERMS = 2  # loan terms for which a node gets an equal share of a pool after its last request
 PARTS = 3  # loans in which an equal share is lent, so that a part of it can be reclaimed
 
 
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -69,31 +69,15 @@
         """
         self._local_node = local_node
         self._counters = node_counters
-        self.configuration = configuration = local_node.configuration
-        heartbeat_us, sites = configuration.heartbeat_us, configuration.sites
-        # The order of these calls is the order of their random draws.
-        self.membership = Membership(
-            local_node.name,
-            sites,
-            heartbeat_us=heartbeat_us,
-            wall_us=wall_us(),
-            now_us=self.now(),
-            rng=random,
-        )
-        self.state = SharedState.create(
-            local_node.name,
-            configuration.quota_settings,
-            configuration.electorate,
-            max_clock_difference_us=configuration.max_clock_difference_us,
-            heartbeat_us=heartbeat_us,
-            now=self.now(),
-            random=random,
-        )
+        self.configuration = local_node.configuration
+        # The order of these two calls is the order of their random draws.
+        self.membership = _create_membership(local_node, self.now(), random)
+        self.state = _create_state(local_node, self.now(), random)
         self.exchange = Exchange(
             self.membership,
             self.state,
-            sites,
-            configuration.keys,
+            self.configuration.sites,
+            self.configuration.keys,
             local_node.signer,
             Verifier(),
             node_counters.add,
@@ -102,7 +86,7 @@
         self._events = ClusterEventLog(node_counters)
         self._notifier = BalancerNotifier(balancer, self.state.tokens.requester, self._events, node_counters)
         self._driver = ClusterDriver(
-            configuration.nodes,
+            self.configuration.nodes,
             self.exchange,
             self._socket,
             self._events,
@@ -244,3 +228,30 @@
     def member_rows(self) -> list[dict[str, Any]]:
         """Return one row for each other member."""
         return reports.member_rows(self.membership, self.configuration.sites)
+
+
+def _create_membership(local_node: LocalNode, now: int, random: Random) -> Membership:
+    """Return the membership of a node that starts."""
+    configuration = local_node.configuration
+    return Membership(
+        local_node.name,
+        configuration.sites,
+        heartbeat_us=configuration.heartbeat_us,
+        wall_us=wall_us(),
+        now_us=now,
+        rng=random,
+    )
+
+
+def _create_state(local_node: LocalNode, now: int, random: Random) -> SharedState:
+    """Return the shared state of a node that starts."""
+    configuration = local_node.configuration
+    return SharedState.create(
+        local_node.name,
+        configuration.quota_settings,
+        configuration.electorate,
+        max_clock_difference_us=configuration.max_clock_difference_us,
+        heartbeat_us=configuration.heartbeat_us,
+        now=now,
+        random=random,
+    )
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -26,7 +26,7 @@
 
 RENEWALS = 3  # of a hand-over within its term, while an upstream is warming up
 IDLE_RENEWALS = 2  # of a hand-over within its term, while no upstream is warming up
-NOTICE_LAG_US = 300_000  # a hand-over is promised to the issuer only so long after the balancer's notice
+NOTICE_LAG_US = 300_000  # delay from the balancer's notice of a hand-over to the promise to the issuer
 REQUEST_BURST = 16  # requests for sessions that a node may send at once
 CLUSTER_REQUESTS_PER_S = 1000  # for sessions, of all nodes: the issuer verifies a signature for each
 
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -77,7 +77,7 @@
     assert 0.98 * 200 * 60 <= admitted <= 200 * 61
 
 
-def test_uses_are_forgotten_after_a_window_and_say_when() -> None:
+def test_use_expires_after_a_window_and_its_end_is_reported() -> None:
     counter = SlidingWindowCounter()
     counter.add(10, 5)
     assert counter.advance(10 + SLOTS) == 5 and counter.slots_until_free(10 + SLOTS, 5) == 1
@@ -91,7 +91,7 @@
     assert counter.advance(5) == 4, "a clock that runs back frees nothing"
 
 
-def test_one_who_comes_back_when_told_is_admitted() -> None:
+def test_retry_at_the_reported_time_is_admitted() -> None:
     quotas, teams = tree(10, a=10)
     now = LATER
     for _ in range(10):
@@ -101,7 +101,7 @@
     assert quotas.admit(now + rejection.retry_after_us + quotas.slot_us, teams["a"], ONE_SESSION) is None
 
 
-def test_a_node_that_starts_hands_out_no_full_window_at_once() -> None:
+def test_starting_node_does_not_admit_a_full_window_at_once() -> None:
     quotas, teams = tree(100, a=100)
     at_once = sum(quotas.admit(START, teams["a"], ONE_SESSION) is None for _ in range(200))
     in_a_second = sum(quotas.admit(START + n * 5000, teams["a"], ONE_SESSION) is None for n in range(200))
@@ -246,7 +246,7 @@
     assert other.used(Dimension.NEW_SESSIONS, LATER // quotas.slot_us) == 0 and root.admitted == 10
 
 
-def test_held_links_are_never_cut_off_and_count_until_they_end() -> None:
+def test_held_sessions_are_never_ended_and_count_until_they_end() -> None:
     contracts = raw(a=50, b=50)
     contracts["pools"][0]["able"]["held"] = 20
     for team in contracts["teams"]:
@@ -307,7 +307,7 @@
     assert admitted == 100 * window_s, "all of a whole window, for nobody else asks"
 
 
-def test_thousands_of_desks_come_and_go_without_a_fresh_budget() -> None:
+def test_thousands_of_desks_come_and_go_without_a_renewed_share() -> None:
     contracts = raw(a=100)
     contracts["teams"][0]["parts"] = [{"name": "bank", "share": 1.0, "unnamed": 0.01}]
     broker = Broker(parse_contracts(contracts), 1, START)
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -145,7 +145,7 @@
     assert LEASE_TERMS.round_us <= sorted(took)[15] <= LEASE_TERMS.term_us
 
 
-def test_a_hand_over_that_is_planned_leaves_a_pause_of_one_round_trip() -> None:
+def test_planned_hand_over_leaves_the_role_vacant_for_one_round_trip() -> None:
     small = Small()
     assert small.step("x")
     small.candidates["x"].resign(small.now, "y")
@@ -213,7 +213,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 50, 131, 190])
-def test_through_faults_drawn_from_seeds_no_two_hold_a_duty(seed: int) -> None:
+def test_with_random_faults_no_two_nodes_hold_a_role(seed: int) -> None:
     """On the last three nobody held one for 12 to 23 s while lost ballots were not sent again."""
     row = World(with_drawn(day_of(DUTIES, {"seed": seed}), 12)).play()
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
@@ -228,12 +228,12 @@
     first = one.tick(now, origin("x"), {}, {})
     assert [request.recipient for request in first] == list(NAMES)
     vote = Vote("b", "x", 1, first[0].request_id, 0, True, 0, 0)
-    assert one.expects_vote(vote) and not one.count_vote(now, WALL, vote)
+    assert one.expects_vote(vote) and not one.count_vote(now, vote, wall=WALL)
     again = one.tick(now + 200_000, origin("x"), {}, {})
     assert [request.recipient for request in again] == ["a", "c"] and again[0].request_id == first[
         0
     ].request_id
-    one.count_vote(now + 250_000, WALL, Vote("c", "x", 1, first[0].request_id, 0, True, 0, 0))
+    one.count_vote(now + 250_000, Vote("c", "x", 1, first[0].request_id, 0, True, 0, 0), wall=WALL)
     asks = one.tick(now + 260_000, origin("x"), {}, {})
     assert {request.kind for request in asks} == {BallotKind.GRANT.value}
     over = now + 250_000 + LEASE_TERMS.round_us
@@ -245,7 +245,7 @@
     assert not one.tick(over + 2, origin("x"), {}, {})
 
 
-def test_what_a_dead_third_leaves_reaches_the_others_by_the_allotter() -> None:
+def test_quota_allocator_lends_the_share_of_dead_nodes_to_the_others() -> None:
     def used(allot: bool) -> float:
         world = World(
             checked(
@@ -273,7 +273,7 @@
     assert used(True) > used(False) + 0.08
 
 
-def test_the_judge_sees_orders_of_two_leases() -> None:
+def test_invariant_checker_detects_orders_of_two_leases() -> None:
     judge = Tenures(range(3), 0)
     for lease in (5, 5, 9, 9):
         judge.carried_out(lease)
@@ -300,7 +300,7 @@
         ({"electors": ["n0", "n1", "n2"], "allot": True}, "allot"),
     ],
 )
-def test_a_faulty_table_of_duties_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
+def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": nodes, "duties": change}, "cluster")
@@ -341,7 +341,7 @@
     assert election.answer_ballot(now + electorate.lease_terms.startup_silence_us, ask) is not None
 
 
-def test_a_holder_that_is_late_again_and_again_gives_its_duty_up() -> None:
+def test_holder_with_repeatedly_late_heartbeats_resigns() -> None:
     electorate = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
@@ -364,7 +364,7 @@
     assert whys == [("held", "nobody held the role"), ("ended", "this node is too slow")]
 
 
-def test_a_duty_that_was_handed_on_says_so_on_both_sides() -> None:
+def test_hand_over_is_the_logged_reason_on_both_sides() -> None:
     electorate = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
     one, successor = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
@@ -387,7 +387,7 @@
             for request in asks
             if request.recipient == "n0" and (vote := one.answer_ballot(now, request)) is not None
         ]
-        asks = [request for vote in votes for request in successor.count_vote(now, WALL, vote)]
+        asks = [request for vote in votes for request in successor.count_vote(now, vote, wall=WALL)]
     assert successor.order_permit(now, QUOTA_ALLOCATOR)[0], "in the same instant"
     assert [(event.change, event.reason) for event in successor.take_events()] == [
         ("held", "the previous holder handed the role over")
@@ -395,7 +395,7 @@
     assert one.take_events()[-1].reason == "this node is shutting down"
 
 
-def test_one_liar_makes_up_no_holder() -> None:
+def test_single_faulty_elector_fabricates_no_holder() -> None:
     electorate = fleet("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
 
@@ -412,7 +412,7 @@
     assert holder(n0=record("n0", said), n1=record("n1", old)) is None, "by now it has ended"
 
 
-def test_ballots_of_any_kind_end_no_node() -> None:
+def test_unknown_ballots_are_ignored() -> None:
     electorate = fleet("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     for duty, what in ((0, 7), (9, 0), (9, 2)):
@@ -426,7 +426,7 @@
     assert not election.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
 
 
-def test_a_vote_for_an_earlier_life_is_not_counted() -> None:
+def test_vote_for_an_earlier_incarnation_is_not_counted() -> None:
     # Danger: its round has the same number in this life, and no elector has promised this one anything.
     electorate = fleet("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -115,7 +115,7 @@
 # Membership.
 
 
-def test_all_hear_of_all_and_a_node_that_stops_is_silent_and_comes_back() -> None:
+def test_all_members_become_present_and_a_stopped_one_is_silent_until_it_resumes() -> None:
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     assert all(node.members.is_alone for node in nodes), "no other node is present at the start"
     at = run_heartbeats(nodes, 0, 6)
@@ -129,7 +129,7 @@
     assert nodes[0].members.members["d"].false_positives == 1
 
 
-def test_a_cut_is_told_on_both_sides_and_heals() -> None:
+def test_partition_is_detected_on_both_sides_and_heals() -> None:
     nodes = [ManualNode(name, "abcdefgh", seed=place) for place, name in enumerate("abcdefgh")]
     at = run_heartbeats(nodes, 0, 8)
     at = run_heartbeats(nodes, at, 14, cut=frozenset("abc"))
@@ -156,7 +156,7 @@
     assert woken.members.is_alone, "by now it could have heard them"
 
 
-def test_a_node_whose_clock_was_set_back_outbids_its_earlier_life() -> None:
+def test_node_with_clock_set_back_exceeds_its_earlier_incarnation() -> None:
     # Its records have a lower incarnation than the others know of it: all of them would pass for known.
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     at = run_heartbeats(nodes, 0, 6)
@@ -178,7 +178,7 @@
     assert nodes[0].state("d") is MemberState.LEFT, "silence does not change it"
 
 
-def test_a_member_that_the_file_no_longer_has_is_forgotten_and_not_heard() -> None:
+def test_member_that_the_file_no_longer_has_is_forgotten_and_ignored() -> None:
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     at = run_heartbeats(nodes, 0, 6)
     nodes[0].members.set_members(dict.fromkeys("abc", ""))
@@ -187,7 +187,7 @@
     assert nodes[0].state("c") is MemberState.PRESENT, "the others are kept"
 
 
-def test_whom_each_hears_itself_is_told() -> None:
+def test_records_report_direct_contacts() -> None:
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 12)
     for told in nodes[0].members.snapshot():
@@ -217,7 +217,7 @@
     assert all(node.drop_count(DropReason.INVALID_SIGNATURE) == 0 for node in nodes)
 
 
-def test_watchers_tell_of_a_death_in_a_large_fleet_and_one_alone_is_not_believed() -> None:
+def test_two_watchers_confirm_a_failed_member_in_a_large_cluster_and_one_does_not() -> None:
     # Old records of a dead member travel for many seconds, each as if it lived.
     names = [f"n{number:02}" for number in range(40)]
     members = Membership(
@@ -254,7 +254,7 @@
     )
 
 
-def test_a_death_among_many_is_told_within_seconds_whatever_is_lost() -> None:
+def test_failed_member_of_a_large_cluster_is_detected_within_seconds_despite_loss() -> None:
     faults = [
         {"kind": "lossy", "at_s": 0.1, "loss": 0.2, "for_s": 60.0},
         {"kind": "kill", "at_s": 8.0, "nodes": 3},
@@ -290,7 +290,7 @@
         assert max(counts) - min(counts) <= WATCHERS
 
 
-def test_a_beat_costs_the_same_whatever_the_fleets_size() -> None:
+def test_heartbeat_cost_does_not_depend_on_cluster_size() -> None:
     names = [f"node-{number:04}" for number in range(1000)]
     members = Membership(
         names[0],
@@ -497,7 +497,7 @@
         assert other.fate(0, 1) == fates[number], "another path's datagrams shift none of this one's"
 
 
-def test_the_judge_tells_wrong_verdicts_and_how_long_agreement_took() -> None:
+def test_invariant_checker_reports_wrong_verdicts_and_time_to_agreement() -> None:
     judge, cut = Agreement(3, 0), Part(frozenset({2}))
     judge.is_so(0, [True] * 3, lambda one, other: False)
     for one in range(3):
@@ -568,7 +568,7 @@
         checked({"faults": [{"kind": "lossy", "at_s": 1.0}]}, "day")
 
 
-def test_a_stop_shorter_than_a_beat_leaves_an_emulated_node_with_one_beat() -> None:
+def test_emulated_node_keeps_one_heartbeat_timer_after_a_short_stop() -> None:
     rows = []
     for faults in (
         [],
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -323,7 +323,7 @@
         self.taken = used
 
 
-def test_what_is_spent_goes_to_the_next_process_of_a_node_with_all_else_it_learned() -> None:
+def test_spent_quota_is_handed_over_in_a_hot_restart() -> None:
     def actor(cluster: Any) -> BalancerActor:
         settings, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
         counters = Counters()
@@ -353,7 +353,7 @@
     )
 
 
-def test_hearsay_makes_a_node_look_and_two_witnesses_of_two_sites_count() -> None:
+def test_report_causes_a_probe_and_two_reporters_of_two_sites_an_ejection() -> None:
     def fresh() -> HealthObservations:
         known = HealthObservations()
         known.set_upstreams([7, 8])
@@ -421,7 +421,7 @@
     return World(checked({**day, **changes}, "day")).play()
 
 
-def test_a_single_liar_takes_no_sound_host_from_service(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_single_faulty_reporter_ejects_no_healthy_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
     row = emulated()
     assert row["hearsay"] == 0 and row["hearsay_wrong"] == 0 and not any(row["broken"].values())
     monkeypatch.setattr(observations, "CONFIRMATIONS", 1)
@@ -430,7 +430,7 @@
     assert emulated(zones=1)["hearsay_wrong"] > 0, "a single reporter that is believed is caught"
 
 
-def test_a_host_that_two_sites_can_not_reach_stays_in_service_at_the_third(
+def test_upstream_unreachable_from_two_sites_is_not_ejected_at_the_third(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def cut(seed: int) -> dict[str, Any]:
@@ -463,13 +463,13 @@
         ({"budgets": [{"name": "x", "links_per_s": 9, "tariffs": [t]} for t in "tu"]}, "budgets[1].name"),
     ],
 )
-def test_a_faulty_budget_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
+def test_wrong_quota_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
     assert told in str(error.value) and "\n" not in str(error.value)
 
 
-def test_the_judge_counts_what_lies_surely_within_a_window() -> None:
+def test_invariant_checker_counts_what_is_certainly_within_a_window() -> None:
     judge = Spending(2.0, SECOND)
     times: Callable[[int], list[int]] = lambda step: [place * step for place in range(3)]  # noqa: E731
     for place, at in enumerate(times(400_000)):
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -225,7 +225,7 @@
     assert played.by_turn + len(played.by_leave) > 3
 
 
-def test_where_all_is_well_nearly_the_whole_budget_is_used_by_whoever_has_links() -> None:
+def test_without_faults_nearly_the_whole_budget_is_used_by_tokens() -> None:
     played = Played(1, 0.0, 0.0, 0.0, False).run(30)
     assert played.sound and len(played.by_leave) > 0.7 * BUDGET * 22, "8 s pass until a start has its turns"
 
@@ -274,7 +274,7 @@
     return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
 
 
-def test_a_heavy_link_counts_for_what_it_asks_of_a_host_and_none_is_too_heavy_for_an_empty_window() -> None:
+def test_session_counts_by_its_weight_and_any_weight_fits_an_empty_window() -> None:
     one, order = paced(), OrderPermit(5, 300_000)
     assert one.answer(START, asked(1, weight=9.0), order) is not None
     assert one.answer(START, asked(2, weight=0.1), order) is None
@@ -284,7 +284,7 @@
     assert one.answer(later, asked(5, weight=0.5), order) is not None
 
 
-def test_those_who_go_by_turns_still_keep_their_part() -> None:
+def test_nodes_that_use_turns_keep_their_part_of_the_budget() -> None:
     one, order = paced(), OrderPermit(5, 300_000)
     one.promised_until = {"a": START + TERM, "b": START + TERM}
     given = [one.answer(START, asked(number), order) is not None for number in range(1, 6)]
@@ -293,7 +293,7 @@
     assert one.answer(START + 5 * SECOND, asked(9), order) is None
 
 
-def test_a_promise_counts_from_the_word_that_its_node_had_heard() -> None:
+def test_promise_counts_from_the_answer_that_it_echoes() -> None:
     # Danger: how old a note is can't be told. Counted from when it comes, a late one would be a promise that
     # ran out long ago.
     one, order = paced(), OrderPermit(5, 300_000)
@@ -306,7 +306,7 @@
     assert one.promised_until["b"] < START + TERM, "a word that was not said yet"
 
 
-def test_who_holds_no_duty_or_another_file_gives_nothing() -> None:
+def test_no_token_without_the_role_or_with_another_file() -> None:
     one = paced()
     assert one.answer(START, asked(1), NO_PERMIT) is None
     assert one.answer(START, asked(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
@@ -320,7 +320,7 @@
     )
 
 
-def test_however_many_links_come_a_fleet_asks_so_often_and_no_more() -> None:
+def test_request_rate_of_the_cluster_is_bounded() -> None:
     one, now, asked = TokenRequester(ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
@@ -342,7 +342,7 @@
     assert not one.issued
 
 
-def test_a_leave_is_for_its_link_alone_and_ends() -> None:
+def test_token_is_for_its_session_alone_and_expires() -> None:
     # Danger: a heavy link that was refused would take the leave of a light one.
     harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
@@ -378,14 +378,14 @@
     return day_of(PACE, {"cluster.pace": pace, **small, **changes})
 
 
-def test_hosts_that_come_up_bear_their_share_sooner_and_none_gets_too_much() -> None:
+def test_with_tokens_new_upstreams_reach_their_share_sooner_without_overload() -> None:
     turns, by_leave = (World(day(pace)).play() for pace in (False, True))
     assert by_leave["cold_over"] == 0 and by_leave["two_holders"] == 0 and by_leave["orders"] > 200
     assert by_leave["cold_used"] > 1.2 * turns["cold_used"] and by_leave["served"] > turns["served"]
     assert not any(by_leave["broken"].values())
 
 
-def test_where_nobody_paces_turns_are_as_ever() -> None:
+def test_without_a_token_issuer_turns_are_unchanged() -> None:
     """A duty that nobody can hold, as most electors are gone, changes nothing."""
     with_it, without = (World(day(pace, **{"cluster.electors": 3})) for pace in (True, False))
     for world in (with_it, without):
@@ -396,7 +396,7 @@
     assert rows[0]["orders"] == 0 and abs(rows[0]["cold_used"] - rows[1]["cold_used"]) < 0.06
 
 
-def test_the_judge_sees_too_much_at_a_cold_host() -> None:
+def test_invariant_checker_detects_overload_of_a_warming_upstream() -> None:
     judged = Warming(day(True))
     upstream = Upstream(0, 0, 0, 2.0, day(True).cold)
     upstream.start(START)
