--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies: simple ways to choose an upstream, to compare the balancer with."""
+"""Baseline policies: simple choices of an upstream, for comparison with the balancer."""
 
 from __future__ import annotations
 
@@ -37,14 +37,14 @@
 
 
 class Policy(Protocol):
-    """What a node's driver asks and tells its decisions."""
+    """The calls of a node's driver to its policy."""
 
     def place(self, now: int, session: Session) -> Answer:
         """Return an upstream for a session, or that it is held, or its final answer."""
         ...
 
     def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
-        """Take an attempt's outcome; return what becomes of a session that is not answered yet."""
+        """Record an attempt's outcome, and return the next answer for a session without a final one."""
         ...
 
     def wait(self, now: int) -> DueActions:
@@ -52,31 +52,31 @@
         ...
 
     def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
-        """Take the endpoint list or its changes."""
+        """Update the endpoints from the whole list or from changes."""
         ...
 
     def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
-        """Take the result of a probe of the upstream of this number."""
+        """Record the result of a probe of an upstream, by its number."""
         ...
 
     def record_load(self, now: int, session: Session, load: float) -> None:
-        """Take what an established session costs its upstream."""
+        """Record the load of an established session."""
         ...
 
     def record_delay(self, now: int, session: Session, delay_us: int) -> None:
-        """Take how long messages of an established session take."""
+        """Record the latency of messages on an established session."""
         ...
 
     def record_unresponsive(self, now: int, number: int) -> None:
-        """Take that an upstream answers no message."""
+        """Record that an upstream does not answer messages."""
         ...
 
     def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None:
-        """Take a slow-start token, and until when the issuer decides."""
+        """Record a slow-start token, and the time until which the issuer is in charge."""
         ...
 
     def remove_session(self, session: Session) -> None:
-        """Take that a session has ended."""
+        """Remove a session that has ended."""
         ...
 
 
@@ -133,7 +133,7 @@
         return Forward(session.upstream, session.deadline)
 
     def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
-        """Take an attempt's outcome; return what becomes of a session that is not answered yet."""
+        """Record an attempt's outcome, and return the next answer for a session without a final one."""
         if outcome is Outcome.ESTABLISHED:
             session.attempt_in_flight, session.established = False, True
             return Nothing()
@@ -152,7 +152,7 @@
         return DueActions(wait_us, probes, False, [], [], 0)
 
     def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
-        """Take the endpoint list or its changes."""
+        """Update the endpoints from the whole list or from changes."""
         if whole:
             self.ready.clear()
         for endpoint in endpoints:
@@ -162,20 +162,20 @@
                 self.ready.pop(endpoint.upstream, None)
 
     def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
-        """Take the result of a probe of the upstream of this number."""
+        """Record the result of a probe of an upstream, by its number."""
         self.sent_since_probe[number] = 0
         if probe.utilization is not None:
             self.utilizations[number] = probe.utilization
 
     def record_load(self, now: int, session: Session, load: float) -> None:
-        """Take what an established session costs its upstream."""
+        """Record the load of an established session."""
         session.load = load
 
     def record_delay(self, now: int, session: Session, delay_us: int) -> None:
-        """Ignore how long messages take."""
+        """Ignore the latency of messages."""
 
     def record_unresponsive(self, now: int, number: int) -> None:
-        """Ignore that an upstream answers no message."""
+        """Ignore unresponsive upstreams."""
 
     def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None:
         """Ignore slow-start tokens."""
--- a/larchlatch/emulator/clients.py
+++ b/larchlatch/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The simulated clients: how they arrive, what becomes of their sessions, and when they come back."""
+"""The simulated clients: their arrivals, sessions and retries."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 class ClientPopulation:
-    """All clients of a simulation.
+    """The clients of a simulation.
 
     Attributes:
-        is_entry: Whether clients are sent to each node.
+        is_entry: Whether clients are sent to a node, by its number.
 
     """
 
@@ -47,7 +47,7 @@
     # Arrival.
 
     def schedule_arrivals(self, clients: Iterator[Client]) -> None:
-        """Let the next of these clients arrive when it is due, and then those behind it."""
+        """Schedule the arrival of the next of these clients; each arrival schedules the following one."""
         client = next(clients, None)
         if client is not None:
             clock = self._context.clock
@@ -63,12 +63,12 @@
         self.connect(client)
 
     def connect(self, client: Client, forwarded: ForwardedSession | None = None) -> None:
-        """Let a client ask for a session.
+        """Request a session for a client.
 
         Args:
             client: The client.
-            forwarded: What an upstream still holds of the session, if packets of an established one come
-                through another node.
+            forwarded: The session that an upstream still holds, if packets of an established session now
+                arrive through another node.
 
         """
         if client.done or self._now >= min(client.ends_at, self._context.end):
@@ -76,7 +76,7 @@
             return
         client.sessions += 1
         if client.rejections == 0 and forwarded is None and client.sessions > 1:
-            client.due = self._now  # it wants its session again from now on
+            client.due = self._now  # the time to its next session counts from now
         node = self._entry_node(client)
         if node is not None and node.is_alive:
             self._request_session(client, node, forwarded)
@@ -92,7 +92,7 @@
             self._sessions.release(forwarded.upstream, forwarded.session, client)
 
     def _entry_node(self, client: Client) -> SimulatedNode | None:
-        """Return the node that a client is sent to: one of its zone, or any if its zone has none."""
+        """Return the node that a client connects to: one of its zone, or any node if there is none."""
         entries = [node for node in self._context.nodes if self.is_entry[node.number]]
         nodes = [node for node in entries if node.zone == client.zone] or entries
         if not nodes:
@@ -132,14 +132,14 @@
     # Clients of a paused node.
 
     def limit_patience(self, record: SessionRecord, node: SimulatedNode) -> None:
-        """Let a client leave at its deadline, if its node is still paused then."""
+        """Schedule that a client leaves at its deadline if its node is still paused then."""
         deadline = record.session.deadline
         self._context.clock.schedule(deadline, Priority.WORLD, self._leave_unanswered, record, node)
 
     def _leave_unanswered(self, record: SessionRecord, node: SimulatedNode) -> None:
         number = record.session.number
-        waits_in_vain = node.inbox.is_paused and node.is_alive
-        if not waits_in_vain or record.client_left or number in self._sessions.established:
+        is_unresponsive = node.inbox.is_paused and node.is_alive
+        if not is_unresponsive or record.client_left or number in self._sessions.established:
             return
         record.client_left = True
         self._context.trace.record("left alone", number)
@@ -149,10 +149,10 @@
         node.client_left(number)
         self._retry(record.client, 0)
 
-    # Coming back.
+    # Retries and reconnects.
 
     def _retry(self, client: Client, retry_after_us: int) -> None:
-        """Let a rejected client come back when it was told to, or after a pause of its own choice."""
+        """Schedule the return of a rejected client: as it was advised, or after a random pause."""
         client.rejections += 1
         if client.rejections > self._demand.max_retries:
             self._context.figures.counts[SessionEvent.ABANDONED] += 1
@@ -165,22 +165,22 @@
         self._context.clock.schedule(retry_at, Priority.WORLD, self.connect, client)
 
     def reconnect(self, client: Client) -> None:
-        """Let a client whose session broke or is migrated come back."""
+        """Schedule the return of a client whose session was dropped or migrated."""
         client.rejections = 0
         draw = self._context.streams.draw("return", client.number, client.sessions)
         pause_us = MIN_RECONNECT_US + round((MAX_RECONNECT_US - MIN_RECONNECT_US) * draw)
         self._context.clock.schedule(self._now + pause_us, Priority.WORLD, self.connect, client)
 
-    # What nodes tell their clients.
+    # Answers of nodes.
 
     def on_shed(self, record: SessionRecord, retry_after_us: int) -> None:
-        """Take that nothing has run, and when to come back; 0 for no advice."""
+        """Handle the answer that nothing was executed, with an advised pause or 0."""
         self._context.figures.counts[SessionEvent.SHED] += 1
         self._context.trace.record("shed", record.session.number, retry_after_us)
         self._take_rejection(record, retry_after_us, shed=True)
 
     def on_failed(self, record: SessionRecord) -> None:
-        """Take an answer without a promise."""
+        """Handle the answer that a session failed."""
         self._context.figures.counts[SessionEvent.FAILED] += 1
         self._context.trace.record("given up", record.session.number, 0)
         self._take_rejection(record, 0, shed=False)
@@ -192,7 +192,7 @@
         self._retry(record.client, retry_after_us)
 
     def on_established(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Take that a session is established, and keep it for as long as its client wants it."""
+        """Handle an established session, and schedule its end."""
         session, client, node = record.session, record.client, attempt.node
         self._context.trace.record("stands", session.number, attempt.upstream)
         self._context.rules.answered(self._now, session.number, shed=False)
@@ -204,7 +204,7 @@
         self._context.clock.schedule(end, Priority.WORLD, self._finish, session.number)
 
     def _finish(self, number: int) -> None:
-        """End the session of a client that has been served for as long as it wanted."""
+        """End the session of a client whose lifetime is over."""
         established = self._sessions.established.pop(number, None)
         if established is None:
             return
@@ -217,17 +217,17 @@
         node.client_left(number)
 
     def on_dropped(self, record: SessionRecord) -> None:
-        """Take that an established session has ended from its upstream's side."""
+        """Handle that an upstream has ended an established session."""
         self.end_session(record, SessionEvent.DROPPED)
         self.reconnect(record.client)
 
     def on_migrated(self, record: SessionRecord) -> None:
-        """Take that an established session is to be migrated."""
+        """Handle the request to reconnect, as an established session is migrated."""
         self.end_session(record, SessionEvent.MIGRATED)
         self.reconnect(record.client)
 
     def end_session(self, record: SessionRecord, reason: SessionEvent) -> None:
-        """End an established session at its upstream, and count why."""
+        """End an established session at its upstream and count the reason."""
         number = record.session.number
         self._context.trace.record(reason.value, number)
         self._context.figures.counts[reason] += 1
--- a/larchlatch/emulator/clock.py
+++ b/larchlatch/emulator/clock.py
@@ -1,4 +1,4 @@
-"""The simulation's clock, which moves from event to event."""
+"""The simulated clock, which advances from event to event."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class Priority(IntEnum):
-    """The order of events of one microsecond."""
+    """The order of events that are due at the same microsecond."""
 
     WORLD = 0  # what clients, upstreams, networks and faults do
-    NOTIFICATION = 1  # what a node hears of it
+    NOTIFICATION = 1  # what nodes receive
     TIMER = 2  # a node's own timers
-    CHECK = 3  # checks that look back
+    CHECK = 3  # checks of what has happened
 
 
 class SimulationClock:
-    """A queue of events; those of one time and priority happen in the order in which they were scheduled.
+    """A queue of events; events of equal time and priority are executed in the order of scheduling.
 
     Attributes:
         now: The present time, in microseconds.
         scheduled_count: How many events were ever scheduled.
-        executed_count: How many of them have happened.
+        executed_count: How many of them were executed.
 
     """
 
@@ -38,16 +38,16 @@
         self._queue: list[tuple[int, int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def schedule(self, when: int, priority: Priority, action: Callable[..., None], *args: Any) -> None:
-        """Call an action with these arguments at a time; one that is over means now."""
+        """Schedule a call of an action; a time in the past means now."""
         self.scheduled_count += 1
         heapq.heappush(self._queue, (max(when, self.now), priority, self.scheduled_count, action, args))
 
     def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
-        """Call an action of the world with these arguments after so many seconds."""
+        """Schedule a call of an action, with the priority of the world, after a delay in seconds."""
         self.schedule(self.now + us(delay_s), Priority.WORLD, action, *args)
 
     def run_until(self, end: int) -> None:
-        """Let all events up to a time happen, and those that they schedule."""
+        """Execute all events up to a time, including those that are scheduled meanwhile."""
         queue = self._queue
         while queue and queue[0][0] <= end:
             self.now, _, _, action, args = heapq.heappop(queue)
--- a/larchlatch/emulator/cluster.py
+++ b/larchlatch/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: nodes that know of each other, and the paths of their datagrams."""
+"""A simulated cluster: the members of all nodes and the paths of their datagrams."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class SimulatedCluster:
-    """All members, and what passes between them.
+    """The members of all nodes, and their datagrams.
 
     Attributes:
-        checkers: Judge the cluster from outside.
+        checkers: The invariant checkers of the cluster.
         members: The member of each node, by number.
         clocks: The clock of each node, by number.
         paths: The paths of datagrams.
-        counts: How often members counted what was wrong with datagrams, by its kind.
-        bytes_sent: Bytes of all datagrams.
-        decision_time_s: Processor time of the decisions.
+        counts: The members' counts of invalid datagrams, by reason.
+        bytes_sent: The size of all datagrams together.
+        decision_time_s: The processor time of all members' decisions.
 
     """
 
@@ -74,13 +74,13 @@
         return self._numbers[name]
 
     def count(self, kind: str) -> None:
-        """Count something that was wrong with a datagram."""
+        """Count an invalid datagram by its reason."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
-    # What passes between members.
+    # Datagrams and advice.
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
-        """Carry a datagram from one node to another."""
+        """Send a datagram from one node to another."""
         self.bytes_sent += len(data)
         zones, clock = self._context.scenario.zones, self._context.clock
         latency_us = self._context.topology.latency_us(sender % zones, receiver % zones)
@@ -92,17 +92,17 @@
         self.members[receiver].receive(data)
 
     def pass_on_advice(self, number: int, advice: EjectionAdvice) -> None:
-        """Let a node's balancer hear what other nodes say of upstreams."""
+        """Pass other nodes' reports of failed upstreams to a node's balancer."""
         node = self._context.nodes[number]
         for upstream, _ in advice.failures:
             reachable = self._context.topology.reaches(node, self._context.upstreams[upstream])
             self.checkers.observe(UpstreamEjected(self._context.clock.now, upstream, reachable))
         node.receive_ejection_advice(advice.probes, advice.failures)
 
-    # What the checkers see.
+    # Reports to the checkers.
 
     def observe_fleet(self) -> None:
-        """Let the checkers know which members run, and who hears whom."""
+        """Report to the checkers which members run and which paths are blocked."""
         running = [member.is_running for member in self.members]
         self.checkers.observe(FleetChanged(self._context.clock.now, running, self.paths.is_blocked))
 
@@ -119,7 +119,7 @@
     # Processes and cluster files.
 
     def kill(self, number: int) -> None:
-        """End a member."""
+        """Kill a member's process."""
         self.members[number].is_alive = False
         for role in self.checkers.leaders:
             self.checkers.observe(RoleChanged(self._context.clock.now, role, number, held=False))
@@ -132,20 +132,20 @@
         self.observe_fleet()
 
     def pause(self, number: int) -> None:
-        """Stop a member's process."""
+        """Pause a member's process."""
         self.members[number].is_paused = True
         self.observe_fleet()
 
     def resume(self, number: int) -> None:
-        """Let a member's process go on."""
+        """Continue a member's process."""
         self.members[number].resume()
 
     def remove_from_files(self, numbers: Iterable[int]) -> None:
-        """Take nodes out of the cluster file, which each member rereads by itself."""
+        """Remove nodes from the cluster file; members notice when they reread it."""
         self._removed.update(numbers)
 
     def reread_file(self, number: int) -> None:
-        """Let a member reread its cluster file; one that does not run reads it as it starts."""
+        """Make a running member reread its cluster file; others read it when they start."""
         self._settings = self._current_settings()
         member = self.members[number]
         if member.is_alive:
--- a/larchlatch/emulator/context.py
+++ b/larchlatch/emulator/context.py
@@ -1,4 +1,4 @@
-"""What all parts of a simulation share."""
+"""The state that all parts of a simulation share."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class SimulationContext:
-    """The scenario, its clock, randomness, network, upstreams and nodes, and what is recorded.
+    """The scenario, its clock, randomness, network, upstreams, nodes and records.
 
     Attributes:
         scenario: The scenario.
         clock: The clock.
-        end: When the scenario is over.
-        streams: All randomness.
+        end: The time at which the scenario ends.
+        streams: The source of all randomness.
         trace: The trace.
         traffic_classes: The settings of the clients' traffic classes.
-        figures: What became of sessions.
-        rules: Checks the rules on sessions.
-        slow_start: Checks what upstreams get that warm up.
+        figures: Counts and times of sessions.
+        rules: The checker of the rules on sessions.
+        slow_start: The checker of slow-start safety.
         topology: The network.
         upstreams: All upstreams, by number.
         sessions: Established sessions.
@@ -63,6 +63,6 @@
         self._last_id = 0
 
     def next_id(self) -> int:
-        """Return a number that no session and no notification of discovery has had."""
+        """Return a new number for a session or a notification of discovery."""
         self._last_id += 1
         return self._last_id
--- a/larchlatch/emulator/discovery.py
+++ b/larchlatch/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""The simulated discovery service: each node hears of changes of the endpoint list, late and in order."""
+"""The simulated discovery service: nodes receive changes of the endpoint list late, but in order."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 
 
 class SimulatedDiscovery:
-    """The endpoint list, and when each node hears of it.
+    """The endpoint list, and its delivery to nodes.
 
     Attributes:
         endpoints: The list, by the upstreams' numbers.
-        suspended_until: Until when no node hears anything.
+        suspended_until: The time until which nothing is delivered.
 
     """
 
@@ -46,10 +46,10 @@
         }
         self.suspended_until = 0
         self._context = context
-        self._last_sent_at = [0] * context.scenario.nodes.count  # so that each node hears in order
+        self._last_sent_at = [0] * context.scenario.nodes.count  # keeps each node's deliveries in order
 
     def change(self, upstream: SimulatedUpstream, state: EndpointState) -> None:
-        """Change an upstream's entry, and let all nodes hear of it."""
+        """Change an upstream's entry, and send the change to all nodes."""
         endpoint = self.endpoints[upstream.number] = endpoint_of(upstream, state)
         if state is EndpointState.GONE:
             del self.endpoints[upstream.number]
@@ -62,7 +62,7 @@
         self._send(node, list(self.endpoints.values()), whole=True)
 
     def forget_order(self, node: SimulatedNode) -> None:
-        """Let a node's new process hear without waiting for what its former one was sent."""
+        """Deliver to a node's new process regardless of what its former process was sent."""
         self._last_sent_at[node.number] = 0
 
     def _send(self, node: SimulatedNode, endpoints: list[Endpoint], *, whole: bool) -> None:
--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -1,4 +1,4 @@
-"""How the simulation carries out faults, by the protocols of `scenario/fault_injection.py`."""
+"""The emulator's implementation of the fault protocols in `scenario/fault_injection.py`."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
         self._fleet.slow_down(upstream, factor)
 
     def silence(self, upstream: SimulatedUpstream) -> None:
-        """Let an upstream answer nothing any more."""
+        """Make an upstream stop answering."""
         self._report_lost(upstream)
         self._fleet.silence(upstream)
 
@@ -73,11 +73,11 @@
         self._fleet.bring_up(upstream)
 
     def drain(self, upstream: SimulatedUpstream) -> None:
-        """Let an upstream take no new sessions."""
+        """List an upstream as draining; it rejects new sessions."""
         self._fleet.drain(upstream)
 
     def retire(self, upstream: SimulatedUpstream) -> None:
-        """End an upstream, and take it out of the endpoint list."""
+        """Stop an upstream and remove it from the endpoint list."""
         self._fleet.retire(upstream)
 
     def slow_shared_store(self, factor: float) -> None:
@@ -125,11 +125,11 @@
         return [node for node in self._context.nodes if node.zone == zone]
 
     def kill(self, node: SimulatedNode) -> None:
-        """Kill a node; it comes back after the scenario's time."""
+        """Kill a node; it is restarted after the time that the scenario states."""
         self._lifecycle.kill(node)
 
     def pause(self, node: SimulatedNode) -> None:
-        """Stop a node's process: what reaches it waits, and clients lose patience."""
+        """Pause a node's process; clients without an answer leave at their deadline."""
         node.inbox.pause()
         for record in node.records.values():
             if not record.session.established:
@@ -148,23 +148,23 @@
         node.inbox.deliver()
 
     def set_clock_gain(self, node: SimulatedNode, gain: float) -> None:
-        """Let a node's clock gain this share from now on."""
+        """Make a node's clock gain this share from now on."""
         if self._cluster is not None:
             self._cluster.clocks[node.number].set_gain(self._context.clock.now, gain)
 
     def send_false_reports(self, node: SimulatedNode, subject: str) -> None:
-        """Let a node tell other nodes false things of a subject; an empty subject ends it."""
+        """Make a node send false reports about a subject; an empty subject ends it."""
         if self._cluster is not None:
             self._cluster.members[node.number].exchange.false_subject = subject
 
     def decommission(self, node: SimulatedNode) -> None:
-        """End a node for good."""
+        """Stop a node for good."""
         self._lifecycle.decommission(node)
 
     def update_cluster_files(
         self, removed: Sequence[SimulatedNode], draw_delay_s: Callable[[], float]
     ) -> None:
-        """Take nodes out of the cluster file, which each remaining node rereads after a delay."""
+        """Remove nodes from the cluster file, which each remaining node rereads after a delay."""
         if self._cluster is None:
             return
         self._cluster.remove_from_files(node.number for node in removed)
@@ -220,12 +220,12 @@
             self._cluster.observe_fleet()
 
     def impair_paths(self, impairment: PathImpairment) -> None:
-        """Treat all datagrams between nodes in this way from now on."""
+        """Apply an impairment to all datagrams between nodes from now on."""
         if self._cluster is not None:
             self._cluster.paths.impairment = impairment
 
     def suspend_discovery(self, for_s: float) -> None:
-        """Let no node hear of changes of the endpoint list for so many seconds."""
+        """Deliver no change of the endpoint list for a time in seconds."""
         self._discovery.suspended_until = self._context.clock.now + us(for_s)
 
 
@@ -244,7 +244,7 @@
         """Break the established sessions of a share of the clients, which reconnect."""
         sessions = list(self._context.sessions.established.values())
         for record, node in rng.sample(sessions, round(len(sessions) * share)):
-            # It may have been migrated meanwhile, as another client's leaving was noticed.
+            # It may have been migrated in reaction to the end of another session.
             if record.session.number in self._context.sessions.established:
                 self._clients.end_session(record, SessionEvent.LOST_BY_CLIENT)
                 node.client_left(record.session.number)
--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -1,4 +1,4 @@
-"""A simulated member of the cluster: the real decisions and datagrams, on the simulation's clock."""
+"""A simulated member of the cluster, with the real decisions and datagrams on the simulated clock."""
 
 from __future__ import annotations
 
@@ -43,15 +43,15 @@
     from larchlatch.invariants.observations import Observation
     from larchlatch.scenario.drifting_clock import DriftingClock
 
-MAX_UNREAD_DATAGRAMS = 1000  # at a paused process; about what the system's buffer holds
+MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; similar to a socket's receive buffer
 
 
 class SimulatedMember:
-    """One process of a node, as a member of the cluster.
+    """The cluster side of one process of a node.
 
     Attributes:
         number: The node's number.
-        exchange: Its decisions, and what it sends.
+        exchange: The member's decisions and datagrams.
         is_alive: Whether the process has not ended.
         is_paused: Whether the process is stopped.
 
@@ -112,21 +112,21 @@
 
     @property
     def shown_time(self) -> int:
-        """The time that the node's own clock shows, in microseconds."""
+        """The time on the node's own clock, in microseconds."""
         return self._clock.at(self._now)
 
     @property
     def is_running(self) -> bool:
-        """Whether the process runs, and is not paused."""
+        """Whether the process is alive and not paused."""
         return self.is_alive and not self.is_paused
 
     def _observe(self, observation: Observation) -> None:
         self._cluster.checkers.observe(observation)
 
-    # What its node asks and tells.
+    # Calls of its node.
 
     def admit(self, session: int, traffic_class: int) -> int:
-        """Return 0 if the quotas admit a session, else after how many microseconds to come back."""
+        """Return 0 if the quotas admit a session, else the microseconds after which to retry."""
         self._observe(SessionRequested(self._now, str(session)))
         quotas = self.exchange.state.quotas
         retry_after_us = quotas.admit(self.shown_time, traffic_class_name(traffic_class))
@@ -135,7 +135,7 @@
         return retry_after_us
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
-        """Take the ready upstreams, and when the last of them started."""
+        """Update the ready upstreams and the start time of the latest of them."""
         self.exchange.state.health.set_upstreams(upstreams)
         slow_start = self._context.scenario.slow_start
         remaining_us = started_at + us(slow_start.duration_s) - self._now if started_at else 0
@@ -147,7 +147,7 @@
         )
 
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
-        """Ask for a slow-start token."""
+        """Request a slow-start token."""
         by_upstream = [(candidate.upstream, candidate) for candidate in candidates]
         result = self.exchange.request_token(session, by_upstream, now=self.shown_time, wall=self._now)
         self._send(result.datagrams)
@@ -155,19 +155,19 @@
         self._pass_on_tokens(result.token_updates)
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Take whether an upstream was reached; None if it fell silent."""
+        """Record whether an upstream was reached; None if it fell silent."""
         health = self.exchange.state.health
         if upstream in health.upstreams:
             health.observe(self.shown_time, upstream, reached=reached)
 
     def report_quota_usage(self) -> None:
-        """Let the checkers know what this member takes the usage of the quota to be."""
+        """Report this member's estimate of the quota's usage to the checkers."""
         usage = self.exchange.state.quota_usage
         [known] = usage.ranges(self._now)
         self._observe(QuotaUsageReported(self._now, known.least, known.most, usage.span_us))
 
     def reload(self, settings: ClusterSettings) -> None:
-        """Follow a new cluster file."""
+        """Apply a new cluster file."""
         self.exchange.apply_configuration(
             settings.sites,
             settings.keys,
@@ -203,7 +203,7 @@
         self._set_timer()
 
     def receive(self, data: bytes) -> None:
-        """Take a datagram; it waits while the process is paused."""
+        """Process a datagram, or keep it while the process is paused."""
         if self.is_paused:
             self._unread.append(data)
         elif self.is_alive:
@@ -218,10 +218,10 @@
         self._pass_on_tokens(result.token_updates)
 
     def resume(self) -> None:
-        """Let a paused process go on."""
+        """Continue a paused process."""
         self.is_paused = False
         self._cluster.observe_fleet()
-        # Its overdue timer goes off before it reads what has come.
+        # An overdue timer fires before unread datagrams are processed.
         if self._heartbeat_at <= self._now:
             self._heartbeat()
         unread = list(self._unread)
@@ -231,15 +231,15 @@
 
     @contextmanager
     def _measured(self) -> Iterator[None]:
-        """Count the processor time of the decisions, and of reading and writing datagrams."""
+        """Measure the processor time of decisions and of encoding and decoding datagrams."""
         began = time.perf_counter()
         yield
         self._cluster.decision_time_s += time.perf_counter() - began
 
-    # What comes of it.
+    # Results of the exchange.
 
     def _pass_on_tokens(self, notices: Sequence[TokenNotice]) -> None:
-        ahead_us = self._now - self.shown_time  # a node's balancer goes by the true time here
+        ahead_us = self._now - self.shown_time  # the balancer uses the true time here
         node = self._context.nodes[self.number]
         for notice in notices:
             upstream = notice.upstream if notice.session >= 0 else -1
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -1,4 +1,4 @@
-"""Attempts and probes on their way between nodes and upstreams."""
+"""The simulated network between nodes and upstreams: attempts, probes and their outcomes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         store: SharedStore,
         on_overload: Callable[[SimulatedUpstream], None],
     ) -> None:
-        """Connect nodes and upstreams; `on_overload` is called when a warming upstream falls over."""
+        """Connect nodes and upstreams; `on_overload` is called when a warming upstream is overloaded."""
         self._context = context
         self._clock = context.clock
         self._store = store
@@ -58,24 +58,24 @@
             self._clock.schedule(arrives_at, Priority.WORLD, self._arrive, record, attempt, latency_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         self._expire(attempt, Outcome.CANCELLED)
 
     def _expire_at(self, when: int, attempt: Attempt, outcome: Outcome) -> None:
         self._clock.schedule(when, Priority.TIMER, self._expire, attempt, outcome)
 
     def _expire(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt by the node's own decision, if it is not established yet."""
+        """End an attempt on the node's side, if it is not established yet."""
         if attempt.is_live and not attempt.is_established:
             attempt.node.receive_outcome(attempt, outcome)
 
     def _notify(self, attempt: Attempt, outcome: Outcome, latency_us: int) -> None:
-        """Let the node hear of an outcome after so many microseconds."""
+        """Schedule that the node receives an outcome after a latency in microseconds."""
         receive = attempt.node.receive_outcome
         self._clock.schedule(self._clock.now + latency_us, Priority.NOTIFICATION, receive, attempt, outcome)
 
     def _arrive(self, record: SessionRecord, attempt: Attempt, latency_us: int) -> None:
-        """Let an attempt reach its upstream."""
+        """Handle an attempt that has reached its upstream."""
         upstream = self._context.upstreams[attempt.upstream]
         if upstream.condition is Condition.CRASHED:
             self._notify(attempt, Outcome.RESET, latency_us)
@@ -88,7 +88,7 @@
     def _rejoins_forwarded(
         self, record: SessionRecord, attempt: Attempt, upstream: SimulatedUpstream
     ) -> bool:
-        """Return whether the upstream already holds the session, which came through another node before."""
+        """Return whether the upstream already holds the session, as it came through another node before."""
         forwarded = self._context.sessions.forwarded.pop(attempt.session, None)
         if forwarded is None:
             return False
@@ -121,23 +121,23 @@
     def _end_setup(self, record: SessionRecord, attempt: Attempt, incarnation: int, latency_us: int) -> None:
         upstream = self._context.upstreams[attempt.upstream]
         if upstream.incarnation != incarnation or upstream.condition is not Condition.HEALTHY:
-            # Its process died meanwhile: the connection is reset, unless the machine answers nothing.
+            # Its process has died: the connection is reset, unless the machine is silent.
             if upstream.condition is not Condition.SILENT:
                 self._notify(attempt, Outcome.RESET, latency_us)
-        elif attempt.is_live:  # else nobody waits for it any more
+        elif attempt.is_live:  # otherwise the node has given it up
             self._establish(record, attempt, upstream, latency_us)
 
     def _establish(
         self, record: SessionRecord, attempt: Attempt, upstream: SimulatedUpstream, latency_us: int
     ) -> None:
-        """Let the upstream hold the session and say so."""
+        """Add the session to the upstream, and schedule its confirmation."""
         self._context.sessions.hold(upstream, attempt.session, record.client)
         attempt.is_held = True
         arrives_at = self._clock.now + latency_us
         self._clock.schedule(arrives_at, Priority.NOTIFICATION, self._confirm, record, attempt)
 
     def _confirm(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Let the node hear that its session is established, or the upstream that nobody wants it."""
+        """Confirm a session to its node, or remove it from the upstream if the node has given it up."""
         is_held = attempt.session in self._context.upstreams[attempt.upstream].sessions
         if attempt.is_live and attempt.node.is_alive and is_held:
             attempt.node.receive_outcome(attempt, Outcome.ESTABLISHED)
@@ -147,7 +147,7 @@
     # Probes.
 
     def send_probe(self, node: SimulatedNode, upstream: int) -> None:
-        """Send a probe to an upstream, of this number."""
+        """Send a probe to the upstream of this number."""
         target, now = self._context.upstreams[upstream], self._clock.now
         self._context.figures.counts[SessionEvent.PROBED] += 1
         answered_at = now + 2 * self._context.topology.latency_us(node.zone, target.zone)
--- a/larchlatch/emulator/node.py
+++ b/larchlatch/emulator/node.py
@@ -1,4 +1,4 @@
-"""A simulated node: the real decisions, driven as the simulator's adapter drives them."""
+"""A simulated node, which drives the real decisions like the simulator's adapter does."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
     """A node.
 
     Attributes:
-        policy: Its decisions.
+        policy: The policy that decides.
         number: Its number, from 0.
         zone: Its zone.
         records: Its sessions, by number.
-        endpoints: The endpoint list as it last heard, by upstream.
-        inbox: What waits while its process is paused.
-        cluster: Its member of the cluster, if there is one.
-        is_alive: Whether its process runs or is paused.
+        endpoints: The endpoint list as last received, by upstream.
+        inbox: Keeps events while its process is paused.
+        cluster: Its side of the cluster, if there is one.
+        is_alive: Whether its process has not ended; it may be paused.
 
     """
 
@@ -60,15 +60,15 @@
     def _now(self) -> int:
         return self._environment.clock.now
 
-    # What it hears.
+    # Events.
 
     def receive_endpoints(self, endpoints: list[Endpoint], *, whole: bool, polled: bool = True) -> None:
-        """Take endpoints.
+        """Handle endpoints from discovery.
 
         Args:
             endpoints: The whole list, or its changes.
             whole: Whether it is the whole list.
-            polled: Whether it comes from discovery, and not from a former process of this node.
+            polled: Whether discovery sent it; otherwise a former process of this node had it.
 
         """
         again = partial(self.receive_endpoints, endpoints, whole=whole, polled=polled)
@@ -89,7 +89,7 @@
         self.act()
 
     def receive_session(self, record: SessionRecord) -> None:
-        """Take a client's request for a session."""
+        """Handle a client's request for a session."""
         if record.client_left or self.inbox.defers(self.receive_session, record):
             return
         session = record.session
@@ -104,7 +104,7 @@
         self.act()
 
     def receive_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Take the outcome of an attempt, or the end of the connection that it led to."""
+        """Handle the outcome of an attempt, or the end of the resulting connection."""
         if not attempt.is_live or not self.is_alive:
             return
         if self.inbox.defers(self.receive_outcome, attempt, outcome):
@@ -132,7 +132,7 @@
             self.carry_out(self._now, record.session, answer)
 
     def receive_probe_result(self, upstream: int, result: ProbeResult) -> None:
-        """Take the result of a probe."""
+        """Handle the result of a probe."""
         if not self.is_alive or self.inbox.defers(self.receive_probe_result, upstream, result):
             return
         self._observe_reachability(upstream, reached=result.answered)
@@ -140,7 +140,7 @@
         self.act()
 
     def receive_message_latency(self, record: SessionRecord, latency_us: int) -> None:
-        """Take how long messages of an established session take."""
+        """Handle a measured latency of messages on an established session."""
         if self.inbox.defers(self.receive_message_latency, record, latency_us):
             return
         if self.is_alive and record.session.number in self.records and record.session.established:
@@ -148,11 +148,11 @@
             self.act()
 
     def receive_ejection_advice(self, probes: list[int], failures: Sequence[tuple[int, int]]) -> None:
-        """Take what other nodes say of upstreams, in the order in which a real node takes it.
+        """Handle other nodes' reports of upstreams, in the same order as a real node does.
 
         Args:
             probes: Upstreams that should be probed.
-            failures: Upstreams that have failed, each with how many nodes say so.
+            failures: Upstreams that have failed, each with the number of nodes that report it.
 
         """
         for upstream in probes:
@@ -163,12 +163,12 @@
         self.act()
 
     def receive_token(self, until: int, token: Token) -> None:
-        """Take a slow-start token, and until when the issuer is known to decide."""
+        """Handle a slow-start token, and the time until which the issuer is known to be in charge."""
         if not self.inbox.defers(self.receive_token, until, token) and self.is_alive:
             self.policy.record_token(self._now, until, token)
 
     def client_left(self, session: int) -> None:
-        """Take that a client has ended its session."""
+        """Handle that a client has ended its session."""
         record = self.records.pop(session, None)
         if record is None:
             return
@@ -179,26 +179,26 @@
             self.act()
 
     def receive_silence(self, upstream: int) -> None:
-        """Take that an upstream answers no message any more."""
+        """Handle that an upstream no longer answers messages."""
         self.policy.record_unresponsive(self._now, upstream)
         self._observe_reachability(upstream, reached=None)
         self.act()
 
     def _observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Let the cluster know whether an upstream was reached; None if it fell silent."""
+        """Report to the cluster whether an upstream was reached; None if it fell silent."""
         if self.cluster is not None:
             self.cluster.observe_reachability(upstream, reached=reached)
 
-    # What the driver carries out.
+    # Actions of the driver.
 
     def carry_out(self, now: int, session: Session, answer: Answer) -> None:
-        """Do what the balancer has answered, and ask for a token where it wants one."""
+        """Carry out the balancer's answer, and request a token if it asks for one."""
         super().carry_out(now, session, answer)
         if isinstance(answer, Hold) and answer.token_candidates and self.cluster is not None:
             self.cluster.request_token(session.number, answer.token_candidates)
 
     def session(self, number: int) -> Session | None:
-        """Return the session of this number, if it is still in hand."""
+        """Return the session of this number, if the node has it."""
         record = self.records.get(number)
         return None if record is None else record.session
 
@@ -208,12 +208,12 @@
         record.attempt = Attempt(session.number, self, upstream, until)
         self._environment.upstreams.send_attempt(record, record.attempt)
 
-    def shed(self, now: int, session: Session, back_us: int) -> None:
-        """Answer that nothing has run."""
-        self._environment.clients.on_shed(self.records.pop(session.number), back_us)
+    def shed(self, now: int, session: Session, retry_after_us: int) -> None:
+        """Answer that nothing was executed."""
+        self._environment.clients.on_shed(self.records.pop(session.number), retry_after_us)
 
     def fail(self, now: int, session: Session) -> None:
-        """Answer without a promise."""
+        """Answer that the session failed."""
         self._environment.clients.on_failed(self.records.pop(session.number))
 
     def probe(self, now: int, upstream: int) -> None:
--- a/larchlatch/emulator/node_environment.py
+++ b/larchlatch/emulator/node_environment.py
@@ -1,4 +1,4 @@
-"""What a simulated node is connected to: clients, upstreams, discovery and its member of the cluster."""
+"""The interfaces of a simulated node to clients, upstreams, discovery and the cluster."""
 
 from __future__ import annotations
 
@@ -16,38 +16,38 @@
 
 
 class ClientSide(Protocol):
-    """What a node's clients learn."""
+    """Receives a node's answers to its clients."""
 
     def on_established(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Tell a client that its session is established."""
+        """Handle that a session is established."""
         ...
 
     def on_dropped(self, record: SessionRecord) -> None:
-        """End an established session from the upstream's side."""
+        """Handle that an upstream has ended an established session."""
         ...
 
     def on_migrated(self, record: SessionRecord) -> None:
-        """Ask a client to reconnect, as its session is migrated."""
+        """Handle the request to reconnect, as an established session is migrated."""
         ...
 
     def on_shed(self, record: SessionRecord, retry_after_us: int) -> None:
-        """Tell a client that nothing has run, and when to come back; 0 for no advice."""
+        """Handle the answer that nothing was executed, with an advised pause or 0."""
         ...
 
     def on_failed(self, record: SessionRecord) -> None:
-        """Tell a client that its session failed."""
+        """Handle the answer that a session failed."""
         ...
 
 
 class UpstreamSide(Protocol):
-    """The network to upstreams."""
+    """Carries attempts and probes to upstreams."""
 
     def send_attempt(self, record: SessionRecord, attempt: Attempt) -> None:
         """Send an attempt to its upstream."""
         ...
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Give an attempt up."""
+        """Cancel an attempt."""
         ...
 
     def send_probe(self, node: SimulatedNode, upstream: int) -> None:
@@ -56,27 +56,27 @@
 
 
 class ClusterSide(Protocol):
-    """The node's member of the cluster."""
+    """The cluster side of a node."""
 
     def admit(self, session: int, traffic_class: int) -> int:
-        """Return 0 if the quotas admit a session, else after how many microseconds to come back."""
+        """Return 0 if the quotas admit a session, else the microseconds after which to retry."""
         ...
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
-        """Take the ready upstreams, and when the last of them started."""
+        """Update the ready upstreams and the start time of the latest of them."""
         ...
 
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
-        """Ask for a slow-start token."""
+        """Request a slow-start token."""
         ...
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Take whether an upstream was reached; None if it fell silent."""
+        """Record whether an upstream was reached; None if it fell silent."""
         ...
 
 
 class DiscoverySide(Protocol):
-    """The discovery service."""
+    """Delivers the endpoint list."""
 
     def send_whole_list(self, node: SimulatedNode) -> None:
         """Send the whole endpoint list to a node."""
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEnvironment:
-    """All that a node is connected to."""
+    """Everything that a node is connected to from its start."""
 
     clock: SimulationClock
     rules: SessionRules
--- a/larchlatch/emulator/node_lifecycle.py
+++ b/larchlatch/emulator/node_lifecycle.py
@@ -1,4 +1,4 @@
-"""How simulated nodes start, die and come back."""
+"""Start, death and restart of simulated nodes."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class NodeLifecycle:
-    """Starts nodes and ends them.
+    """Starts, kills and restarts nodes.
 
     Attributes:
-        decommissioned: Numbers of nodes that have ended for good.
+        decommissioned: The numbers of nodes that are not restarted.
 
     """
 
@@ -40,7 +40,7 @@
         discovery: SimulatedDiscovery,
         cluster: SimulatedCluster | None,
     ) -> None:
-        """Connect nodes to an environment, with decisions by `create_policy`."""
+        """Connect all nodes to this environment; `create_policy` makes the policy of each."""
         self.decommissioned: set[int] = set()
         self._context = context
         self._environment = environment
@@ -66,11 +66,11 @@
         return node
 
     def is_current(self, node: SimulatedNode) -> bool:
-        """Return whether a node has not been replaced by a new process."""
+        """Return whether this is the latest process of a node."""
         return self._context.nodes[node.number] is node
 
     def kill(self, node: SimulatedNode) -> None:
-        """Kill a node; it comes back with the endpoint list that it had."""
+        """Kill a node; its next process starts with the endpoint list that it had."""
         if self._cluster is not None:
             self._cluster.kill(node.number)
         nodes, clock = self._context.scenario.nodes, self._context.clock
@@ -83,12 +83,12 @@
             self._lose_session(record)
 
     def decommission(self, node: SimulatedNode) -> None:
-        """End a node for good."""
+        """Kill a node without restarting it."""
         self.decommissioned.add(node.number)
         self.kill(node)
 
     def _lose_session(self, record: SessionRecord) -> None:
-        """Let a dead node's client come back, or its packets take another way."""
+        """End a session of a dead node: its client reconnects, or its packets take another path."""
         number, attempt, client = record.session.number, record.attempt, record.client
         sessions = self._context.sessions
         self._context.rules.session_over(number)
@@ -103,7 +103,7 @@
         self._clients.reconnect(client)
 
     def _forward(self, record: SessionRecord, forwarded: ForwardedSession) -> None:
-        """Let a client's next message come through another node, once the death is noticed."""
+        """Schedule that a client's next message arrives through another node, after the death is detected."""
         scenario, clock = self._context.scenario, self._context.clock
         draw = self._context.streams.draw("beat", record.session.number)
         next_message_us = round(us(scenario.sessions.message_interval_s) * draw)
--- a/larchlatch/emulator/pausable_inbox.py
+++ b/larchlatch/emulator/pausable_inbox.py
@@ -1,4 +1,4 @@
-"""What reaches a process that may be stopped for a while."""
+"""The events of a process that may be paused."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PausableInbox:
-    """Keeps what reaches a paused process until it goes on; pauses may overlap."""
+    """Keeps the events of a paused process until it continues; pauses may overlap."""
 
     def __init__(self) -> None:
         self._pauses = 0
@@ -17,7 +17,7 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether what comes has to wait."""
+        """Whether events are kept for later."""
         return self._backlog is not None
 
     def pause(self) -> None:
@@ -32,20 +32,20 @@
         return not self._pauses
 
     def defers(self, action: Callable[..., None], *args: Any) -> bool:
-        """Return whether the process is paused; the action is then kept for later."""
+        """Return whether the process is paused, in which case the action is kept for later."""
         if self._backlog is None:
             return False
         self._backlog.append((action, args))
         return True
 
     def deliver(self) -> None:
-        """Let the process go on, and carry out what has come meanwhile."""
+        """Continue the process, and carry out the actions that were kept."""
         backlog, self._backlog = self._backlog or [], None
         for action, args in backlog:
             action(*args)
 
     def waiting(self, action: Callable[..., None]) -> Iterator[tuple[Any, ...]]:
-        """Yield the arguments of every waiting call of an action."""
+        """Yield the arguments of each kept call of an action."""
         for kept, args in self._backlog or ():
             if kept == action:
                 yield args
--- a/larchlatch/emulator/session_record.py
+++ b/larchlatch/emulator/session_record.py
@@ -1,4 +1,4 @@
-"""What a simulated node holds of a session and of the attempt to establish it."""
+"""A simulated node's records of its sessions and attempts."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
     Attributes:
         session: The session's number.
-        node: The node that makes it.
+        node: The node that sent it.
         upstream: The upstream's number.
-        ends_at: When the node no longer waits for its outcome.
+        ends_at: When the node stops waiting for its outcome.
         is_held: Whether the upstream holds the session.
-        is_established: Whether the node knows of it.
-        is_live: Whether the node still takes outcomes of it.
+        is_established: Whether the node has received its confirmation.
+        is_live: Whether outcomes of it still count.
 
     """
 
@@ -40,8 +40,8 @@
     """A session at a node, in flight or established.
 
     Attributes:
-        session: What the decisions know of it.
-        client: Whose it is.
+        session: The policy's view of it.
+        client: The client that requested it.
         attempt: Its attempt or connection, if it has one.
         client_left: Whether its client has left without an answer.
 
--- a/larchlatch/emulator/session_rules.py
+++ b/larchlatch/emulator/session_rules.py
@@ -1,6 +1,7 @@
-"""The rules on sessions, checked by what is seen from outside.
+"""Checks of the rules on sessions, based only on what can be observed from outside.
 
-Nothing here knows how decisions are made: what is harmless to repeat is written down anew.
+This module does not share code with the decisions that it checks: it has its own list of the outcomes after
+which an attempt may be repeated.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 
 from larchlatch.policy.types import EndpointState, Idempotency, Outcome
 
-DRAIN_GRACE_US = 500_000  # a node may send to an upstream for so long after it heard that it must not
-ANSWER_GRACE_US = 16_000  # an answer may be so late
-MAX_DESCRIPTIONS = 20  # of violations; all are counted
+DRAIN_GRACE_US = 500_000  # for which a node may still send to an upstream that has left the ready state
+ANSWER_GRACE_US = 16_000  # by which a final answer may be late
+MAX_DESCRIPTIONS = 20  # of violations; further ones are only counted
 
-# Outcomes of attempts that their upstream has never seen.
+# Outcomes after which the upstream has not seen the attempt.
 NEVER_SEEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Rule(StrEnum):
-    """The rules, by their keys in results."""
+    """The rules; the values are their keys in results."""
 
     ONE_FINAL_ANSWER = "lost"
     NO_DUPLICATE_EFFECT = "twice"
@@ -29,7 +30,7 @@
 
 @dataclass(slots=True)
 class SessionHistory:
-    """What was seen of a session, from its request to its end.
+    """What was observed of a session, from its request to its end.
 
     Attributes:
         deadline: When its final answer is due.
@@ -37,8 +38,8 @@
         dedup_window_us: For how long upstreams discard a repeated attempt, in microseconds.
         in_flight: Whether an attempt is in flight.
         is_answered: Whether its client has its final answer.
-        is_over: Whether nothing more is owed, as its client or its node is gone.
-        possible_runs: Attempts that may have run: when each was sent, and the upstream.
+        is_over: Whether no answer is expected any more, as its client or its node is gone.
+        possible_runs: Attempts that may have been executed: the time and the upstream of each.
 
     """
 
@@ -64,7 +65,7 @@
         self.violations: dict[str, int] = {rule.value: 0 for rule in Rule}
         self.descriptions: list[str] = []
         self._histories: dict[int, SessionHistory] = {}
-        self._excluded_since: dict[tuple[int, int], int] = {}  # when a node heard to avoid an upstream
+        self._excluded_since: dict[tuple[int, int], int] = {}  # by node and upstream
 
     @property
     def all_hold(self) -> bool:
@@ -81,56 +82,55 @@
     def session_requested(
         self, session: int, deadline: int, idempotency: Idempotency, dedup_window_us: int
     ) -> None:
-        """Take that a client asks for a session."""
+        """Record that a client requests a session."""
         self._histories[session] = SessionHistory(deadline, idempotency, dedup_window_us)
 
     def endpoint_received(self, now: int, node: int, upstream: int, state: EndpointState) -> None:
-        """Take that a node has heard of an upstream's state."""
+        """Record that a node has received the state of an upstream."""
         if state is EndpointState.READY:
             self._excluded_since.pop((node, upstream), None)
         else:
             self._excluded_since.setdefault((node, upstream), now)
 
     def node_died(self, node: int) -> None:
-        """Take that a node has died: what it had heard is void."""
+        """Forget which endpoints a node had received, as the node has died."""
         for pair in [pair for pair in self._excluded_since if pair[0] == node]:
             del self._excluded_since[pair]
 
     def attempt_sent(self, now: int, session: int, node: int, upstream: int) -> None:
-        """Take that a node sends an attempt."""
+        """Check an attempt that a node sends."""
         history = self._histories.get(session)
         if history is None:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"link {session}: a try after its end")
+            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its end")
             return
         self._check_repetition(now, session, history)
         excluded_since = self._excluded_since.get((node, upstream))
         if excluded_since is not None and now > excluded_since + DRAIN_GRACE_US:
             late_us = now - excluded_since
-            self._violate(
-                Rule.DRAIN_RESPECTED,
-                now,
-                f"node {node}: link {session} to host {upstream}, told {late_us} us before",
-            )
+            target = f"node {node} to upstream {upstream}, which was not ready for {late_us} us"
+            self._violate(Rule.DRAIN_RESPECTED, now, f"session {session}: sent by {target}")
         history.in_flight = True
         history.possible_runs.append((now, upstream))
 
     def _check_repetition(self, now: int, session: int, history: SessionHistory) -> None:
         if history.in_flight:
-            self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"link {session}: two tries out at once")
+            self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"session {session}: two attempts in flight")
         if history.is_answered or history.is_over:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"link {session}: a try after its end")
+            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its end")
         if not history.possible_runs:
             return
         first_at, first_upstream = history.possible_runs[0]
         if history.idempotency is Idempotency.NON_IDEMPOTENT:
-            description = f"link {session}: exclusive, and host {first_upstream} may have run it"
+            description = (
+                f"session {session}: not idempotent, and upstream {first_upstream} may have executed it"
+            )
             self._violate(Rule.NO_DUPLICATE_EFFECT, now, description)
         elif history.idempotency is Idempotency.KEYED and now >= first_at + history.dedup_window_us:
-            description = f"link {session}: its group had forgotten its ticket"
+            description = f"session {session}: repeated after the deduplication window"
             self._violate(Rule.NO_DUPLICATE_EFFECT, now, description)
 
     def attempt_ended(self, session: int, outcome: Outcome) -> None:
-        """Take the outcome of an attempt."""
+        """Record the outcome of an attempt."""
         history = self._histories.get(session)
         if history is None:
             return
@@ -139,35 +139,37 @@
             history.possible_runs.pop()
 
     def answered(self, now: int, session: int, *, shed: bool) -> None:
-        """Take that the final answer has reached the client; shed: it says that nothing has run."""
+        """Check a final answer that has reached its client; shed: it says that nothing was executed."""
         history = self._histories.get(session)
         if history is None or history.is_answered or history.is_over:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"link {session}: an answer after its end")
+            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: answer after its end")
             return
         if now > history.deadline + ANSWER_GRACE_US:
             late_us = now - history.deadline
-            description = f"link {session}: answered {late_us} us after its cut-off"
+            description = f"session {session}: answered {late_us} us after its deadline"
             self._violate(Rule.ONE_FINAL_ANSWER, now, description)
         if shed and history.in_flight:
-            self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"link {session}: shed with a try out")
+            self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"session {session}: shed with an attempt in flight")
         may_have_run = bool(history.possible_runs)
         if shed and may_have_run and history.idempotency is Idempotency.NON_IDEMPOTENT:
-            self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"link {session}: shed though it may have run")
+            self._violate(
+                Rule.NO_DUPLICATE_EFFECT, now, f"session {session}: shed though it may have been executed"
+            )
         history.is_answered = True
 
     def answer_due(self, now: int, session: int) -> None:
-        """Take that a session's deadline and the grace time are over."""
+        """Check that a session was answered; called when its deadline and the grace time have passed."""
         history = self._histories.pop(session, None)
         if history is not None and not history.is_answered and not history.is_over:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"link {session}: no answer by its cut-off")
+            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: no answer by its deadline")
 
     def session_over(self, session: int) -> None:
-        """Take that a session is over: its client or its node is gone, or its client has had enough."""
+        """Record that no answer is expected for a session any more."""
         history = self._histories.get(session)
         if history is not None:
             history.is_over = True
 
     def upstream_overloaded(self, now: int, upstream: int) -> None:
-        """Take that an upstream falls over while it warms up."""
-        description = f"host {upstream}: more than it bears while it warms up"
+        """Record that an upstream has crashed under overload while it was warming up."""
+        description = f"upstream {upstream}: overloaded while it was warming up"
         self._violate(Rule.NO_SLOW_START_OVERLOAD, now, description)
--- a/larchlatch/emulator/session_table.py
+++ b/larchlatch/emulator/session_table.py
@@ -1,4 +1,4 @@
-"""The sessions of a simulation that are established, and the time for which they are served."""
+"""The established sessions of a simulation, and the time for which they are served."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ForwardedSession(NamedTuple):
-    """A session whose node died: its packets come through another node, and an upstream still holds it.
+    """A session whose node died: an upstream still holds it, and its packets take another node.
 
     Attributes:
         upstream: The number of the upstream.
@@ -41,8 +41,8 @@
     """All sessions that are established or held by an upstream.
 
     Attributes:
-        established: Sessions that both ends take for established, by number.
-        forwarded: What an upstream still holds of a session that is placed anew, by its new number.
+        established: Sessions that node and upstream consider established, by number.
+        forwarded: The session that an upstream still holds, by the number of the session that replaces it.
 
     """
 
@@ -53,7 +53,7 @@
         figures: SessionFigures,
         group_load: float,
     ) -> None:
-        """Serve these upstreams, with this work a second for each group that one has."""
+        """Track the sessions of these upstreams; `group_load` is the work per second of each group."""
         self.established: dict[int, EstablishedSession] = {}
         self.forwarded: dict[int, ForwardedSession] = {}
         self._clock = clock
@@ -67,7 +67,7 @@
         return [self.established[number] for number in upstream.sessions if number in self.established]
 
     def count_served_time(self, upstream: SimulatedUpstream) -> None:
-        """Count the time of an upstream's sessions up to now; called before anything changes there."""
+        """Count the served time of an upstream's sessions; called before the upstream changes."""
         now, since = self._clock.now, self._counted_until[upstream.number]
         self._counted_until[upstream.number] = now
         if upstream.sessions and upstream.condition is Condition.HEALTHY:
@@ -75,18 +75,18 @@
             self._figures.served_us += len(upstream.sessions) * (now - since) / overload
 
     def hold(self, upstream: SimulatedUpstream, number: int, client: Client) -> None:
-        """Let an upstream hold a client's session."""
+        """Add a client's session to an upstream."""
         self.count_served_time(upstream)
         upstream.add_session(number, client.load, client.group, self._group_load)
 
     def release(self, upstream_number: int, number: int, client: Client) -> None:
-        """Let an upstream release a client's session, if it holds it."""
+        """Remove a client's session from an upstream, if it is there."""
         upstream = self._upstreams[upstream_number]
         self.count_served_time(upstream)
         upstream.remove_session(number, client.group, self._group_load)
 
     def release_forwarded(self, number: int, client: Client) -> None:
-        """Let an upstream release what it still holds of a forwarded session."""
+        """Remove the earlier session of a forwarded one from its upstream, if there is one."""
         forwarded = self.forwarded.pop(number, None)
         if forwarded is not None:
             self.release(forwarded.upstream, forwarded.session, client)
--- a/larchlatch/emulator/shared_store.py
+++ b/larchlatch/emulator/shared_store.py
@@ -1,4 +1,4 @@
-"""The store that every upstream uses once for each session that it establishes."""
+"""A store that all upstreams share and use once for each session that they establish."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
     """The shared store.
 
     Attributes:
-        slowness: Multiple of the time that it takes.
+        slowness: The factor by which accesses are slowed down.
 
     """
 
     def __init__(self, access_ms: float) -> None:
-        """Take this many milliseconds for an access."""
+        """Set the normal duration of an access, in milliseconds."""
         self.slowness = 1.0
         self._access_us = us(access_ms / 1e3)
 
     @property
     def delay_us(self) -> int:
-        """How long an access takes now, in microseconds."""
+        """The present duration of an access, in microseconds."""
         return round(self._access_us * self.slowness)
--- a/larchlatch/emulator/silence_detection.py
+++ b/larchlatch/emulator/silence_detection.py
@@ -1,4 +1,4 @@
-"""How nodes find that nothing comes back on established sessions, timed as in real nodes."""
+"""Detection of established sessions on which nothing is received, timed as in real nodes."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class SilenceDetection:
-    """Lets nodes react when their clients' messages stay without an answer."""
+    """Makes nodes react when messages of their clients remain unanswered."""
 
     def __init__(self, context: SimulationContext) -> None:
         self._context = context
@@ -29,11 +29,11 @@
     def begin(
         self, sessions: Iterable[EstablishedSession], is_silent: Callable[[EstablishedSession], bool]
     ) -> None:
-        """Let nothing come back on these sessions from now on.
+        """Schedule the reactions to silence on these sessions, which begins now.
 
         Args:
             sessions: The sessions.
-            is_silent: Whether this is still so for a session, asked when its node is about to react.
+            is_silent: Returns whether a session is still silent; called when its node is about to react.
 
         """
         clock, interval_us = self._context.clock, us(self._context.scenario.sessions.message_interval_s)
--- a/larchlatch/emulator/simulation.py
+++ b/larchlatch/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation: all parts put together, and the run of a scenario from its start to its end."""
+"""A simulation: it connects all parts and plays a scenario from start to end."""
 
 from __future__ import annotations
 
@@ -43,9 +43,9 @@
 
     Attributes:
         scenario: The scenario.
-        context: What all parts share.
-        cluster: What nodes share, if they know of each other.
-        lifecycle: Starts nodes and ends them.
+        context: The state that all parts share.
+        cluster: The cluster, if the scenario has one.
+        lifecycle: Starts and kills nodes.
 
     """
 
@@ -55,12 +55,12 @@
         policy: str | PolicyFactory = "larchlatch",
         write_trace: Callable[[bytes], None] | None = None,
     ) -> None:
-        """Put the parts together.
+        """Create and connect the parts.
 
         Args:
             scenario: What to play.
-            policy: The nodes' decisions: the name of one of `POLICIES`, or what creates them.
-            write_trace: Takes the lines of the trace, if they are wanted.
+            policy: The policy of all nodes: the name of one of `POLICIES`, or a factory.
+            write_trace: Called with each line of the trace, if given.
 
         """
         create_policy = POLICIES[policy] if isinstance(policy, str) else policy
@@ -99,7 +99,7 @@
         )
 
     def run(self) -> dict[str, Any]:
-        """Play the scenario to its end; return its figures, by the keys of a result."""
+        """Play the scenario to its end and return its result."""
         context, clock = self.context, self.context.clock
         for node in context.nodes:
             node.receive_endpoints(list(self._discovery.endpoints.values()), whole=True)
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs of a scenario on all cores: one result a run, and what they come to together."""
+"""Many runs of a scenario on several cores, with a result for each and a summary of all."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         changes: Other values for its keys.
         seed: The seed.
         policy: The name of the nodes' policy.
-        random_faults: How many faults are drawn in addition.
+        random_faults: The number of additional faults drawn at random.
 
     """
 
@@ -50,7 +50,7 @@
 
 
 class Interval(NamedTuple):
-    """The median of some values, and the interval in which their mean lies with 95%."""
+    """The median of some values, and the 95% interval of their mean."""
 
     median: float
     low: float
@@ -65,7 +65,7 @@
 
 
 def execute_all(runs: list[PlannedRun], workers: int) -> Iterator[dict[str, Any]]:
-    """Yield the results in the order of the runs, whichever ends first."""
+    """Play all runs, and yield their results in the order of the runs."""
     if workers <= 1:
         yield from map(execute, runs)
         return
@@ -84,7 +84,7 @@
 
 
 def parse_variation(text: str) -> Variation:
-    """Return what `KEY=A,B,C` says.
+    """Parse `KEY=A,B,C`.
 
     Raises:
         ConfigurationError: The text has another form.
@@ -125,7 +125,7 @@
 
 
 def interval(values: list[float]) -> Interval:
-    """Return the median, and where the mean lies with 95%: few values, about normally distributed."""
+    """Return the median and the 95% interval of the mean, for approximately normal values."""
     median, mean = statistics.median(values), statistics.fmean(values)
     if len(values) < 2:
         return Interval(median, median, median)
--- a/larchlatch/emulator/topology.py
+++ b/larchlatch/emulator/topology.py
@@ -1,4 +1,4 @@
-"""Which zones reach each other, and how long it takes."""
+"""Latency and reachability between zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The network between zones.
 
     Attributes:
-        isolated_zones: Zones that reach no other zone now.
+        isolated_zones: Zones that do not reach any other zone.
 
     """
 
@@ -26,7 +26,7 @@
         self._network = network
 
     def latency_us(self, zone: int, other: int) -> int:
-        """Return the time from one zone to another, one way."""
+        """Return the one-way latency between two zones, in microseconds."""
         network = self._network
         return us((network.same_zone_ms if zone == other else network.other_zone_ms) / 1e3)
 
@@ -35,6 +35,6 @@
         return zone != other and not self.isolated_zones.isdisjoint((zone, other))
 
     def reaches(self, node: SimulatedNode, upstream: SimulatedUpstream) -> bool:
-        """Return whether a node gets any answer from an upstream's machine."""
+        """Return whether a node receives answers from an upstream's machine."""
         answers = upstream.condition not in (Condition.SILENT, Condition.ABSENT)
         return answers and not self.is_cut_off(node.zone, upstream.zone)
--- a/larchlatch/emulator/trace.py
+++ b/larchlatch/emulator/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a simulation: a line for each thing that happens, and their digest."""
+"""The trace of a simulation: one line per event, and a digest of all lines."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Trace:
-    """Lines of a time and some fields; equal runs have equal lines, byte for byte."""
+    """Records lines with the time and some fields; equal runs have byte-identical traces."""
 
     def __init__(self, clock: SimulationClock, write: Callable[[bytes], None] | None) -> None:
-        """Stamp lines with this clock's time, and hand them to `write`, if they are wanted."""
+        """Use this clock for the time of each line; `write` is called with each line, if given."""
         self._clock = clock
         self._write = write
         self._digest = xxh3_64()
@@ -30,5 +30,5 @@
 
     @property
     def digest(self) -> str:
-        """The digest of all lines up to now, in hexadecimal."""
+        """The digest of all lines so far, in hexadecimal."""
         return self._digest.hexdigest()
--- a/larchlatch/emulator/unsigned_signer.py
+++ b/larchlatch/emulator/unsigned_signer.py
@@ -1,4 +1,4 @@
-"""Signatures that cost nothing, for members that forge none."""
+"""Signatures without cryptography, as simulated members do not forge any."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 def unsigned_key(name: str) -> bytes:
-    """Return what stands for a member's public key, and for each of its signatures."""
+    """Return a placeholder for a member's public key, which also serves as its signature."""
     return name.encode().ljust(SIGNATURE_BYTES)
 
 
 class UnsignedSigner:
-    """Signs with the member's name alone; what real signatures cost is left to the load test."""
+    """Signs with the member's name; only the load test includes the cost of real signatures."""
 
     def __init__(self, name: str) -> None:
         self._key = unsigned_key(name)
--- a/larchlatch/emulator/upstream_fleet.py
+++ b/larchlatch/emulator/upstream_fleet.py
@@ -1,4 +1,4 @@
-"""The simulated upstreams' processes: how they slow down, die, start, drain and leave."""
+"""State changes of simulated upstreams: slowdown, silence, crash, start, drain and removal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class UpstreamFleet:
-    """Changes upstreams, and lets nodes hear of the consequences."""
+    """Changes the state of upstreams and notifies nodes of the consequences."""
 
     def __init__(
         self, context: SimulationContext, discovery: SimulatedDiscovery, silence: SilenceDetection
@@ -35,7 +35,7 @@
         upstream.slowness *= factor
 
     def silence(self, upstream: SimulatedUpstream) -> None:
-        """Let an upstream answer nothing any more."""
+        """Make an upstream stop answering."""
         self._sessions.count_served_time(upstream)
         upstream.condition = Condition.SILENT
         incarnation = upstream.incarnation
@@ -52,7 +52,7 @@
         self.reset_sessions(upstream, established)
 
     def bring_up(self, upstream: SimulatedUpstream) -> None:
-        """Start an upstream, cold; sessions that nodes take for established there are reset."""
+        """Start an upstream, cold; sessions that nodes still consider established there are reset."""
         established = self._sessions.established_at(upstream)
         self._sessions.count_served_time(upstream)
         upstream.start(self._context.clock.now)
@@ -60,12 +60,12 @@
         self._discovery.change(upstream, EndpointState.READY)
 
     def drain(self, upstream: SimulatedUpstream) -> None:
-        """Let an upstream take no new sessions."""
+        """Make an upstream reject new sessions, and list it as draining."""
         upstream.draining = True
         self._discovery.change(upstream, EndpointState.DRAINING)
 
     def retire(self, upstream: SimulatedUpstream) -> None:
-        """End an upstream, and take it out of the endpoint list."""
+        """Stop an upstream and remove it from the endpoint list."""
         established = self._sessions.established_at(upstream)
         self._sessions.count_served_time(upstream)
         upstream.stop()
@@ -74,7 +74,7 @@
         self._discovery.change(upstream, EndpointState.GONE)
 
     def reset_sessions(self, upstream: SimulatedUpstream, sessions: Iterable[EstablishedSession]) -> None:
-        """Let nodes hear that the connections of these sessions are reset."""
+        """Notify nodes that the connections of these sessions are reset."""
         clock = self._context.clock
         for record, node in sessions:
             arrives_at = clock.now + self._context.topology.latency_us(node.zone, upstream.zone)
--- a/larchlatch/emulator/upstream_sampling.py
+++ b/larchlatch/emulator/upstream_sampling.py
@@ -1,4 +1,4 @@
-"""What happens at all upstreams once a second: nodes learn message latencies, overload drops sessions."""
+"""Periodic work at all upstreams: reports of message latency, and sessions dropped under overload."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
 INTERVAL_US = SECOND
-REPORTED_SHARE = 0.34  # of the latency objective, from which nodes report what messages take
+REPORTED_SHARE = 0.34  # of the latency objective, above which a latency is reported
 
 
 class UpstreamSampling:
-    """Looks at all upstreams in turn."""
+    """Samples all upstreams at a fixed interval."""
 
     def __init__(self, context: SimulationContext, fleet: UpstreamFleet) -> None:
         self._context = context
@@ -29,7 +29,7 @@
         self._reported: set[tuple[int, int]] = set()  # node and upstream, while latencies are reported
 
     def tick(self) -> None:
-        """Look at all upstreams now, and again after the interval."""
+        """Sample all upstreams now, and schedule the next sample."""
         context = self._context
         now = context.clock.now
         context.clock.schedule(now + INTERVAL_US, Priority.WORLD, self.tick)
@@ -41,7 +41,7 @@
                 self._drop_sessions(upstream)
 
     def _report_latency(self, upstream: SimulatedUpstream) -> None:
-        """Let each node with sessions there note a long latency, and once that it is over."""
+        """Report a long latency to each node with sessions there, and once that it has become short again."""
         objective_us = us(self._context.scenario.sessions.message_ms / 1e3)
         latency_us = upstream.message_latency_us(self._context.clock.now, objective_us)
         is_long = latency_us > REPORTED_SHARE * objective_us
--- a/larchlatch/invariants/checker.py
+++ b/larchlatch/invariants/checker.py
@@ -1,4 +1,4 @@
-"""The protocol that all invariant checkers have in common."""
+"""The protocol of all invariant checkers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     Attributes:
         invariant: The property's name.
-        violations: How often it was violated.
+        violations: The number of violations.
 
     """
 
@@ -33,13 +33,13 @@
     """Judges one property by what is observed from outside."""
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation; those of no concern to the property are ignored."""
+        """Record an observation; those that do not concern the property are ignored."""
         ...
 
     def verdict(self) -> Verdict:
-        """Return whether the property has held up to now."""
+        """Return whether the property has held so far."""
         ...
 
     def figures(self, now: int) -> Figures:
-        """Return the property's figures for a result, by their keys; the scenario is over at `now`."""
+        """Return the property's figures by their keys in a result; `now` is the end of the scenario."""
         ...
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -1,4 +1,4 @@
-"""Membership agreement: nodes take for present whom they can hear of, soon, and nobody else. No I/O."""
+"""Membership agreement: nodes soon agree on which nodes are present. No I/O."""
 
 from __future__ import annotations
 
@@ -7,24 +7,23 @@
 from larchlatch.invariants.checker import Figures, Verdict
 from larchlatch.invariants.observations import FleetChanged, MemberReported, NodeStarted, Observation
 
-# A node that could be heard of for so long must not be taken for silent.
+# For which a node must have been reachable before calling it silent counts as wrong.
 SETTLED_US = 5_000_000
 
 IsBlocked = Callable[[int, int], bool]
 
 
 class MembershipAgreement:
-    """Checks that no node takes for silent whom it could hear of for `SETTLED_US`.
+    """Checks that no node considers another silent while that one has been reachable for `SETTLED_US`.
 
-    A node can hear of another wherever a path leads from that one to it over running nodes, as nodes pass on
-    what they hear.
+    A node is reachable if a path of running nodes leads from it to the observer, as nodes pass on records.
 
     Attributes:
-        views: For each node, whom it takes for present.
-        reachable: For each node, of whom it can hear.
-        agreed_after_us: For each change of the fleet, the time until all views were right.
-        differing_pairs: How many pairs of a running node and another there are where view and truth differ.
-        wrong_verdicts: How often a node took another for silent whom it could hear of.
+        views: For each node, which nodes it considers present.
+        reachable: For each node, which nodes it can receive records of.
+        agreed_after_us: For each change of the fleet, the time until all views were correct.
+        differing_pairs: The number of pairs of a running node and another whose view is wrong.
+        wrong_verdicts: How often a node wrongly considered another silent.
 
     """
 
@@ -41,7 +40,7 @@
         self._awaits_agreement = False
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation."""
+        """Record an observation."""
         match observation:
             case FleetChanged():
                 self._update_fleet(observation)
@@ -88,7 +87,7 @@
             self.agreed_after_us.append(now - self._changed_at)
 
     def verdict(self) -> Verdict:
-        """Return how often a node was wrongly taken for silent."""
+        """Return how often a node was wrongly considered silent."""
         return Verdict("membership_agreement", self.wrong_verdicts)
 
     def figures(self, now: int) -> Figures:
@@ -106,7 +105,7 @@
 
 
 def reachable_sources(running: Sequence[bool], is_blocked: IsBlocked) -> list[set[int]]:
-    """Return, for each node, the nodes that it can hear of, directly or by others."""
+    """Return, for each node, the nodes whose records reach it directly or through others."""
     groups = list(_equally_connected(running, is_blocked))
     reachable: list[set[int]] = [set() for _ in running]
     for place, members in enumerate(groups):
@@ -117,7 +116,7 @@
 
 
 def _equally_connected(running: Sequence[bool], is_blocked: IsBlocked) -> Iterable[list[int]]:
-    """Return the running nodes in groups with the same blocked paths: few groups among many nodes."""
+    """Return the running nodes in groups whose members have the same blocked paths."""
     groups: dict[tuple[bool, ...], list[int]] = {}
     nodes = [node for node, runs in enumerate(running) if runs]
     for node in nodes:
--- a/larchlatch/invariants/observations.py
+++ b/larchlatch/invariants/observations.py
@@ -1,4 +1,4 @@
-"""What players of scenarios observe, for the checkers. Times are in microseconds."""
+"""The observations that players of scenarios pass to the checkers. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class MemberReported(NamedTuple):
-    """A node takes another for present, or no longer."""
+    """A node considers another present, or no longer does."""
 
     now: int
     node: int
@@ -77,8 +77,8 @@
 
     Attributes:
         now: The end of the time that it reports on.
-        least: The fewest that it takes for possible.
-        most: The most.
+        least: Its lower bound.
+        most: Its upper bound.
         span_us: Length of that time.
 
     """
@@ -97,14 +97,14 @@
 
 
 class UpstreamReturned(NamedTuple):
-    """An upstream is there again."""
+    """An upstream has been started again."""
 
     now: int
     upstream: int
 
 
 class UpstreamFailureDetected(NamedTuple):
-    """A node finds that an upstream is not reachable."""
+    """A node detects that an upstream is unreachable."""
 
     now: int
     node: int
@@ -112,12 +112,12 @@
 
 
 class UpstreamEjected(NamedTuple):
-    """A node ejects an upstream on the word of other nodes.
+    """A node ejects an upstream because of other nodes' reports.
 
     Attributes:
         now: The time.
         upstream: The upstream.
-        reachable: Whether the node could have reached the upstream, were it there.
+        reachable: Whether the network between the node and the upstream is intact.
 
     """
 
--- a/larchlatch/invariants/quota_safety.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-USAGE_INTERVAL_US = 1_000_000  # usage is reckoned in intervals of this length
+USAGE_INTERVAL_US = 1_000_000  # of the intervals by which usage is calculated
 
 
 class Admission(NamedTuple):
@@ -27,16 +27,16 @@
 
 
 class QuotaSafety:
-    """Checks that no window surely holds more admissions than the quota, and that nodes report usage rightly.
+    """Checks that no window holds more admissions than the quota, and that nodes report usage correctly.
 
-    An admission lies surely within a window if its session was requested and seen within it.
+    An admission certainly lies within a window if its session was requested and seen within it.
 
     Attributes:
-        limit: Sessions that a window may hold.
+        limit: The number of sessions allowed in a window.
         requests: When sessions were requested.
         admissions: The admitted sessions.
-        reports: How many reports of usage there were.
-        wrong_reports: How many of them can't be true.
+        reports: The number of usage reports.
+        wrong_reports: The number of those that cannot be true.
 
     """
 
@@ -50,7 +50,7 @@
         self._pending: dict[str, int] = {}  # requests whose session was not seen yet
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation."""
+        """Record an observation."""
         match observation:
             case SessionRequested():
                 self._pending[observation.session] = observation.now
@@ -64,15 +64,15 @@
 
     def _check_report(self, report: QuotaUsageReported) -> None:
         end, begin = report.now, report.now - report.span_us
-        surely = sum(begin < requested and seen <= end for requested, seen in self.admissions)
+        certainly = sum(begin < requested and seen <= end for requested, seen in self.admissions)
         possibly = sum(begin <= seen and requested <= end for requested, seen in self.admissions)
-        # A session that nobody has seen may have been admitted all the same.
+        # A session that was not seen may have been admitted, too.
         possibly += sum(begin <= requested <= end for requested in self._pending.values())
         self.reports += 1
-        self.wrong_reports += not (report.least <= possibly and surely <= report.most)
+        self.wrong_reports += not (report.least <= possibly and certainly <= report.most)
 
     def excess(self) -> int:
-        """Return the most by which the sure admissions of any window exceed the quota."""
+        """Return the largest number of sessions by which a window certainly exceeds the quota."""
         requested = sorted(admission.requested_at for admission in self.admissions)
         seen = sorted(admission.seen_at for admission in self.admissions)
         # Of the sessions seen by a window's end, those requested before its begin don't lie within it.
@@ -82,7 +82,7 @@
         return max(0, max(sums, default=0) - self.limit)
 
     def used_share(self) -> float:
-        """Return how much of what could be used, interval by interval, was used."""
+        """Return the share of the usable quota that was used, calculated by intervals."""
         usable = admitted = 0
         requested = sorted(admission.requested_at for admission in self.admissions)
         for begin in self._intervals():
@@ -98,7 +98,7 @@
         return range(self.requests[0], self.requests[-1], USAGE_INTERVAL_US)
 
     def verdict(self) -> Verdict:
-        """Return by how many sessions the quota was exceeded, plus how many reports were wrong."""
+        """Return the number of sessions beyond the quota plus the number of wrong reports."""
         return Verdict("quota_safety", self.excess() + self.wrong_reports)
 
     def figures(self, now: int) -> Figures:
--- a/larchlatch/invariants/single_leader.py
+++ b/larchlatch/invariants/single_leader.py
@@ -1,4 +1,4 @@
-"""Single leader: orders of two holders of one role are never carried out at the same time. No I/O."""
+"""Single leader: no order of a former holder of a role is executed after one of its successor. No I/O."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 
 class SingleLeader:
-    """Checks that no order is carried out after one with a higher fencing token was, anywhere.
+    """Checks that no order is executed after an order with a higher fencing token, on any node.
 
     Attributes:
         role: The role's name.
-        orders: How many orders were carried out.
-        outdated_orders: How many of them were of a lease that another had followed.
-        holders: Nodes that hold the role by their own word, the latest last.
+        orders: The number of executed orders.
+        outdated_orders: The number of those with a lower fencing token than an earlier one.
+        holders: Nodes that consider themselves holders of the role, the latest last.
 
     """
 
     def __init__(self, role: str, electors: Sequence[int]) -> None:
-        """Judge one role, for which the nodes of these numbers are the electors."""
+        """Check one role; `electors` are the numbers of the nodes that elect its holder."""
         self.role = role
         self.orders = 0
         self.outdated_orders = 0
@@ -39,7 +39,7 @@
         self._holder_changes = 0
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation."""
+        """Record an observation."""
         match observation:
             case FleetChanged():
                 self._running = list(observation.running)
@@ -73,7 +73,7 @@
 
     @property
     def holder(self) -> int | None:
-        """The running node that has last said that it holds the role."""
+        """The running node that was the last to report that it holds the role."""
         return next((node for node in reversed(self.holders) if self._running[node]), None)
 
     def _note_vacancy(self, now: int) -> None:
@@ -85,7 +85,7 @@
             self._vacant_since = None
 
     def verdict(self) -> Verdict:
-        """Return how many orders of an outdated lease were carried out."""
+        """Return the number of orders that were executed with an outdated lease."""
         return Verdict("single_leader", self.outdated_orders)
 
     def figures(self, now: int) -> dict[str, float | int]:
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -1,4 +1,4 @@
-"""Slow-start safety: no more is sent to an upstream that warms up than it bears. No I/O."""
+"""Slow-start safety: an upstream that warms up is not overloaded with sessions. No I/O."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     from larchlatch.scenario.scenario import SlowStart
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
-FULL_SHARE = 0.9  # of the load of warm upstreams by size: from then on an upstream bears its share
+FULL_SHARE = 0.9  # of the load of warm upstreams of its size, from which an upstream bears its share
 
 
 @dataclass(slots=True)
@@ -39,12 +39,12 @@
 class SlowStartSafety:
     """Checks that an upstream that warms up gets no more sessions in a window than the scenario allows.
 
-    A session of mean load counts as 1. Where each of many nodes keeps to what is allowed on average, chance
-    sends more now and then: three standard deviations are granted.
+    A session of mean load counts as 1. Nodes keep to the limit on average, so a random excess of three
+    standard deviations is allowed.
 
     Attributes:
-        violations: How often more arrived than is allowed.
-        mean_load_us: Work a second of a mean session, in microseconds.
+        violations: How often more sessions arrived than allowed.
+        mean_load_us: The work per second of a mean session, in microseconds.
 
     """
 
@@ -59,7 +59,7 @@
         self._allowed = 0.0
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation."""
+        """Record an observation."""
         match observation:
             case SessionArrived():
                 self._check_arrival(observation)
--- a/larchlatch/invariants/upstream_avoidance.py
+++ b/larchlatch/invariants/upstream_avoidance.py
@@ -1,4 +1,4 @@
-"""Upstream avoidance: nodes find lost upstreams, and eject none that is there. No I/O."""
+"""Upstream avoidance: nodes detect lost upstreams and do not eject healthy ones. No I/O."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
     UpstreamReturned,
 )
 
-RETURN_GRACE_US = 1_000_000  # an upstream that returned so lately may still be taken for lost
+RETURN_GRACE_US = 1_000_000  # after an upstream's return, while nodes may still consider it lost
 
 
 class UpstreamAvoidance:
-    """Checks that no upstream is ejected on other nodes' word while it is there and reachable.
+    """Checks that no healthy and reachable upstream is ejected because of other nodes' reports.
 
     Attributes:
-        ejections: How often a node ejected an upstream on the word of others.
-        wrong_ejections: How often that upstream was there.
-        detected_at: When each node found each lost upstream, by both numbers.
+        ejections: How often a node ejected an upstream because of other nodes' reports.
+        wrong_ejections: How often that upstream was healthy and reachable.
+        detected_at: When each node detected each lost upstream, by node and upstream.
 
     """
 
@@ -36,7 +36,7 @@
         self._undetected = 0
 
     def observe(self, observation: Observation) -> None:
-        """Take an observation."""
+        """Record an observation."""
         match observation:
             case FleetChanged():
                 self._update_running(observation)
@@ -59,7 +59,7 @@
                 self._running_since.pop(node, None)
 
     def _end_loss(self, now: int, upstream: int) -> None:
-        """Reckon the detection times of an upstream that has returned, or of which no more will be seen."""
+        """Evaluate the detection of an upstream that has returned, or at the end of the scenario."""
         lost_at = self._lost_at.pop(upstream, None)
         if lost_at is None:
             return
--- a/larchlatch/scenario/drifting_clock.py
+++ b/larchlatch/scenario/drifting_clock.py
@@ -14,9 +14,9 @@
         self._gain = 0.0
 
     def at(self, true_us: int) -> int:
-        """Return what the clock shows at a true time."""
+        """Return the clock's reading at a true time."""
         return self._shown_us + int((true_us - self._true_us) * (1 + self._gain))
 
     def set_gain(self, true_us: int, gain: float) -> None:
-        """Let the clock gain this share from a true time on; a negative share loses."""
+        """Make the clock gain this share from a true time on; a negative share makes it lose time."""
         self._shown_us, self._true_us, self._gain = self.at(true_us), true_us, gain
--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -1,4 +1,4 @@
-"""What a player of scenarios offers to faults: four protocols, one for each kind of target.
+"""The operations that a player of scenarios offers to faults: one protocol for each kind of target.
 
 The emulator and the load test implement all four. A fault (`faults.py`) is written against them once.
 """
@@ -36,7 +36,7 @@
         ...
 
     def silence(self, upstream: UpstreamT) -> None:
-        """Let an upstream answer nothing any more."""
+        """Make an upstream stop answering."""
         ...
 
     def crash(self, upstream: UpstreamT) -> None:
@@ -52,7 +52,7 @@
         ...
 
     def retire(self, upstream: UpstreamT) -> None:
-        """End an upstream, and take it out of the endpoint list."""
+        """Stop an upstream and remove it from the endpoint list."""
         ...
 
     def slow_shared_store(self, factor: float) -> None:
@@ -76,31 +76,31 @@
         ...
 
     def kill(self, node: NodeT) -> None:
-        """Kill a node's process; it is started again after the scenario's time."""
+        """Kill a node's process; it is restarted after the time that the scenario states."""
         ...
 
     def pause(self, node: NodeT) -> None:
-        """Stop a node's process, which keeps its connections; pauses of one node may overlap."""
+        """Pause a node's process, which keeps its connections; pauses of one node may overlap."""
         ...
 
     def resume(self, node: NodeT) -> None:
-        """End one pause of a node; its process goes on after the last one."""
+        """End one pause of a node; its process continues after the last one."""
         ...
 
     def set_clock_gain(self, node: NodeT, gain: float) -> None:
-        """Let a node's clock gain this share from now on; a negative one loses, 0 is right."""
+        """Make a node's clock gain this share from now on; a negative share makes it lose time."""
         ...
 
     def send_false_reports(self, node: NodeT, subject: str) -> None:
-        """Let a node tell other nodes false things of a subject; an empty subject ends it."""
+        """Make a node send false reports about a subject; an empty subject ends it."""
         ...
 
     def decommission(self, node: NodeT) -> None:
-        """End a node for good."""
+        """Stop a node for good."""
         ...
 
     def update_cluster_files(self, removed: Sequence[NodeT], draw_delay_s: Callable[[], float]) -> None:
-        """Take nodes out of the cluster file; each remaining node rereads it after a delay of its own."""
+        """Remove nodes from the cluster file, which each remaining node rereads after a delay."""
         ...
 
 
@@ -124,11 +124,11 @@
         ...
 
     def impair_paths(self, impairment: PathImpairment) -> None:
-        """Treat all datagrams between nodes in this way from now on."""
+        """Apply an impairment to all datagrams between nodes from now on."""
         ...
 
     def suspend_discovery(self, for_s: float) -> None:
-        """Let no node hear of changes of the endpoint list for so many seconds."""
+        """Deliver no change of the endpoint list for a time in seconds."""
         ...
 
 
@@ -144,13 +144,13 @@
     """The player's clock."""
 
     def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
-        """Call an action with these arguments after so many seconds."""
+        """Schedule a call of an action after a delay in seconds."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class FaultInjector(Generic[UpstreamT, NodeT]):
-    """All that a fault may use of the player."""
+    """The player's implementation of all four protocols, and its clock."""
 
     upstreams: UpstreamFaults[UpstreamT]
     nodes: NodeFaults[NodeT]
@@ -166,7 +166,7 @@
         begin: Callable[[TargetT], None],
         end: Callable[[TargetT], None],
     ) -> None:
-        """Begin something for each target now, and end it after so many seconds."""
+        """Call `begin` for each target now, and `end` for each after a time in seconds."""
         for target in targets:
             begin(target)
             self.scheduler.call_later(for_s, end, target)
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -1,6 +1,6 @@
 """The faults of a scenario, each declared once against the protocols of `fault_injection.py`.
 
-Which upstreams or nodes a fault affects is drawn, when it begins, among those that are there at that time.
+The upstreams or nodes that a fault affects are drawn when it begins, from those that are running then.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
     from larchlatch.scenario.fault_injection import FaultInjector, NodeT, UpstreamT
 
-CLUSTER_FILE_SPREAD_S = 1.0  # within which all nodes have read a new cluster file
+CLUSTER_FILE_SPREAD_S = 1.0  # within which all nodes have reread a changed cluster file
 
 Target = TypeVar("Target")
 
 
 def sample(targets: Sequence[Target], count: int, rng: Random) -> list[Target]:
-    """Return this many targets by chance, or all in a random order if there are fewer."""
+    """Return this many randomly chosen targets, or all of them in random order if there are fewer."""
     return rng.sample(targets, min(count, len(targets)))
 
 
@@ -44,7 +44,7 @@
         """Begin the fault, and schedule its end.
 
         Args:
-            injector: The player's means to carry it out.
+            injector: The player's implementation of the fault protocols.
             rng: Source of the fault's random choices.
 
         """
@@ -194,12 +194,12 @@
 
 
 class Partition(Fault, tag="part", frozen=True):
-    """Some nodes and the others do not hear each other; oneway: the others alone do not.
+    """Some nodes are partitioned from all others, in both directions or in one.
 
     Attributes:
-        nodes: How many nodes, drawn by chance; 0 if `zone` says which.
-        zone: The zone whose nodes are cut off; -1 if `nodes` says how many.
-        oneway: Whether the nodes still hear the others.
+        nodes: The number of nodes, chosen at random; 0 if `zone` is given.
+        zone: The zone whose nodes are partitioned; -1 if `nodes` is given.
+        oneway: Whether only datagrams from these nodes are blocked.
 
     """
 
@@ -209,7 +209,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Cut nodes off for the fault's time."""
+        """Partition nodes for the fault's time."""
         nodes = self._affected_nodes(injector, rng)
         injector.network.partition(nodes, oneway=self.oneway)
         heal = partial(injector.network.heal_partition, nodes, oneway=self.oneway)
@@ -227,10 +227,10 @@
     Attributes:
         loss: The share of datagrams that is lost.
         duplication: The share that arrives twice.
-        reordering: The share that others overtake.
+        reordering: The share that later datagrams overtake.
         delay_ms: A delay of all datagrams.
-        replay: The share that arrives once more, much later.
-        replay_after_s: How much later.
+        replay: The share that is repeated much later.
+        replay_after_s: The delay of that copy, in seconds.
 
     """
 
@@ -257,10 +257,10 @@
 
 
 class ProcessPause(NodeFault, tag="stall", frozen=True):
-    """Nodes' processes are stopped, and go on later.
+    """Nodes' processes are paused and continue later.
 
     Attributes:
-        role_holders: Whether the nodes that hold a role are stopped, instead of any.
+        role_holders: Whether to pause the nodes that hold a role instead of random ones.
 
     """
 
@@ -285,7 +285,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Let clocks run at a wrong rate for the fault's time."""
+        """Make clocks run at a wrong rate for the fault's time."""
         set_clock_gain = injector.nodes.set_clock_gain
         injector.affect(
             self.draw_nodes(injector, rng),
@@ -296,7 +296,7 @@
 
 
 class ByzantineNode(NodeFault, tag="liar", frozen=True):
-    """Nodes send false reports; what they do themselves is right.
+    """Nodes send false reports to other nodes, but act correctly themselves.
 
     Attributes:
         subject: What the reports are about: health of upstreams, quota usage of others, or what they
@@ -308,7 +308,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Let nodes send false reports for the fault's time."""
+        """Make nodes send false reports for the fault's time."""
         send_false_reports = injector.nodes.send_false_reports
         injector.affect(
             self.draw_nodes(injector, rng),
@@ -319,10 +319,10 @@
 
 
 class RemoveNode(NodeFault, tag="expel", frozen=True):
-    """Nodes end for good, and the cluster files of the others lack them some time later.
+    """Nodes stop for good, and some time later they are removed from the cluster file.
 
     Attributes:
-        cluster_file_after_s: How much later.
+        cluster_file_after_s: The time until then, in seconds.
 
     """
 
@@ -358,9 +358,9 @@
     | RemoveNode
 )
 
-# Faults that a node's process must be built to commit.
+# Faults that need a node process with support for them.
 SELF_INFLICTED = (ClockSkew, ByzantineNode)
-# Faults of the talk between nodes, which there must be.
+# Faults that need a cluster of nodes.
 BETWEEN_NODES = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
 
 
