--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -149,7 +149,9 @@
             self._next_probe_at = now + PROBE_INTERVAL_US
             probes = list(self.ready)
         wait_us = self._next_probe_at - now if self.uses_probes else NEVER_US
-        return DueActions(wait_us, probes, False, [], [], 0)
+        return DueActions(
+            wait_us=wait_us, probes=probes, poll_list=False, migrations=[], superseded=[], setup_us=0
+        )
 
     def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
         """Update the endpoints from the whole list or from changes."""
--- a/larchlatch/emulator/clients.py
+++ b/larchlatch/emulator/clients.py
@@ -106,19 +106,22 @@
         context, number = self._context, self._context.next_id()
         deadline = self._now + us(self._demand.wait_ms / 1e3)
         session = Session(
-            number,
-            client.traffic_class,
-            client.key,
-            client.group,
-            deadline,
-            forwarded is not None,
-            client.load,
+            number=number,
+            traffic_class=client.traffic_class,
+            key=client.key,
+            group=client.group,
+            deadline=deadline,
+            mid_flow=forwarded is not None,
+            load=client.load,
         )
         traffic_class = context.traffic_classes[client.traffic_class]
         context.figures.counts[SessionEvent.REQUESTED] += 1
         context.trace.record("came", number, client.number, node.number)
         context.rules.session_requested(
-            number, deadline, traffic_class.idempotency, traffic_class.dedup_window_us
+            number,
+            deadline=deadline,
+            idempotency=traffic_class.idempotency,
+            dedup_window_us=traffic_class.dedup_window_us,
         )
         check_at = deadline + ANSWER_GRACE_US + 1
         context.clock.schedule(check_at, Priority.CHECK, context.rules.answer_due, check_at, number)
--- a/larchlatch/emulator/cluster.py
+++ b/larchlatch/emulator/cluster.py
@@ -122,7 +122,7 @@
         """Kill a member's process."""
         self.members[number].is_alive = False
         for role in self.checkers.leaders:
-            self.checkers.observe(RoleChanged(self._context.clock.now, role, number, held=False))
+            self.checkers.observe(RoleChanged(self._context.clock.now, role, node=number, held=False))
         self.observe_fleet()
 
     def restart(self, number: int) -> None:
--- a/larchlatch/emulator/discovery.py
+++ b/larchlatch/emulator/discovery.py
@@ -19,13 +19,13 @@
 def endpoint_of(upstream: SimulatedUpstream, state: EndpointState) -> Endpoint:
     """Return an upstream's entry in the endpoint list."""
     return Endpoint(
-        upstream.number,
-        f"h-{upstream.number}",
-        upstream.zone,
-        upstream.cell,
-        state,
-        upstream.size,
-        upstream.started_at,
+        upstream=upstream.number,
+        name=f"h-{upstream.number}",
+        zone=upstream.zone,
+        cell=upstream.cell,
+        state=state,
+        size=upstream.size,
+        started_at=upstream.started_at,
     )
 
 
--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -164,7 +164,9 @@
         """Report this member's estimate of the quota's usage to the checkers."""
         usage = self.exchange.state.quota_usage
         [known] = usage.ranges(self._now)
-        self._observe(QuotaUsageReported(self._now, known.least, known.most, usage.span_us))
+        self._observe(
+            QuotaUsageReported(self._now, least=known.least, most=known.most, span_us=usage.span_us)
+        )
 
     def reload(self, settings: ClusterSettings) -> None:
         """Apply a new cluster file."""
@@ -196,7 +198,7 @@
         self._pass_on_tokens(result.token_updates)
         self._send(result.datagrams)
         for upstream in result.advice.newly_unreachable:
-            self._observe(UpstreamFailureDetected(self._now, self.number, upstream))
+            self._observe(UpstreamFailureDetected(self._now, node=self.number, upstream=upstream))
         if result.advice.probes or result.advice.failures:
             self._cluster.pass_on_advice(self.number, result.advice)
         self._heartbeat_at = self._now + self._heartbeat_us
@@ -254,14 +256,14 @@
         for event in events:
             self._context.trace.record("duty", self.number, event.change.value, event.lease)
             held = event.change is RoleChange.HELD
-            self._observe(RoleChanged(self._now, event.role, self.number, held))
+            self._observe(RoleChanged(self._now, event.role, node=self.number, held=held))
 
     def _report_members(self, changes: Sequence[MemberChange]) -> None:
         for change in changes:
             other = self._cluster.number_of(change.name)
             self._context.trace.record("member", self.number, other, change.state.value)
             present = change.state is MemberState.PRESENT
-            self._observe(MemberReported(self._now, self.number, other, present))
+            self._observe(MemberReported(self._now, node=self.number, member=other, present=present))
 
     def _send(self, datagrams: Sequence[OutgoingDatagram]) -> None:
         for name, data in datagrams:
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -45,7 +45,7 @@
         now, upstream = self._clock.now, context.upstreams[attempt.upstream]
         context.figures.counts[SessionEvent.ATTEMPTED] += 1
         context.trace.record("try", attempt.session, node.number, upstream.number)
-        context.rules.attempt_sent(now, attempt.session, node.number, upstream.number)
+        context.rules.attempt_sent(now, session=attempt.session, node=node.number, upstream=upstream.number)
         latency_us = context.topology.latency_us(node.zone, upstream.zone)
         self._expire_at(attempt.ends_at, attempt, Outcome.TIMED_OUT)
         if not context.topology.reaches(node, upstream):
--- a/larchlatch/emulator/node.py
+++ b/larchlatch/emulator/node.py
@@ -43,7 +43,7 @@
 
     """
 
-    def __init__(self, environment: NodeEnvironment, number: int, zone: int, policy: Policy) -> None:
+    def __init__(self, environment: NodeEnvironment, policy: Policy, *, number: int, zone: int) -> None:
         super().__init__(policy)
         self.policy = policy
         self.number = number
@@ -79,7 +79,7 @@
         self.endpoints.update({endpoint.upstream: endpoint for endpoint in endpoints})
         for endpoint in endpoints:
             self._environment.rules.endpoint_received(
-                self._now, self.number, endpoint.upstream, endpoint.state
+                self._now, node=self.number, upstream=endpoint.upstream, state=endpoint.state
             )
         self.policy.update_endpoints(self._now, endpoints, whole=whole, asked=polled)
         if self.cluster is not None:
--- a/larchlatch/emulator/node_lifecycle.py
+++ b/larchlatch/emulator/node_lifecycle.py
@@ -60,7 +60,7 @@
         scenario = self._context.scenario
         rng = self._context.streams.stream(f"node {number} start {self._starts[number]}")
         policy = self._create_policy(deployment_settings(scenario, number), rng)
-        node = SimulatedNode(self._environment, number, number % scenario.zones, policy)
+        node = SimulatedNode(self._environment, policy, number=number, zone=number % scenario.zones)
         if self._cluster is not None:
             node.cluster = self._cluster.members[number]
         return node
--- a/larchlatch/emulator/session_rules.py
+++ b/larchlatch/emulator/session_rules.py
@@ -80,12 +80,12 @@
     # What is observed.
 
     def session_requested(
-        self, session: int, deadline: int, idempotency: Idempotency, dedup_window_us: int
+        self, session: int, *, deadline: int, idempotency: Idempotency, dedup_window_us: int
     ) -> None:
         """Record that a client requests a session."""
         self._histories[session] = SessionHistory(deadline, idempotency, dedup_window_us)
 
-    def endpoint_received(self, now: int, node: int, upstream: int, state: EndpointState) -> None:
+    def endpoint_received(self, now: int, *, node: int, upstream: int, state: EndpointState) -> None:
         """Record that a node has received the state of an upstream."""
         if state is EndpointState.READY:
             self._excluded_since.pop((node, upstream), None)
@@ -97,7 +97,7 @@
         for pair in [pair for pair in self._excluded_since if pair[0] == node]:
             del self._excluded_since[pair]
 
-    def attempt_sent(self, now: int, session: int, node: int, upstream: int) -> None:
+    def attempt_sent(self, now: int, *, session: int, node: int, upstream: int) -> None:
         """Check an attempt that a node sends."""
         history = self._histories.get(session)
         if history is None:
--- a/larchlatch/scenario/clients.py
+++ b/larchlatch/scenario/clients.py
@@ -73,11 +73,11 @@
         group = bisect(group_sizes, properties.random() * group_sizes[-1])
         traffic_class, zone = properties.random(), properties.random()
         yield Client(
-            number,
-            us(now_s),
-            us(life * sessions.lifetime_s),
-            load * sessions.load_ms * 1000,
-            work * sessions.setup_ms * 1000,
+            number=number,
+            due=us(now_s),
+            life_us=us(life * sessions.lifetime_s),
+            load=load * sessions.load_ms * 1000,
+            work_us=work * sessions.setup_ms * 1000,
             key=number,
             group=min(group, sessions.groups - 1) + 1,
             traffic_class=int(traffic_class * len(sessions.idempotencies)),
--- a/larchlatch/scenario/node_settings.py
+++ b/larchlatch/scenario/node_settings.py
@@ -42,9 +42,9 @@
 
 def _traffic_class(sessions: Demand, idempotency: Idempotency) -> TrafficClass:
     return TrafficClass(
-        us(sessions.expected_ms / 1e3),
-        us(sessions.message_ms / 1e3),
-        idempotency,
-        DedupScope.ALL,
-        us(sessions.dedup_window_s),
+        latency_objective_us=us(sessions.expected_ms / 1e3),
+        message_objective_us=us(sessions.message_ms / 1e3),
+        idempotency=idempotency,
+        dedup_scope=DedupScope.ALL,
+        dedup_window_us=us(sessions.dedup_window_s),
     )
--- a/larchlatch/scenario/upstreams.py
+++ b/larchlatch/scenario/upstreams.py
@@ -58,7 +58,7 @@
 
     """
 
-    def __init__(self, number: int, zone: int, cell: int, size: float, slow_start: SlowStart) -> None:
+    def __init__(self, number: int, *, zone: int, cell: int, size: float, slow_start: SlowStart) -> None:
         self.number = number
         self.zone = zone
         self.cell = cell
@@ -204,7 +204,11 @@
     for group in scenario.upstreams:
         for place in range(group.count):
             upstream = SimulatedUpstream(
-                number, number % scenario.zones, number % scenario.cells, group.size, scenario.slow_start
+                number,
+                zone=number % scenario.zones,
+                cell=number % scenario.cells,
+                size=group.size,
+                slow_start=scenario.slow_start,
             )
             if place >= group.count - group.absent:
                 upstream.condition = Condition.ABSENT
--- a/tests/emulator/test_session_rules.py
+++ b/tests/emulator/test_session_rules.py
@@ -81,14 +81,15 @@
     assert simulation.context.rules.violations["twice"] > 0
     monkeypatch.undo()
     simulation = simulation_of("random", span_s=3.0)
+    idempotency = simulation.context.traffic_classes[0].idempotency
     simulation.context.rules.session_requested(
-        10**9, START_US + SECOND, simulation.context.traffic_classes[0].idempotency, 0
+        10**9, deadline=START_US + SECOND, idempotency=idempotency, dedup_window_us=0
     )
     simulation.context.rules.answered(START_US, 10**9, shed=True)
     assert simulation.context.rules.all_hold
     simulation.context.rules.answered(START_US, 10**9, shed=False)
     simulation.context.rules.session_requested(
-        10**9 + 1, START_US, simulation.context.traffic_classes[0].idempotency, 0
+        10**9 + 1, deadline=START_US, idempotency=idempotency, dedup_window_us=0
     )
     simulation.context.rules.answered(START_US + SECOND, 10**9 + 1, shed=False)
     assert simulation.context.rules.violations["lost"] == 2
--- a/tests/invariants/test_slow_start_safety.py
+++ b/tests/invariants/test_slow_start_safety.py
@@ -15,7 +15,7 @@
 def test_too_many_sessions_at_a_warming_upstream_are_found() -> None:
     scenario = read_scenario_file(SCENARIOS / "pace.toml")
     checker = slow_start_checker(scenario)
-    upstream = SimulatedUpstream(0, 0, 0, 2.0, scenario.slow_start)
+    upstream = SimulatedUpstream(0, zone=0, cell=0, size=2.0, slow_start=scenario.slow_start)
     upstream.start(START)
     for number in range(30):
         checker.observe(SessionArrived(START + number, upstream, checker.mean_load_us))
--- a/tests/scenario/test_upstreams.py
+++ b/tests/scenario/test_upstreams.py
@@ -15,7 +15,7 @@
 def mean_wait(cores: int, use: float, seed: int, number: int = 20_000) -> float:
     """The mean wait before service at a host with exponential arrivals and work, in mean services."""
     chance = random.Random(seed)
-    upstream = SimulatedUpstream(0, 0, 0, float(cores), SlowStart())
+    upstream = SimulatedUpstream(0, zone=0, cell=0, size=float(cores), slow_start=SlowStart())
     work, now, waits = 10_000.0, 0.0, []
     for _ in range(number):
         now += chance.expovariate(cores * use / work)
