--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -15,11 +15,11 @@
 
 from larchlatch.node import messages
 from larchlatch.node.clock import now_us, seconds_until
-from larchlatch.node.cluster_adapter import ClusterAdapter
 from larchlatch.node.decision_executor import DecisionExecutor
 from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.held_sessions import HeldSessions
 from larchlatch.node.hot_restart.packets import BalancerState
+from larchlatch.node.other_nodes import ClusterAdapter
 from larchlatch.node.session_record import Failed, SessionRecord, Shed
 from larchlatch.node.status import UpstreamRow, upstream_rows
 from larchlatch.node.upstream_actor import StartProbe
