--- a/tests/loadtest/test_node_settings.py
+++ b/tests/loadtest/test_node_settings.py
@@ -17,6 +17,6 @@
         day, 1, listen="127.0.0.1:1", discovery="127.0.0.1:2", seed="1", endpoints=NO_ENDPOINTS
     )
     plan = parse_node_configuration(raw)
-    world = Simulation(day)
-    assert plan.settings == world.nodes[1].policy.settings  # type: ignore[attr-defined]
+    simulation = Simulation(day)
+    assert plan.settings == simulation.context.nodes[1].policy.settings  # type: ignore[attr-defined]
     assert plan.max_deadline_us == 3_000_000
