--- a/larchlatch/loadtest/client_sessions.py
+++ b/larchlatch/loadtest/client_sessions.py
@@ -139,17 +139,17 @@
             self._observer.quota.observe(SessionRequested(request.sent_us, request.session_id))
         connection.writer.write(self._request_line(request))
         answer = await self._read_answer(connection.reader)
-        word, *values = answer.split() or [b""]
-        if word == ESTABLISHED:
+        status, *values = answer.split() or [b""]
+        if status == ESTABLISHED:
             latency_s = self._clock.elapsed_s() - request.due_s
             self._figures.record_established(round(latency_s * SECOND))
             await self._stay_established(request, connection)
             return SessionResult(established=True)
         await self._check_final_answer(request, connection, answer)
-        if word == REJECTED:
+        if status == REJECTED:
             self._figures.counts[SessionEvent.SHED] += 1
             return SessionResult(established=False, retry_after_us=int(values[0]) * 1000 if values else 0)
-        if word:
+        if status:
             self._figures.counts[SessionEvent.FAILED] += 1
         else:
             self._count_unanswered(request, connection, "no answer by its cut-off")
--- a/larchlatch/loadtest/cluster_observer.py
+++ b/larchlatch/loadtest/cluster_observer.py
@@ -1,4 +1,4 @@
-"""Judges a cluster from outside: by what nodes log, and by what the load test does to them."""
+"""Observes a cluster from outside: by what nodes log, and by what the load test does to them."""
 
 from __future__ import annotations
 
@@ -58,20 +58,20 @@
     """
 
     def __init__(
-        self, scenario: Scenario, checkers: ClusterCheckers, can_reach: Callable[[int, int], bool]
+        self, scenario: Scenario, checkers: ClusterCheckers, is_connected: Callable[[int, int], bool]
     ) -> None:
         """Make the observer.
 
         Args:
             scenario: The scenario.
             checkers: The checkers of its invariants.
-            can_reach: Returns whether the nodes of a zone can reach an upstream, by their numbers.
+            is_connected: Returns whether the nodes of a zone can reach an upstream, by their numbers.
 
         """
         count = scenario.nodes.count
         self.checkers = checkers
         self._scenario = scenario
-        self._can_reach = can_reach
+        self._is_connected = is_connected
         self._numbers = {node_name(number): number for number in range(count)}
         self._running = [False] * count
         self._paths = DatagramPaths(None)  # as the proxy treats them by now
@@ -129,11 +129,11 @@
             await anyio.sleep(LOG_READ_INTERVAL_S)
 
     def read_logs(self) -> None:
-        """Judge all that nodes have logged since the last call."""
+        """Observe all that nodes have logged since the last call."""
         for event in self._logs.read():
-            self._judge(event)
+            self._observe_event(event)
 
-    def _judge(self, event: LoggedEvent) -> None:
+    def _observe_event(self, event: LoggedEvent) -> None:
         node, observe = event.node, self.checkers.observe
         match event.fields:
             case {"event": "member_state_changed", "name": name, "state": state}:
@@ -151,7 +151,7 @@
 
     def _upstream_ejected(self, node: int, upstream: int) -> UpstreamEjected:
         zone = node % self._scenario.zones
-        return UpstreamEjected(now_us(), upstream, self._can_reach(zone, upstream))
+        return UpstreamEjected(now_us(), upstream, self._is_connected(zone, upstream))
 
     def _quota_usage_reported(self, least: int, most: int, logged_at: datetime) -> QuotaUsageReported:
         # By the line's own time: what is admitted between that and the reading is not in the range.
--- a/larchlatch/loadtest/discovery_stub.py
+++ b/larchlatch/loadtest/discovery_stub.py
@@ -115,8 +115,8 @@
             del self._endpoints[stub.upstream.number]
         self._changes.append(entry)
         if state is not EndpointState.READY:
-            told_at = max(now_us(), int(self._outage_until * SECOND))
-            stub.nothing_after_us = told_at + self._max_delay_us
+            known_at = max(now_us(), int(self._outage_until * SECOND))
+            stub.nothing_after_us = known_at + self._max_delay_us
         self._changed.set()
         self._changed = anyio.Event()
 
@@ -157,19 +157,19 @@
 
     async def _send_changes(self, zone: int, from_revision: int, writer: asyncio.StreamWriter) -> None:
         """Send all changes after a revision, as they come."""
-        told = from_revision if from_revision <= len(self._changes) else 0
+        sent_revision = from_revision if from_revision <= len(self._changes) else 0
         while True:
-            if told < len(self._changes):
+            if sent_revision < len(self._changes):
                 revision = len(self._changes)
                 await anyio.sleep(max(self._delay_s(), self._outage_until - now_us() / SECOND))
-                members = self._seen_from(zone, self._changes[told:revision])
+                members = self._seen_from(zone, self._changes[sent_revision:revision])
                 update = {"revision": revision, "complete": False, "members": members}
                 _write_chunk(writer, orjson.dumps(update) + b"\n")
-                told = revision
+                sent_revision = revision
             else:
                 with anyio.move_on_after(KEEP_ALIVE_S):
                     await self._changed.wait()
-                if told == len(self._changes):
+                if sent_revision == len(self._changes):
                     _write_chunk(writer, b"\n")
             await writer.drain()
 
--- a/larchlatch/loadtest/fault_injection.py
+++ b/larchlatch/loadtest/fault_injection.py
@@ -20,7 +20,7 @@
     from larchlatch.loadtest.node_fleet import NodeFleet
     from larchlatch.loadtest.node_process import NodeProcess
     from larchlatch.loadtest.upstream_stub import UpstreamStub
-    from larchlatch.loadtest.zone_links import ZoneLinks
+    from larchlatch.loadtest.zone_connections import ZoneConnections
     from larchlatch.scenario.datagram_paths import PathImpairment
 
 
@@ -31,13 +31,13 @@
         self,
         stubs: Sequence[UpstreamStub],
         discovery: DiscoveryStub,
-        zone_links: ZoneLinks,
+        zone_connections: ZoneConnections,
         observer: ClusterObserver,
         tasks: BackgroundTasks,
     ) -> None:
         self._stubs = stubs
         self._discovery = discovery
-        self._zone_links = zone_links
+        self._zone_connections = zone_connections
         self._observer = observer
         self._tasks = tasks
 
@@ -85,12 +85,12 @@
             stub.setup_delay_factor *= factor
 
     def _end_process(self, stub: UpstreamStub) -> None:
-        self._tasks.start(self._zone_links.execute, tcp_proxy.CloseUpstream(stub.upstream.number))
+        self._tasks.start(self._zone_connections.execute, tcp_proxy.CloseUpstream(stub.upstream.number))
         stub.crash()
 
     async def _start_again(self, stub: UpstreamStub) -> None:
         await stub.start_again(self._tasks)
-        await self._zone_links.execute(tcp_proxy.OpenUpstream(stub.upstream.number))
+        await self._zone_connections.execute(tcp_proxy.OpenUpstream(stub.upstream.number))
         self._discovery.change(stub, EndpointState.READY)
 
 
@@ -170,23 +170,23 @@
 
     def __init__(
         self,
-        zone_links: ZoneLinks,
+        zone_connections: ZoneConnections,
         cluster: Cluster | None,
         discovery: DiscoveryStub,
         tasks: BackgroundTasks,
     ) -> None:
-        self._zone_links = zone_links
+        self._zone_connections = zone_connections
         self._cluster = cluster
         self._discovery = discovery
         self._tasks = tasks
 
     def isolate_zone(self, zone: int) -> None:
         """Block all connections between a zone and the others."""
-        self._tasks.start(self._zone_links.isolate, zone)
+        self._tasks.start(self._zone_connections.isolate, zone)
 
     def reconnect_zone(self, zone: int) -> None:
         """End the isolation of a zone."""
-        self._tasks.start(self._zone_links.reconnect, zone)
+        self._tasks.start(self._zone_connections.reconnect, zone)
 
     def partition(self, nodes: Sequence[NodeProcess], *, oneway: bool) -> None:
         """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
--- a/larchlatch/loadtest/run.py
+++ b/larchlatch/loadtest/run.py
@@ -28,7 +28,7 @@
 from larchlatch.loadtest.scenario_clock import ScenarioClock
 from larchlatch.loadtest.tool_monitor import ToolMonitor
 from larchlatch.loadtest.upstream_stub import UpstreamStub
-from larchlatch.loadtest.zone_links import ZoneLinks
+from larchlatch.loadtest.zone_connections import ZoneConnections
 from larchlatch.node.clock import now_us
 from larchlatch.scenario.clients import client_arrivals
 from larchlatch.scenario.fault_injection import FaultInjector
@@ -64,7 +64,7 @@
         discovery: the endpoint list.
         fleet: the nodes.
         cluster: what makes a cluster of them; None before the start, and where the scenario has none.
-        zone_links: connections between zones.
+        zone_connections: connections between zones.
         sessions: the clients' sessions.
         population: lets the clients come.
         monitor: measures the load test itself.
@@ -89,8 +89,8 @@
             UpstreamStub(upstream, scenario, by_key, self.observer) for upstream in create_upstreams(scenario)
         ]
         self.discovery = DiscoveryStub(scenario, self._discovery_delays())
-        self.zone_links = ZoneLinks(self.stubs)
-        self.cluster_observer = ClusterObserver(scenario, self.checkers, self.zone_links.can_reach)
+        self.zone_connections = ZoneConnections(self.stubs)
+        self.cluster_observer = ClusterObserver(scenario, self.checkers, self.zone_connections.is_connected)
         self.fleet = NodeFleet(scenario, self.streams, self.discovery, self.cluster_observer, self.tasks)
         self.cluster: Cluster | None = None
         self.sessions = ClientSessions(scenario, self.clock, self.observer, self.figures)
@@ -135,7 +135,7 @@
         await self.discovery.listen(self._address, self.tasks)
         datagram_addresses = self.fleet.assign_addresses()
         if any(isinstance(fault, ZoneIsolation) for fault in self.scenario.faults):
-            ports = await self.zone_links.start_proxy(self._address, self.scenario.zones)
+            ports = await self.zone_connections.start_proxy(self._address, self.scenario.zones)
             self.discovery.proxy_ports = ports
         if self.scenario.cluster.on:
             self.cluster = Cluster(
@@ -165,7 +165,7 @@
         await self.fleet.stop()
         if self.cluster is not None:
             await self.cluster.stop()
-        await self.zone_links.stop()
+        await self.zone_connections.stop()
 
     # The scenario.
 
@@ -202,10 +202,10 @@
     def _fault_injector(self) -> FaultInjector[UpstreamStub, NodeProcess]:
         return FaultInjector(
             upstreams=UpstreamStubFaults(
-                self.stubs, self.discovery, self.zone_links, self.cluster_observer, self.tasks
+                self.stubs, self.discovery, self.zone_connections, self.cluster_observer, self.tasks
             ),
             nodes=NodeProcessFaults(self.fleet, self.cluster, self.cluster_observer, self.tasks.call_later),
-            network=ProxyFaults(self.zone_links, self.cluster, self.discovery, self.tasks),
+            network=ProxyFaults(self.zone_connections, self.cluster, self.discovery, self.tasks),
             clients=self.sessions,
             scheduler=self.tasks,
         )
--- a/larchlatch/loadtest/upstream_stub.py
+++ b/larchlatch/loadtest/upstream_stub.py
@@ -233,12 +233,12 @@
         """Send each message back, as late as the upstream's load makes it, until the session is over."""
         incarnation = self.upstream.incarnation
         begin = await first_byte
-        while begin and (rest := await reader.readline()):
+        while begin and (remainder := await reader.readline()):
             if self.silent:
                 await anyio.sleep_forever()
             if self.upstream.incarnation != incarnation:
                 return
             delay_us = self.upstream.message_latency_us(now_us(), self._message_objective_us)
             await anyio.sleep(delay_us / SECOND)
-            writer.write(begin + rest)
+            writer.write(begin + remainder)
             begin = await reader.read(1)
--- a/larchlatch/loadtest/zone_links.py
+++ b/larchlatch/loadtest/zone_connections.py
@@ -16,7 +16,7 @@
 TCP_PROXY_MODULE = "larchlatch.loadtest.tcp_fault_proxy"
 
 
-class ZoneLinks:
+class ZoneConnections:
     """Connections between nodes and upstreams of different zones.
 
     Without a proxy, in scenarios that isolate no zone, nodes connect to upstreams directly.
@@ -51,7 +51,7 @@
         if self._proxy is not None:
             await self._proxy.stop()
 
-    def can_reach(self, node_zone: int, upstream: int) -> bool:
+    def is_connected(self, node_zone: int, upstream: int) -> bool:
         """Return whether nodes of a zone can connect to an upstream."""
         upstream_zone = self._stubs[upstream].upstream.zone
         return node_zone == upstream_zone or not {node_zone, upstream_zone} & set(self.isolated_zones)
--- a/larchlatch/model_checker/processes.py
+++ b/larchlatch/model_checker/processes.py
@@ -132,7 +132,7 @@
         round_number=process.round_number,
         asked_at=process.asked_at,
         granted_by=granted_by,
-        highest_lease=_least_told_lease(system, rules.required_votes),
+        highest_lease=_majority_highest_lease(system, rules.required_votes),
         required_votes=rules.required_votes,
     )
 
@@ -153,10 +153,10 @@
     )
 
 
-def _least_told_lease(system: SystemState, required_votes: int) -> int:
+def _majority_highest_lease(system: SystemState, required_votes: int) -> int:
     """Return the lowest number that a majority of the electors can tell as the highest."""
-    told = sorted(elector.highest_lease for elector in system.electors if not elector.opens_in)
-    return told[required_votes - 1] if len(told) >= required_votes else 0
+    reported = sorted(elector.highest_lease for elector in system.electors if not elector.opens_in)
+    return reported[required_votes - 1] if len(reported) >= required_votes else 0
 
 
 # Ballots.
--- a/tests/loadtest/test_cluster_faults.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -76,7 +76,7 @@
     )
 
 
-def test_nodes_agree_on_who_is_there_and_overspend_nothing_through_faults_between_them() -> None:
+def test_nodes_agree_on_members_and_keep_the_quota_through_faults_between_them() -> None:
     """Three days at once."""
     runs = [LoadTestRun(day_with(faults, 25.0)) for faults in FAULTS.values()]
 
@@ -88,12 +88,12 @@
 
 
 def sound(run: LoadTestRun, row: dict[str, Any]) -> None:
-    judge = run.checkers.membership
-    assert run.cluster is not None and not judge.differing_pairs, (
+    membership = run.checkers.membership
+    assert run.cluster is not None and not membership.differing_pairs, (
         "at the end all that can hear each other know it"
     )
-    assert len(judge.agreed_after_us) >= 4 and max(judge.agreed_after_us) < WITHIN_S * 1e6, (
-        judge.agreed_after_us
+    assert len(membership.agreed_after_us) >= 4 and max(membership.agreed_after_us) < WITHIN_S * 1e6, (
+        membership.agreed_after_us
     )
     assert row["cluster_bytes_s"] < 20_000
     assert row["over_budget"] == 0 and row["budget_used"] > 0.3 and row["shed"] > 20
@@ -102,7 +102,7 @@
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
-def test_a_host_that_dies_is_avoided_by_all_and_a_liar_changes_nothing() -> None:
+def test_crashed_upstream_is_avoided_by_all_nodes_beside_a_byzantine_one() -> None:
     faults = [
         {"kind": "liar", "at_s": 1.0, "nodes": 1, "about": "hosts", "for_s": 12.0},
         {"kind": "crash", "at_s": 5.0, "hosts": 1, "for_s": 7.0},
@@ -112,7 +112,7 @@
     assert row["hearsay_wrong"] == 0 and not any(row["broken"].values())
 
 
-def test_hosts_that_can_not_be_reached_from_other_sites_stay_in_service_at_their_own() -> None:
+def test_upstreams_of_an_isolated_zone_stay_in_service_for_their_own_nodes() -> None:
     faults = [{"kind": "cut", "at_s": 4.0, "zone": 1, "for_s": 7.0}]
     changes = {
         "zones": 3,
@@ -124,10 +124,10 @@
     row = asyncio.run(run.play())
     assert row["hearsay_wrong"] == 0 and row["members_wrong"] == 0
     assert row["delivered"] > 100 and not any(row["broken"].values()), run.observer.descriptions
-    assert run.zone_links.isolated_zones == [] and run.discovery.proxy_ports != []
+    assert run.zone_connections.isolated_zones == [] and run.discovery.proxy_ports != []
 
 
-def test_one_node_holds_a_duty_through_faults_between_nine() -> None:
+def test_one_node_holds_each_role_through_faults_between_nine() -> None:
     """Two duties. Their holders are stopped over a term, twice; a site is cut off; nodes are killed; clocks
     are wrong; and hosts come up cold, for the pacer."""
     faults = [
@@ -183,7 +183,7 @@
         self.took_s = self.clock.elapsed_s() - began
 
 
-def test_a_holder_that_ends_hands_its_duty_over_long_before_its_term_is_over() -> None:
+def test_role_is_handed_over_long_before_its_term_ends_if_its_holder_shuts_down() -> None:
     term_s = 5.0
     changes = {
         "zones": 3,
@@ -197,7 +197,7 @@
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
-def test_rubbish_at_a_nodes_port_changes_nothing() -> None:
+def test_invalid_datagrams_at_a_node_change_nothing() -> None:
     run = Meddled(day_with([], 6.0))
     row = asyncio.run(run.play())
     assert run.sent > 2000 and run.cluster is not None
@@ -205,7 +205,7 @@
     assert row["delivered"] > 20 and not any(row["broken"].values())
 
 
-def test_the_judge_sees_nodes_that_hear_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_nodes_without_a_cluster_file_never_agree(monkeypatch: pytest.MonkeyPatch) -> None:
     """The check can fail: nodes that were not told to talk never agree."""
     monkeypatch.setattr(Cluster, "arguments", lambda cluster, number: [])
     run = LoadTestRun(day_with([], 3.0))
--- a/tests/loadtest/test_limits.py
+++ b/tests/loadtest/test_limits.py
@@ -34,6 +34,6 @@
     ],
 )
 def test_scenario_too_large_for_sockets_is_refused_with_its_key(change: dict[str, Any], key: str) -> None:
-    with pytest.raises(InvalidInputError) as told:
+    with pytest.raises(InvalidInputError) as raised:
         check_playable(parse_scenario(change, "day"))
-    assert key in str(told.value)
+    assert key in str(raised.value)
