--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -181,7 +181,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.integers(0, 10**7), st.floats(0, 0.1), RATES)
 def test_an_order_ends_before_another_can_hold_it(late: int, skew: float, signs: tuple[int, int]) -> None:
-    """The reckoning of docs/duties.md: clocks as wrong as may be, any delay of answer and order."""
+    """The reckoning of docs/election.md: clocks as wrong as may be, any delay of answer and order."""
     lease_terms = LeaseTerms(3 * SECOND, skew)
     holder, other = 1 + signs[0] * skew, 1 + signs[1] * skew
     # The vote is asked for at 0 and promised at once; the order is asked for and looked at at `late`.
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -51,6 +51,9 @@
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
+TRICKLE_INTERVAL_S = 0.02
+
+
 class Service:
     """A stand-in that serves each call by the next behaviour, and all later calls by the last one."""
 
@@ -102,11 +105,22 @@
 
 
 def trickles(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
+    """Return a behaviour that sends piece after piece until the caller has closed the connection."""
+
+    async def send_pieces(stream: SocketStream) -> None:
+        with suppress(anyio.BrokenResourceError):
+            while True:
+                await stream.send(piece)
+                await anyio.sleep(TRICKLE_INTERVAL_S)
+
     async def behaviour(stream: SocketStream) -> None:
         await stream.send(start)
-        while True:
-            await stream.send(piece)
-            await anyio.sleep(0.02)
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(send_pieces, stream)
+            # Read at all times: a close is noticed when it comes, not at the next piece.
+            with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
+                await wait_for_close(stream)
+            tasks.cancel_scope.cancel()
 
     return behaviour
 
--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -31,6 +31,11 @@
         ("node/clock.py", "larchlatch.cluster.service"),
         ("cluster/quota/account.py", "larchlatch.node.clock"),
         ("node/relay.py", "larchlatch.policy.balancer"),
+        ("node/relay.py", "larchlatch.policy.placement"),
+        ("invariants/single_leader.py", "larchlatch.cluster.election.fencing"),
+        ("invariants/quota_safety.py", "larchlatch.policy.types"),
+        ("scenario/faults.py", "larchlatch.invariants.single_leader"),
+        ("simulator_adapter/protocol.py", "larchlatch.node.clock"),
     ],
 )
 def test_a_planted_import_against_the_layers_is_found(module: str, imported: str, tmp_path: Path) -> None:
