--- a/larchlatch/cluster/exchange/context.py
+++ b/larchlatch/cluster/exchange/context.py
@@ -20,7 +20,7 @@
 
     Attributes:
         membership: the members, as this node knows them.
-        state: what the members share.
+        state: the state that the members share.
         pack: returns the signed datagram that carries one message to its recipient.
         count: adds one to the counter of this name.
 
--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -37,7 +37,7 @@
 
     Attributes:
         membership: the members, as this node knows them.
-        state: what the members share.
+        state: the state that the members share.
 
     """
 
@@ -55,7 +55,7 @@
 
         Args:
             membership: the members, as this node knows them.
-            state: what the members share.
+            state: the state that the members share.
             sites: site of each member.
             keys: public key of each member.
             signer: signs this node's messages.
