--- a/larchlatch/simulator_adapter/main.py
+++ b/larchlatch/simulator_adapter/main.py
@@ -4,21 +4,23 @@
 
 import logging
 import sys
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import orjson
 
 from larchlatch.config.reading import required
 from larchlatch.errors import InvalidInputError, ProtocolError
 from larchlatch.simulator_adapter import protocol
-from larchlatch.simulator_adapter.node_instance import NodeInstance
-from larchlatch.simulator_adapter.protocol import (
-    Action,
+from larchlatch.simulator_adapter.messages import (
     EndpointListDefined,
     EndpointRow,
     NodeKilled,
     NodeStarted,
 )
+from larchlatch.simulator_adapter.node_instance import NodeInstance
+
+if TYPE_CHECKING:
+    from larchlatch.simulator_adapter.protocol import Action
 
 EXIT_INVALID_INPUT = 2
 
--- a/larchlatch/simulator_adapter/node_instance.py
+++ b/larchlatch/simulator_adapter/node_instance.py
@@ -4,7 +4,7 @@
 
 import random
 from collections.abc import Callable, Mapping, Sequence
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from larchlatch.config.deployment import read_deployment_settings, traffic_class_numbers, zone_numbers
 from larchlatch.errors import ProtocolError
@@ -12,8 +12,7 @@
 from larchlatch.policy.driver import Driver
 from larchlatch.policy.types import Endpoint, Outcome, Session
 from larchlatch.simulator_adapter import protocol
-from larchlatch.simulator_adapter.protocol import (
-    Action,
+from larchlatch.simulator_adapter.messages import (
     AttemptEnded,
     ClientGone,
     DelayMeasured,
@@ -32,6 +31,9 @@
     SessionRequested,
 )
 
+if TYPE_CHECKING:
+    from larchlatch.simulator_adapter.protocol import Action
+
 SETTINGS_PLACE = "POWER_ON: conf"  # as error messages name the settings
 
 # Unknown zones and cells have this number.
@@ -244,7 +246,7 @@
             row.upstream,
             UNKNOWN if row.zone is None else self._zones.get(row.zone, UNKNOWN),
             UNKNOWN if row.cell is None else row.cell,
-            row.state(),
+            protocol.endpoint_state(row),
             float(row.size) if row.size and row.size > 0 else 1.0,
             row.started_at or 0,
         )
--- a/larchlatch/simulator_adapter/protocol.py
+++ b/larchlatch/simulator_adapter/protocol.py
@@ -6,12 +6,31 @@
 
 from __future__ import annotations
 
-from enum import Enum
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from larchlatch.config.reading import NUMBER, one_of
 from larchlatch.errors import ProtocolError
 from larchlatch.policy.types import EndpointState, Outcome, ProbeResult
+from larchlatch.simulator_adapter.messages import (
+    AttemptEnded,
+    ClientGone,
+    DelayMeasured,
+    DiscoveryFailed,
+    EndpointListDefined,
+    EndpointListKind,
+    EndpointListReceived,
+    EndpointRow,
+    Ignored,
+    LoadMeasured,
+    Message,
+    NodeKilled,
+    NodeStarted,
+    ProbeEnded,
+    SessionDescription,
+    SessionEstablished,
+    SessionInherited,
+    SessionRequested,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,6 +51,12 @@
     "DELETED": EndpointState.GONE,
 }
 
+ENDPOINT_LIST_KINDS = {
+    "diff": EndpointListKind.CHANGES,
+    "snapshot": EndpointListKind.COMPLETE,
+    "disk": EndpointListKind.STORED,
+}
+
 # Bits of a session's flags.
 LOAD_HINT_VALID = 1
 MID_FLOW = 8
@@ -43,170 +68,6 @@
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
-class EndpointListKind(Enum):
-    """Where an announced endpoint list comes from, and whether it is complete."""
-
-    CHANGES = "diff"
-    COMPLETE = "snapshot"
-    STORED = "disk"
-
-
-class NodeStarted(NamedTuple):
-    """A node starts.
-
-    Attributes:
-        seed: The seed of its random choices.
-        settings: The deployment's settings, not yet checked.
-    """
-
-    seed: int
-    settings: dict[str, Any]
-
-
-class NodeKilled(NamedTuple):
-    """A node has been killed."""
-
-
-class EndpointRow(NamedTuple):
-    """An upstream's entry in an endpoint list; the state is checked when the list is used."""
-
-    upstream: str
-    zone: str | None
-    cell: int | None
-    state_name: str
-    size: float | None
-    started_at: int | None
-
-    def state(self) -> EndpointState:
-        """Return the state that the entry names.
-
-        Raises:
-            ProtocolError: The wire knows no such state.
-        """
-        return one_of(self.state_name, ENDPOINT_STATES, "INVENTORY: lifecycle", error=ProtocolError)
-
-
-class EndpointListDefined(NamedTuple):
-    """The content of a list, which later messages to any node refer to by its slot."""
-
-    slot: int
-    endpoints: list[EndpointRow]
-
-
-class EndpointListReceived(NamedTuple):
-    """A node has received the endpoint list that was defined under a slot."""
-
-    slot: int | None
-    kind: EndpointListKind
-
-
-class DiscoveryFailed(NamedTuple):
-    """A node's call to discovery has failed."""
-
-
-class SessionDescription(NamedTuple):
-    """What the wire tells of a session.
-
-    Attributes:
-        handle: The simulator's name for it.
-        traffic_class: The name of its traffic class.
-        key: The client's key, if any.
-        group: The group that it shares work with, if any.
-        deadline: When its client must have its final answer, in microseconds; 0 if there is none.
-        mid_flow: Whether it was established at another node before.
-        load: The hint at its load, in microseconds of work a second; 0 if there is none.
-    """
-
-    handle: str
-    traffic_class: str
-    key: int | None
-    group: int | None
-    deadline: int
-    mid_flow: bool
-    load: float
-
-
-class SessionRequested(NamedTuple):
-    """A client asks for a session."""
-
-    session: SessionDescription
-
-
-class SessionInherited(NamedTuple):
-    """A session was established at an upstream before the node started."""
-
-    session: SessionDescription
-    upstream: str
-
-
-class ClientGone(NamedTuple):
-    """A session's client has left."""
-
-    handle: str
-
-
-class SessionEstablished(NamedTuple):
-    """An attempt has established its session."""
-
-    handle: str
-
-
-class AttemptEnded(NamedTuple):
-    """An attempt, or the session that it established, has ended.
-
-    Attributes:
-        handle: The session's handle.
-        outcome: How it ended.
-        answered: Whether the client has its final answer by that.
-    """
-
-    handle: str
-    outcome: Outcome
-    answered: bool
-
-
-class LoadMeasured(NamedTuple):
-    """An established session's present load, in microseconds of work a second."""
-
-    handle: str
-    load: float
-
-
-class DelayMeasured(NamedTuple):
-    """The present delay of messages at an established session's upstream, in microseconds."""
-
-    handle: str
-    delay_us: int
-
-
-class ProbeEnded(NamedTuple):
-    """A probe of an upstream has been answered, or has failed."""
-
-    upstream: str
-    result: ProbeResult
-
-
-class Ignored(NamedTuple):
-    """A message that the balancer has no use for."""
-
-
-Message = (
-    NodeStarted
-    | NodeKilled
-    | EndpointListDefined
-    | EndpointListReceived
-    | DiscoveryFailed
-    | SessionRequested
-    | SessionInherited
-    | ClientGone
-    | SessionEstablished
-    | AttemptEnded
-    | LoadMeasured
-    | DelayMeasured
-    | ProbeEnded
-    | Ignored
-)
-
 # One action of a reply, as the wire has it.
 Action = list[str | int | bool]
 
@@ -275,6 +136,15 @@
     return form.decode(checked_row(raw[1:], form.fields, raw[0]))
 
 
+def endpoint_state(row: EndpointRow) -> EndpointState:
+    """Return the state that an entry names; a wrong one only matters when its list is used.
+
+    Raises:
+        ProtocolError: The wire knows no such state.
+    """
+    return one_of(row.state_name, ENDPOINT_STATES, "INVENTORY: lifecycle", error=ProtocolError)
+
+
 def _node_started(row: Row) -> NodeStarted:
     seed, settings = row
     return NodeStarted(seed, settings)
@@ -303,10 +173,9 @@
     slot, mode, _revision = row
     if mode == "error":
         return DiscoveryFailed()
-    try:
-        return EndpointListReceived(slot, EndpointListKind(mode))
-    except ValueError:
-        raise ProtocolError("TOPOLOGY", f"unknown mode {mode!r}") from None
+    if mode not in ENDPOINT_LIST_KINDS:
+        raise ProtocolError("TOPOLOGY", f"unknown mode {mode!r}")
+    return EndpointListReceived(slot, ENDPOINT_LIST_KINDS[mode])
 
 
 def _session_requested(row: Row) -> SessionRequested:
--- a/tests/simulator_adapter/test_adapter.py
+++ b/tests/simulator_adapter/test_adapter.py
@@ -12,7 +12,7 @@
 from larchlatch.errors import ProtocolError
 from larchlatch.policy.types import EndpointState, Outcome, ProbeResult
 from larchlatch.simulator_adapter.main import BatchProcessor
-from larchlatch.simulator_adapter.protocol import (
+from larchlatch.simulator_adapter.messages import (
     AttemptEnded,
     DelayMeasured,
     DiscoveryFailed,
@@ -25,8 +25,8 @@
     SessionDescription,
     SessionInherited,
     SessionRequested,
-    decode_message,
 )
+from larchlatch.simulator_adapter.protocol import decode_message, endpoint_state
 from tests.support.configuration import node_configuration
 
 NOW_US = 1_000_000
@@ -131,7 +131,8 @@
 
 
 def test_state_of_an_entry_is_checked_when_the_list_is_used() -> None:
-    assert EndpointRow("h0", None, None, "DRAINING", None, None).state() is EndpointState.DRAINING
+    draining = EndpointRow("h0", None, None, "DRAINING", None, None)
+    assert endpoint_state(draining) is EndpointState.DRAINING
     processor = BatchProcessor()
     wrong = ["INVENTORY", 1, [["h0", None, None, None, "SLEEPING"]]]
     assert reply_to(processor, START, wrong) == []
