--- /dev/null
+++ b/tests/cluster/test_cluster_file.py
@@ -0,0 +1,84 @@
+"""The cluster file, the secret keys of nodes and the commands that check and make them."""
+
+from __future__ import annotations
+
+import os
+import subprocess
+import sys
+from pathlib import Path
+from typing import Any
+
+import pytest
+from click.testing import CliRunner
+
+from larchlatch.__main__ import cli
+from larchlatch.cluster.cluster_file import parse_cluster
+from larchlatch.cluster.keys import create_secret, own_signer, read_secret
+from larchlatch.cluster.protocol.signing import parse_signer
+from larchlatch.errors import InvalidInputError
+from tests.support.cluster import (
+    ENTRY,
+    KEYS,
+    OTHER,
+    SECRETS,
+)
+
+
+def raw(**changes: Any) -> dict[str, Any]:
+    return {"nodes": [ENTRY, OTHER], **changes}
+
+
+@pytest.mark.parametrize(
+    ("change", "told"),
+    [
+        ({"nodes": []}, "nodes"),
+        ({"nodez": 1}, "nodez"),
+        ({"beat_ms": 1}, "beat_ms"),
+        ({"nodes": [{"name": "a", "address": "x", "key": KEYS["a"].hex()}]}, "nodes[0].address"),
+        ({"nodes": [{**ENTRY, "address": "h:0"}]}, "nodes[0].address"),
+        ({"nodes": [{"name": "a", "address": "h:1", "key": "zz"}]}, "nodes[0].key"),
+        ({"nodes": [ENTRY, {**OTHER, "name": "a"}]}, "nodes[1].name"),
+        (
+            {"nodes": [ENTRY, {**OTHER, "address": "10.0.0.1:7400"}]},
+            "nodes[1].address",
+        ),
+        ({"nodes": [ENTRY, {**OTHER, "key": KEYS["a"].hex()}]}, "nodes[1].key"),
+    ],
+)
+def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
+    with pytest.raises(InvalidInputError) as error:
+        parse_cluster(raw(**change), "cluster")
+    assert told in str(error.value) and "\n" not in str(error.value)
+
+
+def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
+    public = create_secret(tmp_path / "a.key")
+    secret = read_secret(tmp_path / "a.key")
+    assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
+    made = parse_signer(secret)
+    assert made is not None and made.public_key.hex() == public
+    with pytest.raises(InvalidInputError, match="can't be written"):
+        create_secret(tmp_path / "a.key")
+    fleet = parse_cluster(raw(), "cluster")
+    assert own_signer(fleet, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
+    for name, key, why in (
+        ("x", SECRETS["a"].hex(), "not among"),
+        ("a", secret, "not the one"),
+        ("a", "q", "32"),
+    ):
+        with pytest.raises(InvalidInputError, match=why):
+            own_signer(fleet, name, key)
+
+
+def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
+    example = Path(__file__).parents[2] / "deploy" / "cluster.example.toml"
+    result = CliRunner().invoke(cli, ["check", "--cluster", str(example)])
+    assert result.exit_code == 0 and "3 nodes" in result.stdout
+    result = CliRunner().invoke(cli, ["cluster-key", "--out", str(tmp_path / "k")])
+    assert result.exit_code == 0 and len(result.stdout.strip()) == 64
+
+
+def test_a_node_without_a_cluster_loads_nothing_of_it() -> None:
+    code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
+    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
+    assert done.stdout.strip() == "[]", done.stderr
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,115 +1,35 @@
-"""The cluster without I/O: membership, datagrams, the cluster file. Real processes are in test_between."""
+"""Membership without I/O, and in simulated clusters."""
 
 from __future__ import annotations
 
 import itertools
-import os
 import random
-import subprocess
-import sys
 from collections import Counter
-from pathlib import Path
-from typing import Any
 
 import pytest
-from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.__main__ import cli
-from larchlatch.cluster.cluster_file import parse_cluster
-from larchlatch.cluster.election.electorate import Electorate
-from larchlatch.cluster.exchange.exchange import Exchange
-from larchlatch.cluster.exchange.state import SharedState
-from larchlatch.cluster.keys import create_secret, own_signer, read_secret
 from larchlatch.cluster.membership.bitmap import has_bit, pack_bits
 from larchlatch.cluster.membership.clock import FAN_OUT, ListeningClock
 from larchlatch.cluster.membership.member import MemberState
-from larchlatch.cluster.membership.membership import MAX_CLOCK_DIFFERENCE_US, Membership
+from larchlatch.cluster.membership.membership import Membership
 from larchlatch.cluster.membership.watchers import WATCHERS, assign_watchers
 from larchlatch.cluster.protocol.codec import (
     MAX_DATAGRAM_BYTES,
-    VERSION,
-    decode_datagram,
-    decode_message,
     decode_record,
     encode_body,
     encode_datagram,
 )
-from larchlatch.cluster.protocol.messages import Datagram, DropReason, NodeRecord, SignedMessage, Suspicion
-from larchlatch.cluster.protocol.signing import Signer, Verifier, parse_signer
-from larchlatch.cluster.quota.loan_terms import LoanTerms
-from larchlatch.cluster.quota.settings import QuotaSettings
+from larchlatch.cluster.protocol.messages import DropReason, NodeRecord, SignedMessage, Suspicion
 from larchlatch.emulator.simulation import Simulation
-from larchlatch.errors import InvalidInputError
 from larchlatch.scenario.scenario_file import parse_scenario
-
-HEARTBEAT_US = 200_000
-SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
-WALL_US = 1_800_000_000_000_000
-SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
-KEYS = {name: Signer(secret).public_key for name, secret in SECRETS.items()}
-
-
-class ManualNode:
-    """One node driven by hand, with its decisions, its keys and its counters."""
-
-    def __init__(self, name: str, names: str = "abcd", wall: int = WALL_US, seed: int = 1) -> None:
-        self.counts: dict[str, int] = {}
-        self.members = Membership(
-            name,
-            dict.fromkeys(names, ""),
-            heartbeat_us=HEARTBEAT_US,
-            wall_us=wall,
-            now_us=0,
-            rng=random.Random(seed),
-        )
-        shared = SharedState.create(
-            name,
-            QuotaSettings((), tuple(names), 1.0, SPANS, 1),
-            Electorate(),
-            max_clock_difference_us=0,
-            heartbeat_us=HEARTBEAT_US,
-            now=0,
-            random=random.Random(seed),
-        )
-        sites = dict.fromkeys(names, "")
-        self.exchange = Exchange(
-            self.members, shared, sites, KEYS, Signer(SECRETS[name]), Verifier(), self.count
-        )
-
-    def count(self, kind: str) -> None:
-        self.counts[kind] = self.counts.get(kind, 0) + 1
-
-    def state(self, name: str) -> MemberState:
-        return self.members.members[name].state
-
-    def drop_count(self, why: DropReason) -> int:
-        return self.counts.get(f"cluster_dropped_{why.value}", 0)
-
-    def next_datagram(self, now: int = 0, wall: int = WALL_US) -> bytes:
-        """Return the first datagram of its next heartbeat."""
-        return self.exchange.heartbeat(now=now, wall=wall).datagrams[0][1]
-
-
-def run_heartbeats(nodes: list[ManualNode], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
-    """Run heartbeats of all nodes in turn; nothing passes between the nodes in `cut` and the others.
-
-    Returns:
-        The number of the heartbeat after them.
-
-    """
-    by_name = {node.members.own_name: node for node in nodes}
-    for number in range(first, first + count):
-        now = number * HEARTBEAT_US
-        for node in nodes:
-            for name, data in node.exchange.heartbeat(now=now, wall=WALL_US + now).datagrams:
-                if name in by_name and (name in cut) is (node.members.own_name in cut):
-                    by_name[name].exchange.receive(data, now=now, wall=WALL_US + now)
-    return first + count
-
-
-# Membership.
+from tests.support.cluster import (
+    HEARTBEAT_US,
+    WALL_US,
+    ManualNode,
+    run_heartbeats,
+)
 
 
 def test_all_members_become_present_and_a_stopped_one_is_silent_until_it_resumes() -> None:
@@ -338,147 +258,6 @@
     assert clock.needs_watchers and clock.silence_us == 1_620_000
 
 
-# Datagrams.
-
-
-def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
-    good = ManualNode("b").next_datagram()
-    body = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
-    forged = encode_datagram([SignedMessage(body, Signer(SECRETS["c"]).sign(body))])
-    stranger = encode_body(NodeRecord("x", WALL_US, 1, WALL_US, False, b""))
-    cases = [
-        (b"", DropReason.EMPTY),
-        (bytes(MAX_DATAGRAM_BYTES + 1), DropReason.TOO_LONG),
-        (bytes([VERSION + 1]) + good[1:], DropReason.UNKNOWN_VERSION),
-        (bytes([VERSION]) + b"\xc1", DropReason.MALFORMED),
-        (encode_datagram([SignedMessage(b"", bytes(64))]), DropReason.MALFORMED),
-        (encode_datagram([SignedMessage(body, b"short")]), DropReason.MALFORMED),
-        (encode_datagram([]), DropReason.MALFORMED),
-        (encode_datagram([SignedMessage(stranger, bytes(64))]), DropReason.UNKNOWN_MEMBER),
-        (forged, DropReason.INVALID_SIGNATURE),
-        (
-            ManualNode("b", wall=WALL_US - 86_400_000_000).next_datagram(wall=WALL_US - 86_400_000_000),
-            DropReason.TOO_OLD,
-        ),
-        (ManualNode("b").next_datagram(wall=WALL_US + 2 * MAX_CLOCK_DIFFERENCE_US), DropReason.IN_THE_FUTURE),
-    ]
-    node = ManualNode("a")
-    for data, why in cases:
-        before = node.drop_count(why)
-        assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
-        assert node.drop_count(why) == before + 1, why
-    assert node.members.is_alone, "nothing of it was taken in"
-    assert node.exchange.unknown_version == VERSION + 1, "for the log, which says it once"
-    assert node.exchange.receive(good, now=0, wall=WALL_US).changes != []
-
-
-def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
-    node, other = ManualNode("a"), ManualNode("b")
-    first, second = other.next_datagram(), other.next_datagram()
-    node.exchange.receive(second, now=0, wall=WALL_US)
-    for data in (first, second):
-        assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
-    assert node.counts["cluster_records_accepted"] == 1 and node.counts["cluster_records_known"] == 2
-
-
-def test_nobody_speaks_for_another() -> None:
-    # A member with a key of its own may claim anything of itself, and must not of another member.
-    liar, node = Signer(SECRETS["b"]), ManualNode("a")
-    run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
-    before = node.members.members["c"].record
-    body = encode_body(NodeRecord("c", WALL_US + 9, 99, WALL_US, True, b""))
-    own = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
-    data = encode_datagram([SignedMessage(own, liar.sign(own)), SignedMessage(body, liar.sign(body))])
-    node.exchange.receive(data, now=0, wall=WALL_US)
-    assert node.members.members["c"].record == before and node.state("c") is MemberState.PRESENT
-    assert node.drop_count(DropReason.INVALID_SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
-
-
-@settings(derandomize=True, max_examples=400, deadline=None)
-@given(st.binary(max_size=MAX_DATAGRAM_BYTES + 2), st.integers(0, 400), st.integers(0, 255))
-def test_no_bytes_at_all_end_a_reader(noise: bytes, place: int, change: int) -> None:
-    good = bytearray(ManualNode("b").next_datagram())
-    good[place % len(good)] = change
-    for data in (noise, bytes([VERSION]) + noise, bytes(good), bytes(good[: place % len(good)])):
-        node = ManualNode("a")
-        node.exchange.receive(data, now=0, wall=WALL_US)
-        found = decode_datagram(data)
-        if isinstance(found, Datagram):
-            for signed in found.records + found.messages:
-                decode_record(signed.body)
-                decode_message(signed.body)
-
-
-# The operator's file.
-
-
-ENTRY = {"name": "a", "address": "10.0.0.1:7400", "key": KEYS["a"].hex()}
-OTHER = {"name": "b", "address": "10.0.0.2:7400", "key": KEYS["b"].hex()}
-
-
-def raw(**changes: Any) -> dict[str, Any]:
-    return {"nodes": [ENTRY, OTHER], **changes}
-
-
-@pytest.mark.parametrize(
-    ("change", "told"),
-    [
-        ({"nodes": []}, "nodes"),
-        ({"nodez": 1}, "nodez"),
-        ({"beat_ms": 1}, "beat_ms"),
-        ({"nodes": [{"name": "a", "address": "x", "key": KEYS["a"].hex()}]}, "nodes[0].address"),
-        ({"nodes": [{**ENTRY, "address": "h:0"}]}, "nodes[0].address"),
-        ({"nodes": [{"name": "a", "address": "h:1", "key": "zz"}]}, "nodes[0].key"),
-        ({"nodes": [ENTRY, {**OTHER, "name": "a"}]}, "nodes[1].name"),
-        (
-            {"nodes": [ENTRY, {**OTHER, "address": "10.0.0.1:7400"}]},
-            "nodes[1].address",
-        ),
-        ({"nodes": [ENTRY, {**OTHER, "key": KEYS["a"].hex()}]}, "nodes[1].key"),
-    ],
-)
-def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
-    with pytest.raises(InvalidInputError) as error:
-        parse_cluster(raw(**change), "cluster")
-    assert told in str(error.value) and "\n" not in str(error.value)
-
-
-def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
-    public = create_secret(tmp_path / "a.key")
-    secret = read_secret(tmp_path / "a.key")
-    assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
-    made = parse_signer(secret)
-    assert made is not None and made.public_key.hex() == public
-    with pytest.raises(InvalidInputError, match="can't be written"):
-        create_secret(tmp_path / "a.key")
-    fleet = parse_cluster(raw(), "cluster")
-    assert own_signer(fleet, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
-    for name, key, why in (
-        ("x", SECRETS["a"].hex(), "not among"),
-        ("a", secret, "not the one"),
-        ("a", "q", "32"),
-    ):
-        with pytest.raises(InvalidInputError, match=why):
-            own_signer(fleet, name, key)
-
-
-def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
-    example = Path(__file__).parents[2] / "deploy" / "cluster.example.toml"
-    result = CliRunner().invoke(cli, ["check", "--cluster", str(example)])
-    assert result.exit_code == 0 and "3 nodes" in result.stdout
-    result = CliRunner().invoke(cli, ["cluster-key", "--out", str(tmp_path / "k")])
-    assert result.exit_code == 0 and len(result.stdout.strip()) == 64
-
-
-def test_a_node_without_a_cluster_loads_nothing_of_it() -> None:
-    code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
-    assert done.stdout.strip() == "[]", done.stderr
-
-
-# Members of a simulated cluster.
-
-
 def test_members_of_an_emulated_fleet_agree_through_every_fault_and_equal_days_are_equal() -> None:
     faults = [
         {
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -43,7 +43,7 @@
 from larchlatch.scenario.node_settings import deployment_settings
 from larchlatch.scenario.scenario import Scenario
 from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
-from tests.cluster.test_membership import ENTRY, OTHER
+from tests.support.cluster import ENTRY, OTHER
 
 SECOND = 1_000_000
 BEAT, STEP = 200_000, 20_000
