--- a/tests/cluster/test_cluster_file.py
+++ b/tests/cluster/test_cluster_file.py
@@ -12,7 +12,7 @@
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
-from larchlatch.cluster.cluster_file import parse_cluster
+from larchlatch.cluster.cluster_file import check_traffic_classes, check_transition, parse_cluster
 from larchlatch.cluster.keys import create_secret, own_signer, read_secret
 from larchlatch.cluster.protocol.signing import parse_signer
 from larchlatch.errors import InvalidInputError
@@ -21,6 +21,7 @@
     KEYS,
     OTHER,
     SECRETS,
+    fleet,
 )
 
 
@@ -82,3 +83,48 @@
     code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
     assert done.stdout.strip() == "[]", done.stderr
+
+
+@pytest.mark.parametrize(
+    ("change", "told"),
+    [
+        ({"floor": 2}, "floor"),
+        ({"term_ms": 500, "budgets": [{"name": "x", "links_per_s": 9, "tariffs": ["t"]}]}, "term_ms"),
+        ({"budgets": [{"name": "x", "links_per_s": 0.5, "tariffs": ["t"]}]}, "budgets[0].links_per_s"),
+        ({"budgets": [{"name": "x", "links_per_s": 9, "tariffs": []}]}, "budgets[0].tariffs"),
+        ({"budgets": [{"name": n, "links_per_s": 9, "tariffs": ["t"]} for n in "xy"]}, "budgets[1].tariffs"),
+        ({"budgets": [{"name": "x", "links_per_s": 9, "tariffs": [t]} for t in "tu"]}, "budgets[1].name"),
+    ],
+)
+def test_wrong_quota_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
+    with pytest.raises(InvalidInputError) as error:
+        parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
+    assert told in str(error.value) and "\n" not in str(error.value)
+
+
+@pytest.mark.parametrize(
+    ("change", "told"),
+    [
+        ({"electors": ["n0", "n1"]}, "electors"),
+        ({"electors": ["n0", "n1", "n2", "n3"]}, "electors"),
+        ({"electors": ["n0", "n1", "nobody"]}, "electors[2]"),
+        ({"electors": ["n0", "n1", "n0"]}, "electors[2]"),
+        ({"electors": ["n0", "n1", "n2"], "term_ms": 600}, "term_ms"),
+        ({"electors": ["n0", "n1", "n2"], "allot": True}, "allot"),
+    ],
+)
+def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
+    nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
+    with pytest.raises(InvalidInputError) as error:
+        parse_cluster({"nodes": nodes, "duties": change}, "cluster")
+    assert told in str(error.value) and "\n" not in str(error.value)
+
+
+def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
+    before = fleet("n0", "n1", "n2")
+    check_transition(fleet("n0", "n1", "n3"), before=before)
+    with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
+        check_transition(fleet("n0", "n3", "n4"), before=before)
+    check_traffic_classes(before, ["student", "parent"])
+    with pytest.raises(InvalidInputError, match=r"all.*student"):
+        check_traffic_classes(before, ["parent"])
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -4,19 +4,12 @@
 
 import random
 from pathlib import Path
-from typing import Any
 
 import msgspec
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.cluster_file import (
-    ClusterConfiguration,
-    check_traffic_classes,
-    check_transition,
-    parse_cluster,
-)
 from larchlatch.cluster.election.ballots import Answer, Ballot, BallotKind, CandidateId
 from larchlatch.cluster.election.candidate import Candidate, CandidateState
 from larchlatch.cluster.election.election import Election
@@ -28,9 +21,9 @@
 from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import BallotRequest, NodeRecord, Promise, Vote
 from larchlatch.emulator.simulation import Simulation
-from larchlatch.errors import InvalidInputError
 from larchlatch.scenario.random_faults import with_random_faults
 from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
+from tests.support.cluster import fleet
 
 SECOND = 1_000_000
 LEASE_TERMS = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
@@ -258,41 +251,6 @@
     assert used(True) > used(False) + 0.08
 
 
-@pytest.mark.parametrize(
-    ("change", "told"),
-    [
-        ({"electors": ["n0", "n1"]}, "electors"),
-        ({"electors": ["n0", "n1", "n2", "n3"]}, "electors"),
-        ({"electors": ["n0", "n1", "nobody"]}, "electors[2]"),
-        ({"electors": ["n0", "n1", "n0"]}, "electors[2]"),
-        ({"electors": ["n0", "n1", "n2"], "term_ms": 600}, "term_ms"),
-        ({"electors": ["n0", "n1", "n2"], "allot": True}, "allot"),
-    ],
-)
-def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
-    nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
-    with pytest.raises(InvalidInputError) as error:
-        parse_cluster({"nodes": nodes, "duties": change}, "cluster")
-    assert told in str(error.value) and "\n" not in str(error.value)
-
-
-def fleet(*electors: str) -> ClusterConfiguration:
-    nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(6)]
-    budgets = [{"name": "all", "links_per_s": 60, "tariffs": ["student"]}]
-    duties = {"electors": list(electors), "allot": True}
-    return parse_cluster({"nodes": nodes, "budgets": budgets, "duties": duties}, "cluster")
-
-
-def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
-    before = fleet("n0", "n1", "n2")
-    check_transition(fleet("n0", "n1", "n3"), before=before)
-    with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
-        check_transition(fleet("n0", "n3", "n4"), before=before)
-    check_traffic_classes(before, ["student", "parent"])
-    with pytest.raises(InvalidInputError, match=r"all.*student"):
-        check_traffic_classes(before, ["parent"])
-
-
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
     electorate = fleet("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -4,6 +4,7 @@
 
 import random
 
+from larchlatch.cluster.cluster_file import ClusterConfiguration, parse_cluster
 from larchlatch.cluster.election.electorate import Electorate
 from larchlatch.cluster.exchange.exchange import Exchange
 from larchlatch.cluster.exchange.state import SharedState
@@ -79,3 +80,10 @@
                 if name in by_name and (name in cut) is (node.members.own_name in cut):
                     by_name[name].exchange.receive(data, now=now, wall=WALL_US + now)
     return first + count
+
+
+def fleet(*electors: str) -> ClusterConfiguration:
+    nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(6)]
+    budgets = [{"name": "all", "links_per_s": 60, "tariffs": ["student"]}]
+    duties = {"electors": list(electors), "allot": True}
+    return parse_cluster({"nodes": nodes, "budgets": budgets, "duties": duties}, "cluster")
