--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -29,10 +29,9 @@
 from larchlatch.cluster.protocol.signing import Signer, Verifier
 from larchlatch.cluster.quota.loan_terms import LoanTerms
 from larchlatch.cluster.quota.settings import Quota, QuotaSettings
-from larchlatch.config.endpoints import EndpointEntry
-from larchlatch.config.endpoints import EndpointList as MemberList
+from larchlatch.config.endpoints import EndpointEntry, EndpointList
 from larchlatch.emulator.simulation import Simulation
-from larchlatch.node.hot_restart import packets as passing
+from larchlatch.node.hot_restart import packets as hot_restart
 from larchlatch.node.hot_restart.channel import HEADER, frame
 from larchlatch.policy.balancer import Balancer
 from larchlatch.policy.state_export import export_state, restore_state
@@ -71,23 +70,23 @@
 # Packets of a hot restart.
 
 
-def packets() -> list[passing.Packet]:
-    listed = EndpointEntry(
+def packets() -> list[hot_restart.Packet]:
+    entry = EndpointEntry(
         "s-1", ("127.0.0.1", 3000), "a", 2, EndpointState.DRAINING, 1.5, 1_700_000_000 * SECOND
     )
     return [
-        passing.Hello("n1", "127.0.0.1:3000"),
-        passing.Welcome(MemberList(41, True, [listed])),
-        passing.Serving(),
-        passing.StateHandover(
-            passing.BalancerState({"hosts": {}, "asked": [1], "noted": 0.5}),
+        hot_restart.Hello("n1", "127.0.0.1:3000"),
+        hot_restart.Welcome(EndpointList(41, True, [entry])),
+        hot_restart.Serving(),
+        hot_restart.StateHandover(
+            hot_restart.BalancerState({"hosts": {}, "asked": [1], "noted": 0.5}),
             ["id-1", "id-2"],
             60,
             1.25,
             123456,
         ),
-        passing.StateHandover(passing.BalancerState({}), [], 0, None, 0),
-        passing.SessionHandover(
+        hot_restart.StateHandover(hot_restart.BalancerState({}), [], 0, None, 0),
+        hot_restart.SessionHandover(
             b"OPEN 1 2 c=chat,d=2000\r\n", "s-1", 0.25, 99, int(Outcome.RESET), b"\xff", b"x"
         ),
     ]
@@ -97,11 +96,11 @@
     return [frame(packet, number % 3).hex() for number, packet in enumerate(packets())]
 
 
-# BallotKind the decisions have learned.
+# State that the balancer exports.
 
 
 def used_balancer(observed: bool) -> Balancer:
-    """A brain that knows two hosts; where it has observed, each exported value differs from its default."""
+    """A balancer of two upstreams; where it has observed, each exported value differs from its default."""
     balancer = Balancer(SETTINGS, random.Random(1))
     rows = [
         Endpoint(number, f"host-{number}", 0, 0, EndpointState.READY, 1.0, 7 * number) for number in range(2)
@@ -127,19 +126,19 @@
 # Datagrams.
 
 
-def dealing(allot: bool) -> QuotaSettings:
+def quota_settings(with_allocator: bool) -> QuotaSettings:
     return QuotaSettings(
-        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND, 3 * SECOND, 0.01), 77, allot
+        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND, 3 * SECOND, 0.01), 77, with_allocator
     )
 
 
-def roster() -> Electorate:
+def electorate() -> Electorate:
     return Electorate(
         NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88
     )
 
 
-def exchange(name: str, started: int, allot: bool) -> Exchange:
+def exchange(name: str, started: int, with_allocator: bool) -> Exchange:
     """One node's part, with its own key, as it starts; it knows of no other node."""
     sites = dict.fromkeys(NODES, "")
     members = Membership(
@@ -147,8 +146,8 @@
     )
     shared = SharedState.create(
         name,
-        dealing(allot),
-        roster(),
+        quota_settings(with_allocator),
+        electorate(),
         max_clock_difference_us=200_000,
         heartbeat_us=200_000,
         now=started,
@@ -178,7 +177,7 @@
     ]
 
 
-def notes() -> list[messages.DirectMessage]:
+def direct_messages() -> list[messages.DirectMessage]:
     return [
         messages.LoanRequest("a", WALL, 1, WALL, "b", 77, "all", 5, 0),
         messages.LoanGrant("b", "a", WALL, 1, "all", 5, 12, 400),
@@ -190,7 +189,7 @@
 
 
 def datagram_bytes() -> list[str]:
-    bodies = [codec.encode_body(told) for told in (*records(), *notes())]
+    bodies = [codec.encode_body(message) for message in (*records(), *direct_messages())]
     signed = [messages.SignedMessage(body, KEYS["a"].sign(body)) for body in bodies]
     written = [codec.encode_datagram(signed[:2])]
     written += [codec.encode_datagram([], [each]) for each in signed[2:]]
@@ -199,16 +198,16 @@
 
 def answers_to(data: bytes, name: str) -> list[list[str]]:
     """What a node sends back after a datagram, an hour after its start: it may promise and lend by then."""
-    taken = exchange(name, NOW - 3600 * SECOND, allot=False).receive(data, now=NOW, wall=WALL)
+    taken = exchange(name, NOW - 3600 * SECOND, with_allocator=False).receive(data, now=NOW, wall=WALL)
     return [[to, answer.hex()] for to, answer in taken.datagrams]
 
 
-def beat_bytes() -> list[list[str]]:
-    """All that a lone node sends in three beats: its records, its bids for both duties, and a request."""
-    node = exchange("a", NOW - 3600 * SECOND, allot=True)
+def heartbeat_bytes() -> list[list[str]]:
+    """All that a lone node sends in three heartbeats: its records, ballots for both roles, and a request."""
+    node = exchange("a", NOW - 3600 * SECOND, with_allocator=True)
     sent = []
-    for beat in (0, 200_000, 8 * SECOND):
-        sent += node.heartbeat(now=NOW + beat, wall=WALL + beat).datagrams
+    for elapsed_us in (0, 200_000, 8 * SECOND):
+        sent += node.heartbeat(now=NOW + elapsed_us, wall=WALL + elapsed_us).datagrams
     node.state.tokens.requester.issuer = "b"
     node.state.tokens.requester.answered_at = NOW + 8 * SECOND
     candidates = [(99, TokenCandidate(1, 5.0, 1.0))]
@@ -252,10 +251,17 @@
 }
 
 
-def cluster_marks() -> list[int]:
+def cluster_digests() -> list[int]:
     """The digests by which nodes tell whether they go by the same cluster file."""
-    fleets = [read_cluster_file(ROOT / "deploy" / "cluster.example.toml"), parse_cluster(CLUSTER, "cluster")]
-    return [mark for fleet in fleets for mark in (fleet.quota_settings.digest, fleet.electorate.digest)]
+    clusters = [
+        read_cluster_file(ROOT / "deploy" / "cluster.example.toml"),
+        parse_cluster(CLUSTER, "cluster"),
+    ]
+    return [
+        digest
+        for cluster in clusters
+        for digest in (cluster.quota_settings.digest, cluster.electorate.digest)
+    ]
 
 
 def stored_values() -> dict[str, list[Any]]:
@@ -278,15 +284,15 @@
 
 def current() -> dict[str, Any]:
     """Every form as this version writes it."""
-    told = datagram_bytes()
+    datagrams = datagram_bytes()
     return {
         "packets": packet_bytes(),
         "state": exported_state(),
-        "datagrams": told,
-        "answers": [answers_to(bytes.fromhex(data), "b") for data in told],
-        "beats": beat_bytes(),
+        "datagrams": datagrams,
+        "answers": [answers_to(bytes.fromhex(data), "b") for data in datagrams],
+        "beats": heartbeat_bytes(),
         "file_keys": file_keys(),
-        "cluster_marks": cluster_marks(),
+        "cluster_marks": cluster_digests(),
         "values": stored_values(),
         "emulated": {f"{name} {seed}": emulated(name, seed) for name, seed in SMALL_DAYS},
     }
@@ -299,7 +305,7 @@
 def test_recorded_packets_are_read_and_written_again_the_same() -> None:
     for data, packet in zip(recorded()["packets"], packets(), strict=True):
         body = bytes.fromhex(data)[HEADER.size :]
-        read = passing.decode_packet(body)
+        read = hot_restart.decode_packet(body)
         assert read == packet
         assert frame(read, 0)[HEADER.size :] == body
 
@@ -327,11 +333,11 @@
     bodies = [signed.body for each in read if isinstance(each, messages.Datagram) for signed in each.records]
     assert [codec.decode_record(body) for body in bodies] == records()
     bodies = [signed.body for each in read if isinstance(each, messages.Datagram) for signed in each.messages]
-    assert [codec.decode_message(body) for body in bodies] == notes()
+    assert [codec.decode_message(body) for body in bodies] == direct_messages()
 
 
 def test_a_lone_node_sends_the_same_bytes_as_before() -> None:
-    assert beat_bytes() == recorded()["beats"]
+    assert heartbeat_bytes() == recorded()["beats"]
 
 
 def test_keys_of_operators_files_are_the_same() -> None:
@@ -348,13 +354,13 @@
 
 
 def test_example_files_of_the_deployment_are_read_and_digested_as_before() -> None:
-    assert cluster_marks() == recorded()["cluster_marks"]
+    assert cluster_digests() == recorded()["cluster_marks"]
     assert read_contracts(ROOT / "deploy" / "contracts.example.toml").teams
 
 
 @pytest.mark.parametrize(("name", "seed"), SMALL_DAYS)
 def test_a_small_day_has_the_recorded_row_and_trace_digest(name: str, seed: int) -> None:
-    was = recorded()["emulated"][f"{name} {seed}"]
-    now = msgspec.json.decode(msgspec.json.encode(emulated(name, seed)))
-    assert list(now) == list(was), "the keys of a row, in their order"
-    assert now == was
+    expected = recorded()["emulated"][f"{name} {seed}"]
+    actual = msgspec.json.decode(msgspec.json.encode(emulated(name, seed)))
+    assert list(actual) == list(expected), "the keys of a row, in their order"
+    assert actual == expected
