--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -25,8 +25,8 @@
 ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
 
-def figures(links: float, held: float = 100_000) -> dict[str, float]:
-    return {"links_per_s": links, "messages_per_s": 10 * links, "held": held}
+def figures(sessions_per_s: float, held: float = 100_000) -> dict[str, float]:
+    return {"links_per_s": sessions_per_s, "messages_per_s": 10 * sessions_per_s, "held": held}
 
 
 def raw(**teams: float) -> dict[str, Any]:
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contracts", "told"),
+    ("contracts", "expected"),
     [
         (raw(a=60, b=50), ["'a' and 'b'", "links_per_s", "10 too many"]),
         (raw(a=160), ["'a'", "links_per_s", "60 too many"]),
@@ -380,10 +380,10 @@
         ),
     ],
 )
-def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], told: list[str]) -> None:
+def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], expected: list[str]) -> None:
     with pytest.raises(InvalidInputError) as refused:
         parse_contracts(contracts)
-    assert all(word in str(refused.value) for word in told), str(refused.value)
+    assert all(text in str(refused.value) for text in expected), str(refused.value)
 
 
 def test_the_command_checks_contracts(tmp_path: Path) -> None:
