--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -21,9 +21,9 @@
 from larchlatch.scenario.scenario_file import read_scenario_file
 from tests.support.balancer_harness import BalancerHarness, endpoint, forwarded_to
 from tests.support.slow_start_tokens import (
-    BEAT,
     BUDGET,
     ELECTORATE,
+    HEARTBEAT_US,
     NAMES,
     SECOND,
     START,
@@ -63,7 +63,7 @@
         one.lease, one.promised_until, one.issued, one.opens_at = lease, {}, {}, now
 
 
-PLANTED: list[tuple[object, str, Any]] = [
+PLANTED_FAULTS: list[tuple[object, str, Any]] = [
     (TokenRequester, "open", forgetful),
     (TokenRequester, "promises", hasty),
     (TokenIssuer, "hold", at_once),
@@ -71,17 +71,17 @@
 ]
 
 
-@pytest.mark.parametrize("planted", PLANTED, ids=lambda planted: str(planted[1]))
-def test_what_is_planted_is_caught(planted: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
     """A start that forgets what its earlier life handed over, a promise that the decisions have not heard of,
-    a pacer that gives before what the one before gave has run out, windows counted too short."""
-    monkeypatch.setattr(*planted)
-    worlds = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
-    assert not all(Played(seed, *world).run(25).sound for seed in range(20) for world in worlds)
+    an issuer that issues before the previous tokens have run out, windows counted too short."""
+    monkeypatch.setattr(*fault)
+    networks = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
+    assert not all(Played(seed, *network).run(25).sound for seed in range(20) for network in networks)
 
 
-def paced(now: int = START, lease: int = 5) -> TokenIssuer:
-    """A pacer to which all have handed their turns over."""
+def ready_issuer(now: int = START, lease: int = 5) -> TokenIssuer:
+    """Return a token issuer to which all nodes have handed their turns over."""
     one = TokenIssuer("a", ELECTORATE)
     one.update_upstreams([UPSTREAM], window_us=WINDOW)
     one.hold(now - TERM, lease)
@@ -89,73 +89,76 @@
     return one
 
 
-def asked(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
+def token_request(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
     want = TokenDemand(UPSTREAM, int(budget * 1000), int(weight * 1000))
     return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
 
 
 def test_session_counts_by_its_weight_and_any_weight_fits_an_empty_window() -> None:
-    one, order = paced(), OrderPermit(5, 300_000)
-    assert one.answer(START, asked(1, weight=9.0), order) is not None
-    assert one.answer(START, asked(2, weight=0.1), order) is None
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
+    assert one.answer(START, token_request(1, weight=9.0), order) is not None
+    assert one.answer(START, token_request(2, weight=0.1), order) is None
     later = START + one.counting_span_us + 1
-    assert one.answer(later, asked(3, weight=4.5), order) is not None
-    assert one.answer(later, asked(4, weight=1.0), order) is None
-    assert one.answer(later, asked(5, weight=0.5), order) is not None
+    assert one.answer(later, token_request(3, weight=4.5), order) is not None
+    assert one.answer(later, token_request(4, weight=1.0), order) is None
+    assert one.answer(later, token_request(5, weight=0.5), order) is not None
 
 
 def test_nodes_that_use_turns_keep_their_part_of_the_budget() -> None:
-    one, order = paced(), OrderPermit(5, 300_000)
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {"a": START + TERM, "b": START + TERM}
-    given = [one.answer(START, asked(number), order) is not None for number in range(1, 6)]
-    assert given == [True, True, False, False, False], "half of five, for two of four"
+    granted = [one.answer(START, token_request(number), order) is not None for number in range(1, 6)]
+    assert granted == [True, True, False, False, False], "half of five, for two of four"
     one.promised_until = {}
-    assert one.answer(START + 5 * SECOND, asked(9), order) is None
+    assert one.answer(START + 5 * SECOND, token_request(9), order) is None
 
 
 def test_promise_counts_from_the_answer_that_it_echoes() -> None:
     # Danger: how old a note is can't be told. Counted from when it comes, a late one would be a promise that
     # ran out long ago.
-    one, order = paced(), OrderPermit(5, 300_000)
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {}
-    one.answer(START + 2 * SECOND, asked(1, lease=5, issued_us=START), order)
+    one.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), order)
     assert START + TERM * 0.97 < one.promised_until["b"] < START + TERM * 0.99
-    one.answer(START + 2 * SECOND, asked(2, lease=4, issued_us=START + SECOND), order)
+    one.answer(START + 2 * SECOND, token_request(2, lease=4, issued_us=START + SECOND), order)
     assert one.promised_until["b"] < START + TERM, "by another lease's clock"
-    one.answer(START, asked(3, lease=5, issued_us=START + 9 * SECOND), order)
-    assert one.promised_until["b"] < START + TERM, "a word that was not said yet"
+    one.answer(START, token_request(3, lease=5, issued_us=START + 9 * SECOND), order)
+    assert one.promised_until["b"] < START + TERM, "an answer that has not been given yet"
 
 
 def test_no_token_without_the_role_or_with_another_file() -> None:
-    one = paced()
-    assert one.answer(START, asked(1), NO_PERMIT) is None
-    assert one.answer(START, asked(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
-    assert one.answer(START, asked(3, config_digest=8), OrderPermit(5, 300_000)) is None
-    assert one.answer(START, asked(4, sender="x"), OrderPermit(5, 300_000)) is None
-    stranger = msgspec.structs.replace(asked(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
-    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "a host that is not on the list"
+    one = ready_issuer()
+    assert one.answer(START, token_request(1), NO_PERMIT) is None
+    assert one.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
+    assert one.answer(START, token_request(3, config_digest=8), OrderPermit(5, 300_000)) is None
+    assert one.answer(START, token_request(4, sender="x"), OrderPermit(5, 300_000)) is None
+    stranger = msgspec.structs.replace(token_request(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
+    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "an upstream that is not on the list"
     one.hold(START, 6)
-    assert one.answer(START + SECOND, asked(5), OrderPermit(6, 300_000)) is None, (
-        "what the one before gave is out yet"
+    assert one.answer(START + SECOND, token_request(5), OrderPermit(6, 300_000)) is None, (
+        "tokens of the previous issuer are still valid"
     )
 
 
 def test_request_rate_of_the_cluster_is_bounded() -> None:
-    one, now, asked = TokenRequester(ELECTORATE, START), START, 0
+    one, now, request_count = TokenRequester(ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
     one.issuer, one.answered_at = "b", START + 10**9
-    for beat in range(50):
-        one.tick(now + beat * BEAT, RequestOrigin("a", 1, WALL), "b")
+    for heartbeat in range(50):
+        one.tick(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), "b")
         for _ in range(20):
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            asked += one.request_token(now + beat * BEAT, RequestOrigin("a", 1, WALL), 7, want) is not None
-    assert 1000 * 10 / 200 - 5 <= asked <= 1000 * 10 / 200 + 16
+            request_count += (
+                one.request_token(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), 7, want)
+                is not None
+            )
+    assert 1000 * 10 / 200 - 5 <= request_count <= 1000 * 10 / 200 + 16
 
 
 def test_what_was_given_long_ago_is_forgotten() -> None:
-    one = paced()
-    assert one.answer(START, asked(1), OrderPermit(5, 300_000)) is not None
+    one = ready_issuer()
+    assert one.answer(START, token_request(1), OrderPermit(5, 300_000)) is not None
     one.hold(START + 2 * one.counting_span_us, 5)
     assert one.issued
     one.hold(START + 5 * one.counting_span_us, 5)
@@ -163,20 +166,20 @@
 
 
 def test_token_is_for_its_session_alone_and_expires() -> None:
-    # Danger: a heavy link that was refused would take the leave of a light one.
+    # Danger: a heavy session that was refused would take the token of a light one.
     harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
     balancer, now = harness.balancer, harness.now
     balancer.record_token(now, now + 10 * SECOND)
     one, other = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
-    assert not harness.attempt_upstreams, "all hosts are cold, and turns are handed over"
-    sought = {
+    assert not harness.attempt_upstreams, "all upstreams are warming up, and turns are handed over"
+    requested = {
         want.upstream
         for answer in [balancer.place(now, session) for session in (one, other)]
         if isinstance(answer, Hold)
         for want in answer.token_candidates
     }
-    assert sought <= {0, 1}
+    assert requested <= {0, 1}
     balancer.record_token(now, now + 10 * SECOND, Token(1, one.number, now + 100_000))
     assert isinstance(balancer.place(now, other), Hold)
     late = balancer.place(now + 200_000, one)
@@ -189,25 +192,27 @@
     )
 
 
-PACE = Path(__file__).parents[2] / "scenarios" / "pace.toml"
+SCENARIO = Path(__file__).parents[2] / "scenarios" / "pace.toml"
 
 
-def day(pace: bool, **changes: Any) -> Scenario:
+def small_scenario(with_issuer: bool, **changes: Any) -> Scenario:
     small: dict[str, Any] = {"nodes.count": 20, "hosts.0.count": 15, "hosts.0.late": 10, "faults.0.hosts": 10}
-    small |= {"links.rate": 70.0, "faults.1.holder": pace, "faults.1.at_s": 20.0, "span_s": 24.0}
-    return read_scenario_file(PACE, {"cluster.pace": pace, **small, **changes})
+    small |= {"links.rate": 70.0, "faults.1.holder": with_issuer, "faults.1.at_s": 20.0, "span_s": 24.0}
+    return read_scenario_file(SCENARIO, {"cluster.pace": with_issuer, **small, **changes})
 
 
 def test_with_tokens_new_upstreams_reach_their_share_sooner_without_overload() -> None:
-    turns, by_leave = (Simulation(day(pace)).run() for pace in (False, True))
+    turns, by_leave = (Simulation(small_scenario(with_issuer)).run() for with_issuer in (False, True))
     assert by_leave["cold_over"] == 0 and by_leave["two_holders"] == 0 and by_leave["orders"] > 200
     assert by_leave["cold_used"] > 1.2 * turns["cold_used"] and by_leave["served"] > turns["served"]
     assert not any(by_leave["broken"].values())
 
 
 def test_without_a_token_issuer_turns_are_unchanged() -> None:
-    """A duty that nobody can hold, as most electors are gone, changes nothing."""
-    with_it, without = (Simulation(day(pace, **{"cluster.electors": 3})) for pace in (True, False))
+    """A role that nobody can hold, as most electors are gone, changes nothing."""
+    with_it, without = (
+        Simulation(small_scenario(with_issuer, **{"cluster.electors": 3})) for with_issuer in (True, False)
+    )
     for simulation in (with_it, without):
         assert simulation.cluster is not None
         for number in (0, 1):
@@ -217,18 +222,18 @@
 
 
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
-    # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
-    # that it is. Turns would be promised for a term more, and used again sooner.
+    # Danger: it wakes just before the issuer's last answer expires, and a session asks before the next
+    # heartbeat finds that it has. Turns would be promised for a term more, and used again sooner.
     one, now = TokenRequester(ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
-        seek, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
-        if seek is not None:
-            one.accept(now, TokenGrant("a", "b", 1, seek.request_id, 5, 300_000, now, 0))
-        now += BEAT
+        request, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
+        if request is not None:
+            one.accept(now, TokenGrant("a", "b", 1, request.request_id, 5, 300_000, now, 0))
+        now += HEARTBEAT_US
     want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
     soon = one.request_token(now, RequestOrigin("b", 1, WALL), 7, want)
     assert soon is not None and soon.lease == 5 and one.handed_over_until >= now + TERM
     late = one.answered_at + TERM - 50_000
-    asked = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
-    assert asked is not None and (not asked.lease or one.handed_over_until >= late + TERM)
+    late_request = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
+    assert late_request is not None and (not late_request.lease or one.handed_over_until >= late + TERM)
--- a/tests/support/slow_start_tokens.py
+++ b/tests/support/slow_start_tokens.py
@@ -17,7 +17,7 @@
 from larchlatch.scenario.drifting_clock import DriftingClock
 
 SECOND = 1_000_000
-BEAT, STEP = 200_000, 40_000
+HEARTBEAT_US, STEP_US = 200_000, 40_000
 WINDOW, TERM = SECOND, 3 * SECOND
 START, WALL = 1000 * SECOND, 1_800_000_000 * SECOND
 NAMES = ("a", "b", "c", "d")
@@ -25,171 +25,181 @@
 UPSTREAM, BUDGET = 99, 5.0
 
 
-class Side:
-    """One node: its part of the pacing, and what its decisions have been told a moment after."""
+class TokenNode:
+    """One node: its slow-start tokens, and the notices that its balancer receives a moment later."""
 
     def __init__(self, name: str, now: int) -> None:
         self.name = name
-        self.pacing = SlowStartTokens(name, ELECTORATE, now)
-        self.pacing.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
+        self.tokens = SlowStartTokens(name, ELECTORATE, now)
+        self.tokens.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
         self.incarnation = now
-        self.until = 0  # turns are handed over, by what the decisions know
-        self.leaves: dict[int, int] = {}
-        self.words: deque[tuple[int, TokenNotice]] = deque()  # not heard by the decisions yet
-        self.hear(now, self.pacing.requester.open(now))
-        self.told(now)
+        self.handed_over_until = 0  # turns are handed over, as far as the balancer knows
+        self.token_ends_at: dict[int, int] = {}
+        self.pending_notices: deque[tuple[int, TokenNotice]] = deque()  # not yet received by the balancer
+        self.queue_notice(now, self.tokens.requester.open(now))
+        self.apply_notices(now)
         self.awake_at = 0
 
     def origin(self, now: int) -> RequestOrigin:
         return RequestOrigin(self.name, self.incarnation, WALL + now)
 
-    def hear(self, now: int, told: TokenNotice | None, lag_us: int = 0) -> None:
-        if told is not None:
-            last = self.words[-1][0] if self.words else 0
-            self.words.append((max(last, now + lag_us), told))
+    def queue_notice(self, now: int, notice: TokenNotice | None, lag_us: int = 0) -> None:
+        if notice is not None:
+            last = self.pending_notices[-1][0] if self.pending_notices else 0
+            self.pending_notices.append((max(last, now + lag_us), notice))
 
-    def told(self, now: int) -> None:
-        while self.words and self.words[0][0] <= now:
-            _, told = self.words.popleft()
-            self.until = told.handed_over_until
-            if told.upstream:
-                self.leaves[told.session] = told.token_ends_at
+    def apply_notices(self, now: int) -> None:
+        while self.pending_notices and self.pending_notices[0][0] <= now:
+            _, notice = self.pending_notices.popleft()
+            self.handed_over_until = notice.handed_over_until
+            if notice.upstream:
+                self.token_ends_at[notice.session] = notice.token_ends_at
 
-    def take(
-        self, now: int, note: TokenRequest | TokenGrant, order: OrderPermit, lag_us: int
+    def receive(
+        self, now: int, message: TokenRequest | TokenGrant, permit: OrderPermit, lag_us: int
     ) -> TokenGrant | None:
-        if isinstance(note, TokenRequest):
-            return self.pacing.issuer.answer(now, note, order) if self.pacing.issuer.is_new(note) else None
-        if self.pacing.requester.expects(note):
-            self.hear(now, self.pacing.requester.accept(now, note), lag_us)
+        if isinstance(message, TokenRequest):
+            return (
+                self.tokens.issuer.answer(now, message, permit)
+                if self.tokens.issuer.is_new(message)
+                else None
+            )
+        if self.tokens.requester.expects(message):
+            self.queue_notice(now, self.tokens.requester.accept(now, message), lag_us)
         return None
 
 
 class Played:
-    """Nodes whose links all want one cold host, through a bad network; the holder of the duty is given."""
+    """Nodes whose sessions all go to one warming upstream, over a bad network; the role's holder is given."""
 
     def __init__(
         self, seed: int, loss: float, double: float, late: float, faults: bool, changes: bool = False
     ) -> None:
         """faults: cuts, starts, stops, and changes of the holder; changes: these alone, all the time."""
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.loss, self.double, self.late, self.faults = loss, double, late, faults
         self.changes = changes
-        self.drifts = {name: DriftingClock(START) for name in NAMES}
-        for drift in self.drifts.values():
-            drift.set_gain(START, self.chance.choice((-0.01, 0.0, 0.01)))
-        self.sides = {name: Side(name, START) for name in NAMES}
-        self.bag: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
+        self.clocks = {name: DriftingClock(START) for name in NAMES}
+        for clock in self.clocks.values():
+            clock.set_gain(START, self.rng.choice((-0.01, 0.0, 0.01)))
+        self.nodes = {name: TokenNode(name, START) for name in NAMES}
+        self.in_flight: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
         self.cut: frozenset[str] = frozenset()
-        self.by_leave: list[int] = []  # when links were sent
+        self.by_leave: list[int] = []  # when sessions were sent by a token
         self.by_turn = 0
-        self.taken_twice = 0  # turns that their node used while the pacer counted on its promise
+        self.taken_twice = 0  # turns that their node used while the issuer relied on its promise
         self.holder, self.lease, self.held_until = "a", 1, START + 10**12
         self.sessions = 0
 
     def now_of(self, name: str, now: int) -> int:
-        return self.drifts[name].at(now)
+        return self.clocks[name].at(now)
 
     def lag(self) -> int:
-        """Until the decisions hear of something."""
-        return self.chance.randrange(10_000 if self.chance.random() < 0.9 else NOTICE_LAG_US)
+        """Return how long a notice takes to reach the balancer."""
+        return self.rng.randrange(10_000 if self.rng.random() < 0.9 else NOTICE_LAG_US)
 
-    def order(self, name: str, now: int) -> OrderPermit:
+    def order_permit(self, name: str, now: int) -> OrderPermit:
         """Of the lease, as its holder's own clock has it: a round at most."""
-        left = self.held_until - now if name == self.holder else 0
-        return OrderPermit(self.lease, min(left, TERM // 8)) if left > 0 else NO_PERMIT
+        left_us = self.held_until - now if name == self.holder else 0
+        return OrderPermit(self.lease, min(left_us, TERM // 8)) if left_us > 0 else NO_PERMIT
 
-    def send(self, now: int, one: str, note: TokenRequest | TokenGrant | None) -> None:
+    def send(self, now: int, sender: str, message: TokenRequest | TokenGrant | None) -> None:
         if (
-            note is None
-            or self.chance.random() < self.loss
-            or (one in self.cut) is not (note.recipient in self.cut)
+            message is None
+            or self.rng.random() < self.loss
+            or (sender in self.cut) is not (message.recipient in self.cut)
         ):
             return
-        for _ in range(2 if self.chance.random() < self.double else 1):
-            way = 4 * SECOND if self.chance.random() < self.late else 40_000
-            self.bag.append((now + self.chance.randrange(way), self.chance.randrange(10**9), one, note))
-
-    def befall(self, now: int) -> None:
-        self.cut = frozenset(self.chance.choice(("", "", "a", "ab", "d")))
-        name, what = self.chance.choice(NAMES), self.chance.random()
+        for _ in range(2 if self.rng.random() < self.double else 1):
+            max_delay_us = 4 * SECOND if self.rng.random() < self.late else 40_000
+            self.in_flight.append(
+                (now + self.rng.randrange(max_delay_us), self.rng.randrange(10**9), sender, message)
+            )
+
+    def inject_fault(self, now: int) -> None:
+        self.cut = frozenset(self.rng.choice(("", "", "a", "ab", "d")))
+        name, what = self.rng.choice(NAMES), self.rng.random()
         if what < 0.15:
-            self.sides[name] = Side(name, self.now_of(name, now))
+            self.nodes[name] = TokenNode(name, self.now_of(name, now))
         elif what < 0.3:
-            self.sides[name].awake_at = now + self.chance.randrange(4 * SECOND)
+            self.nodes[name].awake_at = now + self.rng.randrange(4 * SECOND)
         elif what < 0.6:
-            self.change(now)
+            self.change_holder(now)
 
-    def change(self, now: int) -> None:
-        """Another has the duty from when the lease before has run out, as the electors see to."""
-        self.holder, self.lease = self.chance.choice(NAMES), self.lease + 1
+    def change_holder(self, now: int) -> None:
+        """Give the role to another node once the previous lease has run out, as the electors ensure."""
+        self.holder, self.lease = self.rng.choice(NAMES), self.lease + 1
         self.held_until = now + 10**12
 
     def run(self, span_s: int) -> Played:
-        for now in range(START, START + span_s * SECOND, STEP):
+        for now in range(START, START + span_s * SECOND, STEP_US):
             if self.faults and now % (2 * SECOND) == 0:
-                self.befall(now)
+                self.inject_fault(now)
             if self.changes and now % (2 * SECOND) == 0:
-                self.change(now)
-            due = sorted(entry[:2] for entry in self.bag if entry[0] <= now)
-            going = {entry[:2]: entry for entry in self.bag if entry[0] <= now}
-            self.bag = [entry for entry in self.bag if entry[0] > now]
+                self.change_holder(now)
+            due = sorted(entry[:2] for entry in self.in_flight if entry[0] <= now)
+            going = {entry[:2]: entry for entry in self.in_flight if entry[0] <= now}
+            self.in_flight = [entry for entry in self.in_flight if entry[0] > now]
             for key in due:
-                _, _, _, note = going[key]
-                side = self.sides[note.recipient]
-                if now >= side.awake_at:
+                _, _, _, message = going[key]
+                node = self.nodes[message.recipient]
+                if now >= node.awake_at:
                     lag = self.lag()
-                    own = self.now_of(note.recipient, now)
-                    self.send(now, note.recipient, side.take(own, note, self.order(note.recipient, now), lag))
-            for name, side in self.sides.items():
-                if now >= side.awake_at:
-                    self.act(now, name, side)
+                    own = self.now_of(message.recipient, now)
+                    self.send(
+                        now,
+                        message.recipient,
+                        node.receive(own, message, self.order_permit(message.recipient, now), lag),
+                    )
+            for name, node in self.nodes.items():
+                if now >= node.awake_at:
+                    self.act(now, name, node)
         return self
 
-    def act(self, now: int, name: str, side: Side) -> None:
+    def act(self, now: int, name: str, node: TokenNode) -> None:
         own = self.now_of(name, now)
-        lease, _ = self.order(name, now)
-        if now % BEAT == 0:
-            side.pacing.issuer.hold(own, lease)
-            seek, told = side.pacing.requester.tick(own, side.origin(now), self.holder)
-            side.hear(own, told, self.lag())
-            self.ask(now, own, name, seek)
-        side.told(own)
-        # A link that waits goes as soon as it may, or at the last moment.
-        for number, at in list(side.leaves.items()):
-            if own >= at or self.chance.random() < 0.7:
-                del side.leaves[number]
+        lease, _ = self.order_permit(name, now)
+        if now % HEARTBEAT_US == 0:
+            node.tokens.issuer.hold(own, lease)
+            request, notice = node.tokens.requester.tick(own, node.origin(now), self.holder)
+            node.queue_notice(own, notice, self.lag())
+            self.send_request(now, own, name, request)
+        node.apply_notices(own)
+        # A session that waits goes as soon as it may, or at the last moment.
+        for number, at in list(node.token_ends_at.items()):
+            if own >= at or self.rng.random() < 0.7:
+                del node.token_ends_at[number]
                 if own < at:
                     self.by_leave.append(now)
-        if self.chance.random() < 0.5:
+        if self.rng.random() < 0.5:
             self.sessions += 1
-            self.session(now, own, name, side)
+            self.session(now, own, name, node)
 
-    def ask(self, now: int, own: int, name: str, seek: TokenRequest | None) -> None:
-        """Of the pacer, which may be that node itself."""
-        if seek is None or seek.recipient != name:
-            self.send(now, name, seek)
+    def send_request(self, now: int, own: int, name: str, request: TokenRequest | None) -> None:
+        """Send a request to the issuer, which may be that node itself."""
+        if request is None or request.recipient != name:
+            self.send(now, name, request)
             return
-        leave = self.sides[name].pacing.issuer.answer(own, seek, self.order(name, now))
-        if leave is not None:
-            self.sides[name].take(own, leave, NO_PERMIT, self.lag())
-
-    def session(self, now: int, own: int, name: str, side: Side) -> None:
-        """One more link: it asks for leave, or goes by a turn of its node's, or not at all."""
-        if own < side.until:
-            want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            seek = side.pacing.requester.request_token(own, side.origin(now), self.sessions, want)
-            self.ask(now, own, name, seek)
+        grant = self.nodes[name].tokens.issuer.answer(own, request, self.order_permit(name, now))
+        if grant is not None:
+            self.nodes[name].receive(own, grant, NO_PERMIT, self.lag())
+
+    def session(self, now: int, own: int, name: str, node: TokenNode) -> None:
+        """Start one session: it requests a token, goes in a turn of its node, or does not go."""
+        if own < node.handed_over_until:
+            candidates = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
+            request = node.tokens.requester.request_token(own, node.origin(now), self.sessions, candidates)
+            self.send_request(now, own, name, request)
         elif now // WINDOW % len(NAMES) == NAMES.index(name):
             self.by_turn += 1
-            for other, pacer in self.sides.items():
-                if self.order(other, now)[0] and pacer.pacing.issuer.lease:
-                    until = pacer.pacing.issuer.promised_until.get(name, 0)
-                    self.taken_twice += self.now_of(other, now) < until
+            for other, other_node in self.nodes.items():
+                if self.order_permit(other, now)[0] and other_node.tokens.issuer.lease:
+                    promised_until = other_node.tokens.issuer.promised_until.get(name, 0)
+                    self.taken_twice += self.now_of(other, now) < promised_until
 
     @property
     def most(self) -> int:
-        """The most that were sent by leave within any window."""
+        """The most sessions that were sent by tokens within any window."""
         sent, first, most = self.by_leave, 0, 0
         for place, at in enumerate(sent):
             while sent[first] <= at - WINDOW:
