--- a/tests/cluster/test_cluster_file.py
+++ b/tests/cluster/test_cluster_file.py
@@ -21,16 +21,16 @@
     KEYS,
     OTHER,
     SECRETS,
-    fleet,
+    cluster_with_electors,
 )
 
 
-def raw(**changes: Any) -> dict[str, Any]:
+def cluster_table(**changes: Any) -> dict[str, Any]:
     return {"nodes": [ENTRY, OTHER], **changes}
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected_key"),
     [
         ({"nodes": []}, "nodes"),
         ({"nodez": 1}, "nodez"),
@@ -46,29 +46,29 @@
         ({"nodes": [ENTRY, {**OTHER, "key": KEYS["a"].hex()}]}, "nodes[1].key"),
     ],
 )
-def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], told: str) -> None:
+def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], expected_key: str) -> None:
     with pytest.raises(InvalidInputError) as error:
-        parse_cluster(raw(**change), "cluster")
-    assert told in str(error.value) and "\n" not in str(error.value)
+        parse_cluster(cluster_table(**change), "cluster")
+    assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
     public = create_secret(tmp_path / "a.key")
     secret = read_secret(tmp_path / "a.key")
     assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
-    made = parse_signer(secret)
-    assert made is not None and made.public_key.hex() == public
+    signer = parse_signer(secret)
+    assert signer is not None and signer.public_key.hex() == public
     with pytest.raises(InvalidInputError, match="can't be written"):
         create_secret(tmp_path / "a.key")
-    fleet = parse_cluster(raw(), "cluster")
-    assert own_signer(fleet, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
-    for name, key, why in (
+    cluster = parse_cluster(cluster_table(), "cluster")
+    assert own_signer(cluster, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
+    for name, key, reason in (
         ("x", SECRETS["a"].hex(), "not among"),
         ("a", secret, "not the one"),
         ("a", "q", "32"),
     ):
-        with pytest.raises(InvalidInputError, match=why):
-            own_signer(fleet, name, key)
+        with pytest.raises(InvalidInputError, match=reason):
+            own_signer(cluster, name, key)
 
 
 def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
@@ -81,12 +81,12 @@
 
 def test_a_node_without_a_cluster_loads_nothing_of_it() -> None:
     code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
-    assert done.stdout.strip() == "[]", done.stderr
+    process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
+    assert process.stdout.strip() == "[]", process.stderr
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected_key"),
     [
         ({"floor": 2}, "floor"),
         ({"term_ms": 500, "budgets": [{"name": "x", "links_per_s": 9, "tariffs": ["t"]}]}, "term_ms"),
@@ -96,14 +96,14 @@
         ({"budgets": [{"name": "x", "links_per_s": 9, "tariffs": [t]} for t in "tu"]}, "budgets[1].name"),
     ],
 )
-def test_wrong_quota_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
+def test_wrong_quota_is_rejected_with_its_key(change: dict[str, Any], expected_key: str) -> None:
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
-    assert told in str(error.value) and "\n" not in str(error.value)
+    assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
-    ("change", "told"),
+    ("change", "expected_key"),
     [
         ({"electors": ["n0", "n1"]}, "electors"),
         ({"electors": ["n0", "n1", "n2", "n3"]}, "electors"),
@@ -113,18 +113,18 @@
         ({"electors": ["n0", "n1", "n2"], "allot": True}, "allot"),
     ],
 )
-def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], told: str) -> None:
+def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], expected_key: str) -> None:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": nodes, "duties": change}, "cluster")
-    assert told in str(error.value) and "\n" not in str(error.value)
+    assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
-    before = fleet("n0", "n1", "n2")
-    check_transition(fleet("n0", "n1", "n3"), before=before)
+    before = cluster_with_electors("n0", "n1", "n2")
+    check_transition(cluster_with_electors("n0", "n1", "n3"), before=before)
     with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
-        check_transition(fleet("n0", "n3", "n4"), before=before)
+        check_transition(cluster_with_electors("n0", "n3", "n4"), before=before)
     check_traffic_classes(before, ["student", "parent"])
     with pytest.raises(InvalidInputError, match=r"all.*student"):
         check_traffic_classes(before, ["parent"])
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -68,12 +68,12 @@
 
 def test_nobody_speaks_for_another() -> None:
     # A member with a key of its own may claim anything of itself, and must not of another member.
-    liar, node = Signer(SECRETS["b"]), ManualNode("a")
+    signer, node = Signer(SECRETS["b"]), ManualNode("a")
     run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
     before = node.members.members["c"].record
     body = encode_body(NodeRecord("c", WALL_US + 9, 99, WALL_US, True, b""))
     own = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
-    data = encode_datagram([SignedMessage(own, liar.sign(own)), SignedMessage(body, liar.sign(body))])
+    data = encode_datagram([SignedMessage(own, signer.sign(own)), SignedMessage(body, signer.sign(body))])
     node.exchange.receive(data, now=0, wall=WALL_US)
     assert node.members.members["c"].record == before and node.state("c") is MemberState.PRESENT
     assert node.drop_count(DropReason.INVALID_SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -23,7 +23,7 @@
 from larchlatch.emulator.simulation import Simulation
 from larchlatch.scenario.random_faults import with_random_faults
 from larchlatch.scenario.scenario_file import parse_scenario, read_scenario_file
-from tests.support.cluster import fleet
+from tests.support.cluster import cluster_with_electors
 
 SECOND = 1_000_000
 LEASE_TERMS = LeaseTerms(term_us=3 * SECOND, skew=0.01, wall_skew_us=200_000)
@@ -36,14 +36,14 @@
     return RequestOrigin(sender, incarnation, WALL)
 
 
-class Small:
+class ElectionHarness:
     """Electors and candidates whose messages go through by hand."""
 
     def __init__(self) -> None:
         self.now = START
         self.electors = {name: Elector(LEASE_TERMS, START) for name in NAMES}
         self.candidates = {name: self.candidate(name) for name in ("x", "y")}
-        self.lives = {"x": 1, "y": 1}
+        self.incarnations = {"x": 1, "y": 1}
         self.cut: set[str] = set()
 
     @staticmethod
@@ -56,116 +56,119 @@
             ballot = ballots.pop(0)
             for elector, one in self.electors.items():
                 if elector not in self.cut:
-                    answer = one.answer(self.now, CandidateId(name, self.lives[name]), ballot)
+                    answer = one.answer(self.now, CandidateId(name, self.incarnations[name]), ballot)
                     if answer is not None:
                         ballots += self.candidates[name].count_answer(
                             self.now, elector, ballot.round_number, answer
                         )
 
-    def step(self, name: str, stands: bool = True, wall: int = 0) -> bool:
-        self.ask(name, self.candidates[name].step(self.now, wall or WALL + self.now, eligible=stands))
+    def step(self, name: str, eligible: bool = True, wall: int = 0) -> bool:
+        self.ask(name, self.candidates[name].step(self.now, wall or WALL + self.now, eligible=eligible))
         return self.candidates[name].holds(self.now)
 
-    def run(self, name: str, span_us: int, stands: bool = True) -> bool:
+    def run(self, name: str, span_us: int, eligible: bool = True) -> bool:
         end = self.now + span_us
         while self.now < end:
             self.now += 200_000
-            self.step(name, stands)
+            self.step(name, eligible)
         return self.candidates[name].holds(self.now)
 
 
 def test_a_holder_renews_and_one_that_is_stopped_over_its_term_holds_no_longer() -> None:
-    small = Small()
-    assert small.step("x") and not small.step("y")
-    assert small.run("x", 60 * SECOND) and small.candidates["x"].lease < WALL + 2 * START, "by one number"
-    lease = small.candidates["x"].lease
-    small.now += LEASE_TERMS.term_us
-    assert not small.candidates["x"].holds(small.now) and small.candidates["x"].order_left_us(small.now) == 0
-    small.now += LEASE_TERMS.promise_us - LEASE_TERMS.term_us
-    assert small.run("y", SECOND) and small.candidates["y"].lease > lease
-    assert not small.step("x"), "it wakes, and finds out"
+    harness = ElectionHarness()
+    assert harness.step("x") and not harness.step("y")
+    assert harness.run("x", 60 * SECOND) and harness.candidates["x"].lease < WALL + 2 * START, "by one number"
+    lease = harness.candidates["x"].lease
+    harness.now += LEASE_TERMS.term_us
+    assert (
+        not harness.candidates["x"].holds(harness.now)
+        and harness.candidates["x"].order_left_us(harness.now) == 0
+    )
+    harness.now += LEASE_TERMS.promise_us - LEASE_TERMS.term_us
+    assert harness.run("y", SECOND) and harness.candidates["y"].lease > lease
+    assert not harness.step("x"), "it wakes, and finds out"
 
 
 def test_with_a_majority_of_electors_gone_nobody_holds_and_with_one_gone_somebody_does() -> None:
-    small = Small()
-    small.cut = {"a", "b"}
-    assert not small.run("x", 20 * SECOND)
-    small.cut = {"a"}
-    assert small.run("x", 10 * SECOND)
-    small.cut = {"b", "c"}
-    assert not small.run("x", 2 * LEASE_TERMS.term_us)
+    harness = ElectionHarness()
+    harness.cut = {"a", "b"}
+    assert not harness.run("x", 20 * SECOND)
+    harness.cut = {"a"}
+    assert harness.run("x", 10 * SECOND)
+    harness.cut = {"b", "c"}
+    assert not harness.run("x", 2 * LEASE_TERMS.term_us)
 
 
 def test_two_candidates_in_step_do_not_block_each_other_for_long() -> None:
     """Each is always heard first by an elector of its own, and too late by the third, again and again."""
-    took = []
+    durations = []
     for round in range(30):
-        small = Small()
-        small.candidates = {name: small.candidate(f"{name} {round}") for name in ("x", "y")}
-        while not any(one.holds(small.now) for one in small.candidates.values()):
-            small.now += 50_000
-            asked = {
-                name: one.step(small.now, WALL + small.now, eligible=True)
-                for name, one in small.candidates.items()
+        harness = ElectionHarness()
+        harness.candidates = {name: harness.candidate(f"{name} {round}") for name in ("x", "y")}
+        while not any(one.holds(harness.now) for one in harness.candidates.values()):
+            harness.now += 50_000
+            ballots_of = {
+                name: one.step(harness.now, WALL + harness.now, eligible=True)
+                for name, one in harness.candidates.items()
             }
-            if all(one.state is CandidateState.PRE_VOTING for one in small.candidates.values()):
-                for name, one in small.candidates.items():
-                    asks, yes = one.round_number, Answer(True, 0, 0)
-                    grants = [b for n in NAMES for b in one.count_answer(small.now, n, asks, yes)]
-                    small.cut = {"b", "c"} if name == "x" else {"a", "c"}
-                    small.ask(name, grants)
-                small.cut = set()
+            if all(one.state is CandidateState.PRE_VOTING for one in harness.candidates.values()):
+                for name, one in harness.candidates.items():
+                    round_number, yes = one.round_number, Answer(True, 0, 0)
+                    grants = [b for n in NAMES for b in one.count_answer(harness.now, n, round_number, yes)]
+                    harness.cut = {"b", "c"} if name == "x" else {"a", "c"}
+                    harness.ask(name, grants)
+                harness.cut = set()
             else:
-                for name, ballots in asked.items():
-                    small.ask(name, ballots)
-            assert small.now < START + 20 * LEASE_TERMS.term_us
-        took.append(small.now - START)
-    assert LEASE_TERMS.round_us <= sorted(took)[15] <= LEASE_TERMS.term_us
-
-
-def test_planned_hand_over_leaves_the_role_vacant_for_one_round_trip() -> None:
-    small = Small()
-    assert small.step("x")
-    small.candidates["x"].resign(small.now, "y")
-    assert small.candidates["x"].holds(small.now) and not small.step("y")
-    end = small.candidates["x"].lease_ends_at
-    assert end <= small.now + LEASE_TERMS.round_us
-    small.now = end
-    assert not small.step("x", stands=False) and small.candidates["x"].state is CandidateState.IDLE
-    small.candidates["y"].accept_handover(small.now)
-    assert small.step("y"), "at the same instant"
-    small.candidates["y"].resign(small.now, "")
-    small.now = small.candidates["y"].lease_ends_at
-    small.step("y", stands=False)
-    assert small.step("x"), "without a successor anybody may have it"
+                for name, ballots in ballots_of.items():
+                    harness.ask(name, ballots)
+            assert harness.now < START + 20 * LEASE_TERMS.term_us
+        durations.append(harness.now - START)
+    assert LEASE_TERMS.round_us <= sorted(durations)[15] <= LEASE_TERMS.term_us
+
+
+def test_planned_handover_leaves_the_role_vacant_for_one_round_trip() -> None:
+    harness = ElectionHarness()
+    assert harness.step("x")
+    harness.candidates["x"].resign(harness.now, "y")
+    assert harness.candidates["x"].holds(harness.now) and not harness.step("y")
+    end = harness.candidates["x"].lease_ends_at
+    assert end <= harness.now + LEASE_TERMS.round_us
+    harness.now = end
+    assert not harness.step("x", eligible=False) and harness.candidates["x"].state is CandidateState.IDLE
+    harness.candidates["y"].accept_handover(harness.now)
+    assert harness.step("y"), "at the same instant"
+    harness.candidates["y"].resign(harness.now, "")
+    harness.now = harness.candidates["y"].lease_ends_at
+    harness.step("y", eligible=False)
+    assert harness.step("x"), "without a successor anybody may have it"
 
 
 def test_a_released_role_is_reserved_for_its_successor_for_a_moment_alone() -> None:
-    small = Small()
-    assert small.step("x")
-    small.candidates["x"].resign(small.now, "z")
-    small.now = small.candidates["x"].lease_ends_at
-    small.step("x", stands=False)
-    small.candidates["y"].accept_handover(small.now)
-    assert not small.step("y"), "kept for another"
-    assert small.run("y", 2 * SECOND), "who did not come"
+    harness = ElectionHarness()
+    assert harness.step("x")
+    harness.candidates["x"].resign(harness.now, "z")
+    harness.now = harness.candidates["x"].lease_ends_at
+    harness.step("x", eligible=False)
+    harness.candidates["y"].accept_handover(harness.now)
+    assert not harness.step("y"), "kept for another"
+    assert harness.run("y", 2 * SECOND), "who did not come"
 
 
 def test_numbers_go_up_through_a_wall_clock_that_steps_and_electors_that_all_forget() -> None:
-    small = Small()
-    assert small.step("x", wall=WALL)
-    first = small.candidates["x"].lease
-    small.now += LEASE_TERMS.promise_us
-    assert small.step("y", wall=WALL - 3600 * SECOND), "told of the higher number, it asks by a higher one"
-    assert small.candidates["y"].lease > first
-    small.electors = {name: Elector.started(LEASE_TERMS, small.now) for name in NAMES}
-    small.lives["x"] = 2
-    small.candidates["x"] = small.candidate("x")
-    assert not small.step("x", wall=WALL + SECOND), "electors that have started say nothing"
-    small.now += LEASE_TERMS.startup_silence_us
-    small.candidates["x"].accept_handover(small.now)
-    assert small.step("x", wall=WALL + LEASE_TERMS.startup_silence_us)
-    assert small.candidates["x"].lease > first
+    harness = ElectionHarness()
+    assert harness.step("x", wall=WALL)
+    first = harness.candidates["x"].lease
+    harness.now += LEASE_TERMS.promise_us
+    assert harness.step("y", wall=WALL - 3600 * SECOND), "told of the higher number, it asks by a higher one"
+    assert harness.candidates["y"].lease > first
+    harness.electors = {name: Elector.started(LEASE_TERMS, harness.now) for name in NAMES}
+    harness.incarnations["x"] = 2
+    harness.candidates["x"] = harness.candidate("x")
+    assert not harness.step("x", wall=WALL + SECOND), "electors that have started say nothing"
+    harness.now += LEASE_TERMS.startup_silence_us
+    harness.candidates["x"].accept_handover(harness.now)
+    assert harness.step("x", wall=WALL + LEASE_TERMS.startup_silence_us)
+    assert harness.candidates["x"].lease > first
 
 
 RATES = st.sampled_from([(1, 1), (1, -1), (-1, 1), (-1, -1)])  # of the holder's clock, and the other's
@@ -224,13 +227,13 @@
 
 
 def test_quota_allocator_lends_the_share_of_dead_nodes_to_the_others() -> None:
-    def used(allot: bool) -> float:
+    def used(with_allocator: bool) -> float:
         simulation = Simulation(
             parse_scenario(
                 {
                     "span_s": 40.0,
                     "zones": 3,
-                    "cluster": {"on": True, "links_per_s": 90.0, "allot": allot},
+                    "cluster": {"on": True, "links_per_s": 90.0, "allot": with_allocator},
                     "nodes": {"count": 9, "back_s": 100.0, "noticed_s": 0.5},
                     "hosts": [{"count": 6, "size": 4.0}],
                     "links": {"rate": 100.0, "life_s": 3.0, "wait_ms": 2000.0, "retries": 1},
@@ -241,18 +244,18 @@
         )
         row = simulation.run()
         assert row["over_budget"] == 0 and simulation.cluster is not None
-        judge = simulation.cluster.checkers.quota
-        assert judge is not None
+        checker = simulation.cluster.checkers.quota
+        assert checker is not None
         late = simulation.context.end - 16 * SECOND
-        judge.requests = [at for at in judge.requests if at >= late]
-        judge.admissions = [each for each in judge.admissions if each.requested_at >= late]
-        return judge.used_share()
+        checker.requests = [at for at in checker.requests if at >= late]
+        checker.admissions = [each for each in checker.admissions if each.requested_at >= late]
+        return checker.used_share()
 
     assert used(True) > used(False) + 0.08
 
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
-    electorate = fleet("n0", "n1", "n2").electorate
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
     now = START + electorate.lease_terms.startup_silence_us
@@ -260,7 +263,7 @@
     assert election.answer_ballot(now - 1, request) is None, "it has just started"
     vote = election.answer_ballot(now, request)
     assert vote is not None and vote.granted
-    other = fleet("n0", "n1", "n3").electorate
+    other = cluster_with_electors("n0", "n1", "n3").electorate
     election.follow(other, now)
     assert election.answer_ballot(now + SECOND, request) is None, "by another file"
     ask = msgspec.structs.replace(request, config_digest=other.digest)
@@ -269,7 +272,7 @@
 
 
 def test_holder_with_repeatedly_late_heartbeats_resigns() -> None:
-    electorate = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate._replace(electors=("n0",))
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
     now = START + electorate.lease_terms.startup_silence_us
@@ -287,12 +290,12 @@
         now += 200_000
         election.tick(now, origin("n0"), {}, {})
     assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
-    whys = [(event.change, event.reason) for event in election.take_events()]
-    assert whys == [("held", "nobody held the role"), ("ended", "this node is too slow")]
+    reasons = [(event.change, event.reason) for event in election.take_events()]
+    assert reasons == [("held", "nobody held the role"), ("ended", "this node is too slow")]
 
 
-def test_hand_over_is_the_logged_reason_on_both_sides() -> None:
-    electorate = fleet("n0", "n1", "n2").electorate._replace(electors=("n0",))
+def test_handover_is_the_logged_reason_on_both_sides() -> None:
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate._replace(electors=("n0",))
     one, successor = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
     now = START + electorate.lease_terms.startup_silence_us
@@ -323,7 +326,7 @@
 
 
 def test_single_faulty_elector_fabricates_no_holder() -> None:
-    electorate = fleet("n0", "n1", "n2").electorate
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
 
     def record(name: str, *promises: Promise) -> NodeRecord:
@@ -332,20 +335,20 @@
     def holder(**records: NodeRecord) -> Holder | None:
         return election.majority_holder(START, 0, records, dict.fromkeys(records, 100))
 
-    said = Promise(0, 9, 4, SECOND)
-    assert holder(n0=record("n0", said), n4=record("n4", said), n3=record("n3", said)) is None
-    assert holder(n0=record("n0", said), n1=record("n1", said)) == Holder("n4", 9)
+    promise = Promise(0, 9, 4, SECOND)
+    assert holder(n0=record("n0", promise), n4=record("n4", promise), n3=record("n3", promise)) is None
+    assert holder(n0=record("n0", promise), n1=record("n1", promise)) == Holder("n4", 9)
     old = Promise(0, 9, 4, 100)
-    assert holder(n0=record("n0", said), n1=record("n1", old)) is None, "by now it has ended"
+    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, "by now it has ended"
 
 
 def test_unknown_ballots_are_ignored() -> None:
-    electorate = fleet("n0", "n1", "n2").electorate
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
-    for duty, what in ((0, 7), (9, 0), (9, 2)):
+    for role, what in ((0, 7), (9, 0), (9, 2)):
         assert (
             election.answer_ballot(
-                START, BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, duty, 7, what, "n0")
+                START, BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, role, 7, what, "n0")
             )
             is None
         )
@@ -355,7 +358,7 @@
 
 def test_vote_for_an_earlier_incarnation_is_not_counted() -> None:
     # Danger: its round has the same number in this life, and no elector has promised this one anything.
-    electorate = fleet("n0", "n1", "n2").electorate
+    electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
     now = START
     requests: list[BallotRequest] = []
--- a/tests/cluster/test_health_observations.py
+++ b/tests/cluster/test_health_observations.py
@@ -14,28 +14,31 @@
 from larchlatch.scenario.scenario_file import parse_scenario
 
 SECOND = 1_000_000
-BEAT = 200_000
+HEARTBEAT_US = 200_000
 START = 1_000_000 * SECOND
 
 
 def advice_for(known: HealthObservations, now: int, sites: str, *reporters: str, age: int = 0) -> Any:
     reports = {name: [HealthObservation(7, 2, 0)] for name in reporters}
-    where = {name: sites[place] for place, name in enumerate("abcd")}
+    site_of = {name: sites[place] for place, name in enumerate("abcd")}
     return known.advise(
-        now, reports, dict.fromkeys(reporters, age), where, several_sites=len(set(where.values())) > 1
+        now, reports, dict.fromkeys(reporters, age), site_of, several_sites=len(set(site_of.values())) > 1
     )
 
 
 def test_report_causes_a_probe_and_two_reporters_of_two_sites_an_ejection() -> None:
-    def fresh() -> HealthObservations:
+    def new_observations() -> HealthObservations:
         known = HealthObservations()
         known.set_upstreams([7, 8])
         return known
 
     def twice(sites: str, *reporters: str, **age: int) -> tuple[Any, Any]:
         """Return the advice of the heartbeat in which reports come, and of the next, after an own probe."""
-        known = fresh()
-        return tuple(advice_for(known, START + beat * BEAT, sites, *reporters, **age) for beat in range(2))
+        known = new_observations()
+        return tuple(
+            advice_for(known, START + heartbeat * HEARTBEAT_US, sites, *reporters, **age)
+            for heartbeat in range(2)
+        )
 
     assert twice("eeww", "b") == (([7], [], []), ([], [], []))
     assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own probe goes first"
@@ -45,13 +48,13 @@
     assert twice("eeww", "b", "c") == (([7], [], []), ([], [(7, 2)], [7]))
     assert twice("eeww", "b", "c", age=OBSERVATION_TTL_US) == (([], [], []), ([], [], []))
     assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), "it may be back since"
-    known = fresh()
+    known = new_observations()
     advice_for(known, START, "eeww", "b", "c")
     known.observe(START + 1, 7, reached=True)
-    assert advice_for(known, START + BEAT, "eeww", "b", "c").failures == [], (
+    assert advice_for(known, START + HEARTBEAT_US, "eeww", "b", "c").failures == [], (
         "two sites may be cut off from it"
     )
-    known = fresh()
+    known = new_observations()
     known.observe(START, 7, reached=True)
     assert advice_for(known, START + SECOND, "eeww", "b", "c").failures == [], (
         "its own observation goes before reports"
@@ -69,7 +72,7 @@
     assert known.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "an observation expires"
     late = START + SECOND + OBSERVATION_TTL_US
     assert advice_for(known, late, "eeww", "b", "c").probes == [7]
-    assert advice_for(known, late + BEAT, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
+    assert advice_for(known, late + HEARTBEAT_US, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
         "it may have come back, and failed again"
     )
 
@@ -77,13 +80,13 @@
 def test_one_who_says_it_again_and_again_orders_few_looks_and_nothing_else() -> None:
     known = HealthObservations()
     known.set_upstreams([7])
-    advice = [advice_for(known, START + beat * BEAT, "eeww", "b") for beat in range(50)]
-    assert sum(len(made.probes) for made in advice) <= 50 * BEAT // REPROBE_US + 1
-    assert not any(made.failures for made in advice)
+    advice = [advice_for(known, START + heartbeat * HEARTBEAT_US, "eeww", "b") for heartbeat in range(50)]
+    assert sum(len(each.probes) for each in advice) <= 50 * HEARTBEAT_US // REPROBE_US + 1
+    assert not any(each.failures for each in advice)
 
 
 def emulated(**changes: Any) -> dict[str, Any]:
-    day = {
+    scenario = {
         "span_s": 20.0,
         "cluster": {"on": True},
         "nodes": {"count": 8},
@@ -91,7 +94,7 @@
         "links": {"rate": 4.0, "life_s": 4.0},
         "faults": [{"kind": "liar", "at_s": 3.0, "nodes": 1, "about": "hosts", "for_s": 15.0}],
     }
-    return Simulation(parse_scenario({**day, **changes}, "day")).run()
+    return Simulation(parse_scenario({**scenario, **changes}, "day")).run()
 
 
 def test_single_faulty_reporter_ejects_no_healthy_upstream(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -68,8 +68,8 @@
     woken = nodes[0]
     assert woken.members.advance(60_000_000) == [], "it could not hear while it was stopped"
     assert woken.members.advance(60_000_000 + HEARTBEAT_US) == []
-    for beat in range(2, 12):
-        woken.members.advance(60_000_000 + beat * HEARTBEAT_US)
+    for number in range(2, 12):
+        woken.members.advance(60_000_000 + number * HEARTBEAT_US)
     assert woken.members.is_alone, "by now it could have heard them"
 
 
@@ -107,10 +107,10 @@
 def test_records_report_direct_contacts() -> None:
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 12)
-    for told in nodes[0].members.snapshot():
-        assert told.direct and told.hears_us and told.state is MemberState.PRESENT
-    fresh = ManualNode("a")
-    assert not any(told.direct or told.hears_us for told in fresh.members.snapshot())
+    for member in nodes[0].members.snapshot():
+        assert member.direct and member.hears_us and member.state is MemberState.PRESENT
+    restarted = ManualNode("a")
+    assert not any(member.direct or member.hears_us for member in restarted.members.snapshot())
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -151,22 +151,22 @@
 
     times = itertools.count(1)
 
-    def hear(name: str, number: int, *missed: Suspicion) -> MemberState:
-        record = NodeRecord(name, WALL_US, number, WALL_US, False, b"", suspicions=list(missed))
+    def receive(name: str, number: int, *suspicions: Suspicion) -> MemberState:
+        record = NodeRecord(name, WALL_US, number, WALL_US, False, b"", suspicions=list(suspicions))
         members.receive(record, SignedMessage(encode_body(record), bytes(64)), direct=False)
         members.advance(next(times))
         return dead.state
 
-    hear("n20", 5)
+    receive("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert hear(watchers[0], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert receive(watchers[0], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
         "one watcher alone may be cut off"
     )
-    assert hear(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
-    assert hear(watchers[1], 1, Suspicion(place, WALL_US, 9)) is MemberState.SILENT
-    assert hear("n20", 9) is MemberState.SILENT, "a record that its watchers had already"
-    assert hear("n20", 10) is MemberState.PRESENT, "a newer record refutes the suspicion"
-    assert hear(watchers[2], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert receive(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
+    assert receive(watchers[1], 1, Suspicion(place, WALL_US, 9)) is MemberState.SILENT
+    assert receive("n20", 9) is MemberState.SILENT, "a record that its watchers had already"
+    assert receive("n20", 10) is MemberState.PRESENT, "a newer record refutes the suspicion"
+    assert receive(watchers[2], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
         "a suspicion by an older record"
     )
 
@@ -176,9 +176,9 @@
         {"kind": "lossy", "at_s": 0.1, "loss": 0.2, "for_s": 60.0},
         {"kind": "kill", "at_s": 8.0, "nodes": 3},
     ]
-    day = {"span_s": 15.0, "zones": 3, "cluster": {"on": True}, "nodes": {"count": 60, "back_s": 60.0}}
+    scenario = {"span_s": 15.0, "zones": 3, "cluster": {"on": True}, "nodes": {"count": 60, "back_s": 60.0}}
     row = Simulation(
-        parse_scenario({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
+        parse_scenario({**scenario, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
     ).run()
     assert row["agreed_s"] is not None and row["agreed_s"] < 6.0 and row["members_wrong"] == 0
     assert row["cluster_bytes_s"] < 20_000
@@ -190,24 +190,24 @@
         {"kind": "lossy", "at_s": 0.1, "loss": 0.2, "for_s": 60.0},
         {"kind": "part", "at_s": 8.0, "zone": 0, "for_s": 11.0},
     ]
-    day = {"span_s": 26.0, "zones": 4, "cluster": {"on": True}, "nodes": {"count": 40}}
+    scenario = {"span_s": 26.0, "zones": 4, "cluster": {"on": True}, "nodes": {"count": 40}}
     row = Simulation(
-        parse_scenario({**day, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
+        parse_scenario({**scenario, "links": {"rate": 1.0, "life_s": 1.0}, "faults": faults}, "day")
     ).run()
     assert row["agreed_s"] is not None and row["agreed_s"] < 9.0 and row["members_wrong"] == 0
 
 
 @pytest.mark.parametrize("sites", [[50, 50, 50, 50], [100, 60, 40], [30, 10]])
 def test_watching_falls_on_all_of_a_site_alike(sites: list[int]) -> None:
-    where = {f"n{n}-{site}": f"s{site}" for site, count in enumerate(sites) for n in range(count)}
-    names = sorted(where)
-    watched: Counter[str] = Counter()
-    for name, watchers in assign_watchers(names, where).items():
+    site_of = {f"n{n}-{site}": f"s{site}" for site, count in enumerate(sites) for n in range(count)}
+    names = sorted(site_of)
+    watch_counts: Counter[str] = Counter()
+    for name, watchers in assign_watchers(names, site_of).items():
         assert len(set(watchers)) == WATCHERS and name not in watchers
-        assert {where[other] for other in watchers} == set(where.values())
-        watched.update(watchers)
-    for site in set(where.values()):
-        counts = [watched[name] for name in names if where[name] == site]
+        assert {site_of[other] for other in watchers} == set(site_of.values())
+        watch_counts.update(watchers)
+    for site in set(site_of.values()):
+        counts = [watch_counts[name] for name in names if site_of[name] == site]
         assert max(counts) - min(counts) <= WATCHERS
 
 
@@ -274,7 +274,7 @@
         {"kind": "stall", "at_s": 26.0, "nodes": 3, "for_s": 4.0},
         {"kind": "kill", "at_s": 35.0, "nodes": 3},
     ]
-    day = parse_scenario(
+    scenario = parse_scenario(
         {
             "span_s": 45.0,
             "cluster": {"on": True},
@@ -284,7 +284,7 @@
         },
         "day",
     )
-    rows = [Simulation(day).run() for _ in range(2)]
+    rows = [Simulation(scenario).run() for _ in range(2)]
     for row in rows:
         del row["cluster_cpu"]
     assert rows[0] == rows[1]
@@ -298,6 +298,6 @@
         [],
         [{"kind": "stall", "at_s": 0.05 + place, "nodes": 4, "for_s": 0.02} for place in range(9)],
     ):
-        day = {"span_s": 12.0, "cluster": {"on": True}, "nodes": {"count": 4}, "faults": faults}
-        rows.append(Simulation(parse_scenario(day, "day")).run()["cluster_bytes_s"])
+        scenario = {"span_s": 12.0, "cluster": {"on": True}, "nodes": {"count": 4}, "faults": faults}
+        rows.append(Simulation(parse_scenario(scenario, "day")).run()["cluster_bytes_s"])
     assert abs(rows[0] - rows[1]) < 0.02 * rows[0]
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -40,121 +40,135 @@
 from larchlatch.scenario.scenario_file import read_scenario_file
 
 SECOND = 1_000_000
-BEAT, STEP = 200_000, 20_000
+HEARTBEAT_US, STEP_US = 200_000, 20_000
 LOAN_TERMS = LoanTerms(SECOND, 2 * SECOND, 0.01)
 START = 1_000_000 * SECOND  # also the wall clock: an incarnation is the time of its start
 LIMIT = 24
 NAMES = "abcd"
 
 
-def dealing(floor: float = 0.5, names: str = NAMES, limit: int = LIMIT, mark: int = 1) -> QuotaSettings:
-    return QuotaSettings((Quota("all", limit, ("t",)),), tuple(names), floor, LOAN_TERMS, mark)
+def quota_settings(
+    floor: float = 0.5, names: str = NAMES, limit: int = LIMIT, digest: int = 1
+) -> QuotaSettings:
+    return QuotaSettings((Quota("all", limit, ("t",)),), tuple(names), floor, LOAN_TERMS, digest)
 
 
-class Side:
-    """One life of a node."""
+class ClusterNode:
+    """A node of a cluster with quotas, from one start to the next."""
 
-    def __init__(self, name: str, now: int, drift: DriftingClock, chance: random.Random) -> None:
+    def __init__(self, name: str, now: int, drift: DriftingClock, rng: random.Random) -> None:
         self.drift = drift
         self.members = Membership(
-            name, dict.fromkeys(NAMES, ""), heartbeat_us=BEAT, wall_us=now, now_us=drift.at(now), rng=chance
+            name,
+            dict.fromkeys(NAMES, ""),
+            heartbeat_us=HEARTBEAT_US,
+            wall_us=now,
+            now_us=drift.at(now),
+            rng=rng,
         )
         shared = SharedState.create(
             name,
-            dealing(),
+            quota_settings(),
             Electorate(),
             max_clock_difference_us=0,
-            heartbeat_us=BEAT,
+            heartbeat_us=HEARTBEAT_US,
             now=drift.at(now),
-            random=chance,
+            random=rng,
         )
-        self.budgets, self.counts, self.evidence, *_ = shared
+        self.budgets, self.counts, self.observations, *_ = shared
         shared.open(drift.at(now))
         keys = {name: unsigned_key(name) for name in NAMES}
         sites, signer = dict.fromkeys(NAMES, ""), UnsignedSigner(name)
         self.exchange = Exchange(self.members, shared, sites, keys, signer, signer, lambda kind: None)
-        self.beat_at, self.awake_at = now + chance.randrange(BEAT), 0
+        self.next_heartbeat_at, self.awake_at = now + rng.randrange(HEARTBEAT_US), 0
 
 
 def played(
     seed: int, loss: float, double: float, late: float, faults: bool, span_s: int = 14, hot: str = NAMES
 ) -> QuotaSafety:
-    """Nodes that share a budget, wanted by some of `hot` at a time, through a bad network; what was spent."""
-    chance = random.Random(seed)
+    """Run nodes that share a quota, some of `hot` using it at a time, over a bad network."""
+    rng = random.Random(seed)
     drifts = [DriftingClock(START) for _ in NAMES]
     for drift in drifts:
-        drift.set_gain(START, chance.choice((-0.01, 0.0, 0.01)))
-    sides = [Side(name, START, drift, chance) for name, drift in zip(NAMES, drifts, strict=True)]
-    judge, bag, cut, sessions = QuotaSafety(LIMIT, SECOND), list[tuple[int, float, str, bytes]](), "", 0
-    wanting: list[str] = []
-    for now in range(START, START + span_s * SECOND, STEP):
+        drift.set_gain(START, rng.choice((-0.01, 0.0, 0.01)))
+    nodes = [ClusterNode(name, START, drift, rng) for name, drift in zip(NAMES, drifts, strict=True)]
+    checker, in_flight, cut, sessions = (
+        QuotaSafety(LIMIT, SECOND),
+        list[tuple[int, float, str, bytes]](),
+        "",
+        0,
+    )
+    requesting: list[str] = []
+    for now in range(START, START + span_s * SECOND, STEP_US):
         if now % (3 * SECOND) == START % (3 * SECOND):
-            wanting = chance.sample(hot, chance.randint(1, len(hot)))
+            requesting = rng.sample(hot, rng.randint(1, len(hot)))
         if faults and now % SECOND == 0:
-            cut = chance.choice(("", "", "a", "ab", "abc"))
-            which, what = chance.randrange(len(NAMES)), chance.random()
+            cut = rng.choice(("", "", "a", "ab", "abc"))
+            which, what = rng.randrange(len(NAMES)), rng.random()
             if what < 0.15:
-                sides[which] = Side(NAMES[which], now, drifts[which], chance)
+                nodes[which] = ClusterNode(NAMES[which], now, drifts[which], rng)
             elif what < 0.3:
-                sides[which].awake_at = now + chance.randrange(4 * SECOND)
+                nodes[which].awake_at = now + rng.randrange(4 * SECOND)
         sent: list[tuple[str, str, bytes]] = []
-        due = sorted((at, n, to, data) for at, n, to, data in bag if at <= now)
-        bag = [entry for entry in bag if entry[0] > now]
+        due = sorted((at, n, to, data) for at, n, to, data in in_flight if at <= now)
+        in_flight = [entry for entry in in_flight if entry[0] > now]
         for _, _, to, data in due:
-            side = sides[NAMES.index(to)]
-            if now >= side.awake_at:
-                taken = side.exchange.receive(data, now=side.drift.at(now), wall=now)
-                sent += [(to, *datagram) for datagram in taken.datagrams]
-        for name, side in zip(NAMES, sides, strict=True):
-            if now < side.awake_at:
+            node = nodes[NAMES.index(to)]
+            if now >= node.awake_at:
+                received = node.exchange.receive(data, now=node.drift.at(now), wall=now)
+                sent += [(to, *datagram) for datagram in received.datagrams]
+        for name, node in zip(NAMES, nodes, strict=True):
+            if now < node.awake_at:
                 continue
-            if now >= side.beat_at:
-                side.beat_at = now + BEAT
+            if now >= node.next_heartbeat_at:
+                node.next_heartbeat_at = now + HEARTBEAT_US
                 sent += [
-                    (name, *d) for d in side.exchange.heartbeat(now=side.drift.at(now), wall=now).datagrams
+                    (name, *d) for d in node.exchange.heartbeat(now=node.drift.at(now), wall=now).datagrams
                 ]
-            for _ in range(chance.choice((0, 0, 0, 0, 1, 1, 2)) * (name in wanting)):
+            for _ in range(rng.choice((0, 0, 0, 0, 1, 1, 2)) * (name in requesting)):
                 sessions += 1
-                judge.observe(SessionRequested(now, str(sessions)))
-                if not side.budgets.admit(side.drift.at(now), "t"):
-                    judge.observe(SessionAdmitted(now, str(sessions)))
-        for one, to, data in sent:
-            if chance.random() < loss or (one in cut) is not (to in cut):
+                checker.observe(SessionRequested(now, str(sessions)))
+                if not node.budgets.admit(node.drift.at(now), "t"):
+                    checker.observe(SessionAdmitted(now, str(sessions)))
+        for sender, to, data in sent:
+            if rng.random() < loss or (sender in cut) is not (to in cut):
                 continue
-            for _ in range(2 if chance.random() < double else 1):
-                way = chance.randrange(4 * SECOND) if chance.random() < late else chance.randrange(60_000)
-                bag.append((now + way, chance.random(), to, data))
+            for _ in range(2 if rng.random() < double else 1):
+                delay = rng.randrange(4 * SECOND) if rng.random() < late else rng.randrange(60_000)
+                in_flight.append((now + delay, rng.random(), to, data))
         if now % SECOND == 0:
-            for side in sides:
-                if now >= side.awake_at:
-                    [known] = side.counts.ranges(now)
-                    report = QuotaUsageReported(now, known.least, known.most, side.counts.span_us)
-                    judge.observe(report)
-    return judge
-
-
-def late_answer() -> QuotaSafety:
-    """Two nodes; what one lends the other hears just before its term is over, and both spend all they may."""
-    judge, began = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
-    one, other = (SharedQuotas(n, dealing(names="ab"), BEAT, START, random.Random(1)) for n in "ab")
-    for side in (one, other):
-        side.open(START)
-    ask = other.request_loan(began, RequestOrigin("b", 1, began), lender="a", quota="all", amount=6)
-    grant = one.answer(began, ask, NO_PERMIT)
-    assert grant is not None and other.expects(grant)
-    for now in range(began, began + 6 * SECOND, STEP):
-        if now == began + LOAN_TERMS.term_us - STEP:
-            assert other.accept_grant(now, grant)
-        for name, side in (("a", one), ("b", other)):
+            for node in nodes:
+                if now >= node.awake_at:
+                    [known] = node.counts.ranges(now)
+                    report = QuotaUsageReported(now, known.least, known.most, node.counts.span_us)
+                    checker.observe(report)
+    return checker
+
+
+def play_late_grant() -> QuotaSafety:
+    """Run two nodes; a grant arrives just before its term is over, and both use all they may."""
+    checker, began = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
+    lender, borrower = (
+        SharedQuotas(n, quota_settings(names="ab"), HEARTBEAT_US, START, random.Random(1)) for n in "ab"
+    )
+    for node in (lender, borrower):
+        node.open(START)
+    request = borrower.request_loan(began, RequestOrigin("b", 1, began), lender="a", quota="all", amount=6)
+    grant = lender.answer(began, request, NO_PERMIT)
+    assert grant is not None and borrower.expects(grant)
+    for now in range(began, began + 6 * SECOND, STEP_US):
+        if now == began + LOAN_TERMS.term_us - STEP_US:
+            assert borrower.accept_grant(now, grant)
+        for name, node in (("a", lender), ("b", borrower)):
             for number in range(9):
                 ident = f"{name} {now} {number}"
-                judge.observe(SessionRequested(now, ident))
-                if not side.admit(now, "t"):
-                    judge.observe(SessionAdmitted(now, ident))
-    return judge
+                checker.observe(SessionRequested(now, ident))
+                if not node.admit(now, "t"):
+                    checker.observe(SessionAdmitted(now, ident))
+    return checker
 
 
-# C1 and C2.
+# Quota safety.
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
@@ -167,7 +181,7 @@
 
 
 def test_an_answer_that_comes_late_overspends_nothing() -> None:
-    assert late_answer().verdict().holds and late_answer().used_share() > 0.8
+    assert play_late_grant().verdict().holds and play_late_grant().used_share() > 0.8
 
 
 def test_a_budget_that_one_node_wants_reaches_it() -> None:
@@ -191,21 +205,21 @@
 
 
 borrow = QuotaAccount.borrow
-PLANTED: list[tuple[object, str, Any]] = [
+PLANTED_FAULTS: list[tuple[object, str, Any]] = [
     (QuotaAccount, "open", forgetful),
     (QuotaAccount, "lend", careless),
     (QuotaAccount, "borrow", late_borrower),
-    (LoanTerms, "recovery_us", property(lambda terms: terms.term_us)),
+    (LoanTerms, "recovery_us", property(lambda loan_terms: loan_terms.term_us)),
     (counts, "overlaps_gap", lambda *args: False),
 ]
 
 
-@pytest.mark.parametrize("planted", PLANTED, ids=lambda planted: str(planted[1]))
-def test_what_is_planted_is_caught(planted: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A restart that forgets, a lender that keeps what it tells, a term from the answer, and the like."""
-    monkeypatch.setattr(*planted)
-    judges = chain([late_answer()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
-    assert any(not judge.verdict().holds for judge in judges)
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    """Among them a restart that forgets, a lender that deducts no loan, a term counted from the answer."""
+    monkeypatch.setattr(*fault)
+    checkers = chain([play_late_grant()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
+    assert any(not checker.verdict().holds for checker in checkers)
 
 
 LOANS = Path(__file__).parents[2] / "scenarios" / "loans.toml"
@@ -245,38 +259,38 @@
 
 def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
     # Danger: nodes read it one after the other; more at once would be spent twice.
-    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START)
     now = START + 60 * SECOND
     assert budgets.accounts["all"].limit(now) == 6
-    budgets.follow(dealing(limit=12, mark=2), now)
+    budgets.follow(quota_settings(limit=12, digest=2), now)
     assert budgets.accounts["all"].limit(now) == 3
-    budgets.follow(dealing(limit=48, mark=3), now)
-    for marks, at, limit in (
+    budgets.follow(quota_settings(limit=48, digest=3), now)
+    for digests, at, limit in (
         ([3, 3, None], 30, 3),
         ([3, 2, 3], 60, 3),
         ([3, 3, 3], 61, 3),
         ([3, 3, 3], 63, 3),
         ([3, 3, 3], 66, 12),
     ):
-        budgets.compare_digests(now + at * SECOND, marks)
-        assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (marks, at)
+        budgets.compare_digests(now + at * SECOND, digests)
+        assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (digests, at)
     assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
         "by another file's term"
     )
 
 
 def test_a_node_that_starts_with_another_file_than_the_others_keeps_to_its_floor() -> None:
-    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START)
-    for beat in range(100):
-        budgets.compare_digests(START + beat * BEAT, [1, 7, None])
-    assert budgets.accounts["all"].limit(START + 100 * BEAT) == 3 and budgets.any_file_differs
+    for heartbeat in range(100):
+        budgets.compare_digests(START + heartbeat * HEARTBEAT_US, [1, 7, None])
+    assert budgets.accounts["all"].limit(START + 100 * HEARTBEAT_US) == 3 and budgets.any_file_differs
 
 
 def test_one_process_of_a_node_spends_after_the_other() -> None:
     # Danger: in an upgrade two processes of one node run; each would have the node's whole share.
-    old, new = (SharedQuotas("a", dealing(), BEAT, START, random.Random(1)) for _ in range(2))
+    old, new = (SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1)) for _ in range(2))
     old.open(START)
     now = START + 60 * SECOND
     assert [old.admit(now, "t") for _ in range(6)] == [0] * 6 and new.admit(now, "t") > 0
@@ -292,50 +306,50 @@
 
 
 def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
-    budgets = SharedQuotas("a", dealing(), BEAT, START, random.Random(1))
+    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START - 60 * SECOND)
-    ask = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
+    request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     for lender, number in (("c", 1), ("b", 2)):
         assert not budgets.expects(LoanGrant(lender, "a", 1, number, "all", 5))
-    grant = LoanGrant("b", "a", 1, ask.request_id, "all", 500)
+    grant = LoanGrant("b", "a", 1, request.request_id, "all", 500)
     assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
-    ask = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
-    assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500)), (
+    request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
+    assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500)), (
         "time never runs back"
     )
     now = START + 9 * SECOND
-    ask = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
-    assert budgets.accept_grant(now + 1, LoanGrant("b", "a", 1, ask.request_id, "all", 500))
+    request = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
+    assert budgets.accept_grant(now + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500))
     assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
 
 
 class RecordingCluster:
-    """A cluster that keeps what it is told of quotas."""
+    """A cluster that records the quota usage it takes over."""
 
     def __init__(self) -> None:
-        self.taken: Any = None
+        self.used: Any = None
 
     def hand_over(self) -> dict[str, int]:
         return {"all": 5}
 
     def take_over(self, used: Any) -> None:
-        self.taken = used
+        self.used = used
 
 
 def test_spent_quota_is_handed_over_in_a_hot_restart() -> None:
     def actor(cluster: Any) -> BalancerActor:
-        settings, room = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
+        settings, descriptors = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
         counters = Counters()
         mailbox = Mailbox(counters)
-        upstreams = UpstreamRegistry([], settings, room, counters, mailbox.post)
+        upstreams = UpstreamRegistry([], settings, descriptors, counters, mailbox.post)
         balancer = Balancer(deployment_settings(Scenario(), 0), random.Random(1))
         return BalancerActor(balancer, [], mailbox, upstreams, counters, cluster=cluster)
 
-    told = RecordingCluster()
-    old, new, alone = actor(RecordingCluster()), actor(told), actor(None)
-    learned = old.hand_over()
-    new.restore(learned, 0)
-    alone.restore(learned, 0)
-    assert told.taken == {"all": 5}
+    successor_cluster = RecordingCluster()
+    old, new, alone = actor(RecordingCluster()), actor(successor_cluster), actor(None)
+    state = old.hand_over()
+    new.restore(state, 0)
+    alone.restore(state, 0)
+    assert successor_cluster.used == {"all": 5}
     new.restore(alone.hand_over(), 0)
-    assert told.taken == {"all": 5}, "from one that knew of no others nothing is taken over"
+    assert successor_cluster.used == {"all": 5}, "from one that knew of no others nothing is taken over"
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -82,7 +82,7 @@
     return first + count
 
 
-def fleet(*electors: str) -> ClusterConfiguration:
+def cluster_with_electors(*electors: str) -> ClusterConfiguration:
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(6)]
     budgets = [{"name": "all", "links_per_s": 60, "tariffs": ["student"]}]
     duties = {"electors": list(electors), "allot": True}
