--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -30,7 +30,7 @@
 
 
 def raw(**teams: float) -> dict[str, Any]:
-    """Teams of one pool of 100 links a second, each with its promise."""
+    """Teams of one pool of 100 sessions a second, each with its promise."""
     return {
         "pools": [{"name": "p", "able": figures(100)}],
         "teams": [
@@ -323,7 +323,7 @@
     first = broker.admit_session(now, "s-a", ("bank", "desk"))
     assert isinstance(first, AdmittedSession)
     broker.trees["p"].remove_idle(broker.trees["p"].root, now // broker.trees["p"].slot_us)
-    assert bank.children["desk"] is first.leaf, "it holds a link, and has used a part of its window"
+    assert bank.children["desk"] is first.leaf, "it holds a session, and has used a part of its window"
     assert isinstance(broker.admit_session(now, "s-a", ("elsewhere",)), NoContract)
     assert isinstance(broker.admit_session(now, "s-a", ("bank", "b", "d", "x")), NoContract)
     assert isinstance(broker.admit_session(now, "s-none"), NoContract) and broker.without_contract == 3
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -52,8 +52,8 @@
         before = node.drop_count(why)
         assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
         assert node.drop_count(why) == before + 1, why
-    assert node.members.is_alone, "nothing of it was taken in"
-    assert node.exchange.unknown_version == VERSION + 1, "for the log, which says it once"
+    assert node.members.is_alone, "no invalid datagram was accepted"
+    assert node.exchange.unknown_version == VERSION + 1, "for the log, which reports it once"
     assert node.exchange.receive(good, now=0, wall=WALL_US).changes != []
 
 
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -37,7 +37,7 @@
 
 
 class ElectionHarness:
-    """Electors and candidates whose messages go through by hand."""
+    """Electors and candidates whose messages are delivered by hand."""
 
     def __init__(self) -> None:
         self.now = START
@@ -51,7 +51,7 @@
         return Candidate(NAMES, LEASE_TERMS, random.Random(seed).uniform)
 
     def ask(self, name: str, ballots: list[Ballot]) -> None:
-        """All electors that are not cut off hear it at once, and their answers come at once."""
+        """Deliver ballots to all electors that are not cut off, and their answers, without delay."""
         while ballots:
             ballot = ballots.pop(0)
             for elector, one in self.electors.items():
@@ -77,7 +77,7 @@
 def test_a_holder_renews_and_one_that_is_stopped_over_its_term_holds_no_longer() -> None:
     harness = ElectionHarness()
     assert harness.step("x") and not harness.step("y")
-    assert harness.run("x", 60 * SECOND) and harness.candidates["x"].lease < WALL + 2 * START, "by one number"
+    assert harness.run("x", 60 * SECOND) and harness.candidates["x"].lease < WALL + 2 * START, "by one token"
     lease = harness.candidates["x"].lease
     harness.now += LEASE_TERMS.term_us
     assert (
@@ -86,7 +86,7 @@
     )
     harness.now += LEASE_TERMS.promise_us - LEASE_TERMS.term_us
     assert harness.run("y", SECOND) and harness.candidates["y"].lease > lease
-    assert not harness.step("x"), "it wakes, and finds out"
+    assert not harness.step("x"), "on resuming it finds that its lease ended"
 
 
 def test_with_a_majority_of_electors_gone_nobody_holds_and_with_one_gone_somebody_does() -> None:
@@ -100,7 +100,7 @@
 
 
 def test_two_candidates_in_step_do_not_block_each_other_for_long() -> None:
-    """Each is always heard first by an elector of its own, and too late by the third, again and again."""
+    """Each ballot reaches another elector first, and the third too late, again and again."""
     durations = []
     for round in range(30):
         harness = ElectionHarness()
@@ -140,7 +140,7 @@
     harness.candidates["y"].resign(harness.now, "")
     harness.now = harness.candidates["y"].lease_ends_at
     harness.step("y", eligible=False)
-    assert harness.step("x"), "without a successor anybody may have it"
+    assert harness.step("x"), "without a named successor any candidate may hold it"
 
 
 def test_a_released_role_is_reserved_for_its_successor_for_a_moment_alone() -> None:
@@ -150,8 +150,8 @@
     harness.now = harness.candidates["x"].lease_ends_at
     harness.step("x", eligible=False)
     harness.candidates["y"].accept_handover(harness.now)
-    assert not harness.step("y"), "kept for another"
-    assert harness.run("y", 2 * SECOND), "who did not come"
+    assert not harness.step("y"), "reserved for the named successor"
+    assert harness.run("y", 2 * SECOND), "the successor did not claim it in time"
 
 
 def test_numbers_go_up_through_a_wall_clock_that_steps_and_electors_that_all_forget() -> None:
@@ -159,12 +159,12 @@
     assert harness.step("x", wall=WALL)
     first = harness.candidates["x"].lease
     harness.now += LEASE_TERMS.promise_us
-    assert harness.step("y", wall=WALL - 3600 * SECOND), "told of the higher number, it asks by a higher one"
+    assert harness.step("y", wall=WALL - 3600 * SECOND), "once told the higher token, it uses one above"
     assert harness.candidates["y"].lease > first
     harness.electors = {name: Elector.started(LEASE_TERMS, harness.now) for name in NAMES}
     harness.incarnations["x"] = 2
     harness.candidates["x"] = harness.candidate("x")
-    assert not harness.step("x", wall=WALL + SECOND), "electors that have started say nothing"
+    assert not harness.step("x", wall=WALL + SECOND), "electors that have just started do not answer"
     harness.now += LEASE_TERMS.startup_silence_us
     harness.candidates["x"].accept_handover(harness.now)
     assert harness.step("x", wall=WALL + LEASE_TERMS.startup_silence_us)
@@ -198,7 +198,7 @@
     """On the last three nobody held one for 12 to 23 s while lost ballots were not sent again."""
     row = Simulation(with_random_faults(read_scenario_file(DUTIES, {"seed": seed}), 12)).run()
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
-    assert row["orders"] > 20 and row["duty_changes"] >= 2, "the duties have work, and change hands"
+    assert row["orders"] > 20 and row["duty_changes"] >= 2, "the roles are used, and change holder"
     assert row["unheld_s"] < 9.0 and row["cold_over"] == 0 and not any(row["broken"].values())
 
 
@@ -265,7 +265,7 @@
     assert vote is not None and vote.granted
     other = cluster_with_electors("n0", "n1", "n3").electorate
     election.follow(other, now)
-    assert election.answer_ballot(now + SECOND, request) is None, "by another file"
+    assert election.answer_ballot(now + SECOND, request) is None, "the request is of another file"
     ask = msgspec.structs.replace(request, config_digest=other.digest)
     assert election.answer_ballot(now + SECOND, ask) is None
     assert election.answer_ballot(now + electorate.lease_terms.startup_silence_us, ask) is not None
@@ -282,14 +282,14 @@
     for _ in range(20):
         now += 200_000
         election.tick(now, origin("n0"), {}, {})
-    assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "and in time it keeps it"
+    assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "with heartbeats in time it keeps the role"
     for _ in range(3):
         now += 700_000
         election.tick(now, origin("n0"), {}, {})
     for _ in range(25):
         now += 200_000
         election.tick(now, origin("n0"), {}, {})
-    assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it rests"
+    assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it does not stand again for a while"
     reasons = [(event.change, event.reason) for event in election.take_events()]
     assert reasons == [("held", "nobody held the role"), ("ended", "this node is too slow")]
 
@@ -339,7 +339,7 @@
     assert holder(n0=record("n0", promise), n4=record("n4", promise), n3=record("n3", promise)) is None
     assert holder(n0=record("n0", promise), n1=record("n1", promise)) == Holder("n4", 9)
     old = Promise(0, 9, 4, 100)
-    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, "by now it has ended"
+    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, "that promise has ended by now"
 
 
 def test_unknown_ballots_are_ignored() -> None:
@@ -353,11 +353,11 @@
             is None
         )
     assert not election.expects_vote(Vote("n1", "n0", 1, 1, 9, True, 0, 0))
-    assert not election.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "no elector"
+    assert not election.expects_vote(Vote("n5", "n0", 1, 1, 0, True, 0, 0)), "the sender is no elector"
 
 
 def test_vote_for_an_earlier_incarnation_is_not_counted() -> None:
-    # Danger: its round has the same number in this life, and no elector has promised this one anything.
+    # Its round has the same number in this incarnation, to which no elector has promised anything.
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
     now = START
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -62,19 +62,19 @@
 
 
 def test_a_node_that_was_stopped_takes_nobody_for_silent_on_waking() -> None:
-    # Otherwise a node that was stopped would take all the others for silent, for what it missed itself.
+    # Otherwise it would suspect all other nodes because of heartbeats that it missed itself.
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 6)
     woken = nodes[0]
-    assert woken.members.advance(60_000_000) == [], "it could not hear while it was stopped"
+    assert woken.members.advance(60_000_000) == [], "it could receive nothing while it was stopped"
     assert woken.members.advance(60_000_000 + HEARTBEAT_US) == []
     for number in range(2, 12):
         woken.members.advance(60_000_000 + number * HEARTBEAT_US)
-    assert woken.members.is_alone, "by now it could have heard them"
+    assert woken.members.is_alone, "by now their heartbeats could have arrived"
 
 
 def test_node_with_clock_set_back_exceeds_its_earlier_incarnation() -> None:
-    # Its records have a lower incarnation than the others know of it: all of them would pass for known.
+    # Its records have a lower incarnation than the others know: all of them would be ignored as known.
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     at = run_heartbeats(nodes, 0, 6)
     later = ManualNode("a", wall=WALL_US - 5_000_000)
@@ -135,7 +135,7 @@
 
 
 def test_two_watchers_confirm_a_failed_member_in_a_large_cluster_and_one_does_not() -> None:
-    # Old records of a dead member travel for many seconds, each as if it lived.
+    # Old records of a failed member are gossiped for many seconds, as if it were present.
     names = [f"n{number:02}" for number in range(40)]
     members = Membership(
         "n00",
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -186,7 +186,7 @@
 
 def test_a_budget_that_one_node_wants_reaches_it() -> None:
     assert played(1, 0.0, 0.0, 0.0, False, 24, "a").used_share() > 0.5, (
-        "alone it has a quarter, with all but floors 0.62"
+        "its own share is a quarter, and 0.62 with all that others can lend"
     )
 
 
@@ -233,7 +233,7 @@
     assert all(row["agreed_s"] is not None and not any(row["broken"].values()) for row in rows)
     monkeypatch.setattr(QuotaAccount, "open", forgetful)
     assert Simulation(read_scenario_file(LOANS, {"seed": 1})).run()["over_budget"] > 0, (
-        "the day is one on which it shows"
+        "this scenario shows the planted fault"
     )
 
 
@@ -258,7 +258,7 @@
 
 
 def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
-    # Danger: nodes read it one after the other; more at once would be spent twice.
+    # Nodes read it one after the other: raised at once, a share would be spent twice.
     budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START)
     now = START + 60 * SECOND
@@ -276,7 +276,7 @@
         budgets.compare_digests(now + at * SECOND, digests)
         assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (digests, at)
     assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
-        "by another file's term"
+        "the request is of another file"
     )
 
 
@@ -289,7 +289,7 @@
 
 
 def test_one_process_of_a_node_spends_after_the_other() -> None:
-    # Danger: in an upgrade two processes of one node run; each would have the node's whole share.
+    # In a hot restart two processes of one node run: each would have the whole share of the node.
     old, new = (SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1)) for _ in range(2))
     old.open(START)
     now = START + 60 * SECOND
@@ -300,9 +300,9 @@
     later = now + LOAN_TERMS.counting_window_us + SECOND
     assert [new.admit(later, "t") > 0 for _ in range(4)] == [False, False, False, True], "its floor"
     new.open(later)
-    assert new.accounts["all"].limit(later + SECOND) == 3, "what the old one lent is not back yet"
+    assert new.accounts["all"].limit(later + SECOND) == 3, "loans of the predecessor have not ended yet"
     old.open(later)
-    assert old.admit(later, "t") > 0, "broken off: the new one may have spent up to now"
+    assert old.admit(later, "t") > 0, "after a failed restart: the successor may have spent until now"
 
 
 def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
@@ -315,7 +315,7 @@
     assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
     request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500)), (
-        "time never runs back"
+        "its clock never runs back"
     )
     now = START + 9 * SECOND
     request = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
@@ -352,4 +352,4 @@
     alone.restore(state, 0)
     assert successor_cluster.used == {"all": 5}
     new.restore(alone.hand_over(), 0)
-    assert successor_cluster.used == {"all": 5}, "from one that knew of no others nothing is taken over"
+    assert successor_cluster.used == {"all": 5}, "a predecessor without a cluster hands over no usage"
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
 def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start that forgets what its earlier life handed over, a promise that the decisions have not heard of,
+    """A start that forgets turns handed over before, a promise that the balancer has not received,
     an issuer that issues before the previous tokens have run out, windows counted too short."""
     monkeypatch.setattr(*fault)
     networks = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
@@ -114,8 +114,8 @@
 
 
 def test_promise_counts_from_the_answer_that_it_echoes() -> None:
-    # Danger: how old a note is can't be told. Counted from when it comes, a late one would be a promise that
-    # ran out long ago.
+    # The age of a message is unknown. Counted from its arrival, a late one would be a promise that ended
+    # long ago.
     one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {}
     one.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), order)
@@ -166,7 +166,7 @@
 
 
 def test_token_is_for_its_session_alone_and_expires() -> None:
-    # Danger: a heavy session that was refused would take the token of a light one.
+    # Otherwise a heavy session that was refused would take the token of a light one.
     harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
     balancer, now = harness.balancer, harness.now
@@ -222,7 +222,7 @@
 
 
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
-    # Danger: it wakes just before the issuer's last answer expires, and a session asks before the next
+    # It resumes just before the issuer's last answer expires, and a session asks before the next
     # heartbeat finds that it has. Turns would be promised for a term more, and used again sooner.
     one, now = TokenRequester(ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
