--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -25,12 +25,12 @@
 ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
 
-def figures(links: float, held: float = 100_000) -> dict[str, float]:
-    return {"links_per_s": links, "messages_per_s": 10 * links, "held": held}
+def figures(sessions_per_s: float, held: float = 100_000) -> dict[str, float]:
+    return {"links_per_s": sessions_per_s, "messages_per_s": 10 * sessions_per_s, "held": held}
 
 
 def raw(**teams: float) -> dict[str, Any]:
-    """Teams of one pool of 100 links a second, each with its promise."""
+    """Teams of one pool of 100 sessions a second, each with its promise."""
     return {
         "pools": [{"name": "p", "able": figures(100)}],
         "teams": [
@@ -323,7 +323,7 @@
     first = broker.admit_session(now, "s-a", ("bank", "desk"))
     assert isinstance(first, AdmittedSession)
     broker.trees["p"].remove_idle(broker.trees["p"].root, now // broker.trees["p"].slot_us)
-    assert bank.children["desk"] is first.leaf, "it holds a link, and has used a part of its window"
+    assert bank.children["desk"] is first.leaf, "it holds a session, and has used a part of its window"
     assert isinstance(broker.admit_session(now, "s-a", ("elsewhere",)), NoContract)
     assert isinstance(broker.admit_session(now, "s-a", ("bank", "b", "d", "x")), NoContract)
     assert isinstance(broker.admit_session(now, "s-none"), NoContract) and broker.without_contract == 3
@@ -350,7 +350,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contracts", "told"),
+    ("contracts", "expected"),
     [
         (raw(a=60, b=50), ["'a' and 'b'", "links_per_s", "10 too many"]),
         (raw(a=160), ["'a'", "links_per_s", "60 too many"]),
@@ -380,10 +380,10 @@
         ),
     ],
 )
-def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], told: list[str]) -> None:
+def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], expected: list[str]) -> None:
     with pytest.raises(InvalidInputError) as refused:
         parse_contracts(contracts)
-    assert all(word in str(refused.value) for word in told), str(refused.value)
+    assert all(text in str(refused.value) for text in expected), str(refused.value)
 
 
 def test_the_command_checks_contracts(tmp_path: Path) -> None:
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -1,9 +1,7 @@
-"""The pacer: who sends the next link to a cold host; what it may not do, whatever is lost or late."""
+"""Slow-start tokens: who sends the next session to a warming upstream, whatever is lost or late."""
 
 from __future__ import annotations
 
-import random
-from collections import deque
 from pathlib import Path
 from typing import Any
 
@@ -12,206 +10,29 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larchlatch.cluster.election.electorate import TOKEN_ISSUER, Electorate
 from larchlatch.cluster.election.fencing import NO_PERMIT, OrderPermit
-from larchlatch.cluster.election.lease_terms import LeaseTerms
 from larchlatch.cluster.protocol.headers import RequestOrigin
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.slow_start.issuer import TokenIssuer
-from larchlatch.cluster.slow_start.notices import TokenNotice
-from larchlatch.cluster.slow_start.requester import NOTICE_LAG_US, TokenRequester
-from larchlatch.cluster.slow_start.tokens import SlowStartTokens
+from larchlatch.cluster.slow_start.requester import TokenRequester
 from larchlatch.emulator.simulation import Simulation
 from larchlatch.policy.types import Hold, Token, TokenCandidate
-from larchlatch.scenario.drifting_clock import DriftingClock
 from larchlatch.scenario.scenario import Scenario
 from larchlatch.scenario.scenario_file import read_scenario_file
 from tests.support.balancer_harness import BalancerHarness, endpoint, forwarded_to
-
-SECOND = 1_000_000
-BEAT, STEP = 200_000, 40_000
-WINDOW, TERM = SECOND, 3 * SECOND
-START, WALL = 1000 * SECOND, 1_800_000_000 * SECOND
-NAMES = ("a", "b", "c", "d")
-ELECTORATE = Electorate(NAMES[:3], NAMES, (TOKEN_ISSUER,), LeaseTerms(TERM, 0.01, 200_000), 7)
-UPSTREAM, BUDGET = 99, 5.0
-
-
-class Side:
-    """One node: its part of the pacing, and what its decisions have been told a moment after."""
-
-    def __init__(self, name: str, now: int) -> None:
-        self.name = name
-        self.pacing = SlowStartTokens(name, ELECTORATE, now)
-        self.pacing.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
-        self.incarnation = now
-        self.until = 0  # turns are handed over, by what the decisions know
-        self.leaves: dict[int, int] = {}
-        self.words: deque[tuple[int, TokenNotice]] = deque()  # not heard by the decisions yet
-        self.hear(now, self.pacing.requester.open(now))
-        self.told(now)
-        self.awake_at = 0
-
-    def origin(self, now: int) -> RequestOrigin:
-        return RequestOrigin(self.name, self.incarnation, WALL + now)
-
-    def hear(self, now: int, told: TokenNotice | None, lag_us: int = 0) -> None:
-        if told is not None:
-            last = self.words[-1][0] if self.words else 0
-            self.words.append((max(last, now + lag_us), told))
-
-    def told(self, now: int) -> None:
-        while self.words and self.words[0][0] <= now:
-            _, told = self.words.popleft()
-            self.until = told.handed_over_until
-            if told.upstream:
-                self.leaves[told.session] = told.token_ends_at
-
-    def take(
-        self, now: int, note: TokenRequest | TokenGrant, order: OrderPermit, lag_us: int
-    ) -> TokenGrant | None:
-        if isinstance(note, TokenRequest):
-            return self.pacing.issuer.answer(now, note, order) if self.pacing.issuer.is_new(note) else None
-        if self.pacing.requester.expects(note):
-            self.hear(now, self.pacing.requester.accept(now, note), lag_us)
-        return None
-
-
-class Played:
-    """Nodes whose links all want one cold host, through a bad network; the holder of the duty is given."""
-
-    def __init__(
-        self, seed: int, loss: float, double: float, late: float, faults: bool, changes: bool = False
-    ) -> None:
-        """faults: cuts, starts, stops, and changes of the holder; changes: these alone, all the time."""
-        self.chance = random.Random(seed)
-        self.loss, self.double, self.late, self.faults = loss, double, late, faults
-        self.changes = changes
-        self.drifts = {name: DriftingClock(START) for name in NAMES}
-        for drift in self.drifts.values():
-            drift.set_gain(START, self.chance.choice((-0.01, 0.0, 0.01)))
-        self.sides = {name: Side(name, START) for name in NAMES}
-        self.bag: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
-        self.cut: frozenset[str] = frozenset()
-        self.by_leave: list[int] = []  # when links were sent
-        self.by_turn = 0
-        self.taken_twice = 0  # turns that their node used while the pacer counted on its promise
-        self.holder, self.lease, self.held_until = "a", 1, START + 10**12
-        self.sessions = 0
-
-    def now_of(self, name: str, now: int) -> int:
-        return self.drifts[name].at(now)
-
-    def lag(self) -> int:
-        """Until the decisions hear of something."""
-        return self.chance.randrange(10_000 if self.chance.random() < 0.9 else NOTICE_LAG_US)
-
-    def order(self, name: str, now: int) -> OrderPermit:
-        """Of the lease, as its holder's own clock has it: a round at most."""
-        left = self.held_until - now if name == self.holder else 0
-        return OrderPermit(self.lease, min(left, TERM // 8)) if left > 0 else NO_PERMIT
-
-    def send(self, now: int, one: str, note: TokenRequest | TokenGrant | None) -> None:
-        if (
-            note is None
-            or self.chance.random() < self.loss
-            or (one in self.cut) is not (note.recipient in self.cut)
-        ):
-            return
-        for _ in range(2 if self.chance.random() < self.double else 1):
-            way = 4 * SECOND if self.chance.random() < self.late else 40_000
-            self.bag.append((now + self.chance.randrange(way), self.chance.randrange(10**9), one, note))
-
-    def befall(self, now: int) -> None:
-        self.cut = frozenset(self.chance.choice(("", "", "a", "ab", "d")))
-        name, what = self.chance.choice(NAMES), self.chance.random()
-        if what < 0.15:
-            self.sides[name] = Side(name, self.now_of(name, now))
-        elif what < 0.3:
-            self.sides[name].awake_at = now + self.chance.randrange(4 * SECOND)
-        elif what < 0.6:
-            self.change(now)
-
-    def change(self, now: int) -> None:
-        """Another has the duty from when the lease before has run out, as the electors see to."""
-        self.holder, self.lease = self.chance.choice(NAMES), self.lease + 1
-        self.held_until = now + 10**12
-
-    def run(self, span_s: int) -> Played:
-        for now in range(START, START + span_s * SECOND, STEP):
-            if self.faults and now % (2 * SECOND) == 0:
-                self.befall(now)
-            if self.changes and now % (2 * SECOND) == 0:
-                self.change(now)
-            due = sorted(entry[:2] for entry in self.bag if entry[0] <= now)
-            going = {entry[:2]: entry for entry in self.bag if entry[0] <= now}
-            self.bag = [entry for entry in self.bag if entry[0] > now]
-            for key in due:
-                _, _, _, note = going[key]
-                side = self.sides[note.recipient]
-                if now >= side.awake_at:
-                    lag = self.lag()
-                    own = self.now_of(note.recipient, now)
-                    self.send(now, note.recipient, side.take(own, note, self.order(note.recipient, now), lag))
-            for name, side in self.sides.items():
-                if now >= side.awake_at:
-                    self.act(now, name, side)
-        return self
-
-    def act(self, now: int, name: str, side: Side) -> None:
-        own = self.now_of(name, now)
-        lease, _ = self.order(name, now)
-        if now % BEAT == 0:
-            side.pacing.issuer.hold(own, lease)
-            seek, told = side.pacing.requester.tick(own, side.origin(now), self.holder)
-            side.hear(own, told, self.lag())
-            self.ask(now, own, name, seek)
-        side.told(own)
-        # A link that waits goes as soon as it may, or at the last moment.
-        for number, at in list(side.leaves.items()):
-            if own >= at or self.chance.random() < 0.7:
-                del side.leaves[number]
-                if own < at:
-                    self.by_leave.append(now)
-        if self.chance.random() < 0.5:
-            self.sessions += 1
-            self.session(now, own, name, side)
-
-    def ask(self, now: int, own: int, name: str, seek: TokenRequest | None) -> None:
-        """Of the pacer, which may be that node itself."""
-        if seek is None or seek.recipient != name:
-            self.send(now, name, seek)
-            return
-        leave = self.sides[name].pacing.issuer.answer(own, seek, self.order(name, now))
-        if leave is not None:
-            self.sides[name].take(own, leave, NO_PERMIT, self.lag())
-
-    def session(self, now: int, own: int, name: str, side: Side) -> None:
-        """One more link: it asks for leave, or goes by a turn of its node's, or not at all."""
-        if own < side.until:
-            want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            seek = side.pacing.requester.request_token(own, side.origin(now), self.sessions, want)
-            self.ask(now, own, name, seek)
-        elif now // WINDOW % len(NAMES) == NAMES.index(name):
-            self.by_turn += 1
-            for other, pacer in self.sides.items():
-                if self.order(other, now)[0] and pacer.pacing.issuer.lease:
-                    until = pacer.pacing.issuer.promised_until.get(name, 0)
-                    self.taken_twice += self.now_of(other, now) < until
-
-    @property
-    def most(self) -> int:
-        """The most that were sent by leave within any window."""
-        sent, first, most = self.by_leave, 0, 0
-        for place, at in enumerate(sent):
-            while sent[first] <= at - WINDOW:
-                first += 1
-            most = max(most, place - first + 1)
-        return most
-
-    @property
-    def sound(self) -> bool:
-        return self.most <= BUDGET and not self.taken_twice
+from tests.support.slow_start_tokens import (
+    BUDGET,
+    ELECTORATE,
+    HEARTBEAT_US,
+    NAMES,
+    SECOND,
+    START,
+    TERM,
+    UPSTREAM,
+    WALL,
+    WINDOW,
+    Played,
+)
 
 
 @settings(derandomize=True, max_examples=30, deadline=None)
@@ -242,7 +63,7 @@
         one.lease, one.promised_until, one.issued, one.opens_at = lease, {}, {}, now
 
 
-PLANTED: list[tuple[object, str, Any]] = [
+PLANTED_FAULTS: list[tuple[object, str, Any]] = [
     (TokenRequester, "open", forgetful),
     (TokenRequester, "promises", hasty),
     (TokenIssuer, "hold", at_once),
@@ -250,17 +71,17 @@
 ]
 
 
-@pytest.mark.parametrize("planted", PLANTED, ids=lambda planted: str(planted[1]))
-def test_what_is_planted_is_caught(planted: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start that forgets what its earlier life handed over, a promise that the decisions have not heard of,
-    a pacer that gives before what the one before gave has run out, windows counted too short."""
-    monkeypatch.setattr(*planted)
-    worlds = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
-    assert not all(Played(seed, *world).run(25).sound for seed in range(20) for world in worlds)
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    """A start that forgets turns handed over before, a promise that the balancer has not received,
+    an issuer that issues before the previous tokens have run out, windows counted too short."""
+    monkeypatch.setattr(*fault)
+    networks = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
+    assert not all(Played(seed, *network).run(25).sound for seed in range(20) for network in networks)
 
 
-def paced(now: int = START, lease: int = 5) -> TokenIssuer:
-    """A pacer to which all have handed their turns over."""
+def ready_issuer(now: int = START, lease: int = 5) -> TokenIssuer:
+    """Return a token issuer to which all nodes have handed their turns over."""
     one = TokenIssuer("a", ELECTORATE)
     one.update_upstreams([UPSTREAM], window_us=WINDOW)
     one.hold(now - TERM, lease)
@@ -268,73 +89,76 @@
     return one
 
 
-def asked(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
+def token_request(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
     want = TokenDemand(UPSTREAM, int(budget * 1000), int(weight * 1000))
     return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
 
 
 def test_session_counts_by_its_weight_and_any_weight_fits_an_empty_window() -> None:
-    one, order = paced(), OrderPermit(5, 300_000)
-    assert one.answer(START, asked(1, weight=9.0), order) is not None
-    assert one.answer(START, asked(2, weight=0.1), order) is None
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
+    assert one.answer(START, token_request(1, weight=9.0), order) is not None
+    assert one.answer(START, token_request(2, weight=0.1), order) is None
     later = START + one.counting_span_us + 1
-    assert one.answer(later, asked(3, weight=4.5), order) is not None
-    assert one.answer(later, asked(4, weight=1.0), order) is None
-    assert one.answer(later, asked(5, weight=0.5), order) is not None
+    assert one.answer(later, token_request(3, weight=4.5), order) is not None
+    assert one.answer(later, token_request(4, weight=1.0), order) is None
+    assert one.answer(later, token_request(5, weight=0.5), order) is not None
 
 
 def test_nodes_that_use_turns_keep_their_part_of_the_budget() -> None:
-    one, order = paced(), OrderPermit(5, 300_000)
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {"a": START + TERM, "b": START + TERM}
-    given = [one.answer(START, asked(number), order) is not None for number in range(1, 6)]
-    assert given == [True, True, False, False, False], "half of five, for two of four"
+    granted = [one.answer(START, token_request(number), order) is not None for number in range(1, 6)]
+    assert granted == [True, True, False, False, False], "half of five, for two of four"
     one.promised_until = {}
-    assert one.answer(START + 5 * SECOND, asked(9), order) is None
+    assert one.answer(START + 5 * SECOND, token_request(9), order) is None
 
 
 def test_promise_counts_from_the_answer_that_it_echoes() -> None:
-    # Danger: how old a note is can't be told. Counted from when it comes, a late one would be a promise that
-    # ran out long ago.
-    one, order = paced(), OrderPermit(5, 300_000)
+    # The age of a message is unknown. Counted from its arrival, a late one would be a promise that ended
+    # long ago.
+    one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {}
-    one.answer(START + 2 * SECOND, asked(1, lease=5, issued_us=START), order)
+    one.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), order)
     assert START + TERM * 0.97 < one.promised_until["b"] < START + TERM * 0.99
-    one.answer(START + 2 * SECOND, asked(2, lease=4, issued_us=START + SECOND), order)
+    one.answer(START + 2 * SECOND, token_request(2, lease=4, issued_us=START + SECOND), order)
     assert one.promised_until["b"] < START + TERM, "by another lease's clock"
-    one.answer(START, asked(3, lease=5, issued_us=START + 9 * SECOND), order)
-    assert one.promised_until["b"] < START + TERM, "a word that was not said yet"
+    one.answer(START, token_request(3, lease=5, issued_us=START + 9 * SECOND), order)
+    assert one.promised_until["b"] < START + TERM, "an answer that has not been given yet"
 
 
 def test_no_token_without_the_role_or_with_another_file() -> None:
-    one = paced()
-    assert one.answer(START, asked(1), NO_PERMIT) is None
-    assert one.answer(START, asked(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
-    assert one.answer(START, asked(3, config_digest=8), OrderPermit(5, 300_000)) is None
-    assert one.answer(START, asked(4, sender="x"), OrderPermit(5, 300_000)) is None
-    stranger = msgspec.structs.replace(asked(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
-    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "a host that is not on the list"
+    one = ready_issuer()
+    assert one.answer(START, token_request(1), NO_PERMIT) is None
+    assert one.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
+    assert one.answer(START, token_request(3, config_digest=8), OrderPermit(5, 300_000)) is None
+    assert one.answer(START, token_request(4, sender="x"), OrderPermit(5, 300_000)) is None
+    stranger = msgspec.structs.replace(token_request(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
+    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "an upstream that is not on the list"
     one.hold(START, 6)
-    assert one.answer(START + SECOND, asked(5), OrderPermit(6, 300_000)) is None, (
-        "what the one before gave is out yet"
+    assert one.answer(START + SECOND, token_request(5), OrderPermit(6, 300_000)) is None, (
+        "tokens of the previous issuer are still valid"
     )
 
 
 def test_request_rate_of_the_cluster_is_bounded() -> None:
-    one, now, asked = TokenRequester(ELECTORATE, START), START, 0
+    one, now, request_count = TokenRequester(ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
     one.issuer, one.answered_at = "b", START + 10**9
-    for beat in range(50):
-        one.tick(now + beat * BEAT, RequestOrigin("a", 1, WALL), "b")
+    for heartbeat in range(50):
+        one.tick(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), "b")
         for _ in range(20):
             want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-            asked += one.request_token(now + beat * BEAT, RequestOrigin("a", 1, WALL), 7, want) is not None
-    assert 1000 * 10 / 200 - 5 <= asked <= 1000 * 10 / 200 + 16
+            request_count += (
+                one.request_token(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), 7, want)
+                is not None
+            )
+    assert 1000 * 10 / 200 - 5 <= request_count <= 1000 * 10 / 200 + 16
 
 
 def test_what_was_given_long_ago_is_forgotten() -> None:
-    one = paced()
-    assert one.answer(START, asked(1), OrderPermit(5, 300_000)) is not None
+    one = ready_issuer()
+    assert one.answer(START, token_request(1), OrderPermit(5, 300_000)) is not None
     one.hold(START + 2 * one.counting_span_us, 5)
     assert one.issued
     one.hold(START + 5 * one.counting_span_us, 5)
@@ -342,20 +166,20 @@
 
 
 def test_token_is_for_its_session_alone_and_expires() -> None:
-    # Danger: a heavy link that was refused would take the leave of a light one.
+    # Otherwise a heavy session that was refused would take the token of a light one.
     harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
     balancer, now = harness.balancer, harness.now
     balancer.record_token(now, now + 10 * SECOND)
     one, other = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
-    assert not harness.attempt_upstreams, "all hosts are cold, and turns are handed over"
-    sought = {
+    assert not harness.attempt_upstreams, "all upstreams are warming up, and turns are handed over"
+    requested = {
         want.upstream
         for answer in [balancer.place(now, session) for session in (one, other)]
         if isinstance(answer, Hold)
         for want in answer.token_candidates
     }
-    assert sought <= {0, 1}
+    assert requested <= {0, 1}
     balancer.record_token(now, now + 10 * SECOND, Token(1, one.number, now + 100_000))
     assert isinstance(balancer.place(now, other), Hold)
     late = balancer.place(now + 200_000, one)
@@ -368,25 +192,27 @@
     )
 
 
-PACE = Path(__file__).parents[2] / "scenarios" / "pace.toml"
+SCENARIO = Path(__file__).parents[2] / "scenarios" / "pace.toml"
 
 
-def day(pace: bool, **changes: Any) -> Scenario:
+def small_scenario(with_issuer: bool, **changes: Any) -> Scenario:
     small: dict[str, Any] = {"nodes.count": 20, "hosts.0.count": 15, "hosts.0.late": 10, "faults.0.hosts": 10}
-    small |= {"links.rate": 70.0, "faults.1.holder": pace, "faults.1.at_s": 20.0, "span_s": 24.0}
-    return read_scenario_file(PACE, {"cluster.pace": pace, **small, **changes})
+    small |= {"links.rate": 70.0, "faults.1.holder": with_issuer, "faults.1.at_s": 20.0, "span_s": 24.0}
+    return read_scenario_file(SCENARIO, {"cluster.pace": with_issuer, **small, **changes})
 
 
 def test_with_tokens_new_upstreams_reach_their_share_sooner_without_overload() -> None:
-    turns, by_leave = (Simulation(day(pace)).run() for pace in (False, True))
+    turns, by_leave = (Simulation(small_scenario(with_issuer)).run() for with_issuer in (False, True))
     assert by_leave["cold_over"] == 0 and by_leave["two_holders"] == 0 and by_leave["orders"] > 200
     assert by_leave["cold_used"] > 1.2 * turns["cold_used"] and by_leave["served"] > turns["served"]
     assert not any(by_leave["broken"].values())
 
 
 def test_without_a_token_issuer_turns_are_unchanged() -> None:
-    """A duty that nobody can hold, as most electors are gone, changes nothing."""
-    with_it, without = (Simulation(day(pace, **{"cluster.electors": 3})) for pace in (True, False))
+    """A role that nobody can hold, as most electors are gone, changes nothing."""
+    with_it, without = (
+        Simulation(small_scenario(with_issuer, **{"cluster.electors": 3})) for with_issuer in (True, False)
+    )
     for simulation in (with_it, without):
         assert simulation.cluster is not None
         for number in (0, 1):
@@ -396,18 +222,18 @@
 
 
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
-    # Danger: it wakes just before the pacer's last word is old, and a link asks before its next beat finds
-    # that it is. Turns would be promised for a term more, and used again sooner.
+    # It resumes just before the issuer's last answer expires, and a session asks before the next
+    # heartbeat finds that it has. Turns would be promised for a term more, and used again sooner.
     one, now = TokenRequester(ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
-        seek, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
-        if seek is not None:
-            one.accept(now, TokenGrant("a", "b", 1, seek.request_id, 5, 300_000, now, 0))
-        now += BEAT
+        request, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
+        if request is not None:
+            one.accept(now, TokenGrant("a", "b", 1, request.request_id, 5, 300_000, now, 0))
+        now += HEARTBEAT_US
     want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
     soon = one.request_token(now, RequestOrigin("b", 1, WALL), 7, want)
     assert soon is not None and soon.lease == 5 and one.handed_over_until >= now + TERM
     late = one.answered_at + TERM - 50_000
-    asked = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
-    assert asked is not None and (not asked.lease or one.handed_over_until >= late + TERM)
+    late_request = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
+    assert late_request is not None and (not late_request.lease or one.handed_over_until >= late + TERM)
