--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -70,9 +70,9 @@
 
 
 def discovery_client(current: NodeConfiguration) -> DiscoveryClient:
-    """Return a client that is told of a new address and calls nobody."""
+    """Return a client that accepts a new address and makes no call."""
 
-    async def post(word: object) -> None: ...
+    async def post(message: object) -> None: ...
 
     return DiscoveryClient(
         current.discovery_address,
@@ -165,13 +165,13 @@
     assert non_negative_int({"key": EXACT_INTEGER_LIMIT - 1}, "key", "file") == EXACT_INTEGER_LIMIT - 1
 
 
-def test_an_unknown_word_is_an_error() -> None:
+def test_an_unknown_enum_value_is_an_error() -> None:
     assert one_of("a", {"a": 1}, "file.key") == 1
     with pytest.raises(ProtocolError, match=r"^list\.key: unknown value 'b'$"):
         one_of("b", {"a": 1}, "list.key", error=ProtocolError)
 
 
-def test_faults_of_files_and_of_messages_are_told_apart() -> None:
+def test_errors_in_files_and_in_messages_have_different_types() -> None:
     with pytest.raises(ConfigurationError, match=r"^configuration: listen: not an address"):
         parse_node_configuration({**GOOD, "listen": "here"})
     with pytest.raises(ProtocolError, match=r"^list: members is missing$"):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Tests that fail for a fault that is known and open: listed in KNOWN-RED.txt, expected to fail, and told.
+"""Tests that fail for a fault that is known and open: listed in KNOWN-RED.txt, expected to fail, and printed.
 
 A line there is `file::test | cause | issue`. One that passes has to leave the list: its run fails until then.
 """
@@ -22,7 +22,7 @@
 
 
 def known_red(path: Path) -> list[Red]:
-    """The list, or a plain complaint."""
+    """Return the entries of the list; a malformed one raises `UsageError`."""
     reds = []
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else (), 1):
         if not line.strip():
--- a/tests/emulator/test_session_rules.py
+++ b/tests/emulator/test_session_rules.py
@@ -21,8 +21,8 @@
         return Hold(now + 10 * SECOND)
 
 
-class RepeatsExclusive(BaselinePolicy):
-    """Sends an exclusive link once more, whatever became of it."""
+class RepeatsNonIdempotent(BaselinePolicy):
+    """Repeats a non-idempotent session, whatever its outcome was."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.rng.choice(upstreams)
@@ -33,7 +33,7 @@
 
 
 class IgnoresDrains(BaselinePolicy):
-    """Has never heard of a drain."""
+    """Ignores drains."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.rng.choice(upstreams)
@@ -44,7 +44,7 @@
 
 
 class OverloadsNewest(BaselinePolicy):
-    """Sends all to the host that came last."""
+    """Sends all sessions to the upstream that started last."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return max(upstreams, key=lambda upstream: (self.ready[upstream].started_at, upstream))
@@ -54,7 +54,7 @@
     ("policy", "rule"),
     [
         (AnswersNobody, "lost"),
-        (RepeatsExclusive, "twice"),
+        (RepeatsNonIdempotent, "twice"),
         (IgnoresDrains, "drain"),
         (OverloadsNewest, "cold"),
     ],
@@ -64,7 +64,7 @@
     simulation = simulation_of(policy, faults=ALL_FAULTS, links=sessions)
     simulation.run()
     assert simulation.context.rules.violations[rule] > 0
-    assert any(f": {rule}: " in word for word in simulation.context.rules.descriptions)
+    assert any(f": {rule}: " in description for description in simulation.context.rules.descriptions)
 
 
 def test_two_attempts_in_flight_and_an_answer_after_the_last_are_found(
--- a/tests/policy/test_deciding_modules.py
+++ b/tests/policy/test_deciding_modules.py
@@ -23,7 +23,7 @@
 }
 
 
-def listed_modules() -> list[str]:
+def deciding_modules() -> list[str]:
     """Return the paths under the key `policy` of the deploy file."""
     deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     return list(deployment["policy"])
@@ -45,10 +45,10 @@
 
 
 def test_deploy_file_names_every_deciding_module_once() -> None:
-    listed = listed_modules()
-    deciding = {path.name for path in POLICY.glob("*.py")} - SUPPORTING
-    assert len(listed) == len(set(listed))
-    assert {f"larchlatch/policy/{name}" for name in deciding} == set(listed)
+    named = deciding_modules()
+    expected = {path.name for path in POLICY.glob("*.py")} - SUPPORTING
+    assert len(named) == len(set(named))
+    assert {f"larchlatch/policy/{name}" for name in expected} == set(named)
 
 
 def test_supporting_modules_exist() -> None:
@@ -56,13 +56,13 @@
 
 
 @pytest.mark.parametrize("package", ["node", "simulator_adapter"])
-def test_what_carries_decisions_out_imports_only_listed_or_supporting_modules(package: str) -> None:
-    known = SUPPORTING | {Path(path).name for path in listed_modules()}
+def test_node_and_adapter_import_only_deciding_or_supporting_modules(package: str) -> None:
+    known = SUPPORTING | {Path(path).name for path in deciding_modules()}
     for path in sorted((ROOT / "larchlatch" / package).rglob("*.py")):
         assert imported_policy_modules(path) <= known, path
 
 
-def test_only_the_balancer_actor_and_the_composition_import_what_decides_on_placement() -> None:
+def test_only_balancer_actor_and_runtime_import_placement_modules() -> None:
     """The client side may import pure modules: admission, the retry advice, and types."""
     allowed = SUPPORTING | {"admission.py", "retries.py"}
     node = ROOT / "larchlatch" / "node"
--- a/tests/policy/test_known_results.py
+++ b/tests/policy/test_known_results.py
@@ -28,7 +28,7 @@
 
 @pytest.mark.parametrize("name", ["{}", "h{}", "h-{}", "host{:04}", "rack 7, number {:06}", "{0:x}.{0}"])
 def test_arcs_of_the_ring_become_even_with_more_points(name: str) -> None:
-    """The share of a host varies as one over the root of its tokens, however hosts are named."""
+    """The share of an upstream varies as one over the root of its ring points, whatever its name."""
     spread = {}
     for size in (1.0, 4.0):
         balancer = Balancer(deployment_settings(parse_scenario({}, "day"), 0), random.Random(1))
@@ -36,9 +36,9 @@
         balancer.update_endpoints(0, upstreams, whole=True, asked=True)
         arcs = dict.fromkeys(range(40), 0)
         before = balancer.ring.hash_ring.points[-1] - 2**64
-        for spot in balancer.ring.hash_ring.points:
-            arcs[spot & 0xFFFFFF] += spot - before
-            before = spot
+        for point in balancer.ring.hash_ring.points:
+            arcs[point & 0xFFFFFF] += point - before
+            before = point
         shares = [arc / 2**64 * 40 for arc in arcs.values()]
         assert abs(fmean(shares) - 1) < 1e-6
         spread[size] = stdev(shares)
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -7,8 +7,8 @@
 from tests.support.balancer_harness import SECOND_US, BalancerHarness
 
 
-def test_unreachable_upstream_is_passed_over_and_tried_by_one_session_per_delay() -> None:
-    """It must not take every session of its keys, nor a crowd once it may be back."""
+def test_unreachable_upstream_is_skipped_and_attempted_once_per_backoff() -> None:
+    """It must not take every session of its keys, nor many at once when it may be back."""
     harness = BalancerHarness()
     bad = harness.arrive(key=5).upstream
     harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -20,7 +20,7 @@
 
 
 def test_upstream_that_may_have_filled_up_is_probed_before_the_next_session() -> None:
-    """A crowd comes within the time that a report is current: it shows the load before the crowd."""
+    """Many sessions arrive while a report is current: it shows the load before they came."""
     for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
         harness = BalancerHarness(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
         probed = {0: 0, 1: 0}
@@ -36,7 +36,7 @@
 
 
 def test_endpoint_list_is_polled_until_a_poll_is_answered() -> None:
-    """Without a subscription no drain is heard of, yet the node counts as notified."""
+    """Without a subscription the node learns of no drain, yet the node counts as notified."""
     harness = BalancerHarness(polls_discovery=True)
     harness.balancer.discovery_failed(harness.now)
     at = [harness.now]
@@ -52,7 +52,7 @@
 @pytest.mark.parametrize("nodes", [10, 40, 200])
 def test_nodes_that_lose_their_subscriptions_together_get_through_an_overloaded_service(nodes: int) -> None:
     """It serves one call for every seven nodes a second, calls that were given up included. If all nodes
-    polled on at once, it would answer each call too late, and no node would hear of a drain."""
+    polled on at once, it would answer each call too late, and no node would learn of a drain."""
     harnesses = [BalancerHarness(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
     for harness in harnesses:
         harness.balancer.discovery_failed(harness.now)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -19,9 +19,9 @@
     one, other = BalancerHarness(seed=1, upstreams=8), BalancerHarness(seed=2, upstreams=8, me=1)
     before = {key: one.arrive(key).upstream for key in range(1, 200)}
     assert before == {key: other.arrive(key).upstream for key in range(1, 200)}
-    fresh = BalancerHarness(seed=3, upstreams=8)
-    fresh.update_endpoints(endpoint(5, EndpointState.GONE))
-    moved = [key for key in before if fresh.arrive(key).upstream != before[key]]
+    changed = BalancerHarness(seed=3, upstreams=8)
+    changed.update_endpoints(endpoint(5, EndpointState.GONE))
+    moved = [key for key in before if changed.arrive(key).upstream != before[key]]
     assert len(moved) < len(before) // 3
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: just these may, each is told, and none stays on it in vain."""
+"""The list of known failures: only these tests may fail, each is printed, one that passes must leave it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 """
 
 
-def played(pytester: pytest.Pytester, *lines: str) -> pytest.RunResult:
+def run_with_list(pytester: pytest.Pytester, *lines: str) -> pytest.RunResult:
     pytester.makeconftest(Path(__file__).with_name("conftest.py").read_text())
     pytester.makepyfile(test_some=TESTS)
     (pytester.path / "KNOWN-RED.txt").write_text("".join(f"{line}\n" for line in lines))
@@ -26,27 +26,27 @@
 BOTH = "test_some.py::test_both | it is false as well | issue 2"
 
 
-def test_listed_tests_may_fail_and_are_told(pytester: pytest.Pytester) -> None:
-    result = played(pytester, WRONG, BOTH)
+def test_listed_tests_may_fail_and_are_printed(pytester: pytest.Pytester) -> None:
+    result = run_with_list(pytester, WRONG, BOTH)
     result.assert_outcomes(passed=1, xfailed=3)
     assert result.ret == 0
     result.stdout.fnmatch_lines(["known red: test_some.py::test_wrong: it is false (issue 1)"])
 
 
-def test_what_is_not_listed_fails(pytester: pytest.Pytester) -> None:
-    result = played(pytester, WRONG)
+def test_a_failing_test_that_is_not_listed_fails_the_run(pytester: pytest.Pytester) -> None:
+    result = run_with_list(pytester, WRONG)
     result.assert_outcomes(passed=1, xfailed=1, failed=2)
     assert result.ret == 1
 
 
 def test_a_listed_test_that_passes_has_to_leave_the_list(pytester: pytest.Pytester) -> None:
-    result = played(pytester, WRONG, BOTH, "test_some.py::test_right | nothing | issue 3")
+    result = run_with_list(pytester, WRONG, BOTH, "test_some.py::test_right | nothing | issue 3")
     result.assert_outcomes(xfailed=3, failed=1)
     assert result.ret == 1
 
 
 @pytest.mark.parametrize(
-    ("lines", "says"),
+    ("lines", "message"),
     [
         (["test_some.py::test_none | cause | issue"], "no such test: test_some.py::test_none"),
         (["test_gone.py::test_wrong | cause | issue"], "no such test: test_gone.py::test_wrong"),
@@ -54,7 +54,9 @@
         (["test_some.py::test_wrong"], "KNOWN-RED.txt:1: not 'file::test | cause | issue'"),
     ],
 )
-def test_a_list_that_is_wrong_fails_the_run(pytester: pytest.Pytester, lines: list[str], says: str) -> None:
-    result = played(pytester, *lines)
+def test_a_list_that_is_wrong_fails_the_run(
+    pytester: pytest.Pytester, lines: list[str], message: str
+) -> None:
+    result = run_with_list(pytester, *lines)
     assert result.ret not in (0, 1)
-    assert says in result.stdout.str() + result.stderr.str()
+    assert message in result.stdout.str() + result.stderr.str()
