--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -40,9 +40,9 @@
 async def ping(port: int) -> bytes | Ending:
     front = await connect(port)
     await front.send(b"PING\r\n")
-    said = await front.line()
+    answer = await front.line()
     await front.close()
-    return said
+    return answer
 
 
 def test_the_admin_api_answers_while_callers_finish_no_call() -> None:
@@ -92,7 +92,7 @@
     run_on_loopback(body)
 
 
-def test_a_call_comes_cut_at_any_byte_and_one_without_an_end_is_ended(
+def test_a_call_split_at_any_byte_is_answered_and_an_incomplete_one_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
@@ -152,7 +152,7 @@
         assert await ping(port) == b"NO\r\n"
         during = await open_session(port)
         assert await during.line() == b"UP r3\r\n", "a front sends on for a moment: it is served"
-        assert (await call_admin_api(admin_address, START))[0] == 200, "told twice"
+        assert (await call_admin_api(admin_address, START))[0] == 200, "called twice"
         with anyio.fail_after(3.0):
             for client in (*established, during):
                 assert await read_to_end(client) == [b"MOVE\r\n"]
@@ -189,7 +189,7 @@
         await call_admin_api(admin_address, STOP)
         await anyio.sleep(0.2)
         moved_before = moved
-        assert 0 < moved_before < 40, "all at once they are a crowd elsewhere"
+        assert 0 < moved_before < 40, "all at once they would be a burst at other nodes"
         await anyio.sleep(1.2)
         assert moved == moved_before, "moved though the drain was over"
 
@@ -289,14 +289,14 @@
 
 
 def test_sessions_leave_evenly() -> None:
-    phase = LifecycleState(3.3, sessions_outlive_node=False)
-    phase.start_drain(0.0)
+    lifecycle = LifecycleState(3.3, sessions_outlive_node=False)
+    lifecycle.start_drain(0.0)
     established, moved_per_step = 300, []
     for step in range(1, 61):
-        due = phase.release_sessions(step * 0.05, established)
+        due = lifecycle.release_sessions(step * 0.05, established)
         established -= due
         moved_per_step.append(due)
-    assert established == 0 and max(moved_per_step) <= 6, "a crowd at the other nodes"
+    assert established == 0 and max(moved_per_step) <= 6, "a burst at the other nodes"
 
 
 @pytest.mark.parametrize(
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""An attempt ends, or its conditions change, in the instant of something else. Each crossing is forced."""
+"""Races of an attempt: it ends, or its conditions change, during another event. Each race is forced."""
 
 from __future__ import annotations
 
@@ -37,38 +37,40 @@
 # An attempt between the decision and its sending.
 
 
-def drains(alone: ActorHarness, record: SessionRecord) -> None:
-    alone.upstream_actor.target.accepts_sessions = False
+def drain_upstream(harness: ActorHarness, record: SessionRecord) -> None:
+    harness.upstream_actor.target.accepts_sessions = False
 
 
-def forgets(alone: ActorHarness, record: SessionRecord) -> None:
+def end_deduplication_window(harness: ActorHarness, record: SessionRecord) -> None:
     record.session.repeat_until = now_us()
 
 
-def leaves(alone: ActorHarness, record: SessionRecord) -> None:
+def disconnect_client(harness: ActorHarness, record: SessionRecord) -> None:
     record.mark_client_gone()
 
 
-def is_answered(alone: ActorHarness, record: SessionRecord) -> None:
+def set_final_answer(harness: ActorHarness, record: SessionRecord) -> None:
     record.set_final_answer(Failed())
 
 
-@pytest.mark.parametrize("meanwhile", [drains, forgets, leaves, is_answered])
+@pytest.mark.parametrize(
+    "change", [drain_upstream, end_deduplication_window, disconnect_client, set_final_answer]
+)
 def test_nothing_is_sent_if_a_condition_fails_while_connecting(
-    meanwhile: Callable[[ActorHarness, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
+    change: Callable[[ActorHarness, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
-        alone, record = ActorHarness(upstreams.addresses[0]), make_record()
+        harness, record = ActorHarness(upstreams.addresses[0]), make_record()
 
-        async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await dialing.dial(address, within_s)
-            meanwhile(alone, record)
-            return made
+        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+            connection = await dialing.dial(address, within_s)
+            change(harness, record)
+            return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dialled)
-        assert await alone.attempt(record) is Outcome.NOT_SENT
-        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
+        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        assert await harness.attempt(record) is Outcome.NOT_SENT
+        assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
 
@@ -78,17 +80,17 @@
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
-        alone = ActorHarness(upstreams.addresses[0])
+        harness = ActorHarness(upstreams.addresses[0])
         late = now_us() + 30_000
 
-        async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await dialing.dial(address, within_s)
+        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+            connection = await dialing.dial(address, within_s)
             await wait_until(lambda: now_us() > late)
-            return made
+            return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dialled)
-        assert await alone.attempt(make_record(), 20_000) is Outcome.NOT_SENT
-        assert not upstreams.lines and alone.descriptors.free == alone.descriptors.capacity
+        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        assert await harness.attempt(make_record(), 20_000) is Outcome.NOT_SENT
+        assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
 
@@ -98,15 +100,15 @@
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            made = await dialing.dial(server.getsockname()[:2], 1.0)
-            assert isinstance(made, socket.socket)
+            connection = await dialing.dial(server.getsockname()[:2], 1.0)
+            assert isinstance(connection, socket.socket)
             upstream, _ = server.accept()
-        with made, upstream:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
+        with connection, upstream:
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
             ended: list[bool] = []
 
             async def write() -> None:
-                ended.append(await dialing.send_all(made, b"x" * 10_000_000))
+                ended.append(await dialing.send_all(connection, b"x" * 10_000_000))
 
             tasks.start_soon(write)
             await anyio.wait_readable(upstream)
@@ -121,13 +123,13 @@
     run_on_loopback(body)
 
 
-def descriptors() -> int:
+def open_descriptor_count() -> int:
     gc.collect()  # objects that other tests have left
     return len(os.listdir("/proc/self/fd"))
 
 
-@pytest.mark.parametrize("broken_off", [False, True])
-def test_connecting_leaves_no_descriptor_open(broken_off: bool) -> None:
+@pytest.mark.parametrize("cancelled", [False, True])
+def test_connecting_leaves_no_descriptor_open(cancelled: bool) -> None:
     """Ended by timeout and by cancellation, while it connects and just as it has connected."""
 
     async def body(tasks: TaskGroup) -> None:
@@ -137,20 +139,20 @@
             for sock in filler:
                 sock.setblocking(False)
                 sock.connect_ex(address)
-            before = descriptors()
-            if broken_off:
+            before = open_descriptor_count()
+            if cancelled:
                 with anyio.move_on_after(0.05):
                     await dialing.dial(address, 1000.0)
             else:
                 assert await dialing.dial(address, 0.05) is Unconnected.CONNECT_FAILED
-            assert descriptors() == before
+            assert open_descriptor_count() == before
             for sock in filler:
                 sock.close()
         with socket.create_server(("127.0.0.1", 0)) as server, anyio.CancelScope() as scope:
-            before = descriptors()
+            before = open_descriptor_count()
             scope.cancel()
             await dialing.dial(server.getsockname()[:2], 1.0)
-        assert descriptors() == before - 1
+        assert open_descriptor_count() == before - 1
 
     run_on_loopback(body)
 
@@ -167,9 +169,9 @@
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
-            made = await dialing.dial(server.getsockname()[:2], 0.05)
-            assert isinstance(made, socket.socket)
-            made.close()
+            connection = await dialing.dial(server.getsockname()[:2], 0.05)
+            assert isinstance(connection, socket.socket)
+            connection.close()
 
     run_on_loopback(body)
 
@@ -186,7 +188,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "comes"),
+    ("chunks", "expected"),
     [
         ([b"UP r1\r\nUP r2\r\n"], Outcome.ESTABLISHED),  # a second answer is relayed like any line
         ([b"BUSY\r\nUP r2\r\n"], Outcome.REJECTED),
@@ -196,50 +198,50 @@
         ([b"LOAD 1\r\n", b"LOAD 2\r\n", b"BYE\r\n"], Outcome.COMPLETED),
     ],
 )
-def test_an_attempt_has_one_outcome_whatever_lines_follow(said: list[bytes], comes: Outcome) -> None:
+def test_an_attempt_has_one_outcome_whatever_lines_follow(chunks: list[bytes], expected: Outcome) -> None:
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
-            for part in said:
-                await session.send(part)
+            for chunk in chunks:
+                await session.send(chunk)
 
         upstream = await ScriptedUpstream().start(tasks, answer)
-        alone, record = ActorHarness(upstream.named), make_record()
-        await alone.upstream_actor.attempts.run(record, now_us() + 5_000_000)
-        (told,) = [word for word in alone.messages if isinstance(word, AttemptFinished)]
-        assert told.outcome is comes
+        harness, record = ActorHarness(upstream.named), make_record()
+        await harness.upstream_actor.attempts.run(record, now_us() + 5_000_000)
+        (finished,) = [message for message in harness.messages if isinstance(message, AttemptFinished)]
+        assert finished.outcome is expected
         if isinstance(record.final_answer, Delivered):
             assert record.final_answer.line in (b"UP r1\r\n", b"BYE\r\n")
             await record.final_answer.connection.close()
-            alone.descriptors.release()
+            harness.descriptors.release()
         await wait_until(lambda: upstream.ended == 1)
         assert (
-            alone.descriptors.free == alone.descriptors.capacity
-            and alone.upstream_actor.attempts.in_flight == 0
+            harness.descriptors.free == harness.descriptors.capacity
+            and harness.upstream_actor.attempts.in_flight == 0
         )
 
     run_on_loopback(body)
 
 
-@pytest.mark.parametrize("rest", [b"1\r\n", None])
-def test_an_answer_completed_after_the_deadline_does_not_count(rest: bytes | None) -> None:
+@pytest.mark.parametrize("remaining", [b"1\r\n", None])
+def test_an_answer_completed_after_the_deadline_does_not_count(remaining: bytes | None) -> None:
     """The first piece arrives in time, the second too late or never: the client gets neither."""
 
     async def body(tasks: TaskGroup) -> None:
-        given_up = anyio.Event()
+        timed_out = anyio.Event()
 
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
             await session.send(b"UP r")
-            await given_up.wait()
-            if rest is not None:
-                await session.send(rest)
+            await timed_out.wait()
+            if remaining is not None:
+                await session.send(remaining)
 
         upstream = await ScriptedUpstream().start(tasks, answer)
-        alone, record = ActorHarness(upstream.named), make_record()
-        assert await alone.attempt(record, 100_000) is Outcome.TIMED_OUT
-        given_up.set()
+        harness, record = ActorHarness(upstream.named), make_record()
+        assert await harness.attempt(record, 100_000) is Outcome.TIMED_OUT
+        timed_out.set()
         assert record.final_answer is None
         await wait_until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.capacity
+        assert harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
 
@@ -254,7 +256,7 @@
             await session.send(b"UP r1\r\n")
 
         upstream = await ScriptedUpstream().start(tasks, answer)
-        alone, record = ActorHarness(upstream.named), make_record("rerun")
+        harness, record = ActorHarness(upstream.named), make_record("rerun")
         real = stream.Lines.line
 
         async def line(lines: stream.Lines) -> Any:
@@ -264,13 +266,13 @@
             return got
 
         monkeypatch.setattr(stream.Lines, "line", line)
-        outcome = await alone.attempt(record)
+        outcome = await harness.attempt(record)
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
         if isinstance(record.final_answer, Delivered):
             await record.final_answer.connection.close()
-            alone.descriptors.release()
+            harness.descriptors.release()
         await wait_until(lambda: upstream.ended == 1)
-        assert alone.descriptors.free == alone.descriptors.capacity
+        assert harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
 
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -1,4 +1,4 @@
-"""A client leaves, or sends more, in the instant in which something else happens. Each crossing is forced."""
+"""Races of a client: it leaves, or sends more, during another event. Each race is forced."""
 
 from __future__ import annotations
 
@@ -112,9 +112,9 @@
     run_on_loopback(body)
 
 
-@pytest.mark.parametrize("behind", [b"", b"unread\r\n" * 100])
+@pytest.mark.parametrize("unread", [b"", b"unread\r\n" * 100])
 def test_no_attempt_is_sent_for_a_client_that_left_after_the_decision(
-    behind: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
+    unread: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its end has arrived, but is not read yet, when the connection to the upstream is established."""
 
@@ -123,14 +123,14 @@
         port = await start_node_with(tasks, upstreams)
         clients: list[socket.socket] = []
 
-        async def dialled(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-            made = await dialing.dial(address, within_s)
+        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+            connection = await dialing.dial(address, within_s)
             if clients:
-                clients[0].sendall(behind)
+                clients[0].sendall(unread)
                 clients.pop().close()
-            return made
+            return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dialled)
+        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
         clients.append(connect_raw(port, request_line("a", ",mid=1")))
         await wait_until(lambda: not clients)
         await wait_until_idle(client_connections[0])
@@ -146,11 +146,11 @@
     gate = anyio.Event()
     real = Mailbox.submit
 
-    async def submit(mailbox: Mailbox, word: Any) -> None:
+    async def submit(mailbox: Mailbox, message: Any) -> None:
         await gate.wait()  # while the mailbox is full
-        await real(mailbox, word)
+        await real(mailbox, message)
 
-    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, message: False)
     monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
@@ -174,10 +174,10 @@
 def test_a_session_without_a_decision_is_answered_in_time(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def submit(mailbox: Mailbox, word: Any) -> None:
+    async def submit(mailbox: Mailbox, message: Any) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, word: False)
+    monkeypatch.setattr(Mailbox, "offer", lambda mailbox, message: False)
     monkeypatch.setattr(Mailbox, "submit", submit)
 
     async def body(tasks: TaskGroup) -> None:
@@ -224,9 +224,9 @@
         async def serve(session: SocketStream) -> None:
             async with session:
                 await session.receive()
-                told = orjson.dumps({"revision": 5, "complete": True, "members": rows}) + b"\n"
+                update = orjson.dumps({"revision": 5, "complete": True, "members": rows}) + b"\n"
                 await session.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                await session.send(b"%x\r\n%s\r\n" % (len(told), told))
+                await session.send(b"%x\r\n%s\r\n" % (len(update), update))
                 await anyio.sleep_forever()
 
         tasks.start_soon(listener.serve, serve)
--- a/tests/node/test_descriptor_budget.py
+++ b/tests/node/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Eviction when descriptors run short: the rule without I/O, and a crowd beside sound slow clients."""
+"""Eviction when descriptors run short: the rule without I/O, and idle clients beside slow ones."""
 
 from __future__ import annotations
 
@@ -90,8 +90,8 @@
     assert not set(evicted) & set(idle)
 
 
-def test_a_thousand_idle_and_half_written_beside_sound_slow_clients(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Few descriptors, and a crowd that would fill them twenty times over."""
+def test_slow_clients_are_served_beside_a_thousand_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Few descriptors, and idle clients that would fill them twenty times over."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 2.0)
     monkeypatch.setattr(request_reader, "AFTER_PING_S", 2.0)
 
@@ -107,11 +107,11 @@
             client = await connect(port)
             if says:
                 await client.send(says)
-            said = await client.line()
+            line = await client.line()
             if says == b"PING\r\n":
-                assert said == b"PONG\r\n"
-                said = await client.line()
-            answers.append(said)
+                assert line == b"PONG\r\n"
+                line = await client.line()
+            answers.append(line)
             await client.close()
 
         async def slow() -> None:
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -81,20 +81,20 @@
 def test_an_upstream_replaced_at_its_address_gets_sessions_and_keeps_established_ones() -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
-        gone, fresh = (
+        gone, new_upstream = (
             endpoint_row(0, upstreams.addresses[0], "terminated"),
             endpoint_row(7, upstreams.addresses[0]),
         )
-        replaced = {"revision": 3, "complete": False, "members": [gone, fresh]}
+        replaced = {"revision": 3, "complete": False, "members": [gone, new_upstream]}
         discovery = await DiscoveryStub([EMPTY_CHANGE], [replaced], []).start(tasks)
         port = await start_node(tasks, node_configuration(upstreams.addresses, discovery.port))
-        standing = await open_session(port, key="stands")
-        assert await standing.line() == b"UP echo\r\n"
+        established = await open_session(port, key="stands")
+        assert await established.line() == b"UP echo\r\n"
         await wait_until(lambda: len(discovery.asked) >= 3)
         later = await open_session(port, key="later")
         assert await later.line() == b"UP echo\r\n"
-        await standing.send(b"still there\r\n")
-        assert await standing.line() == b"still there\r\n"
+        await established.send(b"still there\r\n")
+        assert await established.line() == b"still there\r\n"
 
     run_on_loopback(body)
 
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -56,13 +56,13 @@
                     assert await second.ended() == 0
                     before = site.seen["lines"]
                     await anyio.sleep(0.5)
-                    assert site.seen["lines"] > before + site.seen["UP"], "links that stand go on"
+                    assert site.seen["lines"] > before + site.seen["UP"], "established sessions continue"
                     assert (await call_admin_api(third.admin_address, READY))[0] == 200
         seen = site.seen
-        assert set(seen) <= {"UP", "lines", "moved", "broken"}, "turned back or without an answer"
+        assert set(seen) <= {"UP", "lines", "moved", "broken"}, "rejected or without an answer"
         assert seen["UP"] >= 30 and seen["broken"] <= seen["UP"]
         ids = Counter(endpoint.split()[1] for _, endpoint in upstreams.lines)
-        assert max(ids.values()) == 1, "an exclusive link tried twice"
+        assert max(ids.values()) == 1, "a non-idempotent session was attempted twice"
         assert len(ids) == seen["UP"]
 
     run_on_loopback(body)
@@ -175,11 +175,11 @@
                 await channel.send(Hello("n9", greeting.listen))
                 assert await channel.receive() is None
             elif how == "after it served":
-                for said, word in ((greeting, Welcome), (Serving(), StateHandover)):
-                    await channel.send(said)
-                    came = await channel.receive()
-                    assert came is not None and isinstance(came[0], word)
-                    for sock in came[1]:
+                for packet, expected in ((greeting, Welcome), (Serving(), StateHandover)):
+                    await channel.send(packet)
+                    received = await channel.receive()
+                    assert received is not None and isinstance(received[0], expected)
+                    for sock in received[1]:
                         sock.close()
                 # Neither process accepts clients now: those that connect wait in the shared backlog.
                 tasks.start_soon(site.talk)
@@ -246,9 +246,9 @@
 def test_a_hot_restart_without_discovery_uses_the_predecessors_list(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        told = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
+        rows = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
         site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": told}], []).start(tasks)
+        discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": rows}], []).start(tasks)
         # These upstreams are not in the file, and from now on discovery is silent.
         site.raw["known"] = {"revision": 1, "complete": True, "members": []}
         site.raw["discovery"] = f"127.0.0.1:{discovery.port}"
@@ -266,7 +266,7 @@
 
 
 def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
-    judge = QuotaSafety(20.0, SECOND_US)
+    checker = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
     out: set[str] = set()  # sessions without an answer; none may be left when the last process ends
 
@@ -289,13 +289,13 @@
             began = now_us()
             client = await site.opened()
             ident = str(began)
-            judge.observe(SessionRequested(began, ident))
+            checker.observe(SessionRequested(began, ident))
             out.add(ident)
             answer = await client.line()
             out.discard(ident)
             assert not isinstance(answer, Ending) and answer.split()[0] in (b"UP", b"BUSY")
             if answer.startswith(b"UP"):
-                judge.observe(SessionAdmitted(now_us(), ident))
+                checker.observe(SessionAdmitted(now_us(), ident))
             await client.close()
 
         async def come() -> None:
@@ -309,15 +309,19 @@
             await anyio.sleep(6.0)
             async with site.node_process() as second:
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
-                ceded = now_us()
+                handed_over_at = now_us()
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
                 await wait_until(lambda: anyio.current_time() > end + 0.1 and not out)
-                late.extend(admission.seen_at for admission in judge.admissions if admission.seen_at > ceded)
+                late.extend(
+                    admission.seen_at
+                    for admission in checker.admissions
+                    if admission.seen_at > handed_over_at
+                )
 
     run_on_loopback(body)
-    assert judge.excess() == 0 and judge.used_share() > 0.3
-    assert len(late) >= 10, "the next process goes on at its floor at once"
+    assert checker.excess() == 0 and checker.used_share() > 0.3
+    assert len(late) >= 10, "the successor admitted too few sessions after the handover"
 
 
 def test_a_process_that_was_stopped_judges_no_upstream_unresponsive(tmp_path: Path) -> None:
@@ -336,9 +340,11 @@
                 running.signal(signal.SIGCONT)
                 await anyio.sleep(0.3)
             running.signal(signal.SIGUSR1)
-            told = await running.next_event("counters")
-            assert not {"upstream_unresponsive", "sessions_migrated", "sessions_shed"} & set(told), told
-            assert told.get("upstream_not_judged_node_lag", 0) >= 3
+            counters = await running.next_event("counters")
+            assert not {"upstream_unresponsive", "sessions_migrated", "sessions_shed"} & set(counters), (
+                counters
+            )
+            assert counters.get("upstream_not_judged_node_lag", 0) >= 3
             assert set(site.seen) == {"UP", "lines"}
             clients.cancel_scope.cancel()
 
--- a/tests/node/test_hot_restart_packets.py
+++ b/tests/node/test_hot_restart_packets.py
@@ -53,12 +53,12 @@
             socket.send_fds(ours, [data[:cut]], [ours.fileno()] if cut else [])
             ours.shutdown(socket.SHUT_WR)
             theirs.setblocking(False)
-            came = await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
+            received = await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
             if cut < len(data):
-                assert came is None
+                assert received is None
             else:
-                assert came is not None and came[0] == packet
-                came[1][0].close()
+                assert received is not None and received[0] == packet
+                received[1][0].close()
             assert len(os.listdir("/proc/self/fd")) == held
             ours.close()
             theirs.close()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -136,9 +136,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Only the balancer migrates all its sessions; an upstream that answers on any of them is responsive."""
-    told: list[int] = []
+    reported: list[int] = []
     monkeypatch.setattr(
-        Balancer, "record_unresponsive", lambda balancer, now, upstream: told.append(upstream)
+        Balancer, "record_unresponsive", lambda balancer, now, upstream: reported.append(upstream)
     )
     monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 10**9)
 
@@ -155,9 +155,9 @@
             await anyio.sleep(0.1)
             await sound.send(b"hello\r\n")
             assert await sound.line() == b"hello\r\n"
-        assert not told
+        assert not reported
         await late.send(b"hello\r\n")
-        await wait_until(lambda: 0 in told)
+        await wait_until(lambda: 0 in reported)
 
     run_on_loopback(body)
 
@@ -172,13 +172,13 @@
         raw = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"] = {"sockets": HEADROOM + 20}
         port = await start_node(tasks, raw)
-        crowd = [await connect(port) for _ in range(100)]
-        for client in crowd[::2]:
+        silent_clients = [await connect(port) for _ in range(100)]
+        for client in silent_clients[::2]:
             await client.send(b"OPEN ")
         sound = [await open_session(port, ident=f"id{number}") for number in range(5)]
         for client in sound:
             assert await client.line() == b"UP echo\r\n"
-        for client in crowd:
+        for client in silent_clients:
             assert await read_to_end(client) in ([b"ERR\r\n"], [])
         await sound[0].send(b"still there\r\n")
         assert await sound[0].line() == b"still there\r\n"
@@ -224,10 +224,10 @@
             else:
                 await client.close(reset=True)
 
-        for crowd in range(4):
+        for batch in range(4):
             async with anyio.create_task_group() as visits:
                 for number in range(30):
-                    visits.start_soon(visit, 100 * crowd + number)
+                    visits.start_soon(visit, 100 * batch + number)
         await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
     run_on_loopback(body)
--- a/tests/node/test_overdue_requests.py
+++ b/tests/node/test_overdue_requests.py
@@ -23,7 +23,7 @@
 STOPPED_S = 1.2  # seconds: twice what an attempt takes at these upstreams
 
 
-def test_lines_that_lay_unread_are_turned_away_at_once_where_too_little_time_is_left(tmp_path: Path) -> None:
+def test_unread_requests_with_too_little_time_left_are_shed_at_once(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP echo").start(tasks)
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
@@ -48,8 +48,8 @@
             node.signal(signal.SIGCONT)
             for client in short:
                 answer = await client.line()
-                assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), "with when to come back"
-                assert isinstance(await client.line(), Ending), "nothing after it"
+                assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), "without retry advice"
+                assert isinstance(await client.line(), Ending), "a line follows the final answer"
             assert len(upstreams.lines) <= 2, "an attempt that could not end in time"
             assert await bad.line() == b"ERR\r\n"
             assert await front.line() == b"PONG\r\n"
@@ -67,9 +67,9 @@
 
 
 @pytest.mark.parametrize("took", [20_000, 400_000])
-def test_what_a_setup_takes_is_a_running_mean_of_those_that_came_to_stand(took: int) -> None:
+def test_setup_time_is_the_running_mean_of_established_sessions(took: int) -> None:
     harness = BalancerHarness()
-    assert harness.balancer.wait(harness.now).setup_us == 0, "nobody is turned away by a guess"
+    assert harness.balancer.wait(harness.now).setup_us == 0, "no request is rejected on an estimate"
     for _ in range(30):
         session = harness.arrive()
         harness.now += took
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -42,8 +42,8 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         port = await start_node_with(tasks, upstreams)
-        standing = await open_session(port, ident="mine")
-        assert await standing.line() == b"UP echo\r\n"
+        established = await open_session(port, ident="mine")
+        assert await established.line() == b"UP echo\r\n"
         before = len(os.listdir("/proc/self/fd"))
         for line in BAD:
             client = await connect(port)
@@ -52,8 +52,8 @@
                 assert await read_to_end(client) == [b"ERR\r\n"], line[:60]
             await client.close()
         assert len(upstreams.lines) == 1
-        await standing.send(b"still there\r\n")
-        assert await standing.line() == b"still there\r\n"
+        await established.send(b"still there\r\n")
+        assert await established.line() == b"still there\r\n"
         # No descriptor may stay open.
         await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""A node ends in the instant in which something else happens. Each crossing is forced."""
+"""Races of a shutdown: a node ends during another event. Each race is forced."""
 
 from __future__ import annotations
 
@@ -54,22 +54,22 @@
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         path.write_bytes(orjson.dumps(raw))
         async with node_process(path) as node:
-            resting = [connect_raw(node.port, said) for said in (b"", b"OPEN half")]
+            idle = [connect_raw(node.port, data) for data in (b"", b"OPEN half")]
             waiting = await open_session(node.port)
             await wait_until(lambda: len(upstreams.lines) == 1)
             for _ in range(2):  # the second one changes nothing
                 node.signal(signal.SIGTERM)
             assert await waiting.line() == b"UP r1\r\n"
             await waiting.close()
-            for client in resting:
+            for client in idle:
                 assert (await send_and_read_all(client)).startswith(b"BUSY ")
             assert await node.ended() == 0
 
     run_on_loopback(body)
 
 
-@pytest.mark.parametrize("crossing", ["start", "SIGHUP"])
-def test_sigterm_during_another_operation_ends_the_node_normally(crossing: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("operation", ["start", "SIGHUP"])
+def test_sigterm_during_another_operation_ends_the_node_normally(operation: str, tmp_path: Path) -> None:
     """SIGTERM while it waits for its first list, and right after SIGHUP."""
 
     async def body(tasks: TaskGroup) -> None:
@@ -80,16 +80,16 @@
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         raw["control"] = admin_address()
         path.write_bytes(orjson.dumps(raw))
-        event = "admin_api_listening" if crossing == "start" else "serving"
+        event = "admin_api_listening" if operation == "start" else "serving"
         async with node_process(path, event) as node:
-            if crossing == "start":
+            if operation == "start":
                 node.signal(signal.SIGTERM)
                 assert (await node.next_event("serving"))["upstreams"] == 1
             else:
                 waiting = await open_session(node.port)
                 await wait_until(lambda: len(upstreams.lines) == 1)
-                for told in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
-                    node.signal(told)
+                for signal_number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
+                    node.signal(signal_number)
                 assert await waiting.line() == b"UP r1\r\n"
                 await waiting.close()
             await node.next_event("stopping")
@@ -103,11 +103,11 @@
     client_connections: list[ClientConnections],
 ) -> None:
     async def body(tasks: TaskGroup) -> None:
-        stood = anyio.Event()
+        session_established = anyio.Event()
 
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
             await session.send(b"UP r1\r\n")
-            await stood.wait()
+            await session_established.wait()
             await stream.Lines(session).close(reset=True)
 
         upstream = await ScriptedUpstream().start(tasks, answer)
@@ -115,7 +115,7 @@
         port = await start_node(tasks, node_configuration([upstream.named], discovery.port))
         client = await open_session(port)
         assert await client.line() == b"UP r1\r\n"
-        stood.set()
+        session_established.set()
         assert await client.line() is stream.Ending.RESET
         await wait_until_idle(client_connections[0])
         assert len(upstream.lines) == 1
@@ -142,15 +142,15 @@
         (listener,) = listeners
         listener.pause()
         await listener.idle.wait()
-        wait = [
-            connect_raw(port, said) for said in [request_line(f"id{n}") for n in range(50)] + [b"", b"half"]
+        waiting = [
+            connect_raw(port, data) for data in [request_line(f"id{n}") for n in range(50)] + [b"", b"half"]
         ]
         assert client_connections[0].connection_count == 0
         client_connections[0].reject_all()
         await listener.close()
         with pytest.raises(ConnectionRefusedError):
             connect_raw(port, b"")
-        for client in wait:
+        for client in waiting:
             assert (await send_and_read_all(client)).startswith(b"BUSY ")
         assert not upstreams.lines
 
@@ -165,11 +165,11 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         port = await start_node_with(tasks, upstreams)
-        rests = connect_raw(port, b"")
+        idle = connect_raw(port, b"")
         await wait_until(lambda: client_connections[0].reader.without_line == 1)
         client_connections[0].reject_all()
-        came = [connect_raw(port, said) for said in (request_line("a"), b"", b"half a li")]
-        for client in (rests, *came):
+        connected = [connect_raw(port, data) for data in (request_line("a"), b"", b"half a li")]
+        for client in (idle, *connected):
             assert (await send_and_read_all(client)).startswith(b"BUSY ")
         assert not upstreams.lines
         await wait_until_idle(client_connections[0])
@@ -185,9 +185,9 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
         port = await start_node_with(tasks, upstreams)
-        phase = client_connections[0]._lifecycle
-        phase.start_stop(anyio.current_time())
-        phase.stop_duration_s = 0.3
+        lifecycle = client_connections[0]._lifecycle
+        lifecycle.start_stop(anyio.current_time())
+        lifecycle.stop_duration_s = 0.3
         began = anyio.current_time()
         assert await send_and_read_all(connect_raw(port, request_line("a", wait_ms=3000)))
         assert anyio.current_time() < began + 2.0
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -42,14 +42,14 @@
             assert await late.line() == b"UP echo\r\n"
             moved = []
 
-            async def wait_for(client: Lines) -> None:
+            async def record_move(client: Lines) -> None:
                 assert await read_to_end(client) == [b"MOVE\r\n"]
                 moved.append(anyio.current_time())
 
             async with anyio.create_task_group() as waits:
                 for client in [*clients, late]:
-                    waits.start_soon(wait_for, client)
-            assert moved[-1] - moved[0] > 0.5, "all at once"
+                    waits.start_soon(record_move, client)
+            assert moved[-1] - moved[0] > 0.5, "all sessions were migrated at once"
             await front.close()
             assert (await running.next_event("stopped"))["sessions_established"] == 9
             assert await running.ended() == 0
@@ -70,8 +70,8 @@
         good = node_configuration(old.addresses, first.port)
         path.write_bytes(orjson.dumps(good))
         async with node_process(path) as running:
-            standing = await open_session(running.port)
-            assert await standing.line() == b"UP echo\r\n"
+            established = await open_session(running.port)
+            assert await established.line() == b"UP echo\r\n"
             path.write_bytes(orjson.dumps({**good, "discovery": "nowhere"}))
             running.signal(signal.SIGHUP)
             assert "discovery" in (await running.next_event("configuration_rejected"))["reason"]
@@ -82,8 +82,8 @@
             while await (await open_session(running.port, key="k2")).line() != b"UP new\r\n":
                 await anyio.sleep(0.02)
             await wait_until(lambda: first.left == 1)  # the old watch ends
-            await standing.send(b"still there\r\n")
-            assert await standing.line() == b"still there\r\n"
+            await established.send(b"still there\r\n")
+            assert await established.line() == b"still there\r\n"
             running.signal(signal.SIGINT)
             await running.next_event("stopping")
 
@@ -107,6 +107,6 @@
         ({"limits": {"sockets": "many"}}, "limits: sockets"),
         ({"known": known}, "known.members[0].host_port"),
     ):
-        code, told = checked(change)
-        assert code == 2 and key in told and told.count("\n") == 1
+        code, output = checked(change)
+        assert code == 2 and key in output and output.count("\n") == 1
     assert CliRunner().invoke(cli, ["check", "--config", str(tmp_path / "none")]).exit_code == 2
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -42,23 +42,25 @@
 
 
 def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
-    """Nobody read during the hand-over: the successor must not judge the upstream as unresponsive for it."""
+    """Nobody read during the hand-over: the successor must not count the upstream as unresponsive for it."""
 
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
 
-        counters, room = Counters(), DescriptorBudget(64)
-        reach = UpstreamSettings(250_000, False, True, 50_000)
-        upstreams = UpstreamRegistry([], reach, room, counters, post)
+        counters, descriptors = Counters(), DescriptorBudget(64)
+        upstream_settings = UpstreamSettings(250_000, False, True, 50_000)
+        upstreams = UpstreamRegistry([], upstream_settings, descriptors, counters, post)
         entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
         upstreams.update(EndpointList(1, True, [entry]))
         mailbox = SimpleNamespace(post=post)
         balancer_actor: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
-        phase = LifecycleState(5.0, sessions_outlive_node=False)
+        lifecycle = LifecycleState(5.0, sessions_outlive_node=False)
         requests = RequestChecker(
-            traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=phase
+            traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=lifecycle
+        )
+        connections = ClientConnections(
+            balancer_actor, requests, descriptors, counters, anyio.Event(), lifecycle
         )
-        connections = ClientConnections(balancer_actor, requests, room, counters, anyio.Event(), phase)
         began = now_us()
         for asked_at in (began - 2 * SECOND_US, 0):
             pairs = [connected(), connected()]
@@ -125,20 +127,20 @@
         spent = filled(old, now, 1000 * seed, 200)
         old.release_slow_start_budget(released=True)
         restore_state(new, export_state(old), 0)
-        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was ceded"
+        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was handed over"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
         old.release_slow_start_budget(released=False)  # the successor failed, but the window is spent
         assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
 
 
-def test_learned_state_is_shifted_by_the_clocks_and_dropped_for_a_restarted_upstream() -> None:
+def test_restored_state_is_shifted_by_the_clock_offset_and_dropped_for_a_restarted_upstream() -> None:
     now, shift = 100 * SECOND_US, 7 * SECOND_US
     old, new = balancer(0), balancer(now - SECOND_US)
     for upstream in (0, 1, 2):
         old.record_probe(now, upstream, ProbeResult(True, 0.9, 90.0))
         old.record_unresponsive(now, upstream)
-    plain = orjson.loads(orjson.dumps(export_state(old)))
-    restore_state(new, plain, shift)
+    exported = orjson.loads(orjson.dumps(export_state(old)))
+    restore_state(new, exported, shift)
     for number in (0, 1):
         assert new.fleet.upstreams[number].utilization == 0.9
         assert new.fleet.upstreams[number].slow_until == old.fleet.upstreams[number].slow_until + shift
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -37,7 +37,7 @@
             await anyio.sleep(BETWEEN_S)
 
 
-def test_a_clients_dialogue_cut_at_any_byte_reaches_its_host_whole() -> None:
+def test_client_data_split_at_any_byte_reaches_the_upstream_complete() -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         port = await start_node_with(tasks, upstreams)
@@ -56,26 +56,26 @@
 
 
 @pytest.mark.parametrize(
-    "said", [b"UP r1\r\nLOAD 12\r\nback\r\nBYE\r\n", b"BUSY inflight=7\r\n", b"MOVE\r\n", b"ERR\r\n"]
+    "data", [b"UP r1\r\nLOAD 12\r\nback\r\nBYE\r\n", b"BUSY inflight=7\r\n", b"MOVE\r\n", b"ERR\r\n"]
 )
-def test_a_hosts_dialogue_cut_at_any_byte_reaches_its_client_whole(said: bytes) -> None:
+def test_upstream_data_split_at_any_byte_reaches_the_client_complete(data: bytes) -> None:
     async def body(tasks: TaskGroup) -> None:
         at = 1
 
         async def serve(stream: SocketStream) -> None:
             async with stream:
                 await stream.receive()
-                await cut(stream.send, said, at)
+                await cut(stream.send, data, at)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
         raw = node_configuration([f"127.0.0.1:{port_of(listener)}"], discovery.port)
         port = await start_node(tasks, raw)
-        for at in range(1, len(said) + 1):  # noqa: B007
+        for at in range(1, len(data) + 1):  # noqa: B007
             got = b"".join(await read_to_end(await open_session(port, wait_ms=150, traffic_class="once")))
-            if said.startswith(b"UP"):
-                assert got == said
+            if data.startswith(b"UP"):
+                assert got == data
             else:
                 # Rejected where it can't have run, or where its upstream is in backoff by then.
                 assert got.count(b"\r\n") == 1 and got.startswith((b"ERR", b"BUSY")), "one final answer"
@@ -83,7 +83,7 @@
     run_on_loopback(body)
 
 
-def test_a_list_cut_at_any_byte_is_read_whole() -> None:
+def test_an_endpoint_list_split_at_any_byte_is_read_completely() -> None:
     whole = {"revision": 5, "complete": True, "members": [endpoint_row(0, "127.0.0.1:9")]}
     text = orjson.dumps(whole) + b"\n\n"
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (text[:40], text[40:]))
@@ -125,7 +125,7 @@
     run_on_loopback(body)
 
 
-def test_a_list_service_that_turns_callers_away_empties_no_list() -> None:
+def test_the_endpoint_list_is_kept_if_discovery_rejects_calls() -> None:
     """An HTTP error is a failed call: the node calls again with backoff and works with the list it has."""
 
     async def body(tasks: TaskGroup) -> None:
@@ -145,7 +145,7 @@
         for _ in range(5):
             assert await (await open_session(port)).line() == b"UP r1\r\n"
             await anyio.sleep(0.3)
-        assert 2 <= asked <= 12, "as a crowd of nodes this would keep it busy"
+        assert 2 <= asked <= 12, "many nodes that call this often would overload it"
 
     run_on_loopback(body)
 
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -51,15 +51,15 @@
 
     @asynccontextmanager
     async def node_process(self) -> AsyncIterator[NodeProcess]:
-        door = admin_address()
+        admin_api = admin_address()
         async with node_process(
             self.path / "node.json",
             more=self.arguments,
-            EDGE_CONTROL=door,
+            EDGE_CONTROL=admin_api,
             TMPDIR=str(self.path),
             PYTHONUNBUFFERED="1",
         ) as running:
-            running.admin_address = door
+            running.admin_address = admin_api
             yield running
 
     async def opened(self) -> Lines:
@@ -69,7 +69,7 @@
         await client.send(f"OPEN id{self.number} k{self.number} c=once,t=acme,d=3000,g=g\r\n".encode())
         return client
 
-    async def talk(self, beat_s: float = 0.02) -> None:
+    async def talk(self, interval_s: float = 0.02) -> None:
         """Run a client until cancelled, which sends one line at a time and waits for its echo."""
         try:
             client = await self.opened()
@@ -79,9 +79,9 @@
             while answer in (b"UP echo\r\n", b"UP slow echo\r\n"):
                 number += 1
                 sent = f"line {number} of many\r\n".encode()
-                # In two pieces, so that a hand-over may happen between them.
+                # In two pieces, so that a handover may happen between them.
                 await client.send(sent[:6])
-                await anyio.sleep(beat_s)
+                await anyio.sleep(interval_s)
                 await client.send(sent[6:])
                 got = await client.line()
                 if got != sent:
@@ -93,9 +93,9 @@
 
     async def talk_once(self) -> None:
         """Start one more client, and wait for its answer."""
-        answered = sum(self.seen[word] for word in ("UP", "no answer", "turned back"))
+        answered = sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back"))
         self.tasks.start_soon(self.talk)
-        while sum(self.seen[word] for word in ("UP", "no answer", "turned back")) == answered:
+        while sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back")) == answered:
             await anyio.sleep(0.01)
 
     async def come(self, times: int) -> None:
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -30,10 +30,10 @@
 SOON_S = 8.0  # much shorter, and long enough on any machine
 
 
-def connect_raw(port: int, said: bytes) -> socket.socket:
+def connect_raw(port: int, data: bytes) -> socket.socket:
     client = socket.create_connection(("127.0.0.1", port))
     client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    client.sendall(said)
+    client.sendall(data)
     return client
 
 
@@ -87,10 +87,10 @@
         self.messages: list[Message] = []
         self.descriptors = DescriptorBudget(1024)
         self.counters = Counters()
-        reach = UpstreamSettings(250_000, False, False, 0)
+        upstream_settings = UpstreamSettings(250_000, False, False, 0)
         self.upstream_actor = UpstreamActor(
             UpstreamTarget(0, "s-0", (name, int(port))),
-            UpstreamContext(reach, self.descriptors, self.counters, self.post),
+            UpstreamContext(upstream_settings, self.descriptors, self.counters, self.post),
         )
 
     async def post(self, message: Message) -> None:
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -48,8 +48,8 @@
         if answer.startswith("late "):
             await anyio.sleep(0.6)
             answer = answer.removeprefix("late ")
-        standing = answer.startswith("UP")
-        self.out -= standing
+        established = answer.startswith("UP")
+        self.out -= established
         if answer != "silent":
             await session.send(answer.encode() if answer.endswith("…") else f"{answer}\r\n".encode())
         while not isinstance(got := await session.line(), Ending):
@@ -63,7 +63,7 @@
             elif answer == "UP flood":  # more than any buffer between holds
                 while await session.send(b"x" * 4000 + b"\r\n"):
                     pass
-        self.out -= not standing
+        self.out -= not established
         self.ended += 1
         await session.close()
 
