--- a/tests/emulator/test_clock.py
+++ b/tests/emulator/test_clock.py
@@ -12,7 +12,7 @@
 from tests.support.simulations import SCENARIOS
 
 
-def test_ties_at_one_microsecond_come_in_the_order_that_is_stated() -> None:
+def test_events_of_one_microsecond_run_by_priority_then_in_order_of_scheduling() -> None:
     clock = SimulationClock()
     seen: list[Any] = []
     for priority in reversed(Priority):
@@ -26,7 +26,9 @@
         for priority in (Priority.WORLD, Priority.NOTIFICATION, Priority.TIMER)
         for number in (1, 2)
     ]
-    assert seen == [*before, "late", (check, 1), (check, 2)], "the past is now, and the world comes first"
+    assert seen == [*before, "late", (check, 1), (check, 2)], (
+        "an event scheduled in the past runs now, first by its priority"
+    )
     assert clock.now == 5 and clock.executed_count == 10
 
 
--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -26,11 +26,11 @@
         row = simulation.run()
         rules = dict(row["broken"])
         if policy in ("random", "least"):
-            rules.pop("cold")  # they know of no budget
+            rules.pop("cold")  # they keep no slow-start budget
         assert not any(rules.values()), simulation.context.rules.descriptions
         assert row["links"] > row["clients"] and row["dropped"] + row["moved"] > 0
         assert bool(row["mid_flow_right"] + row["mid_flow_wrong"]) == passes
-        assert 0.2 < row["served"] <= 1.0, "nobody is served for longer than was wanted"
+        assert 0.2 < row["served"] <= 1.0, "a session was served for longer than requested"
 
 
 FAULT = st.sampled_from(ALL_FAULTS)
@@ -57,7 +57,7 @@
     assert simulation.context.rules.all_hold, simulation.context.rules.descriptions
 
 
-def test_without_upstreams_everybody_gets_an_answer_in_time() -> None:
+def test_without_upstreams_each_session_is_answered_in_time() -> None:
     simulation = simulation_of(hosts=[{"count": 2, "late": 2}])
     row = simulation.run()
     assert simulation.context.rules.all_hold and row["delivered"] == 0 and row["shed"] > 200
@@ -75,11 +75,11 @@
     sessions = {**SMALL["links"], "setup_ms": 300.0}
     kills = [{"kind": "kill", "at_s": at, "nodes": 3} for at in (2.0, 4.5, 7.0)]
     simulation = simulation_of(links=sessions, faults=kills)
-    out: list[Any] = []
+    in_flight: list[Any] = []
     real = simulation.lifecycle.kill
 
     def kill(node: SimulatedNode) -> None:
-        out.extend(
+        in_flight.extend(
             record
             for record in node.records.values()
             if record.attempt is not None and not record.session.established
@@ -88,27 +88,31 @@
 
     simulation.lifecycle.kill = kill  # type: ignore[method-assign]
     simulation.run()
-    assert len(out) > 3 and simulation.context.rules.all_hold
+    assert len(in_flight) > 3 and simulation.context.rules.all_hold
     simulation.context.clock.run_until(simulation.context.clock.now + 3 * SECOND)
     held = {number for upstream in simulation.context.upstreams for number in upstream.sessions}
-    assert held == set(simulation.context.sessions.established), "a host holds what no node knows of"
+    assert held == set(simulation.context.sessions.established), (
+        "an upstream holds a session that no node knows"
+    )
 
 
 def test_an_attempt_at_an_upstream_that_dies_before_its_answer_may_have_run() -> None:
-    seen = []
+    reset_sessions = []
 
-    class Watcher(Balancer):
+    class RecordingBalancer(Balancer):
         def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
             if not session.established and outcome is Outcome.RESET:
-                seen.append(session)
+                reset_sessions.append(session)
             return super().outcome(now, session, outcome, answered=answered)
 
     sessions = {**SMALL["links"], "setup_ms": 300.0, "effects": ["exclusive"]}
     crashes = [{"kind": "crash", "at_s": at, "hosts": 3} for at in (2.0, 5.0, 8.0)]
-    simulation = simulation_of(Watcher, links=sessions, faults=crashes)
+    simulation = simulation_of(RecordingBalancer, links=sessions, faults=crashes)
     row = simulation.run()
-    assert len(seen) > 3 and simulation.context.rules.all_hold
-    assert row["given_up"] >= len(seen), "exclusive: no second try, and no promise"
+    assert len(reset_sessions) > 3 and simulation.context.rules.all_hold
+    assert row["given_up"] >= len(reset_sessions), (
+        "a non-idempotent session has one attempt, and its answer is no promise"
+    )
 
 
 def test_a_node_imports_nothing_of_the_tools() -> None:
@@ -121,7 +125,7 @@
     assert done.stdout.strip() == "[]", done.stdout + done.stderr
 
 
-def test_a_node_does_nothing_where_the_answer_is_nothing() -> None:
+def test_a_node_schedules_nothing_for_the_decision_nothing() -> None:
     simulation = simulation_of()
     node = simulation.context.nodes[0]
     before = simulation.context.clock.scheduled_count
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -1,4 +1,4 @@
-"""Which sessions migrate off slow and vanished upstreams."""
+"""Which sessions migrate off slow and unresponsive upstreams."""
 
 from __future__ import annotations
 
@@ -37,8 +37,10 @@
         harness.balancer.record_delay(harness.now, session, 400_000)
     late = harness.arrive(key=50)
     assert late.number not in harness.attempt_upstreams
-    hopeless = harness.arrive(key=50, deadline=SECOND_US)
-    assert hopeless.number not in harness.sessions, "held though no upstream can be had before its deadline"
+    too_short = harness.arrive(key=50, deadline=SECOND_US)
+    assert too_short.number not in harness.sessions, (
+        "held though no upstream is available before its deadline"
+    )
     for session in sessions:
         harness.balancer.record_delay(harness.now, session, 10_000)
     soon = harness.arrive(key=50, deadline=4 * SECOND_US)
@@ -86,7 +88,7 @@
 
 
 def test_no_session_migrates_if_load_reports_show_all_upstreams_equally_full() -> None:
-    """Sessions would be handed round at a cost for each client, and no upstream would be relieved."""
+    """Sessions would migrate in circles at a cost for each client, and no upstream would be relieved."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
         session = harness.arrive(key=key)
@@ -104,7 +106,7 @@
 
 
 def test_all_sessions_migrate_at_once_off_an_unresponsive_and_unreachable_upstream() -> None:
-    """A vanished upstream resets nothing: most of its sessions would stay silent for seconds."""
+    """An upstream that is gone resets nothing: most of its sessions would stay silent for seconds."""
     for answered in (True, False):
         harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
         sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
@@ -120,7 +122,7 @@
         assert not answered or moved == due.migrations
 
 
-def test_vanished_upstream_delays_no_relief_of_others_and_gets_no_attempts() -> None:
+def test_unresponsive_upstream_gets_no_attempt_and_full_ones_are_still_relieved() -> None:
     """Its sessions fill others. If it counted as slow too, most would be slow and none be relieved."""
     harness = BalancerHarness(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -50,8 +50,8 @@
 
 
 @pytest.mark.parametrize("nodes", [10, 40, 200])
-def test_nodes_that_lose_their_subscriptions_together_get_through_an_overloaded_service(nodes: int) -> None:
-    """It serves one call for every seven nodes a second, calls that were given up included. If all nodes
+def test_nodes_that_lose_subscriptions_together_renew_them_at_an_overloaded_service(nodes: int) -> None:
+    """It serves one call for every seven nodes a second, calls that timed out included. If all nodes
     polled on at once, it would answer each call too late, and no node would learn of a drain."""
     harnesses = [BalancerHarness(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
     for harness in harnesses:
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -80,7 +80,7 @@
     assert len({session.upstream for session in map(small.arrive, keys) if session.key == 7}) <= 3
 
 
-def test_session_passes_over_candidates_that_report_to_be_full() -> None:
+def test_session_skips_candidates_that_report_to_be_full() -> None:
     """If both candidates are full, the less loaded of them would serve it late as well."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
@@ -92,7 +92,7 @@
 
 
 def upstream_of_handed_over(balancer: Balancer, now: int, number: int, key: int) -> int:
-    """Return the upstream that a session handed over in mid-flow goes to."""
+    """Return the upstream that a session handed over in mid-flow is placed on."""
     return forwarded_to(balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND_US, mid_flow=True)))
 
 
@@ -127,18 +127,18 @@
     assert {upstream_of_handed_over(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
 
 
-@pytest.mark.parametrize(("load", "strays"), [(0.3, True), (0.8, False), (None, False)])
-def test_sessions_stray_in_wide_trouble_only_if_healthy_upstreams_report_capacity(
-    load: float | None, strays: bool
+@pytest.mark.parametrize(("load", "placed_elsewhere"), [(0.3, True), (0.8, False), (None, False)])
+def test_sessions_leave_slow_candidates_only_if_healthy_upstreams_report_capacity(
+    load: float | None, placed_elsewhere: bool
 ) -> None:
     now, placed_at = 100 * SECOND_US, []
     for key in range(1, 40):
         balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
         balancer.update_endpoints(now, [endpoint(number) for number in range(8)], whole=True, asked=True)
         session = Session(key, 0, key, key, now + 2 * SECOND_US)
-        pair = balancer.selector.candidates(now, session).pair
-        bad = [upstream.number for upstream in pair] + [
-            n for n in range(8) if balancer.fleet.upstreams[n] not in pair
+        candidates = balancer.selector.candidates(now, session).pair
+        bad = [upstream.number for upstream in candidates] + [
+            n for n in range(8) if balancer.fleet.upstreams[n] not in candidates
         ][:1]
         for upstream in balancer.fleet.upstreams.values():
             upstream.probed_at = now
@@ -147,7 +147,7 @@
                 upstream.slow_until = now + 2 * SECOND_US
         placed_at.append(forwarded_to(balancer.place(now, session)))
         assert placed_at[-1] not in bad
-    assert all(upstream >= 0 for upstream in placed_at) == strays, (
+    assert all(upstream >= 0 for upstream in placed_at) == placed_elsewhere, (
         "three of eight are slow, both candidates of each session among them"
     )
 
@@ -161,35 +161,37 @@
         harness = BalancerHarness(
             seed=me, upstreams=8, nodes=nodes, me=me, probes=True, probes_report_load=True
         )
-        pair = [
+        candidates = [
             upstream.number
             for upstream in islice(harness.balancer.ring.successors(Session(0, 0, 1, 1, 0)), 2)
         ]
         for number in range(8):
             harness.balancer.fleet.upstreams[number].probed_at = harness.now
             harness.balancer.record_probe(
-                harness.now, number, ProbeResult(True, candidate_load if number in pair else other_load, 20.0)
+                harness.now,
+                number,
+                ProbeResult(True, candidate_load if number in candidates else other_load, 20.0),
             )
         if warming:
             harness.balancer.fleet.upstreams[
-                next(n for n in range(8) if n not in pair)
+                next(n for n in range(8) if n not in candidates)
             ].started_at = harness.now
         chosen.append(harness.arrive().upstream)
         assert chosen[-1] >= 0
-    return [chosen.count(number) for number in pair]
+    return [chosen.count(number) for number in candidates]
 
 
-def test_nodes_that_read_the_same_load_reports_do_not_all_act_alike() -> None:
+def test_nodes_with_equal_load_reports_do_not_all_choose_the_same_upstream() -> None:
     # An upstream just relieved would look healthy to all nodes at once, and be full again.
     assert sum(sessions_placed_by_many_nodes(0.8, 0.2)) < 40, (
-        "its candidates are nearly crowded, and others have capacity"
+        "its candidates are nearly full, and others have capacity"
     )
     assert sum(sessions_placed_by_many_nodes(0.3, 0.2)) == 60, (
         "its candidates have capacity: the ordinary choice"
     )
     assert sum(sessions_placed_by_many_nodes(0.8, 0.85)) == 60, (
-        "no upstream has capacity: straying would gain nothing"
+        "no upstream has capacity: leaving the candidates would gain nothing"
     )
     assert sum(sessions_placed_by_many_nodes(0.8, 0.2, warming=True)) == 60, (
-        "stray sessions would exceed the small budget of a warming upstream"
+        "sessions placed elsewhere would exceed the small budget of a warming upstream"
     )
--- a/tests/policy/test_session_rules.py
+++ b/tests/policy/test_session_rules.py
@@ -76,7 +76,7 @@
 
 
 def test_attempt_may_last_until_the_deadline() -> None:
-    """An attempt given up in a shared queue is served all the same: time-outs would fill the queue."""
+    """An attempt that times out in a shared queue is served all the same: timeouts would fill the queue."""
     harness = BalancerHarness()
     session = harness.arrive(key=1, deadline=4 * SECOND_US)
     assert harness.attempt_deadlines[session.number] == session.deadline
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -82,7 +82,7 @@
         self.endpoints = {number: endpoint(number) for number in range(upstreams)}
         self.sessions: dict[int, Session] = {}  # without a final answer yet
         self.held_until: dict[int, int] = {}
-        self.attempt_upstreams: dict[int, int] = {}  # an attempt out, and its upstream
+        self.attempt_upstreams: dict[int, int] = {}  # attempts in flight, and their upstreams
         self.attempt_deadlines: dict[int, int] = {}
         self.possible_runs: dict[int, list[tuple[int, int]]] = {}  # attempts that may have run: when, where
         self.established: set[int] = set()
@@ -110,8 +110,8 @@
         self.held_until.pop(number, None)
         if isinstance(answer, Nothing):
             return
-        assert number in self.sessions, "an answer after the final one"
-        assert number not in self.attempt_upstreams, "two attempts out at once"
+        assert number in self.sessions, "a decision after the final answer"
+        assert number not in self.attempt_upstreams, "two attempts in flight at once"
         assert self.now <= session.deadline
         if isinstance(answer, Hold):
             assert self.now < answer.until <= session.deadline, "held past its deadline"
@@ -142,7 +142,7 @@
         if possible_runs and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
             assert traffic_class.idempotency is Idempotency.KEYED, "a second run of a non-idempotent session"
             assert self.now < possible_runs[0][0] + traffic_class.dedup_window_us, (
-                "resent after its group forgot it"
+                "repeated after its deduplication window"
             )
             first = self.endpoints[possible_runs[0][1]]
             assert traffic_class.dedup_scope is not DedupScope.ZONE or entry.zone == first.zone
