--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -151,7 +151,7 @@
         assert (await call_admin_api(admin_address, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
         during = await open_session(port)
-        assert await during.line() == b"UP r3\r\n", "a front sends on for a moment: it is served"
+        assert await during.line() == b"UP r3\r\n", "clients may still be sent for a moment, and are served"
         assert (await call_admin_api(admin_address, START))[0] == 200, "called twice"
         with anyio.fail_after(3.0):
             for client in (*established, during):
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -40,7 +40,7 @@
 KNOWN_WITHIN_S = (
     6.0  # seconds after which a change that discovery has counts as known, while it can be reached
 )
-LATE_S = 1.0  # what a node in a crowd may be late by, with room to spare
+LATE_S = 1.0  # seconds that a node among many may be late by
 GRACE_S = 0.25 + 0.05  # the shortest grace of a drain that a page names, with the protocol's slack
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
@@ -184,16 +184,16 @@
     )
 
 
-def test_the_bounds_of_discovery_add_up() -> None:
+def test_the_timeouts_of_discovery_stay_within_its_bounds() -> None:
     """In the worst case a call has just begun when the change comes: it ends, and the next one brings it."""
     for timeouts in (AGENT_TIMEOUTS, SERVICE_TIMEOUTS):
         assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
             "a call that brings nothing ends within its cycle"
         )
         assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= KNOWN_WITHIN_S
-    assert WATCH_SILENCE_S > 2.0 + 0.5, "a sound watch says something every 2 s, and may be a little late"
+    assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends something every 2 s, and may be a little late"
     assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
-        "an agent that is back is heard within a drain's grace"
+        "the node receives from an agent that is back within a drain's grace"
     )
 
 
@@ -279,7 +279,7 @@
         mailbox.update_received = anyio.Event()
         client.change_address(("127.0.0.1", new.port))
         await mailbox.update_received.wait()
-        assert new.asked[0] == "/catalog/members", "the whole list first"
+        assert new.asked[0] == "/catalog/members", "the complete list first"
         assert client.revision == 7
         await wait_until(lambda: old.open == 0)
 
@@ -295,8 +295,8 @@
         return update
 
 
-def test_a_second_new_address_during_the_first_is_asked_for_its_whole_list() -> None:
-    """What still comes from the first address, after the second was set, must not pass for the second's."""
+def test_a_second_new_address_is_asked_for_its_complete_list() -> None:
+    """What the first address still sends after the second was set must not count as the second's."""
 
     async def body(tasks: TaskGroup) -> None:
         line = chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""One process of a node follows another; clients and upstreams alone count what they notice of it."""
+"""Hot restart: one process of a node follows another; clients and upstreams count what they notice of it."""
 
 from __future__ import annotations
 
@@ -41,24 +41,24 @@
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams, domain={"mode": mode})
-        async with site.node_process() as first:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams, domain={"mode": mode})
+        async with node.node_process() as first:
             for _ in range(15):
-                tasks.start_soon(site.talk)
-            tasks.start_soon(site.come, 100)
+                tasks.start_soon(node.run_client)
+            tasks.start_soon(node.start_clients, 100)
             await anyio.sleep(0.3)
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
                 first.signal(signal.SIGTERM)
-                async with site.node_process() as third:
+                async with node.node_process() as third:
                     second.signal(signal.SIGTERM)
                     assert await first.ended() == 0
                     assert await second.ended() == 0
-                    before = site.seen["lines"]
+                    before = node.seen["lines"]
                     await anyio.sleep(0.5)
-                    assert site.seen["lines"] > before + site.seen["UP"], "established sessions continue"
+                    assert node.seen["lines"] > before + node.seen["UP"], "established sessions continue"
                     assert (await call_admin_api(third.admin_address, READY))[0] == 200
-        seen = site.seen
+        seen = node.seen
         assert set(seen) <= {"UP", "lines", "moved", "broken"}, "rejected or without an answer"
         assert seen["UP"] >= 30 and seen["broken"] <= seen["UP"]
         ids = Counter(endpoint.split()[1] for _, endpoint in upstreams.lines)
@@ -71,15 +71,15 @@
 def test_no_line_is_lost_or_duplicated_in_a_hot_restart(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        async with site.node_process() as first, anyio.create_task_group() as clients:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        async with node.node_process() as first, anyio.create_task_group() as clients:
             for _ in range(25):
-                clients.start_soon(site.talk, 0.005)
+                clients.start_soon(node.run_client, 0.005)
             await anyio.sleep(0.3)
-            async with site.node_process():
+            async with node.node_process():
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
-                assert site.seen["UP"] == 25 and set(site.seen) == {"UP", "lines"}
+                assert node.seen["UP"] == 25 and set(node.seen) == {"UP", "lines"}
                 clients.cancel_scope.cancel()
 
     run_on_loopback(body)
@@ -88,9 +88,9 @@
 def test_both_processes_together_keep_within_the_descriptor_limit(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        limit = site.raw["limits"]["sockets"] = 256
-        site.write()
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        limit = node.raw["limits"]["sockets"] = 256
+        node.write()
         most = 0
 
         async def watch(*processes: NodeProcess) -> None:
@@ -103,16 +103,16 @@
                 most = max(most, held)
                 await anyio.sleep(0.005)
 
-        async with site.node_process() as first, anyio.create_task_group() as clients:
+        async with node.node_process() as first, anyio.create_task_group() as clients:
             for _ in range(140):  # more than the descriptors suffice for: some wait, some are shed
-                clients.start_soon(site.talk, 0.2)
+                clients.start_soon(node.run_client, 0.2)
             await anyio.sleep(1.0)
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 clients.start_soon(watch, first, second)
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
                 await anyio.sleep(0.5)
-                assert site.seen["moved"] == site.seen["broken"] == site.seen["turned back"] == 0
+                assert node.seen["moved"] == node.seen["broken"] == node.seen["turned back"] == 0
                 assert 100 < most <= limit
                 clients.cancel_scope.cancel()
 
@@ -122,26 +122,26 @@
 def test_a_drain_continues_over_a_hot_restart(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        async with site.node_process() as first:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        async with node.node_process() as first:
             for _ in range(20):
-                tasks.start_soon(site.talk)
+                tasks.start_soon(node.run_client)
             await anyio.sleep(0.3)
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 # The drain starts just before the successor takes over.
                 assert (await call_admin_api(first.admin_address, "POST /ops/drain/start"))[0] == 200
             # The successor has failed: the predecessor accepts clients again, and drains.
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 first.signal(signal.SIGTERM)
                 assert '"draining":true' in (await call_admin_api(second.admin_address, READY))[1]
-                host, _, port = site.raw["listen"].rpartition(":")
+                host, _, port = node.raw["listen"].rpartition(":")
                 front = Lines(await anyio.connect_tcp(host, int(port)))
                 await front.send(b"PING\r\n")
                 assert await front.line() == b"NO\r\n"
                 assert await first.ended() == 0
-                while site.seen["moved"] < site.seen["UP"]:
+                while node.seen["moved"] < node.seen["UP"]:
                     await anyio.sleep(0.02)
-                assert site.seen["UP"] == 20 and not site.seen["broken"]
+                assert node.seen["UP"] == 20 and not node.seen["broken"]
                 assert (await call_admin_api(second.admin_address, "POST /ops/drain/stop"))[0] == 200
                 await front.send(b"PING\r\n")
                 assert await front.line() == b"PONG\r\n"
@@ -149,32 +149,34 @@
     run_on_loopback(body)
 
 
-@pytest.mark.parametrize("how", ["silent end", "nonsense", "other version", "other node", "after it served"])
+@pytest.mark.parametrize(
+    "failure", ["silent end", "nonsense", "other version", "other node", "after it served"]
+)
 def test_the_predecessor_continues_to_serve_if_the_successor_fails(
-    how: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+    failure: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setenv("TMPDIR", "")
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        async with site.node_process() as first:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        async with node.node_process() as first:
             for _ in range(5):
-                tasks.start_soon(site.talk)
+                tasks.start_soon(node.run_client)
             # Otherwise one may still wait in the backlog when the successor reports that it serves.
-            await wait_until(lambda: site.seen["UP"] == 5)
-            channel = await connect_to_rendezvous(site)
-            greeting = hello_of(parse_node_configuration(site.raw))
-            if how == "nonsense":
+            await wait_until(lambda: node.seen["UP"] == 5)
+            channel = await connect_to_rendezvous(node)
+            greeting = hello_of(parse_node_configuration(node.raw))
+            if failure == "nonsense":
                 await channel.stream.send(b"GET / HTTP/1.1\r\n\r\n")
                 assert await channel.receive() is None
-            elif how == "other version":
+            elif failure == "other version":
                 await channel.stream.send(b"LL\x63" + frame(greeting, 0)[3:])
                 assert await channel.receive() is None
-            elif how == "other node":
+            elif failure == "other node":
                 await channel.send(Hello("n9", greeting.listen))
                 assert await channel.receive() is None
-            elif how == "after it served":
+            elif failure == "after it served":
                 for packet, expected in ((greeting, Welcome), (Serving(), StateHandover)):
                     await channel.send(packet)
                     received = await channel.receive()
@@ -182,20 +184,20 @@
                     for sock in received[1]:
                         sock.close()
                 # Neither process accepts clients now: those that connect wait in the shared backlog.
-                tasks.start_soon(site.talk)
+                tasks.start_soon(node.run_client)
                 await anyio.sleep(0.2)
-                assert site.seen["UP"] == 5
+                assert node.seen["UP"] == 5
             await channel.close()
-            await site.talk_once()
-            before = site.seen["lines"]
+            await node.start_client()
+            before = node.seen["lines"]
             await anyio.sleep(0.3)
-            assert site.seen["lines"] > before
-            assert set(site.seen) == {"UP", "lines"}
+            assert node.seen["lines"] > before
+            assert set(node.seen) == {"UP", "lines"}
             # A valid successor still finds it.
-            async with site.node_process():
+            async with node.node_process():
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
-                assert set(site.seen) == {"UP", "lines"}
+                assert set(node.seen) == {"UP", "lines"}
 
     run_on_loopback(body)
 
@@ -203,22 +205,24 @@
 def test_the_successor_keeps_its_sessions_if_the_predecessor_is_killed(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        async with site.node_process() as first:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        async with node.node_process() as first:
             for _ in range(30):
-                tasks.start_soon(site.talk)
+                tasks.start_soon(node.run_client)
             await anyio.sleep(0.5)
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 first.signal(signal.SIGTERM)
                 await anyio.sleep(0.6)  # some of the sessions have been handed over, some not
                 first.signal(signal.SIGKILL)
                 await second.next_event("hot_restart_predecessor_ended")
-                await site.talk_once()
+                await node.start_client()
                 await anyio.sleep(0.3)
-                assert 0 < site.seen["broken"] < 30, "those handed over go on, the others ended with it"
-                before = site.seen["lines"]
+                assert 0 < node.seen["broken"] < 30, (
+                    "sessions handed over continue, the others ended with the predecessor"
+                )
+                before = node.seen["lines"]
                 await anyio.sleep(0.3)
-                assert site.seen["lines"] > before
+                assert node.seen["lines"] > before
 
     run_on_loopback(body)
 
@@ -226,19 +230,19 @@
 def test_a_stale_or_foreign_rendezvous_file_does_no_harm(tmp_path: Path) -> None:
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        rendezvous = Rendezvous(tmp_path, parse_node_configuration(site.raw, admin_address()))
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        rendezvous = Rendezvous(tmp_path, parse_node_configuration(node.raw, admin_address()))
         (tmp_path / rendezvous.name).write_bytes(b"no socket at all")
-        async with site.node_process() as first:
-            await site.talk_once()
+        async with node.node_process() as first:
+            await node.start_client()
             first.signal(signal.SIGKILL)
             await first.ended()
-        async with site.node_process() as second:  # the socket file of the first one still exists
-            await site.talk_once()
-            async with site.node_process():
+        async with node.node_process() as second:  # the socket file of the first one still exists
+            await node.start_client()
+            async with node.node_process():
                 second.signal(signal.SIGTERM)
                 assert await second.ended() == 0
-        assert site.seen["UP"] == 2
+        assert node.seen["UP"] == 2
 
     run_on_loopback(body)
 
@@ -247,19 +251,19 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         rows = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
         discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": rows}], []).start(tasks)
         # These upstreams are not in the file, and from now on discovery is silent.
-        site.raw["known"] = {"revision": 1, "complete": True, "members": []}
-        site.raw["discovery"] = f"127.0.0.1:{discovery.port}"
-        site.write()
-        async with site.node_process() as first:
-            await site.talk_once()
-            async with site.node_process() as second:
+        node.raw["known"] = {"revision": 1, "complete": True, "members": []}
+        node.raw["discovery"] = f"127.0.0.1:{discovery.port}"
+        node.write()
+        async with node.node_process() as first:
+            await node.start_client()
+            async with node.node_process() as second:
                 first.signal(signal.SIGTERM)
-                await site.talk_once()
+                await node.start_client()
                 assert await first.ended() == 0
-                assert site.seen["UP"] == 2 and set(site.seen) <= {"UP", "lines"}
+                assert node.seen["UP"] == 2 and set(node.seen) <= {"UP", "lines"}
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
 
     run_on_loopback(body)
@@ -268,17 +272,17 @@
 def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
     checker = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
-    out: set[str] = set()  # sessions without an answer; none may be left when the last process ends
+    unanswered: set[str] = set()  # sessions without an answer; none may be left when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
         key, address = create_secret(tmp_path / "n0.key"), admin_address()
         (tmp_path / "cluster.toml").write_text(
             f'[[budgets]]\nname = "all"\nlinks_per_s = 20\ntariffs = ["once"]\n'
             f'[[nodes]]\nname = "n0"\naddress = "{address}"\nkey = "{key}"\n'
         )
-        site.arguments = [
+        node.arguments = [
             "--cluster",
             str(tmp_path / "cluster.toml"),
             "--cluster-key",
@@ -287,32 +291,32 @@
 
         async def session() -> None:
             began = now_us()
-            client = await site.opened()
+            client = await node.open_session()
             ident = str(began)
             checker.observe(SessionRequested(began, ident))
-            out.add(ident)
+            unanswered.add(ident)
             answer = await client.line()
-            out.discard(ident)
+            unanswered.discard(ident)
             assert not isinstance(answer, Ending) and answer.split()[0] in (b"UP", b"BUSY")
             if answer.startswith(b"UP"):
                 checker.observe(SessionAdmitted(now_us(), ident))
             await client.close()
 
-        async def come() -> None:
+        async def send_requests() -> None:
             while anyio.current_time() < end:
                 tasks.start_soon(session)
                 await anyio.sleep(0.02)
 
-        async with site.node_process() as first:
+        async with node.node_process() as first:
             end = anyio.current_time() + 14.0
-            tasks.start_soon(come)
+            tasks.start_soon(send_requests)
             await anyio.sleep(6.0)
-            async with site.node_process() as second:
+            async with node.node_process() as second:
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
                 handed_over_at = now_us()
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
-                await wait_until(lambda: anyio.current_time() > end + 0.1 and not out)
+                await wait_until(lambda: anyio.current_time() > end + 0.1 and not unanswered)
                 late.extend(
                     admission.seen_at
                     for admission in checker.admissions
@@ -329,11 +333,11 @@
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP slow echo").start(tasks, 3)
-        site = await RestartedNode(tasks, tmp_path).start(upstreams)
-        async with site.node_process() as running, anyio.create_task_group() as clients:
+        node = await RestartedNode(tasks, tmp_path).start(upstreams)
+        async with node.node_process() as running, anyio.create_task_group() as clients:
             for _ in range(30):
-                clients.start_soon(site.talk, 0.0)
-            await wait_until(lambda: site.seen["UP"] == 30)
+                clients.start_soon(node.run_client, 0.0)
+            await wait_until(lambda: node.seen["UP"] == 30)
             for _ in range(3):
                 running.signal(signal.SIGSTOP)
                 await anyio.sleep(0.9)
@@ -345,7 +349,7 @@
                 counters
             )
             assert counters.get("upstream_not_judged_node_lag", 0) >= 3
-            assert set(site.seen) == {"UP", "lines"}
+            assert set(node.seen) == {"UP", "lines"}
             clients.cancel_scope.cancel()
 
     run_on_loopback(body)
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -42,7 +42,7 @@
 
 
 def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
-    """Nobody read during the hand-over: the successor must not count the upstream as unresponsive for it."""
+    """No process reads during the handover: the upstream must not count as unresponsive for it."""
 
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -62,17 +62,17 @@
             running.admin_address = admin_api
             yield running
 
-    async def opened(self) -> Lines:
+    async def open_session(self) -> Lines:
         host, _, port = self.raw["listen"].rpartition(":")
         client = Lines(await anyio.connect_tcp(host, int(port)))
         self.number += 1
         await client.send(f"OPEN id{self.number} k{self.number} c=once,t=acme,d=3000,g=g\r\n".encode())
         return client
 
-    async def talk(self, interval_s: float = 0.02) -> None:
+    async def run_client(self, interval_s: float = 0.02) -> None:
         """Run a client until cancelled, which sends one line at a time and waits for its echo."""
         try:
-            client = await self.opened()
+            client = await self.open_session()
             answer = await client.line()
             self.seen["no answer" if isinstance(answer, Ending) else answer.split()[0].decode()] += 1
             number = 0
@@ -91,23 +91,23 @@
         except OSError:
             self.seen["turned back"] += 1
 
-    async def talk_once(self) -> None:
+    async def start_client(self) -> None:
         """Start one more client, and wait for its answer."""
         answered = sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back"))
-        self.tasks.start_soon(self.talk)
+        self.tasks.start_soon(self.run_client)
         while sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back")) == answered:
             await anyio.sleep(0.01)
 
-    async def come(self, times: int) -> None:
-        for _ in range(times):
-            self.tasks.start_soon(self.talk)
+    async def start_clients(self, number: int) -> None:
+        for _ in range(number):
+            self.tasks.start_soon(self.run_client)
             await anyio.sleep(0.02)
 
 
-async def connect_to_rendezvous(site: RestartedNode) -> Channel:
+async def connect_to_rendezvous(node: RestartedNode) -> Channel:
     """Connect with the process that serves, as a successor does."""
-    os.environ["TMPDIR"] = str(site.path)
-    rendezvous = Rendezvous.for_node(parse_node_configuration(site.raw, admin_address()))
+    os.environ["TMPDIR"] = str(node.path)
+    rendezvous = Rendezvous.for_node(parse_node_configuration(node.raw, admin_address()))
     assert rendezvous is not None
     while (sock := rendezvous.connect()) is None:
         await anyio.sleep(0.01)
