--- a/larchlatch/node/__init__.py
+++ b/larchlatch/node/__init__.py
@@ -1,1 +1,1 @@
-"""The real node: sockets around the balancer. It carries decisions out and makes none."""
+"""The node process: network I/O around the balancer, whose decisions it carries out. It makes none itself."""
--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections while it is open and file descriptors are free."""
+"""Accepts client connections while the listener is open and file descriptors are free."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     """Accepts connections and starts a task for each. It is paused until it is opened.
 
     Attributes:
-        idle: set while nothing is being accepted.
+        idle: set while the listener neither accepts connections nor waits for one.
 
     """
 
@@ -72,7 +72,7 @@
         return self._listener.sock.fileno()
 
     async def run(self) -> None:
-        """Accept while it is open, until cancelled."""
+        """Accept connections while the listener is open, until cancelled."""
         while True:
             await self._opened.wait()
             self.idle = anyio.Event()
@@ -83,10 +83,11 @@
     async def close(self) -> None:
         """Serve the connections that wait in the backlog, then close; later clients are refused."""
         self.pause()
-        # Closed while the event loop still waits on it, the socket would continue to accept connections.
+        # If the socket were closed while the event loop waits on it, it would continue to accept connections.
         await self.idle.wait()
         while (sock := self._listener.accept_nowait()) is not None:
-            # Reserved even if none is free, as this client must be answered now. The task releases it.
+            # A descriptor is reserved even if none is free, as this client must be answered now. The task
+            # releases it.
             self._descriptors.lend(1)
             self._tasks.start_soon(self._connections.serve, sock)
         self._listener.sock.close()
@@ -99,20 +100,20 @@
                 await anyio.sleep(RETRY_S)
                 continue
             self._start(sock)
-            # While many clients wait to be accepted, the accepted ones have to be served too.
+            # Lets the tasks of accepted clients run, even while many others wait to be accepted.
             await anyio.lowlevel.checkpoint()
 
     async def _take_descriptor(self) -> None:
         paused = False
         while not self._descriptors.reserve(anyio.current_time()):
-            # Meanwhile clients wait in the backlog.
+            # Until a descriptor is free, clients wait in the backlog.
             if not paused:
                 paused = True
                 self._connections.counters.add(ListenerCounter.ACCEPT_PAUSED)
             await anyio.sleep(RETRY_S)
 
     async def _accept(self) -> socket.socket | None:
-        """Accept a connection; without one, also after cancellation, its descriptor is released."""
+        """Accept a connection; release the reserved descriptor if there is none, also after cancellation."""
         sock = None
         try:
             sock = await self._listener.accept()
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -1,4 +1,4 @@
-"""The connections of clients, from accepting to closing."""
+"""Serves the connections of clients until they are closed, also those taken over in a hot restart."""
 
 from __future__ import annotations
 
@@ -36,8 +36,8 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-SHUTDOWN_LINGER_S = 0.25  # for the end of an idle connection, as the process ends soon
-REJECTED_PREFIX = "request_rejected_"  # of the counter of a rejection; the reason follows
+SHUTDOWN_LINGER_S = 0.25  # wait for the end of an idle connection; short, as the node is about to stop
+REJECTED_PREFIX = "request_rejected_"  # of the counters of rejected requests; the reason follows
 
 log = structlog.get_logger()
 
@@ -51,13 +51,15 @@
 
 
 class ClientConnections:
-    """Serves each connection in a task of its own, and owns its socket until it is closed.
+    """Serves each client connection in a task of its own, and owns its socket until it is closed.
 
     Attributes:
         connection_count: how many connections of clients are open.
-        requests: checks requests.
-        reader: reads requests.
-        sessions: runs sessions.
+        descriptors: the budget from which each connection has reserved a descriptor.
+        counters: where events are counted.
+        requests: checks requests and makes the records of accepted sessions.
+        reader: waits for the request line of each connection.
+        sessions: runs the accepted sessions.
 
     """
 
@@ -79,10 +81,15 @@
         self._balancer_actor = balancer_actor
         self._lifecycle = lifecycle
 
-    # Connections that were not read for long.
+    # Requests that waited for a long time before they were read.
 
     def read_overdue(self, sock: socket.socket) -> UnreadRequest | None:
-        """Return what a connection just accepted has sent, if it was not read for long; else None."""
+        """Read from an accepted connection if its data has waited longer than a session takes to establish.
+
+        Returns:
+            The data; None if it has not waited that long, or if it is not known how long a session takes.
+
+        """
         waited_us = us_since_received(sock)
         if not admission.is_overdue(waited_us=waited_us, setup_us=self._balancer_actor.shed_waiting_over_us):
             return None
@@ -91,7 +98,7 @@
         return UnreadRequest(data, opening, now_us() - waited_us)
 
     def shed_overdue(self, sock: socket.socket, request: UnreadRequest) -> bool:
-        """Shed a request if too little of its time is left; return whether it was shed."""
+        """Shed a request that can no longer be served by its deadline; return whether it was shed."""
         opening = request.opening
         if not isinstance(opening, lines.Opening) or opening.may_continue:
             return False
@@ -106,7 +113,7 @@
         return True
 
     async def close_answered(self, sock: socket.socket) -> None:
-        """Close a connection whose request was shed unread."""
+        """Close a connection whose request was answered by `shed_overdue`, and release its descriptor."""
         self.connection_count += 1
         try:
             await discard_and_close(sock, self.sessions.linger_s)
@@ -114,10 +121,10 @@
             self.connection_count -= 1
             self.descriptors.release()
 
-    # One connection.
+    # Serving one connection.
 
     async def serve(self, sock: socket.socket, request: UnreadRequest | None = None) -> None:
-        """Serve one connection to its end; it raises no exception but cancellation."""
+        """Serve one connection until it is closed; no exception is raised except cancellation."""
         client: Lines | None = None
         self.connection_count += 1
         try:
@@ -145,10 +152,10 @@
         if request is not None:
             client.feed(request.data)
         line = await self.reader.read(client)
-        # The client's time runs from the arrival of its line, which may have waited to be read.
+        # The client's deadline counts from the arrival of its line, which may have waited to be read.
         received_us = now_us() - client.us_since_received()
         if line is None and self._lifecycle.rejects_all:
-            # A request that is under way has its answer by this line; the end alone would be none.
+            # The client's request may be in transit: this line answers it, while a mere end would not.
             self.counters.add(ConnectionCounter.IDLE_ENDED)
             await client.send(lines.shed_line(RETRY_AFTER_US))
             await client.finish(Ending.END, SHUTDOWN_LINGER_S)
@@ -173,7 +180,7 @@
             await self.sessions.run(client, record, received_us)
 
     async def _reject(self, client: Lines, reason: str) -> None:
-        """Answer with an error at once, and end the connection."""
+        """Answer a request with an error, and end the connection."""
         self.counters.add(f"{REJECTED_PREFIX}{reason}")
         log.debug("request_rejected", reason=reason)
         await client.send(lines.FAILED)
@@ -182,7 +189,7 @@
     # Shutdown and hot restart.
 
     def reject_all(self) -> None:
-        """Shed all connections without a request, and all that come from now on, as this node ends."""
+        """Shed all clients without a request and all later ones, because this node is about to stop."""
         if not self._lifecycle.rejects_all:
             self._lifecycle.rejects_all = True
             self.reader.cancel_all()
@@ -191,8 +198,8 @@
         """Continue a session of the predecessor.
 
         Args:
-            packet: what the predecessor says of the session.
-            sockets: the connections of its client and of its upstream, in this order; they are owned here.
+            packet: the state of the session at the predecessor.
+            sockets: the connections to its client and to its upstream, in this order; they are closed here.
 
         """
         sides: list[Lines] = []
@@ -213,5 +220,5 @@
 
 
 def _is_one_request(data: bytes) -> bool:
-    """Return whether bytes are one complete line that may be a request."""
+    """Return whether the data is exactly one complete line and not a PING."""
     return data.endswith(b"\n") and data.count(b"\n") == 1 and data != lines.PING
--- a/larchlatch/node/clients/request_reader.py
+++ b/larchlatch/node/clients/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads the first line of clients' connections. Those that send nothing make way for others."""
+"""Waits for the request line of each client connection, within time limits and the descriptor budget."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     from larchlatch.node.metrics import Counters
     from larchlatch.node.wire.stream import Ending, Lines
 
-# How long a connection may go without a complete line, in seconds.
-FIRST_LINE_S = 2.5  # each client gets an answer within 3 s after it has connected, whatever it sends
-AFTER_PING_S = 10.0  # a front that has sent a PING may send another one within this
-LAST_REQUEST_S = 0.1  # while this node ends: the line of a client is under way, or there is none
+# How long the node waits for a complete line on a connection, in seconds.
+FIRST_LINE_S = 2.5  # a client gets an answer within 3 s after it has connected, even if it sends nothing
+AFTER_PING_S = 10.0  # after the answer to a front's PING, until its next line
+LAST_REQUEST_S = 0.1  # shortly before the node stops: only for lines that are already in transit
 
 
 class ReaderCounter(StrEnum):
@@ -33,7 +33,7 @@
 
 
 class RequestReader:
-    """Waits for requests, and answers a front's PING meanwhile.
+    """Waits for request lines, and answers the PINGs that fronts send before them.
 
     Attributes:
         waiting: the cancel scopes of the connections that have no request yet, in order of their arrival.
@@ -56,12 +56,18 @@
         self._lifecycle = lifecycle
 
     def cancel_all(self) -> None:
-        """End the waiting of all connections without a request."""
+        """Stop waiting for the requests of all connections."""
         for scope in list(self.waiting):
             scope.cancel()
 
     async def read(self, client: Lines) -> bytes | Ending | None:
-        """Return the line that holds the request, or how the connection ended; None if none came in time."""
+        """Wait for the request line of a connection.
+
+        Returns:
+            The line, or how the connection ended. None if no request came in time, or if the wait was
+            cancelled by an eviction or by `cancel_all`.
+
+        """
         began = anyio.current_time()
         wait_s = LAST_REQUEST_S if self._lifecycle.rejects_all else FIRST_LINE_S
         with anyio.CancelScope(deadline=began + wait_s) as scope:
@@ -82,7 +88,7 @@
         try:
             while (line := await client.line()) == lines.PING:
                 if not pinged:
-                    # Only fronts send PING: a shutdown need not wait for their requests.
+                    # Only fronts send PING, and a shutdown need not wait for a request from them.
                     pinged = True
                     self.without_line -= 1
                 self._descriptors.record_received(idle, anyio.current_time(), is_complete_line=True)
@@ -95,7 +101,7 @@
 
     @contextmanager
     def _evictable(self, client: Lines, idle: IdleConnection, began: float) -> Iterator[None]:
-        """Let the connection be evicted in favour of others within this block."""
+        """Let the descriptor budget evict the connection while the block runs; count it if it was evicted."""
 
         def fragment_received() -> None:
             self._descriptors.record_received(idle, anyio.current_time())
--- a/larchlatch/node/clients/requests.py
+++ b/larchlatch/node/clients/requests.py
@@ -23,9 +23,9 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request is answered with an error at once; the values are parts of counters' names.
+    """Why a request is answered with an error without an attempt; the values are parts of counter names.
 
-    For a line that is not in the required form, the reason is that of its `BadLine`.
+    The reason for a malformed line is in its `BadLine` instead.
     """
 
     UNKNOWN_TRAFFIC_CLASS = "unknown_traffic_class"
@@ -37,12 +37,12 @@
 
 
 class UnreadRequest(NamedTuple):
-    """What a client had sent before its connection was read.
+    """Data that a client had sent before a task was started for its connection.
 
     Attributes:
-        data: the bytes.
-        opening: the request, if they are one complete line.
-        received_us: when they arrived, in microseconds of the node's clock.
+        data: the received bytes.
+        opening: the parsed request if the data is exactly one complete line, else None.
+        received_us: when the data arrived, in microseconds of the node's clock.
 
     """
 
@@ -52,7 +52,7 @@
 
 
 class SessionIds:
-    """The ids of sessions, each of which is in use only once.
+    """The ids of open sessions; only one open session may have a given id.
 
     Attributes:
         records: the sessions in flight or established here, by the ids that their clients gave.
@@ -61,7 +61,7 @@
 
     def __init__(self) -> None:
         self.records: dict[str, SessionRecord] = {}
-        self._reserved: set[str] = set()  # of sessions that the predecessor has in flight
+        self._reserved: set[str] = set()  # ids of sessions that are in flight at the predecessor
 
     def is_used(self, session_id: str) -> bool:
         """Return whether a session with this id is open here or at the predecessor."""
@@ -80,11 +80,14 @@
         self._reserved.discard(session_id)
 
     def add(self, record: SessionRecord) -> None:
-        """Record that a session is open here."""
+        """Record that a session with its id is open here."""
         self.records[record.opening.ident] = record
 
     def remove(self, record: SessionRecord) -> None:
-        """Free a session's id; where packets pass through, the session may come back to this node."""
+        """Free a session's id, unless a later record uses it.
+
+        Where packets pass through, a session may return to this node while its first record still exists.
+        """
         if self.records.get(record.opening.ident) is record:
             del self.records[record.opening.ident]
 
@@ -109,9 +112,9 @@
 
         Args:
             traffic_classes: the names of the traffic classes, in the order of their numbers.
-            tenants: the names of the tenants; empty if requests need not name a known one.
+            tenants: the names of the tenants; empty if any tenant is accepted.
             max_deadline_us: the longest time that a client may wait, in microseconds.
-            lifecycle: says when this node ends.
+            lifecycle: tells how much time is left before this node stops.
 
         """
         self.ids = SessionIds()
@@ -122,7 +125,7 @@
         self._numbers = count()
 
     def knows_class(self, opening: Opening) -> bool:
-        """Return whether the deployment has the request's traffic class."""
+        """Return whether the deployment settings define the request's traffic class."""
         return opening.traffic_class in self._traffic_classes
 
     def rejection_reason(self, opening: Opening) -> RejectionReason | None:
@@ -131,28 +134,28 @@
             return RejectionReason.UNKNOWN_TRAFFIC_CLASS
         if opening.tenant is not None and self._tenants and opening.tenant not in self._tenants:
             return RejectionReason.UNKNOWN_TENANT
-        # Upstreams answer the second use of an id with an error, which would count as their failure.
+        # Upstreams answer the second use of an id with an error, which would count as an upstream failure.
         if self.ids.is_used(opening.ident):
             return RejectionReason.ID_IN_USE
         return None
 
     def wait_us(self, opening: Opening) -> int:
-        """Return how long a client waits, in microseconds; at most the longest deadline of the settings."""
+        """Return how long a client waits for its answer, in microseconds; at most the configured maximum."""
         return min(opening.wait_ms * MICROSECONDS_PER_MS, self._max_deadline_us)
 
     def deadline(self, opening: Opening, received_us: int) -> int:
-        """Return when a request must have its answer that was received at this time, in microseconds."""
+        """Return by when a request that was received at `received_us` must be answered, in microseconds."""
         return session_deadline(
             received_us=received_us, wait_us=self.wait_us(opening), node_ends_at=self._node_ends_at()
         )
 
     def _node_ends_at(self) -> int | None:
-        """Return when this node ends, in microseconds of its clock; None where no end is in sight."""
+        """Return when this node stops, in microseconds of its clock; None if no stop has started."""
         time_left_s = self._lifecycle.time_left_s(anyio.current_time())
         return None if time_left_s is None else now_us() + int(time_left_s * 1e6)
 
     def make_record(self, opening: Opening, received_us: int) -> SessionRecord:
-        """Return the record of an accepted request."""
+        """Make the session record of an accepted request."""
         session = Session(
             number=next(self._numbers),
             traffic_class=self._traffic_classes[opening.traffic_class],
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -31,9 +31,9 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-MOVE_S = 0.5  # for telling a client to move; one that does not read in this time is cut off
-MAX_EARLY_BYTES = 65536  # taken from a client before it has an upstream to send them to
-SHORT_LINGER_S = 0.02  # for a client's end after its answer, while descriptors are scarce
+MOVE_S = 0.5  # for sending MOVE to a client; one that does not read it in time is disconnected without it
+MAX_EARLY_BYTES = 65536  # read from a client before its session is connected to an upstream
+SHORT_LINGER_S = 0.02  # wait for a client's end after its answer, while descriptors are scarce
 
 
 log = structlog.get_logger()
@@ -57,21 +57,21 @@
 
 
 class SendSession(Protocol):
-    """How an established session is handed over to the successor."""
+    """Callback that hands an established session over to the successor."""
 
     async def __call__(
         self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
     ) -> bool:
-        """Hand the session over; return False if that failed and the session is still here."""
+        """Hand the session over; return False if that failed and the session is still at this process."""
         ...
 
 
 class SessionHandler:
-    """Runs sessions; each owns its client's and its upstream's connection until both have ended.
+    """Runs sessions; each uses the connections of its client and its upstream until both have ended.
 
     Attributes:
         established: the sessions that are established here, by number.
-        open_count: how many sessions were accepted and are not over.
+        open_count: how many sessions have been accepted and have not ended.
 
     """
 
@@ -93,12 +93,12 @@
         self._send_to_successor: SendSession | None = None
 
     def hand_sessions_to(self, send: SendSession | None) -> None:
-        """Hand sessions that have to leave to the successor; None if there is no successor any more."""
+        """Set the callback that hands sessions over to the successor; None if there is no successor."""
         self._send_to_successor = send
 
     @property
     def linger_s(self) -> float:
-        """How long a connection waits for its client's end after the answer, in seconds."""
+        """How long a connection stays open for its client's end after the answer, in seconds."""
         return SHORT_LINGER_S if self._descriptors.scarce else LINGER_S
 
     async def run(self, client: Lines, record: SessionRecord, received_us: int) -> None:
@@ -130,7 +130,7 @@
             return
         record = self._requests.make_record(opening, now_us())
         record.session.load = packet.load
-        # Nobody read its upstream during the hand-over. That pause must not count as the upstream's silence.
+        # Neither process read from the upstream during the hand-over. That must not count as its silence.
         record.awaiting_answer_since = now_us() if packet.unanswered_since_us else 0
         delivered = Delivered(upstream, b"", number)
         record.set_final_answer(delivered)
@@ -140,11 +140,11 @@
             await self._balancer_actor.mailbox.post(SessionAdopted(record, number))
             await self._relay(client, record, delivered, Outcome(packet.outcome_at_end))
 
-    # Until the final answer.
+    # Before the final answer.
 
     @asynccontextmanager
     async def _open(self, record: SessionRecord) -> AsyncIterator[None]:
-        """Count a session as open within this block; its attempt and its place end with the block."""
+        """Count a session as open while the block runs; then cancel its attempt and report its end."""
         self.open_count += 1
         self._requests.ids.add(record)
         try:
@@ -175,7 +175,7 @@
             tasks.cancel_scope.cancel()
 
     def _start(self, record: SessionRecord) -> bool:
-        """Have a session answered; return False if the balancer actor's mailbox is full."""
+        """Answer a session or pass it on; return False if the balancer actor's mailbox is full."""
         upstream = record.opening.established_upstream
         if upstream is not None:
             self._rejoin(record, upstream)
@@ -199,7 +199,7 @@
             record.set_final_answer(Failed())
 
     async def _watch_client(self, client: Lines, record: SessionRecord) -> None:
-        """Read what a client sends while it waits for its answer."""
+        """Watch a client until its answer: it may leave, and only a continued session may send more."""
         early: list[bytes] = []
         try:
             while sum(map(len, early)) < MAX_EARLY_BYTES:
@@ -208,15 +208,15 @@
                     record.mark_client_gone()
                     return
                 if isinstance(received, Ending) or not record.opening.may_continue:
-                    # A new client has to wait for its answer before it sends more.
+                    # The client of a new session must not send a second line before its answer.
                     self._counters.add(SessionCounter.REJECTED_SECOND_LINE)
                     record.set_final_answer(Failed())
                     return
-                early += received  # for the upstream of a session that was established before
+                early += received  # relayed once the continued session has its upstream again
         finally:
             client.ready = early + client.ready
 
-    # From the final answer on.
+    # After the final answer.
 
     async def _carry_out(self, client: Lines, record: SessionRecord) -> None:
         """Pass the final answer on to the client; relay the session if it was established."""
@@ -249,8 +249,8 @@
         Args:
             client: the client's connection.
             record: the session.
-            delivered: the upstream's connection.
-            outcome_at_end: the outcome that the end of the upstream's side would mean.
+            delivered: the final answer, with the connection to the upstream.
+            outcome_at_end: the outcome that the balancer records if the upstream ends its connection.
 
         """
         actor = self._balancer_actor.upstreams.actors[delivered.upstream]
@@ -271,7 +271,7 @@
     async def _relay_until_end(
         self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
     ) -> RelayEnd | None:
-        """Relay a session; return how it ended here, or None if the successor continues it."""
+        """Relay a session; return how it ended at this node, or None if the successor continues it."""
         if delivered.line and not await client.send(delivered.line):
             return RelayEnd(Side.CLIENT, Ending.RESET, Outcome.CANCELLED)
         actor = self._balancer_actor.upstreams.actors[delivered.upstream]
@@ -291,7 +291,7 @@
         return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
 
     async def _end(self, client: Lines, record: SessionRecord, delivered: Delivered, end: RelayEnd) -> None:
-        """End both sides of a session in the way in which one of them has ended."""
+        """Report that a session has ended, and end both its connections in the same way."""
         self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}")
         log.debug(
             "session_ended",
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -1,4 +1,4 @@
-"""The file descriptors that the node may have open, and which idle connection is evicted if none is free.
+"""Counts the node's open file descriptors, and selects the idle connection to evict if none is free.
 
 No I/O. Times are seconds of one monotonic clock, which the caller passes in.
 """
@@ -10,10 +10,10 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-HEADROOM = 48  # descriptors outside of the budget: event loop, log, listeners, discovery, hot restart
-IDLE_DIVISOR = 3  # idle connections may use one part in this many of the budget
-MIN_IDLE_CONNECTIONS = 8  # may be open however small the budget is
-MAX_FRAGMENTS = 3  # further fragments of a line no longer make the eviction of its client later
+HEADROOM = 48  # descriptors outside the budget: event loop, log, listeners, discovery, hot restart
+IDLE_DIVISOR = 3  # idle connections may use at most 1/IDLE_DIVISOR of the budget
+MIN_IDLE_CONNECTIONS = 8  # idle connections that may be open even if the budget is small
+MAX_FRAGMENTS = 3  # further fragments of a line do not postpone the eviction of its client any more
 
 
 class IdleConnection:
@@ -49,7 +49,7 @@
         self.capacity = max(2, max_descriptors - HEADROOM)
         self.free = self.capacity
         self.idle_limit = max(MIN_IDLE_CONNECTIONS, self.capacity // IDLE_DIVISOR)
-        # A group for each number of fragments, ordered by the time of the last fragment.
+        # One group for each number of fragments, ordered by the time when data was last received.
         self._idle_by_fragments: list[dict[IdleConnection, None]] = [{} for _ in range(MAX_FRAGMENTS + 1)]
 
     @property
@@ -59,7 +59,7 @@
 
     @property
     def scarce(self) -> bool:
-        """Whether sessions may soon need the descriptors of idle connections."""
+        """Whether so few descriptors are free that sessions may soon need those of idle connections."""
         return self.free < self.capacity // IDLE_DIVISOR
 
     def reserve(self, now: float) -> bool:
@@ -74,14 +74,14 @@
         self.free += 1
 
     def lend(self, count: int) -> None:
-        """Move capacity to another process of this node, or back by a negative count."""
+        """Remove descriptors from the budget, for example for the successor; a negative count adds them."""
         self.capacity -= count
         self.free -= count
 
     def add_idle(self, connection: IdleConnection, now: float) -> None:
         """Add a connection that may be evicted until it is removed again."""
-        # Otherwise many clients that send nothing would leave no descriptor for others. A client that sends
-        # its line at once is never evicted.
+        # Without the limit, many clients that send nothing would leave no descriptor for others. A client
+        # that sends its line at once is never evicted.
         if sum(map(len, self._idle_by_fragments)) >= self.idle_limit:
             self.evict_idle(now)
         self._idle_by_fragments[0][connection] = None
@@ -103,7 +103,7 @@
         return was_idle
 
     def evict_idle(self, now: float) -> bool:
-        """Evict the connection that has been silent for the longest time; return False if there is none.
+        """Evict the connection with the longest weighted silence; return False if no connection is idle.
 
         Its descriptor is released later, once the connection's task has closed it.
         """
@@ -111,7 +111,7 @@
         if not candidates:
             return False
 
-        # A slow client in order continues to send: each fragment of its line halves its silence.
+        # A slow client that works keeps sending, so each fragment of its line halves its weighted silence.
         def weighted_silence(connection: IdleConnection) -> float:
             silence_s = now - connection.last_received_at
             return silence_s / (1 << connection.fragments)
--- a/larchlatch/node/held_sessions.py
+++ b/larchlatch/node/held_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions that wait to be placed again, in the order of their times."""
+"""Queue of the sessions that wait to be placed again, ordered by the time of their next placement."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
     """A session without an upstream, and when the balancer is asked again where to place it.
 
     Attributes:
-        retry_at: microseconds of the node's clock.
+        retry_at: when the balancer is asked again, in microseconds of the node's clock.
         number: the session's number.
 
     """
@@ -20,7 +20,7 @@
 
 
 class HeldSessions:
-    """A queue of held sessions, the earliest first; of equal times the lowest session number."""
+    """A queue of held sessions, ordered by time and, for equal times, by session number."""
 
     def __init__(self) -> None:
         self._heap: list[HeldSession] = []
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -27,7 +27,7 @@
     CLIENT = "client"
     UPSTREAM = "upstream"
     NODE = "node"
-    SUCCESSOR = "successor"  # the successor continues it
+    SUCCESSOR = "successor"  # the session continues at the successor
 
 
 class RelayEnd(NamedTuple):
@@ -35,8 +35,8 @@
 
     Attributes:
         side: who ended it.
-        ending: how the connection was ended.
-        outcome: what the balancer records.
+        ending: how its connection was ended.
+        outcome: the outcome that the balancer records.
 
     """
 
@@ -49,7 +49,7 @@
     """Passes lines between a client and its upstream. It does not close their connections.
 
     Attributes:
-        outcome_at_end: what the balancer records if the upstream's side ends next.
+        outcome_at_end: the outcome that the balancer records if the upstream ends its connection.
 
     """
 
@@ -70,7 +70,7 @@
         self._end: RelayEnd | None = None
         self._tasks = anyio.create_task_group()
         self._reading: dict[Side, anyio.CancelScope] = {}
-        self._stopping = False  # both directions stop at the end of a line
+        self._stopping = False  # both directions have to stop at the end of a line
         self._stopped: set[Side] = set()
 
     async def run(self) -> RelayEnd:
@@ -141,7 +141,7 @@
         return None
 
     async def _observe(self, line: bytes) -> None:
-        """Record what a line of the upstream reports about the session."""
+        """Record what a line from the upstream means for the session."""
         match lines.parse_upstream_line(line):
             case lines.Load(load):
                 await self._upstream_actor.post(LoadReported(self._record, load))
--- a/larchlatch/node/session_record.py
+++ b/larchlatch/node/session_record.py
@@ -1,4 +1,4 @@
-"""What a node keeps for each session: the client's request, its final answer, its connections' state."""
+"""What a node records of each session: the request, the final answer, and the state of its connections."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     """Final answer: an upstream has accepted the session.
 
     Attributes:
-        connection: the connection to the upstream, which the receiver of the answer owns with its descriptor.
+        connection: the connection to the upstream; whoever takes the answer owns it and its descriptor.
         line: the upstream's answer; empty for a session that was adopted.
         upstream: number of the upstream.
 
@@ -34,7 +34,7 @@
     """Final answer: no attempt has run, so the client may repeat its request.
 
     Attributes:
-        retry_after_us: the wait that the client is advised, in microseconds; 0 for no advice.
+        retry_after_us: how long the client is advised to wait, in microseconds; 0 for no advice.
 
     """
 
@@ -42,7 +42,7 @@
 
 
 class Failed(NamedTuple):
-    """Final answer: an attempt may have run."""
+    """Final answer: an error, after which it is not known whether an attempt has run."""
 
 
 FinalAnswer = Delivered | Shed | Failed
@@ -52,21 +52,24 @@
 class SessionRecord:
     """One session from its request until the client's connection has ended.
 
-    Times are microseconds of the node's clock. Records are compared by identity.
+    Times are in microseconds of the node's clock. Records are compared by identity.
 
     Attributes:
         session: what the balancer knows of the session.
         opening: the request line of the client.
-        final_answer: the one final answer, once there is one.
+        final_answer: the only final answer; None before it is given.
         finished: set with the final answer, or when the client has left without one.
         client_gone: the client has left, or its session is over.
         client_hung_up: asks the operating system whether the client has closed its connection.
         attempt_scope: cancels the attempt that is in flight, if one is.
-        migration_requested: set when the session has to leave its upstream, or its client is disconnected.
-        request_handover: stops the relay between two lines, so that the successor can continue the session.
+        migration_requested: set when the session has to leave its upstream, or when its client has to be
+            disconnected.
+        request_handover: stops the relay between two lines, so that the successor can continue the session;
+            None before the session is relayed.
         upstream_silent: the session migrates because its upstream does not answer.
-        client_stalled_since: when the client stopped reading what is sent to it; 0 while it reads.
-        awaiting_answer_since: when the client sent the first line without an answer; 0 if all have one.
+        client_stalled_since: since when data waits to be sent to the client; 0 while none waits.
+        awaiting_answer_since: when the client sent the first line that the upstream has not answered; 0 if it
+            has answered all.
 
     """
 
@@ -102,9 +105,9 @@
         self.finished.set()
 
     def check_finished(self) -> bool:
-        """Return whether no attempt may start any more, as the session is answered or its client has left.
+        """Return whether no attempt may start any more: the session is answered, or its client has left.
 
-        The operating system is asked too, as the client's end may follow bytes that have not been read.
+        The operating system is asked too, because unread data may precede the client's end.
         """
         unfinished = not self.client_gone and self.final_answer is None
         if unfinished and self.client_hung_up is not None and self.client_hung_up():
--- a/larchlatch/node/session_watch.py
+++ b/larchlatch/node/session_watch.py
@@ -1,4 +1,4 @@
-"""Watches an upstream's established sessions for silence, delays of messages, and clients that stall."""
+"""Watches the established sessions of an upstream for its silence, delayed messages and stalled clients."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
 CHECK_INTERVAL_S = 0.25  # short compared with the limits below
-REPORT_INTERVAL_US = 1_000_000  # between two reports of delays
+REPORT_INTERVAL_US = 1_000_000  # between two reports on the same upstream
 
-# Limits.
-UNRESPONSIVE_US = 500_000  # without an answer on any session, an upstream is reported: many round trips
-SILENCE_LIMIT_US = 1_500_000  # without an answer, a session migrates: upstreams in order answer at once
-CLIENT_STALL_LIMIT_US = 10_000_000  # without reading, a client is disconnected
-NODE_LAG_US = 500_000  # between two checks: this node was stopped, or had no processor time
+# Limits: how long a state may last before the action that is named.
+UNRESPONSIVE_US = 500_000  # an upstream that answers on no session is reported; many round trips
+SILENCE_LIMIT_US = 1_500_000  # a session without an answer migrates; healthy upstreams answer at once
+CLIENT_STALL_LIMIT_US = 10_000_000  # a client that does not read is disconnected
+NODE_LAG_US = 500_000  # between two checks: more means that this node was suspended or had no CPU time
 
 # Delays.
-DELAYS_KEPT = 256  # answers of one upstream: enough for their median over the report interval
-REPORTED_SHARE = 3  # a delay over one third of the strictest message objective is reported
+DELAYS_KEPT = 256  # the last answers of one upstream, enough for a median over the report interval
+REPORTED_SHARE = 3  # a delay of more than one third of the strictest message objective is reported
 
 log = structlog.get_logger()
 
@@ -55,7 +55,7 @@
     It reads no socket: the relay of each session reports the lines that the upstream sends.
 
     Attributes:
-        sessions: the established sessions by number; whoever relays a session adds and removes it.
+        sessions: the established sessions by number; the session handler adds and removes them.
 
     """
 
@@ -70,11 +70,11 @@
         self._reported_slow = False
         self._line_received_at = 0  # on any of the sessions
         self._checked_at = now_us()
-        self._resumed_at = 0  # when this node continued after it had been stopped
+        self._resumed_at = 0  # when this node last resumed after a suspension
         self._suspects: set[int] = set()  # sessions that exceeded the silence limit at the last check
 
     def line_received(self, record: SessionRecord) -> None:
-        """Note that the upstream has sent a line on a session."""
+        """Record that the upstream has sent a line on a session."""
         now = now_us()
         self._line_received_at = now
         self._notice_node_lag(now)
@@ -108,18 +108,18 @@
             await self._report_delay(now)
 
     def _notice_node_lag(self, now: int) -> None:
-        # A node that was stopped has not read what upstreams answered meanwhile. It would judge them all as
-        # unresponsive or slow, migrate their sessions and shed clients.
+        # A node that was suspended has not read the answers that arrived meanwhile. Without this check it
+        # would treat all upstreams as unresponsive or slow, migrate their sessions and shed clients.
         if now > self._checked_at + NODE_LAG_US:
             self._resumed_at = self._checked_at = now
             self._counters.add(SessionWatchCounter.NOT_JUDGED_NODE_LAG)
 
     def _waiting_since(self, record: SessionRecord) -> int:
-        """Return since when a session waits for its upstream, less any time before this node was resumed."""
+        """Return since when a session waits for its upstream, not counting time before this node resumed."""
         return max(record.awaiting_answer_since, self._resumed_at)
 
     def _cut_off_stalled_clients(self, now: int) -> None:
-        # Such a client uses two descriptors, and memory for what waits to be sent to it.
+        # A stalled client occupies two descriptors, and memory for the data that waits to be sent to it.
         for record in self.sessions.values():
             stalled_since = record.client_stalled_since
             over_limit = stalled_since and now >= stalled_since + CLIENT_STALL_LIMIT_US
@@ -128,8 +128,9 @@
                 record.migration_requested.set()
 
     def _migrate_silent_sessions(self, now: int, waiting: dict[int, SessionRecord]) -> None:
-        # An upstream that has vanished resets nothing: its sessions would stay open and silent forever. Each
-        # has to exceed the limit at two checks, as answers may be unread here after this node was stopped.
+        # If an upstream's machine fails, its connections are not reset: the sessions would stay open and
+        # silent forever. A session has to exceed the limit at two checks in a row, because answers may still
+        # be unread after this node was suspended.
         silent = {
             number
             for number, record in waiting.items()
@@ -161,7 +162,7 @@
         await self._post(UpstreamUnresponsive(self._target.number))
 
     async def _report_delay(self, now: int) -> None:
-        """Report the delay of messages: at each interval while it is long, and once when it no longer is."""
+        """Report the median message delay: at each interval while it is too long, then once more."""
         if not self.sessions:
             return
         threshold_us = self._settings.strictest_message_objective_us // REPORTED_SHARE
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -1,4 +1,4 @@
-"""Races of a client: it leaves, or sends more, during another event. Each race is forced."""
+"""Races between other events and a client that leaves or sends more. Each test forces its race."""
 
 from __future__ import annotations
 
@@ -39,14 +39,17 @@
 )
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-# Closing a connection over unread bytes.
+# Closing a connection while it has unread data.
 
 
 @pytest.mark.parametrize("first", [b"nonsense\r\n", b"OPEN a\r\n", b"x" * 5000, b"OPEN half"])
 def test_an_answer_arrives_although_unread_bytes_follow_the_request(
     first: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They arrive between the reading of the request and its answer."""
+    """A close with unread data resets the connection, and the client loses its answer.
+
+    The unread data arrives after the node has read the request and before it sends the answer.
+    """
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
     real = stream.Lines.send
@@ -68,6 +71,8 @@
 
 
 def test_a_session_shed_unread_gets_its_complete_answer() -> None:
+    """A close while the client still sends would reset the connection, and the answer would be lost."""
+
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             client = connect_raw(server.getsockname()[1], request_line("a"))
@@ -88,7 +93,10 @@
 def test_a_client_whose_end_follows_other_bytes_counts_as_gone(
     client_connections: list[ClientConnections],
 ) -> None:
-    """It continues a session, sends more lines, and leaves while its session is held."""
+    """A node that sees the end only after the data before it makes an attempt for a client that has left.
+
+    The client continues a session, sends more lines, and leaves while its session is held.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -107,7 +115,7 @@
             await wait_until_idle(client_connections[0])
         client_connections[0]._balancer_actor.handle(now_us(), EndpointsChanged(endpoint_changes(rows), True))
         assert await (await open_session(port)).line() == b"UP r1\r\n"
-        assert len(upstreams.lines) == 1, "an attempt for a client that had left"
+        assert len(upstreams.lines) == 1, "an attempt was made for a client that had left"
 
     run_on_loopback(body)
 
@@ -116,7 +124,10 @@
 def test_no_attempt_is_sent_for_a_client_that_left_after_the_decision(
     unread: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end has arrived, but is not read yet, when the connection to the upstream is established."""
+    """An attempt after the client's end would establish a session without a client.
+
+    The client's end arrives, and is not read yet, while the node connects to the upstream.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -143,6 +154,7 @@
 def test_a_client_that_leaves_before_its_decision_causes_no_attempt(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A request that waits while the mailbox is full must be dropped when its client leaves."""
     gate = anyio.Event()
     real = Mailbox.submit
 
@@ -174,6 +186,8 @@
 def test_a_session_without_a_decision_is_answered_in_time(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A client must not wait beyond its deadline when the mailbox stays full and no decision is made."""
+
     async def submit(mailbox: Mailbox, message: Any) -> None:
         await anyio.sleep_forever()
 
@@ -200,7 +214,11 @@
 def test_idle_clients_with_all_descriptors_block_neither_discovery_nor_operators(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They arrive while discovery is down; later its changes are followed, and a client is served."""
+    """Idle clients that take all descriptors could leave none for discovery and the admin API.
+
+    They connect while discovery is down. The admin API must answer, and once discovery is up again, the node
+    must apply its list and serve clients.
+    """
     monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
@@ -241,7 +259,10 @@
 
 
 def test_many_nodes_that_start_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    """Thirty processes start while discovery can't be reached."""
+    """Nodes that start together compete for processor time, which must not delay their readiness for long.
+
+    Thirty processes start while discovery can't be reached; 27 of them must be ready within 10 s.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         path = tmp_path / "node.json"
--- a/tests/node/test_descriptor_budget.py
+++ b/tests/node/test_descriptor_budget.py
@@ -1,4 +1,4 @@
-"""Eviction when descriptors run short: the rule without I/O, and idle clients beside slow ones."""
+"""Eviction of idle connections: the rule without I/O, and a node with many idle and some slow clients."""
 
 from __future__ import annotations
 
@@ -91,7 +91,10 @@
 
 
 def test_slow_clients_are_served_beside_a_thousand_idle_ones(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Few descriptors, and idle clients that would fill them twenty times over."""
+    """Many idle clients must not cause the eviction of clients that send their requests slowly.
+
+    A thousand idle clients connect, which is twenty times the number that may stay open.
+    """
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 2.0)
     monkeypatch.setattr(request_reader, "AFTER_PING_S", 2.0)
 
--- a/tests/node/test_held_sessions.py
+++ b/tests/node/test_held_sessions.py
@@ -1,4 +1,4 @@
-"""Held sessions fall due in the order of their times."""
+"""The queue of held sessions returns those that are due, ordered by time and then by number."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 
 
 def test_a_session_held_again_while_others_fall_due_is_due_too() -> None:
+    """A session that is held again for a time that has already come must not be lost or delayed."""
     held = HeldSessions()
     held.add(1, retry_at=5)
     assert held.pop_due(5) == 1
--- a/tests/node/test_overdue_requests.py
+++ b/tests/node/test_overdue_requests.py
@@ -1,4 +1,4 @@
-"""A node that reads late: what lay unread for long is answered in time, or served."""
+"""Requests that waited for a long time before the node read them: they are shed in time, or served."""
 
 from __future__ import annotations
 
@@ -20,10 +20,16 @@
 from tests.support.node_process import node_process
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-STOPPED_S = 1.2  # seconds: twice what an attempt takes at these upstreams
+STOPPED_S = 1.2  # twice the time that an attempt takes at these upstreams
 
 
 def test_unread_requests_with_too_little_time_left_are_shed_at_once(tmp_path: Path) -> None:
+    """After a node was suspended, attempts that can't succeed would take time from those that can.
+
+    Requests arrive while the node is suspended. When it continues, it must shed those that have less time
+    left than an attempt takes, and serve the others.
+    """
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP echo").start(tasks)
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
@@ -31,10 +37,10 @@
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(raw))
         async with node_process(path) as node:
-            first = await open_session(node.port)  # lets the node measure what an attempt takes
+            first = await open_session(node.port)  # lets the node measure how long an attempt takes
             assert await first.line() == b"UP echo\r\n"
             node.signal(signal.SIGSTOP)
-            # The system accepts all of these meanwhile; the node reads them when they have waited.
+            # The operating system accepts these connections; the node reads them once it continues.
             short = [
                 await open_session(node.port, 1500, traffic_class)
                 for traffic_class in ("rerun", "ticket", "once")
@@ -48,9 +54,11 @@
             node.signal(signal.SIGCONT)
             for client in short:
                 answer = await client.line()
-                assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), "without retry advice"
-                assert isinstance(await client.line(), Ending), "a line follows the final answer"
-            assert len(upstreams.lines) <= 2, "an attempt that could not end in time"
+                assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), (
+                    "the answer advises no wait before a retry"
+                )
+                assert isinstance(await client.line(), Ending), "another line follows the final answer"
+            assert len(upstreams.lines) <= 2, "an attempt was made that could not end in time"
             assert await bad.line() == b"ERR\r\n"
             assert await front.line() == b"PONG\r\n"
             await half.send(b"me,d=3000\r\n")
@@ -68,8 +76,12 @@
 
 @pytest.mark.parametrize("took", [20_000, 400_000])
 def test_setup_time_is_the_running_mean_of_established_sessions(took: int) -> None:
+    """A wrong setup time makes the node shed requests that it could serve, or serve those it should shed.
+
+    Attempts that fail must not change it, and it must follow sessions that take longer.
+    """
     harness = BalancerHarness()
-    assert harness.balancer.wait(harness.now).setup_us == 0, "no request is rejected on an estimate"
+    assert harness.balancer.wait(harness.now).setup_us == 0, "setup time without any session"
     for _ in range(30):
         session = harness.arrive()
         harness.now += took
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -39,6 +39,8 @@
 
 
 def test_invalid_requests_fail_and_affect_nothing_else() -> None:
+    """An invalid request must not reach an upstream, disturb other sessions or leave a descriptor open."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         port = await start_node_with(tasks, upstreams)
@@ -61,7 +63,10 @@
 
 
 def test_the_id_of_an_open_session_is_rejected() -> None:
-    """Upstreams answer it with an error: a few such clients would have all known upstreams ejected."""
+    """Upstreams answer the second use of an id with an error, which counts as their failure.
+
+    A few clients that reuse ids would have all known upstreams ejected.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -78,7 +83,7 @@
 
 
 def test_a_second_line_before_the_answer_is_an_error() -> None:
-    """The second line would be relayed, and no upstream could read it."""
+    """Without this rejection, the node would relay a line that no upstream can parse."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -1,4 +1,4 @@
-"""Messages split at any byte, from every side; and peers that stay connected and send, or read, nothing."""
+"""Data that arrives in fragments, from any peer, and peers that stay connected but do not answer or read."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 from tests.support.node_process import node_process
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-BETWEEN_S = 0.002  # between two pieces: read apart as a rule, and whatever way they are read is right
+BETWEEN_S = 0.002  # between two fragments: usually they are read separately, but need not be
 
 
 async def cut(send: Callable[[bytes], Awaitable[object]], data: bytes, at: int) -> None:
-    """Send the data in two pieces."""
+    """Send the data in two fragments, split at a byte."""
     for piece in (data[:at], data[at:]):
         if piece:
             await send(piece)
@@ -38,6 +38,8 @@
 
 
 def test_client_data_split_at_any_byte_reaches_the_upstream_complete() -> None:
+    """A request or line that arrives in two fragments must be neither truncated nor taken for two lines."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         port = await start_node_with(tasks, upstreams)
@@ -59,6 +61,8 @@
     "data", [b"UP r1\r\nLOAD 12\r\nback\r\nBYE\r\n", b"BUSY inflight=7\r\n", b"MOVE\r\n", b"ERR\r\n"]
 )
 def test_upstream_data_split_at_any_byte_reaches_the_client_complete(data: bytes) -> None:
+    """An upstream's answer that arrives in two fragments must be parsed and relayed like a whole one."""
+
     async def body(tasks: TaskGroup) -> None:
         at = 1
 
@@ -77,13 +81,14 @@
             if data.startswith(b"UP"):
                 assert got == data
             else:
-                # Rejected where it can't have run, or where its upstream is in backoff by then.
-                assert got.count(b"\r\n") == 1 and got.startswith((b"ERR", b"BUSY")), "one final answer"
+                # BUSY if no attempt can have run, or if the upstream is in backoff by then.
+                assert got.count(b"\r\n") == 1 and got.startswith((b"ERR", b"BUSY")), "not one final answer"
 
     run_on_loopback(body)
 
 
 def test_an_endpoint_list_split_at_any_byte_is_read_completely() -> None:
+    """A list split at any byte, also within an HTTP chunk, must be neither truncated nor rejected."""
     whole = {"revision": 5, "complete": True, "members": [endpoint_row(0, "127.0.0.1:9")]}
     text = orjson.dumps(whole) + b"\n\n"
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (text[:40], text[40:]))
@@ -126,7 +131,10 @@
 
 
 def test_the_endpoint_list_is_kept_if_discovery_rejects_calls() -> None:
-    """An HTTP error is a failed call: the node calls again with backoff and works with the list it has."""
+    """A node that took an HTTP error for an empty list could serve no client.
+
+    The error is a failed call: the node keeps the list that it has and calls again with backoff.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         asked = 0
@@ -145,7 +153,7 @@
         for _ in range(5):
             assert await (await open_session(port)).line() == b"UP r1\r\n"
             await anyio.sleep(0.3)
-        assert 2 <= asked <= 12, "many nodes that call this often would overload it"
+        assert 2 <= asked <= 12, "no further call, or so many that nodes would overload discovery"
 
     run_on_loopback(body)
 
@@ -153,6 +161,7 @@
 def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A client that never reads would otherwise occupy two descriptors and buffered data without end."""
     monkeypatch.setattr(session_watch, "CLIENT_STALL_LIMIT_US", 500_000)
 
     async def body(tasks: TaskGroup) -> None:
@@ -166,6 +175,11 @@
 
 
 def test_the_node_reports_each_upstream_beside_its_sockets(tmp_path: Path) -> None:
+    """The sessions and attempts that the balancer counts must agree with the connections that are open.
+
+    A difference would mean that one of them loses track of a session.
+    """
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
         story = {
@@ -203,6 +217,8 @@
 
 
 def test_a_probes_connection_reserves_and_releases_a_descriptor() -> None:
+    """Probe connections that are not counted would let the node exceed its descriptor limit."""
+
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
@@ -224,7 +240,11 @@
 
 
 def test_a_probe_ordered_while_one_is_under_way_does_not_end_the_node() -> None:
-    # Other nodes' observations order probes beside the node's own: both would read from one connection.
+    """Two probes at once would read from the same connection, and the exception would end the node.
+
+    A probe that other nodes' observations request can coincide with one of the node's own schedule.
+    """
+
     async def body(tasks: TaskGroup) -> None:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, pong_once)
