--- a/larchlatch/node/clients/request_reader.py
+++ b/larchlatch/node/clients/request_reader.py
@@ -22,7 +22,7 @@
 # How long the node waits for a complete line on a connection, in seconds.
 FIRST_LINE_S = 2.5  # a client gets an answer within 3 s after it has connected, even if it sends nothing
 AFTER_PING_S = 10.0  # after the answer to a front's PING, until its next line
-LAST_REQUEST_S = 0.1  # shortly before the node stops: only for lines that are already in transit
+SHUTDOWN_FIRST_LINE_S = 0.1  # shortly before the node stops: only for lines that are already in transit
 
 
 class ReaderCounter(StrEnum):
@@ -69,7 +69,7 @@
 
         """
         began = anyio.current_time()
-        wait_s = LAST_REQUEST_S if self._lifecycle.rejects_all else FIRST_LINE_S
+        wait_s = SHUTDOWN_FIRST_LINE_S if self._lifecycle.rejects_all else FIRST_LINE_S
         with anyio.CancelScope(deadline=began + wait_s) as scope:
             self.waiting[scope] = None
             idle = IdleConnection(scope.cancel, began)
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -31,7 +31,7 @@
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
 
-MOVE_S = 0.5  # for sending MOVE to a client; one that does not read it in time is disconnected without it
+MOVE_TIMEOUT_S = 0.5  # for sending MOVE; a client that does not read it in time is disconnected
 MAX_EARLY_BYTES = 65536  # read from a client before its session is connected to an upstream
 SHORT_LINGER_S = 0.02  # wait for a client's end after its answer, while descriptors are scarce
 
@@ -306,7 +306,7 @@
             self._counters.add(
                 SessionCounter.MIGRATED_SILENT if record.upstream_silent else SessionCounter.MIGRATED
             )
-            with anyio.move_on_after(MOVE_S):
+            with anyio.move_on_after(MOVE_TIMEOUT_S):
                 await client.send(lines.MOVE)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(client.finish, end.ending)
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -69,7 +69,7 @@
         self._upstream_actor = upstream_actor
         self._end: RelayEnd | None = None
         self._tasks = anyio.create_task_group()
-        self._reading: dict[Side, anyio.CancelScope] = {}
+        self._read_scopes: dict[Side, anyio.CancelScope] = {}
         self._stopping = False  # both directions have to stop at the end of a line
         self._stopped: set[Side] = set()
 
@@ -86,7 +86,7 @@
         """Stop both directions between two lines, so that the successor can continue."""
         # Only reading is cancelled: a line that has been read is sent before its direction stops.
         self._stopping = True
-        for scope in self._reading.values():
+        for scope in self._read_scopes.values():
             scope.cancel()
 
     def _finish(self, end: RelayEnd) -> None:
@@ -112,7 +112,7 @@
         """Return the next lines of a side, or how it ended; None if the direction has to stop."""
         if self._stopping:
             return None
-        with anyio.CancelScope() as self._reading[side]:
+        with anyio.CancelScope() as self._read_scopes[side]:
             return await source.some()
         return None
 
--- a/larchlatch/node/session_watch.py
+++ b/larchlatch/node/session_watch.py
@@ -28,7 +28,7 @@
 
 # Delays.
 DELAYS_KEPT = 256  # the last answers of one upstream, enough for a median over the report interval
-REPORTED_SHARE = 3  # a delay of more than one third of the strictest message objective is reported
+REPORT_THRESHOLD_DIVISOR = 3  # a delay of more than one third of the strictest message objective is reported
 
 log = structlog.get_logger()
 
@@ -71,7 +71,7 @@
         self._line_received_at = 0  # on any of the sessions
         self._checked_at = now_us()
         self._resumed_at = 0  # when this node last resumed after a suspension
-        self._suspects: set[int] = set()  # sessions that exceeded the silence limit at the last check
+        self._silent_at_last_check: set[int] = set()  # sessions over the silence limit then
 
     def line_received(self, record: SessionRecord) -> None:
         """Record that the upstream has sent a line on a session."""
@@ -98,7 +98,7 @@
             for number, record in self.sessions.items()
             if record.awaiting_answer_since and not record.client_stalled_since and not record.upstream_silent
         }
-        self._cut_off_stalled_clients(now)
+        self._disconnect_stalled_clients(now)
         self._migrate_silent_sessions(now, waiting)
         if now >= self._reported_at + REPORT_INTERVAL_US or not self._reported_slow:
             await self._report_unresponsive(now, waiting)
@@ -118,7 +118,7 @@
         """Return since when a session waits for its upstream, not counting time before this node resumed."""
         return max(record.awaiting_answer_since, self._resumed_at)
 
-    def _cut_off_stalled_clients(self, now: int) -> None:
+    def _disconnect_stalled_clients(self, now: int) -> None:
         # A stalled client occupies two descriptors, and memory for the data that waits to be sent to it.
         for record in self.sessions.values():
             stalled_since = record.client_stalled_since
@@ -136,10 +136,10 @@
             for number, record in waiting.items()
             if now >= self._waiting_since(record) + SILENCE_LIMIT_US
         }
-        for number in silent & self._suspects:
+        for number in silent & self._silent_at_last_check:
             waiting[number].upstream_silent = True
             waiting[number].migration_requested.set()
-        self._suspects = silent
+        self._silent_at_last_check = silent
 
     async def _report_unresponsive(self, now: int, waiting: dict[int, SessionRecord]) -> None:
         unanswered_since = [
@@ -165,7 +165,7 @@
         """Report the median message delay: at each interval while it is too long, then once more."""
         if not self.sessions:
             return
-        threshold_us = self._settings.strictest_message_objective_us // REPORTED_SHARE
+        threshold_us = self._settings.strictest_message_objective_us // REPORT_THRESHOLD_DIVISOR
         answers = [answer.delay_us for answer in self._delays if answer.at > now - REPORT_INTERVAL_US]
         waits = self._pending_waits(now)
         delays = answers + [wait for wait in waits if wait > threshold_us]
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -52,11 +52,11 @@
     """
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
-    real = stream.Lines.send
+    original = stream.Lines.send
 
     async def send(lines: stream.Lines, data: bytes) -> bool:
         clients[0].sendall(b"more and more\r\n" * 100)
-        return await real(lines, data)
+        return await original(lines, data)
 
     monkeypatch.setattr(stream.Lines, "send", send)
 
@@ -155,12 +155,12 @@
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A request that waits while the mailbox is full must be dropped when its client leaves."""
-    gate = anyio.Event()
-    real = Mailbox.submit
+    mailbox_has_room = anyio.Event()
+    original = Mailbox.submit
 
     async def submit(mailbox: Mailbox, message: Any) -> None:
-        await gate.wait()  # while the mailbox is full
-        await real(mailbox, message)
+        await mailbox_has_room.wait()  # while the mailbox is full
+        await original(mailbox, message)
 
     monkeypatch.setattr(Mailbox, "offer", lambda mailbox, message: False)
     monkeypatch.setattr(Mailbox, "submit", submit)
@@ -176,7 +176,7 @@
         client.close()
         with anyio.fail_after(SOON_S):
             await wait_until(lambda: client_connections[0].sessions.open_count == 0)
-        gate.set()
+        mailbox_has_room.set()
         await wait_until_idle(client_connections[0])
         assert not upstreams.lines
 
@@ -224,20 +224,22 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
         closed = socket.create_server(("127.0.0.1", 0))
-        port = closed.getsockname()[1]
+        discovery_port = closed.getsockname()[1]
         closed.close()
-        raw = node_configuration(upstreams.addresses[:1], port)
+        raw = node_configuration(upstreams.addresses[:1], discovery_port)
         raw["limits"] = {"sockets": HEADROOM + 24}
         raw["control"] = admin_address()
-        at = await start_node(tasks, raw)
-        idle = [connect_raw(at, b"") for _ in range(60)]
+        node_port = await start_node(tasks, raw)
+        idle = [connect_raw(node_port, b"") for _ in range(60)]
         await wait_until(lambda: client_connections[0].counters.counts["idle_connection_evicted_silent"] > 0)
         assert (await call_admin_api(raw["control"], "GET /ops/readiness"))[0] == 200
         rows = [
             endpoint_row(0, upstreams.addresses[0], "terminating"),
             endpoint_row(1, upstreams.addresses[1]),
         ]
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
+        listener = await anyio.create_tcp_listener(
+            local_host="127.0.0.1", local_port=discovery_port, reuse_port=True
+        )
 
         async def serve(session: SocketStream) -> None:
             async with session:
@@ -250,7 +252,7 @@
         tasks.start_soon(listener.serve, serve)
         await wait_until(lambda: client_connections[0].counters.counts["endpoint_list_full"] == 1)
         for _ in range(5):
-            assert await (await open_session(at)).line() == b"UP r1\r\n"
+            assert await (await open_session(node_port)).line() == b"UP r1\r\n"
         assert {upstream for upstream, _ in upstreams.lines} == {1}
         for client in idle:
             client.close()
@@ -274,9 +276,9 @@
             async with node_process(path):
                 ready.append(anyio.current_time() - began)
 
-        async with anyio.create_task_group() as herd:
+        async with anyio.create_task_group() as starts:
             for _ in range(30):
-                herd.start_soon(start)
+                starts.start_soon(start)
         assert sorted(ready)[26] < 10.0
 
     run_on_loopback(body)
--- a/tests/node/test_descriptor_budget.py
+++ b/tests/node/test_descriptor_budget.py
@@ -104,39 +104,41 @@
         raw: dict[str, Any] = node_configuration(upstreams.addresses, discovery.port)
         raw["limits"]["sockets"] = 192
         port = await start_node(tasks, raw)
-        answers = []
+        idle_answers = []
 
-        async def idle(says: bytes) -> None:
+        async def idle_client(data: bytes) -> None:
             client = await connect(port)
-            if says:
-                await client.send(says)
+            if data:
+                await client.send(data)
             line = await client.line()
-            if says == b"PING\r\n":
+            if data == b"PING\r\n":
                 assert line == b"PONG\r\n"
                 line = await client.line()
-            answers.append(line)
+            idle_answers.append(line)
             await client.close()
 
-        async def slow() -> None:
+        async def slow_client() -> None:
             client = await connect(port)
             text = f"OPEN id{next(CLIENT_IDS)} k1 c=rerun,t=acme,d=2000,g=k1\r\n".encode()
-            for place in range(0, len(text), 9):
-                await client.send(text[place : place + 9])
-                await anyio.sleep(0.3 if place else 0.03)
-            got.append(await client.line())
+            for offset in range(0, len(text), 9):
+                await client.send(text[offset : offset + 9])
+                await anyio.sleep(0.3 if offset else 0.03)
+            slow_answers.append(await client.line())
 
-        got: list[bytes | Ending] = []
+        slow_answers: list[bytes | Ending] = []
         async with anyio.create_task_group() as idle_tasks:
             for number in range(1000):
-                idle_tasks.start_soon(idle, (b"", b"OPEN i", b"PING\r\n", b"", b"PING\r\n")[number % 5])
+                idle_tasks.start_soon(
+                    idle_client, (b"", b"OPEN i", b"PING\r\n", b"", b"PING\r\n")[number % 5]
+                )
                 if number % 100 == 50:
-                    tasks.start_soon(slow)
+                    tasks.start_soon(slow_client)
                 if number % 10 == 0:
                     await anyio.sleep(0.04)
             with anyio.fail_after(6):
-                while len(got) < 10:
+                while len(slow_answers) < 10:
                     await anyio.sleep(0.02)
-        assert got == [b"UP r1\r\n"] * 10
-        assert len(answers) == 1000 and set(answers) <= {b"ERR\r\n", Ending.END, Ending.RESET}
+        assert slow_answers == [b"UP r1\r\n"] * 10
+        assert len(idle_answers) == 1000 and set(idle_answers) <= {b"ERR\r\n", Ending.END, Ending.RESET}
 
     run_on_loopback(body)
--- a/tests/node/test_overdue_requests.py
+++ b/tests/node/test_overdue_requests.py
@@ -20,7 +20,7 @@
 from tests.support.node_process import node_process
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-STOPPED_S = 1.2  # twice the time that an attempt takes at these upstreams
+SUSPENDED_S = 1.2  # twice the time that an attempt takes at these upstreams
 
 
 def test_unread_requests_with_too_little_time_left_are_shed_at_once(tmp_path: Path) -> None:
@@ -41,31 +41,31 @@
             assert await first.line() == b"UP echo\r\n"
             node.signal(signal.SIGSTOP)
             # The operating system accepts these connections; the node reads them once it continues.
-            short = [
+            short_wait = [
                 await open_session(node.port, 1500, traffic_class)
                 for traffic_class in ("rerun", "ticket", "once")
             ]
-            long = await open_session(node.port, 3000)
-            bad, front, half = [await connect(node.port) for _ in range(3)]
-            await bad.send(b"OPEN a b c=none,t=acme,d=1500\r\n")
+            long_wait = await open_session(node.port, 3000)
+            rejected, front, incomplete = [await connect(node.port) for _ in range(3)]
+            await rejected.send(b"OPEN a b c=none,t=acme,d=1500\r\n")
             await front.send(b"PING\r\n")
-            await half.send(b"OPEN idhalf k c=rerun,t=ac")
-            await anyio.sleep(STOPPED_S)
+            await incomplete.send(b"OPEN idhalf k c=rerun,t=ac")
+            await anyio.sleep(SUSPENDED_S)
             node.signal(signal.SIGCONT)
-            for client in short:
+            for client in short_wait:
                 answer = await client.line()
                 assert isinstance(answer, bytes) and answer.startswith(b"BUSY "), (
                     "the answer advises no wait before a retry"
                 )
                 assert isinstance(await client.line(), Ending), "another line follows the final answer"
             assert len(upstreams.lines) <= 2, "an attempt was made that could not end in time"
-            assert await bad.line() == b"ERR\r\n"
+            assert await rejected.line() == b"ERR\r\n"
             assert await front.line() == b"PONG\r\n"
-            await half.send(b"me,d=3000\r\n")
-            for client in (long, half):
+            await incomplete.send(b"me,d=3000\r\n")
+            for client in (long_wait, incomplete):
                 assert await client.line() == b"UP echo\r\n"
             assert len(upstreams.lines) == 3
-            for client in (first, long, half):
+            for client in (first, long_wait, incomplete):
                 await client.send(b"go\r\n")
                 assert await client.line() == b"go\r\n"
             node.signal(signal.SIGUSR1)
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -17,7 +17,7 @@
 from tests.support.node import start_node_with
 from tests.support.stand_ins import UpstreamStubs
 
-BAD = [
+INVALID_REQUESTS = [
     b"",
     b"HELLO\r\n",
     b"OPEN id1 k1\r\n",
@@ -46,8 +46,8 @@
         port = await start_node_with(tasks, upstreams)
         established = await open_session(port, ident="mine")
         assert await established.line() == b"UP echo\r\n"
-        before = len(os.listdir("/proc/self/fd"))
-        for line in BAD:
+        open_before = len(os.listdir("/proc/self/fd"))
+        for line in INVALID_REQUESTS:
             client = await connect(port)
             if line:
                 await client.send(line)
@@ -57,7 +57,7 @@
         await established.send(b"still there\r\n")
         assert await established.line() == b"still there\r\n"
         # No descriptor may stay open.
-        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= open_before)
 
     run_on_loopback(body)
 
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -26,15 +26,15 @@
 from tests.support.node_process import node_process
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-BETWEEN_S = 0.002  # between two fragments: usually they are read separately, but need not be
+FRAGMENT_INTERVAL_S = 0.002  # between two fragments: usually they are read separately, but need not be
 
 
-async def cut(send: Callable[[bytes], Awaitable[object]], data: bytes, at: int) -> None:
+async def send_split(send: Callable[[bytes], Awaitable[object]], data: bytes, at: int) -> None:
     """Send the data in two fragments, split at a byte."""
-    for piece in (data[:at], data[at:]):
-        if piece:
-            await send(piece)
-            await anyio.sleep(BETWEEN_S)
+    for fragment in (data[:at], data[at:]):
+        if fragment:
+            await send(fragment)
+            await anyio.sleep(FRAGMENT_INTERVAL_S)
 
 
 def test_client_data_split_at_any_byte_reaches_the_upstream_complete() -> None:
@@ -47,9 +47,9 @@
         lines = b"one line\r\nand another\r\n"
         for at in range(1, len(first) + 4):
             client = await connect(port)
-            await cut(client.send, first.format(f"id{next(CLIENT_IDS)}").encode(), at)
+            await send_split(client.send, first.format(f"id{next(CLIENT_IDS)}").encode(), at)
             assert await client.line() == b"UP echo\r\n"
-            await cut(client.send, lines, at % len(lines))
+            await send_split(client.send, lines, at % len(lines))
             assert await client.line() + await client.line() == lines  # type: ignore[operator]
             await client.close()
         assert len(upstreams.lines) == len(first) + 3 and upstreams.most_out <= 1
@@ -69,7 +69,7 @@
         async def serve(stream: SocketStream) -> None:
             async with stream:
                 await stream.receive()
-                await cut(stream.send, data, at)
+                await send_split(stream.send, data, at)
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         tasks.start_soon(listener.serve, serve)
@@ -89,8 +89,8 @@
 
 def test_an_endpoint_list_split_at_any_byte_is_read_completely() -> None:
     """A list split at any byte, also within an HTTP chunk, must be neither truncated nor rejected."""
-    whole = {"revision": 5, "complete": True, "members": [endpoint_row(0, "127.0.0.1:9")]}
-    text = orjson.dumps(whole) + b"\n\n"
+    endpoint_list = {"revision": 5, "complete": True, "members": [endpoint_row(0, "127.0.0.1:9")]}
+    text = orjson.dumps(endpoint_list) + b"\n\n"
     chunks = b"".join(b"%x\r\n%s\r\n" % (len(part), part) for part in (text[:40], text[40:]))
     answer = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 
@@ -100,7 +100,7 @@
         async def serve(stream: SocketStream) -> None:
             async with stream:
                 await stream.receive()
-                await cut(stream.send, answer, at)
+                await send_split(stream.send, answer, at)
                 await anyio.sleep_forever()
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -137,12 +137,12 @@
     """
 
     async def body(tasks: TaskGroup) -> None:
-        asked = 0
+        call_count = 0
         upstreams = await UpstreamStubs("UP r1").start(tasks)
 
         async def serve(stream: SocketStream) -> None:
-            nonlocal asked
-            asked += 1
+            nonlocal call_count
+            call_count += 1
             async with stream:
                 await stream.receive()
                 await stream.send(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
@@ -153,12 +153,12 @@
         for _ in range(5):
             assert await (await open_session(port)).line() == b"UP r1\r\n"
             await anyio.sleep(0.3)
-        assert 2 <= asked <= 12, "no further call, or so many that nodes would overload discovery"
+        assert 2 <= call_count <= 12, "no further call, or so many that nodes would overload discovery"
 
     run_on_loopback(body)
 
 
-def test_a_client_that_never_reads_is_cut_off_and_gives_its_descriptors_back(
+def test_a_client_that_never_reads_is_disconnected_and_releases_its_descriptors(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A client that never reads would otherwise occupy two descriptors and buffered data without end."""
@@ -174,7 +174,7 @@
     run_on_loopback(body)
 
 
-def test_the_node_reports_each_upstream_beside_its_sockets(tmp_path: Path) -> None:
+def test_upstream_status_agrees_with_the_open_connections(tmp_path: Path) -> None:
     """The sessions and attempts that the balancer counts must agree with the connections that are open.
 
     A difference would mean that one of them loses track of a session.
@@ -182,12 +182,12 @@
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
-        story = {
+        update = {
             "revision": 3,
             "complete": False,
             "members": [endpoint_row(1, upstreams.addresses[1], "terminating")],
         }
-        discovery = await DiscoveryStub([EMPTY_CHANGE, story]).start(tasks)
+        discovery = await DiscoveryStub([EMPTY_CHANGE, update]).start(tasks)
         path = tmp_path / "node.json"
         path.write_bytes(orjson.dumps(node_configuration(upstreams.addresses, discovery.port)))
         async with node_process(path) as running:
@@ -239,7 +239,7 @@
     run_on_loopback(body)
 
 
-def test_a_probe_ordered_while_one_is_under_way_does_not_end_the_node() -> None:
+def test_a_probe_requested_while_one_is_running_does_not_end_the_node() -> None:
     """Two probes at once would read from the same connection, and the exception would end the node.
 
     A probe that other nodes' observations request can coincide with one of the node's own schedule.
