--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -86,9 +86,9 @@
         # If the socket were closed while the event loop waits on it, it would continue to accept connections.
         await self.idle.wait()
         while (sock := self._listener.accept_nowait()) is not None:
-            # A descriptor is reserved even if none is free, as this client must be answered now. The task
+            # A descriptor is taken even if none is free, as this client must be answered now. The task
             # releases it.
-            self._descriptors.lend(1)
+            self._descriptors.reduce_capacity(1)
             self._tasks.start_soon(self._connections.serve, sock)
         self._listener.sock.close()
 
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -40,7 +40,7 @@
 
     Attributes:
         capacity: descriptors that may be in use.
-        free: descriptors that may still be reserved; negative after more were lent than were free.
+        free: descriptors that may still be reserved; negative after the capacity was reduced by more.
         idle_limit: how many idle connections may be open.
 
     """
@@ -73,7 +73,7 @@
         """Release one reserved descriptor."""
         self.free += 1
 
-    def lend(self, count: int) -> None:
+    def reduce_capacity(self, count: int) -> None:
         """Remove descriptors from the budget, for example for the successor; a negative count adds them."""
         self.capacity -= count
         self.free -= count
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -98,11 +98,11 @@
                 continue
             channel = Channel(await UNIXSocketStream.from_socket(sock))
             # The successor needs descriptors to start, before it has any connection.
-            self._descriptors.lend(HEADROOM)
+            self._descriptors.reduce_capacity(HEADROOM)
             try:
                 await self._serve_successor(channel)
             finally:
-                self._descriptors.lend(-HEADROOM)
+                self._descriptors.reduce_capacity(-HEADROOM)
                 await channel.close()
             self._counters.add(PredecessorCounter.SUCCESSOR_LOST)
             log.warning("hot_restart_successor_lost")
@@ -132,7 +132,7 @@
         # Each session without an upstream may need one more descriptor; the successor gets all others.
         reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
         lent = self._descriptors.free - reserved
-        self._descriptors.lend(lent)
+        self._descriptors.reduce_capacity(lent)
         state = self._state_for_successor(reserved)
         self._counters.add(PredecessorCounter.STATE_HANDED_OVER)
         log.info("hot_restart_successor_serving", sessions=len(self._connections.sessions.established))
@@ -142,7 +142,7 @@
             self._connections.sessions.hand_sessions_to(None)
             self._lifecycle.successor_serves = False
             self._balancer_actor.resume()
-            self._descriptors.lend(-lent)
+            self._descriptors.reduce_capacity(-lent)
             self._client_listener.open()
 
     def _sessions_without_upstream(self) -> int:
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -86,7 +86,7 @@
             return
         state = received.packet
         self._predecessor_descriptors = state.descriptor_count
-        components.descriptors.lend(state.descriptor_count)
+        components.descriptors.reduce_capacity(state.descriptor_count)
         components.connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
             # A drain goes on until an operator stops it. The time for its sessions counts from its start.
@@ -100,7 +100,7 @@
         connections.requests.ids.release_reserved()
         # The descriptors of adopted sessions are released when these end.
         adopted_descriptors = session_count * CONNECTIONS_PER_SESSION
-        connections.descriptors.lend(adopted_descriptors - self._predecessor_descriptors)
+        connections.descriptors.reduce_capacity(adopted_descriptors - self._predecessor_descriptors)
         log.info("hot_restart_predecessor_ended", sessions=session_count)
 
     async def _adopt_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -91,7 +91,7 @@
             return None
         self._connection = connection
         # Charged to the budget: the connections of many upstreams would exceed its headroom.
-        self._descriptors.lend(1)
+        self._descriptors.reduce_capacity(1)
         return connection
 
     async def _exchange(self, connection: Lines) -> wire.Pong | Ending | None:
@@ -105,7 +105,7 @@
         if isinstance(answer, wire.Pong):
             return answer
         self._connection = None
-        self._descriptors.lend(-1)
+        self._descriptors.reduce_capacity(-1)
         await connection.close()
         return answer if isinstance(answer, Ending) else None
 
