--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -1,8 +1,8 @@
-"""One node's observations of upstreams, and its judgement of other nodes' observations. No I/O.
+"""One node's observations of upstreams, and its evaluation of other nodes' reports. No I/O.
 
-Nodes share observations with their age, never conclusions: each node draws its own. A report of another node
-makes a node probe the upstream itself. Reports of several nodes count as its own failures, unless its own
-observations contradict them. Times are whole microseconds of a monotonic clock.
+Nodes exchange observations with their age, never conclusions: each node draws its own. A report by another
+node makes this node probe the upstream itself. Reports by several nodes count as failures of this node's own
+attempts, unless its own observations contradict them. Times are whole microseconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
     from collections.abc import Iterable, Mapping
 
 CONFIRMATIONS = (
-    2  # nodes that have to report an upstream before it is ejected; of two sites if there are several
+    2  # nodes that have to report an upstream before it is ejected; from two sites if there are several
 )
-REPROBE_US = 2_000_000  # between two probes of an upstream because of the same reports
-MAX_PROBES = 2  # requested in one heartbeat: a faulty node may report all upstreams
-MAX_REPORTED = 16  # observations in a record, to leave space for others' records
+REPROBE_US = 2_000_000  # least interval between two probes of an upstream caused by the same reports
+MAX_PROBES = 2  # probes requested in one heartbeat: a faulty node may report all upstreams
+MAX_REPORTED = 16  # observations in this node's record, to leave space for other nodes' records
 
 
 class ReportedFailure(NamedTuple):
-    """An upstream that enough other nodes can't reach.
+    """An upstream that enough other nodes report as unreachable.
 
     Attributes:
         upstream: hash of the upstream's name.
-        reporters: number of nodes that report it; each counts as a failure of this node's own.
+        reporters: number of nodes that report it; each counts as one failure of this node's own attempts.
 
     """
 
@@ -44,13 +44,13 @@
 
 
 class EjectionAdvice(NamedTuple):
-    """What follows from all observations; upstreams are given by the hashes of their names.
+    """The conclusions from all observations at one heartbeat; upstreams are hashes of their names.
 
     Attributes:
         probes: upstreams to probe now.
         failures: upstreams that enough other nodes have newly reported.
-        newly_unreachable: upstreams that count as unreachable since this heartbeat, by own observations or
-            by reports.
+        newly_unreachable: upstreams that count as unreachable since this heartbeat, by this node's own
+            observations or by reports.
 
     """
 
@@ -61,17 +61,17 @@
 
 @dataclass(slots=True)
 class UpstreamObservation:
-    """What this node has observed of one upstream, and done about reports of it.
+    """This node's own observations of one upstream, and its reactions to reports of it.
 
     Attributes:
-        failures: own failed attempts and probes in a row.
-        failed_at_us: time of the last of them.
+        failures: failed attempts and probes of this node in a row.
+        failed_at_us: time of the last of these failures.
         reached_at_us: time of the last successful connection.
         probed_at_us: time of the last requested probe.
-        probed_for: nodes that reported the upstream at that time.
-        acted_for: nodes whose reports were acted on since it was last reached.
+        probed_for: nodes that reported the upstream at the time of that probe.
+        acted_for: nodes whose reports have counted as failures since the upstream was last reached.
         connection_broke: whether an established connection broke off, so that a probe is due.
-        is_unreachable: whether it counted as unreachable at the last heartbeat.
+        is_unreachable: whether the upstream counted as unreachable at the last heartbeat.
 
     """
 
@@ -85,10 +85,10 @@
     is_unreachable: bool = False
 
     def expire_failures(self, now_us: int) -> None:
-        """Forget own failures that are too old to count.
+        """Clear this node's own failures if they are too old to count.
 
-        A recovered upstream is not probed any more. If the failures were kept, it would count as unreachable
-        for good, and reports of its next failure would be ignored.
+        This node may not probe the upstream again after it has recovered. If the failures were kept, the
+        upstream would stay unreachable for good, and reports of its next failure would be ignored.
         """
         if self.failures and now_us >= self.failed_at_us + OBSERVATION_TTL_US:
             self.failures = 0
@@ -96,9 +96,9 @@
     def needs_probe(self, now_us: int, reporters: frozenset[str]) -> bool:
         """Return whether this node should probe the upstream itself.
 
-        A probe is due after a first failure, to confirm it before it is reported, after a connection broke
-        off, and at once when a further node reports the upstream. The same reports cause a probe only once
-        in `REPROBE_US`.
+        A probe is due after a first failure, to confirm it before it is reported; after an established
+        connection broke off; and at once when a further node reports the upstream. Reports by the same nodes
+        cause only one probe in `REPROBE_US`.
         """
         if self.failures >= REPORTABLE_FAILURES:
             return False
@@ -109,8 +109,8 @@
     def probed_since_report(self, now_us: int, reporters: frozenset[str]) -> bool:
         """Return whether this node has probed the upstream itself since these nodes reported it.
 
-        Two other sites may both be cut off from an upstream that this site reaches. So reports are acted on
-        one heartbeat after they arrive, when the result of this node's own probe is there.
+        Two other sites may both be cut off from an upstream that this site reaches. So reports count only
+        one heartbeat after they arrive, when the result of this node's own probe is known.
         """
         return reporters <= self.probed_for and now_us > self.probed_at_us
 
@@ -119,20 +119,20 @@
         return self.failures > 0 or now_us < self.reached_at_us + OBSERVATION_TTL_US
 
     def record_probe(self, now_us: int, reporters: frozenset[str]) -> None:
-        """Record that a probe is requested, and the nodes that reported the upstream."""
+        """Record that a probe is requested now, and which nodes report the upstream."""
         self.probed_at_us = now_us
         self.probed_for = reporters
         self.connection_broke = False
 
     def update_unreachable(self) -> bool:
-        """Update whether it counts as unreachable; return whether it newly does."""
+        """Update whether the upstream counts as unreachable; return whether it newly does."""
         before = self.is_unreachable
         self.is_unreachable = self.failures >= REPORTABLE_FAILURES or bool(self.acted_for)
         return self.is_unreachable and not before
 
 
 class HealthObservations:
-    """A node's own observations of upstreams, and its judgement of other nodes' reports.
+    """A node's own observations of upstreams, and its evaluation of other nodes' reports.
 
     Attributes:
         upstreams: the observations of each upstream on the endpoint list, by the hash of its name.
@@ -140,11 +140,11 @@
     """
 
     def __init__(self) -> None:
-        """Start without upstreams."""
+        """Start with an empty endpoint list."""
         self.upstreams: dict[int, UpstreamObservation] = {}
 
     def set_upstreams(self, upstreams: Iterable[int]) -> None:
-        """Use a new endpoint list; reports of other upstreams are ignored."""
+        """Use a new endpoint list; reports of upstreams that are not on it are ignored."""
         known = self.upstreams
         self.upstreams = {upstream: known.get(upstream, UpstreamObservation()) for upstream in upstreams}
 
@@ -154,7 +154,7 @@
         Args:
             now_us: time of the result.
             upstream: hash of the upstream's name.
-            reached: whether it could be connected to; None: an established connection broke off.
+            reached: whether a connection could be established; None: an established one broke off.
 
         """
         known = self.upstreams.setdefault(upstream, UpstreamObservation())
@@ -170,8 +170,8 @@
     def own_report(self, now_us: int) -> list[HealthObservation]:
         """Return the observations for this node's record.
 
-        Only own observations are reported: if others' were repeated, a single faulty node could seem
-        confirmed by many.
+        Only this node's own observations are reported: if nodes repeated those of others, many nodes would
+        seem to confirm what a single faulty node reports.
         """
         reportable = [
             (now_us - known.failed_at_us, upstream, known.failures)
@@ -190,13 +190,13 @@
         *,
         several_sites: bool,
     ) -> EjectionAdvice:
-        """Return the ejection advice that follows from own observations and other nodes' reports.
+        """Return the ejection advice that follows from this node's observations and other nodes' reports.
 
         Args:
             now_us: the time of this heartbeat.
-            reports: the observations in the record of each present node.
+            reports: the observations in the record of each present node, by the node's name.
             ages_us: the age of each of these records, in microseconds.
-            sites: the site of each node.
+            sites: the site of each node, by its name.
             several_sites: whether nodes of more than one site are present.
 
         """
@@ -219,13 +219,13 @@
 
     @staticmethod
     def _is_confirmed(reporters: Reporters, sites: Mapping[str, str], *, several_sites: bool) -> bool:
-        """Return whether enough nodes report an upstream, and of different sites if there are several."""
+        """Return whether enough nodes report an upstream, from different sites if there are several."""
         if len(reporters.recent) < CONFIRMATIONS:
             return False
         return not several_sites or len({sites[name] for name in reporters.recent}) > 1
 
     def _act(self, now_us: int, upstream: int, reporters: frozenset[str]) -> list[ReportedFailure]:
-        """Return the failure that these reports add, if it is new and not contradicted."""
+        """Return the failure that confirmed reports add: at most one, none if not new or contradicted."""
         known = self.upstreams[upstream]
         if not known.probed_since_report(now_us, reporters) or known.contradicts(now_us):
             return []
--- a/larchlatch/cluster/health/reports.py
+++ b/larchlatch/cluster/health/reports.py
@@ -1,4 +1,4 @@
-"""Reports of other nodes about upstreams that they can't reach. No I/O."""
+"""Evaluates which nodes report each upstream as unreachable, by the age of their reports. No I/O."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 REPORTABLE_FAILURES = 2  # failures in a row before an upstream is reported; one may be a lost packet
 OBSERVATION_TTL_US = 3_000_000  # time for which an observation counts: more than the 2 s between probes
-ACTIONABLE_US = 1_000_000  # age up to which a report may lead to ejection, as the upstream may recover
+ACTIONABLE_US = 1_000_000  # age from which a report no longer causes ejection: the upstream may be back
 
 
 class Reporters(NamedTuple):
     """The nodes that report one upstream.
 
     Attributes:
-        all: nodes whose observation still counts.
-        recent: those of them whose observation may lead to ejection.
+        all: nodes whose observation of the upstream has not expired.
+        recent: those of them whose observation is recent enough to cause an ejection.
 
     """
 
@@ -33,10 +33,10 @@
 def reporters_by_upstream(
     reports: Mapping[str, Iterable[HealthObservation]], ages_us: Mapping[str, int]
 ) -> dict[int, Reporters]:
-    """Return the reporters of each reported upstream, by the hash of its name.
+    """Return the reporters of each reported upstream, by the hash of the upstream's name.
 
     Args:
-        reports: the observations in each node's newest record.
+        reports: the observations in each node's newest record, by the node's name.
         ages_us: the age of each of these records, in microseconds.
 
     """
--- a/larchlatch/cluster/quota/account.py
+++ b/larchlatch/cluster/quota/account.py
@@ -1,9 +1,9 @@
 """One node's account of one quota: what the node may spend and lend. No I/O.
 
 The quota is divided among the nodes as rights to spend (escrow: O'Neil 1986; bounded counters: Balegas et al.
-2015). What a node spends beyond its own share has been lent to it by others for a term. Times are whole
-microseconds of the node's own clock, which also advances while its process is stopped and whose relative
-error is bounded (`LoanTerms.skew`).
+2015); admitting a session spends one unit. A node may spend more than its own share only while it has loans
+from other nodes, each of which ends after a term. Times are whole microseconds of the node's own clock, which
+also advances while its process is stopped and whose relative error is bounded (`LoanTerms.skew`).
 """
 
 from __future__ import annotations
@@ -20,7 +20,14 @@
 
 
 class LoanId(NamedTuple):
-    """Identifies a loan at its lender: the borrower, its incarnation, and the number of its first request."""
+    """Identifies a loan at its lender.
+
+    Attributes:
+        borrower: name of the node that borrows.
+        incarnation: the borrower's incarnation.
+        request: number of the request by which the loan was first made; renewals keep it.
+
+    """
 
     borrower: str
     incarnation: int
@@ -34,7 +41,7 @@
 
 @dataclass(slots=True)
 class Borrowed:
-    """A loan to this node, in sessions per window, until `ends_at`."""
+    """A loan to this node, in sessions per window; this node may spend it until `ends_at`."""
 
     lender: str
     amount: int
@@ -43,7 +50,7 @@
 
 @dataclass(slots=True)
 class Lent:
-    """A loan of this node, in sessions per window; the amount may be spent here again from `back_at` on."""
+    """A loan by this node, in sessions per window; this node may spend the amount again from `back_at` on."""
 
     amount: int
     back_at: int
@@ -54,20 +61,20 @@
     """What a node may spend of one quota.
 
     Attributes:
-        share: the node's share.
+        share: the node's share of the quota.
         loan_terms: length of loans and of the quota window.
-        now: the latest time of a call; an earlier time counts as this one.
+        now: the latest time passed to any method; an earlier time counts as this one.
         spent: sessions admitted since the start.
         refused: sessions rejected since the start.
-        borrowed: loans from others, by the number of the request.
-        lent: loans to others.
-        closed: whether another process of this node may be spending.
+        borrowed: loans from other nodes, by the number of the request by which each was first made.
+        lent: loans to other nodes.
+        closed: whether this process must not spend, as another process of this node may be spending.
         opens_at: time before which nothing may be spent.
         whole_at: time before which only the floor may be spent, and nothing may be lent.
-        next_share: the share by a new cluster file; None: there is none.
+        next_share: the share by a new cluster file, which has not taken effect; None: there is none.
         next_share_at: time at which that share takes effect; None while not all members have reported that
             they use the new file.
-        demand: recent use and demand.
+        demand: recent use of the quota at this node, and the demand for it.
 
     """
 
@@ -91,9 +98,9 @@
     # Hot restart: one process of a node replaces another.
 
     def open(self, now: int) -> None:
-        """Begin to spend, as no other process of this node does so now."""
-        # What was spent and lent before the start is unknown. Until it no longer counts, the last window is
-        # taken as fully used, and everything above the floor as lent.
+        """Allow this process to spend; no other process of this node may do so now."""
+        # The amounts that were spent and lent before the start are unknown. Until they no longer count, the
+        # last window is taken as fully used, and everything above the floor as lent.
         self._advance(now)
         if self.closed:
             self.closed = False
@@ -101,13 +108,13 @@
         self.whole_at = max(self.whole_at, self.now + self.loan_terms.recovery_us)
 
     def close(self, now: int) -> int:
-        """Stop spending, as another process of this node will; return what was spent in the last window."""
+        """Stop spending, as another process of this node takes over; return the use in the last window."""
         self._advance(now)
         self.closed = True
         return self.demand.use(self.now)
 
     def take_over(self, now: int, used: int) -> None:
-        """Begin to spend in place of the predecessor, which spent `used` sessions in its last window."""
+        """Spend in place of the predecessor process, which admitted `used` sessions in its last window."""
         self.open(now)
         self.opens_at = self.now
         self.demand.record_use(self.now, used)
@@ -119,22 +126,22 @@
 
     @property
     def is_open(self) -> bool:
-        """Return whether this process may spend at the latest time of a call."""
+        """Return whether this process may spend at the time `now` of the account."""
         return not self.closed and self.now >= self.opens_at
 
     @property
     def own(self) -> int:
-        """Return the amount that the node may spend or lend as its own."""
+        """Return the part of the node's share that may be spent or lent now, in sessions per window."""
         return self.share.own if self.now >= self.whole_at else self.share.floor
 
     @property
     def lent_total(self) -> int:
-        """Return the sum of the loans to others."""
+        """Return the sum of the loans to other nodes, in sessions per window."""
         return sum(loan.amount for loan in self.lent.values())
 
     @property
     def borrowed_total(self) -> int:
-        """Return the sum of the loans from others."""
+        """Return the sum of the loans from other nodes, in sessions per window."""
         return sum(loan.amount for loan in self.borrowed.values())
 
     def expire(self, now: int) -> None:
@@ -147,14 +154,14 @@
             self.next_share = self.next_share_at = None
 
     def limit(self, now: int) -> int:
-        """Return how many sessions this process may admit in any window."""
+        """Return the number of sessions that this process may admit per window now."""
         self.expire(now)
         if not self.is_open:
             return 0
         return max(0, self.own - self.lent_total) + self.borrowed_total
 
     def admit(self, now: int) -> int:
-        """Spend one session; return 0, or the microseconds until there may be room for it."""
+        """Admit one session if the limit allows it; return 0, or the microseconds until there may be room."""
         limit = self.limit(now)
         self.demand.record_request(self.now)
         used = self.demand.use(self.now)
@@ -170,17 +177,17 @@
     # Lending and borrowing.
 
     def need(self, now: int) -> int:
-        """Return the expected demand, in sessions per window."""
+        """Return the expected demand at this node, in sessions per window."""
         self._advance(now)
         return self.demand.need(self.now)
 
     def wanted(self, now: int) -> int:
-        """Return the amount to borrow."""
+        """Return the expected demand above the limit, which is to be borrowed, in sessions per window."""
         limit = self.limit(now)
         return max(0, self.need(now) - limit) if self.is_open else 0
 
     def spare(self, now: int) -> int:
-        """Return the amount that can be lent: what exceeds the floor, the use and the mean demand."""
+        """Return the amount that can be lent: the part of the share above floor, use and mean demand."""
         self.expire(now)
         if self.closed or self.now < self.whole_at or self.next_share is not None:
             return 0
@@ -188,14 +195,14 @@
         return max(0, self.share.own - self.lent_total - busy)
 
     def lend(self, now: int, loan_id: LoanId, amount: int) -> int:
-        """Deduct up to `amount` from this account for a loan; return the amount that is lent."""
+        """Lend up to `amount`, which is deducted from this account; return the amount that is lent."""
         lent = min(amount, self.spare(now))
         if lent > 0:
             self.lent[loan_id] = Lent(lent, self.now + self.loan_terms.recovery_us)
         return max(0, lent)
 
     def renew(self, now: int, loan_id: LoanId, amount: int) -> int:
-        """Lend the same amount for another term, unless it is needed here; return the amount that is lent."""
+        """Renew a loan for another term, unless this node needs it; return the amount, 0 if not renewed."""
         self.expire(now)
         loan = self.lent.get(loan_id)
         if loan is None or loan.amount != amount or self.wanted(now):
@@ -208,13 +215,14 @@
 
         Args:
             now: present time.
-            request: number of the request by which it was first lent.
-            lender: the node that has lent it.
+            request: number of the request by which the loan was first made.
+            lender: name of the node that lends.
             amount: sessions per window.
             asked_at: time of the request, which is before the start of the term at the lender.
 
         """
-        # Counted from the answer, the term could end after the lender has the amount back.
+        # The term is counted from the request: counted from the arrival of the grant, it could end here after
+        # the lender may spend the amount again.
         self.expire(now)
         ends_at = asked_at + self.loan_terms.term_us
         if amount <= 0 or self.now >= ends_at:
@@ -229,8 +237,8 @@
 
     def follow(self, share: QuotaShare) -> None:
         """Change the share: a reduction applies at once, an increase once no node uses the former file."""
-        # Nodes read a new file one after the other. An increase that applied at once would be spent while
-        # another node, which has not read the file yet, still has it.
+        # Nodes read a new file one after the other. If an increase applied at once, it would be spent while
+        # another node that has not read the file yet still spends the same amount.
         self.share = QuotaShare(min(share.own, self.share.own), min(share.floor, self.share.floor))
         self.next_share = share
         self.next_share_at = None
@@ -240,14 +248,14 @@
 
         Args:
             now: present time.
-            all_agree: whether all have reported that they use this node's file.
-            any_differs: whether any has reported another file.
+            all_agree: whether all other members have reported that they use this node's file.
+            any_differs: whether any other member has reported another file.
 
         """
         self.expire(now)
         if any_differs and self.now < self.whole_at:
-            # This node started with a new file among nodes that use the former one: by that file, a part of
-            # its own share belongs to them.
+            # This node started with a new file among nodes that use the former one. By the former file, a
+            # part of this node's share may belong to them.
             self.whole_at = self.now + self.loan_terms.recovery_us
         if not all_agree:
             self.next_share_at = None
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -1,4 +1,4 @@
-"""The borrower's side of loans: requests to lenders, and their grants. No I/O."""
+"""The borrower's side of loans: requests to lenders, and the grants received for them. No I/O."""
 
 from __future__ import annotations
 
@@ -15,28 +15,28 @@
     from larchlatch.cluster.quota.account import QuotaAccount
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-MAX_REQUESTS = 8  # in one heartbeat, for all quotas together
-MAX_LENDERS = 3  # asked for one quota in one heartbeat: each loan has to be renewed separately
-MAX_LOANS = 24  # of one quota at a time: each has to be renewed once in half a term
+MAX_REQUESTS = 8  # requests sent in one heartbeat, for all quotas together
+MAX_LENDERS = 3  # lenders asked for one quota in one heartbeat: each loan has to be renewed separately
+MAX_LOANS = 24  # loans of one quota at a time: each has to be renewed once in half a term
 ANSWER_HEARTBEATS = 3  # heartbeats after which a request without an answer counts as lost
 
 
 class Offer(NamedTuple):
-    """The amount that a node may lend, in sessions per window."""
+    """The amount that may be requested from a lender, in sessions per window."""
 
     lender: str
     amount: int
 
 
 class PendingRequest(NamedTuple):
-    """A request whose answer is pending.
+    """A loan request that has not been answered yet.
 
     Attributes:
         lender: the node that was asked.
         quota: name of the quota.
         amount: sessions per window.
         asked_at: time of the request, by this node's own clock.
-        renews: number of the request by which the loan was first made; 0: it is a new one.
+        renews: number of the request by which the renewed loan was first made; 0: the loan is new.
 
     """
 
@@ -48,7 +48,7 @@
 
 
 class Borrower:
-    """Requests loans and enters them in this node's accounts.
+    """Requests loans from other nodes and enters granted loans in this node's accounts.
 
     Attributes:
         settings: quotas by the present cluster file.
@@ -70,7 +70,7 @@
         self._pending: dict[int, PendingRequest] = {}
 
     def wants_loans(self, now: int) -> bool:
-        """Return whether there may be something to request."""
+        """Return whether there may be a loan to request or to renew."""
         return any(account.borrowed or account.wanted(now) for account in self._accounts.values())
 
     def requests(
@@ -80,7 +80,7 @@
 
         Args:
             now: present time.
-            origin: what each request says of this node.
+            origin: the header fields that identify this node in each request.
             heartbeat_us: interval between heartbeats.
             spare: the amounts that each other node offers to lend, in the order of the quotas.
 
@@ -103,14 +103,14 @@
         return requests
 
     def _forget_old(self, now: int) -> None:
-        """Forget requests whose loan would have ended by now."""
+        """Remove pending requests whose loan would have ended by now."""
         oldest = now - self.settings.loan_terms.term_us
         self._pending = {n: request for n, request in self._pending.items() if request.asked_at > oldest}
 
     def _renewals(
         self, now: int, quota: str, account: QuotaAccount, awaited: Sequence[PendingRequest]
     ) -> list[PendingRequest]:
-        """Return requests to renew the loans that end soon and are still wanted."""
+        """Return requests to renew the loans that end within half a term and are still needed."""
         limit, need = account.limit(now), account.need(now)
         half_term_us = self.settings.loan_terms.term_us // 2
         renewing = {request.renews for request in awaited}
@@ -118,7 +118,7 @@
         for number, loan in account.borrowed.items():
             if loan.ends_at - now > half_term_us or number in renewing:
                 continue
-            # A loan that is no longer needed ends without renewal.
+            # A loan that is no longer needed is left to end without renewal.
             if limit - loan.amount < need:
                 drafts.append(PendingRequest(loan.lender, quota, loan.amount, asked_at=now, renews=number))
             else:
@@ -126,7 +126,7 @@
         return drafts
 
     def _offers(self, index: int, wanted: int, spare: Mapping[str, Sequence[int]]) -> list[Offer]:
-        """Return the offers for the quota at `index`: the allocator's, or other nodes' in random order."""
+        """Return offers for the quota at `index`: the allocator's, or else other nodes' in random order."""
         if self.settings.pooled:
             return [Offer(self.allocator, wanted)] if self.allocator else []
         lenders = [name for name, amounts in spare.items() if index < len(amounts) and amounts[index] > 0]
@@ -141,7 +141,7 @@
         offers: Sequence[Offer],
         awaited: Sequence[PendingRequest],
     ) -> list[PendingRequest]:
-        """Return requests for the wanted amount to lenders without a pending request."""
+        """Return requests that divide the wanted amount among lenders without a pending request."""
         asked = {request.lender for request in awaited}
         drafts = []
         for offer in offers:
@@ -154,7 +154,7 @@
         return drafts
 
     def request(self, origin: RequestOrigin, request: PendingRequest) -> LoanRequest:
-        """Return the message of a request, and record the request as pending."""
+        """Record a request as pending under a new number, and return the message to send."""
         self._last_number += 1
         self._pending[self._last_number] = request
         return LoanRequest(
@@ -167,12 +167,12 @@
         )
 
     def expects(self, grant: LoanGrant) -> bool:
-        """Return whether a grant answers a pending request, so that its signature is worth verifying."""
+        """Return whether a grant answers a pending request; if not, its signature need not be verified."""
         request = self._pending.get(grant.request_id)
         return request is not None and request.lender == grant.sender and request.quota == grant.quota
 
     def accept(self, now: int, grant: LoanGrant) -> bool:
-        """Enter the loan of an expected grant; return whether it can still be used."""
+        """Enter the loan of an expected grant in the account; return whether it can still be used."""
         request = self._pending.pop(grant.request_id)
         account = self._accounts.get(grant.quota)
         late = self.settings.pooled and now >= order_ends_at(request.asked_at, grant.remaining_us)
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -1,7 +1,7 @@
-"""How many sessions the cluster admitted recently, as a range that contains the true value. No I/O.
+"""Estimates how many sessions the cluster admitted recently, by a lower and an upper bound. No I/O.
 
 Each node reports its own count in its records; other nodes keep samples of it (grow-only counters: Shapiro et
-al. 2011). The admissions that no record has reported yet are bounded by what their node may have admitted.
+al. 2011). Admissions that no record has reported yet are bounded by what the quota allows their nodes.
 Times are whole microseconds of Unix time.
 """
 
@@ -17,11 +17,11 @@
     from larchlatch.cluster.quota.settings import QuotaSettings
 
 WINDOWS = 10  # quota windows that a range covers
-SAMPLE_INTERVAL_US = 100_000  # least time between two samples of one origin
+SAMPLE_INTERVAL_US = 100_000  # least time between two stored samples of one origin
 
 
 class Sample(NamedTuple):
-    """The counts in one record.
+    """The admission counts in one record of a node, the origin.
 
     Attributes:
         created_us: time at which the record was created.
@@ -36,12 +36,13 @@
 
 
 class UsageRange(NamedTuple):
-    """Sessions that the cluster admitted in the last windows.
+    """Bounds on the sessions that the cluster admitted in the last `WINDOWS` windows.
 
     Attributes:
         least: sessions that were certainly admitted.
         most: sessions that can have been admitted at most.
-        age_us: time since the newest sample of the origin that has not reported for the longest time.
+        age_us: age of the newest sample of the origin that has not reported for the longest time, plus the
+            clock difference.
 
     """
 
@@ -58,11 +59,11 @@
 
 
 class OriginUsage(NamedTuple):
-    """One origin's use of one quota in the last windows, by its records.
+    """One origin's use of one quota in the last `WINDOWS` windows, by its records.
 
     Attributes:
         least: sessions that were certainly admitted in these windows.
-        most: reported sessions that can have been admitted in these windows.
+        most: reported sessions that may have been admitted in these windows.
         gaps: the intervals that no record covers, in order; the last one reaches to the present.
 
     """
@@ -73,7 +74,7 @@
 
 
 class ClusterUsage:
-    """Samples of the counts of all nodes, this node included.
+    """Stores samples of the counts of all nodes, including this one, and calculates the usage from them.
 
     Attributes:
         clock_difference_us: greatest difference of two nodes' wall clocks.
@@ -92,7 +93,7 @@
 
     @property
     def span_us(self) -> int:
-        """Return the length of the time that ranges cover, in microseconds."""
+        """Return the length of the interval that usage ranges cover, in microseconds."""
         return WINDOWS * self._quota_settings.loan_terms.window_us
 
     def receive(self, record: NodeRecord) -> None:
@@ -107,7 +108,7 @@
             samples.popleft()
 
     def ranges(self, wall_us: int) -> list[UsageRange]:
-        """Return the range of each quota, in the order of the file."""
+        """Return the usage range of each quota, in the order of the cluster file."""
         return [self._range(index, wall_us) for index in range(len(self._quota_settings.quotas))]
 
     def _range(self, quota_index: int, wall_us: int) -> UsageRange:
@@ -123,7 +124,7 @@
         return UsageRange(least, min(most, limit * WINDOWS), wall_us - reported_until_us)
 
     def _origin_usage(self, samples: Iterable[Sample], quota_index: int, wall_us: int) -> OriginUsage:
-        """Sum up the admissions between each two consecutive samples of one origin."""
+        """Return the usage by one origin, summed over each pair of consecutive samples."""
         start_us = wall_us - self.span_us
         difference_us = self.clock_difference_us
         least = most = 0
@@ -149,10 +150,10 @@
         return OriginUsage(least, most, gaps)
 
     def _first_of_incarnation(self, sample: Sample, quota_index: int, start_us: int) -> tuple[int, int]:
-        """Return the time since which the first sample of an incarnation counts, and its sessions.
+        """Return the begin of the time that an incarnation's first sample covers, and its admissions.
 
-        The sample covers the whole incarnation. If the incarnation began before the last windows, the sample
-        is only the starting point of the count.
+        The sample covers the incarnation from its start. If that start is before the last windows, the sample
+        is only the starting point of the count: it covers no time and counts no admissions.
         """
         if sample.incarnation < start_us + self.clock_difference_us:
             return sample.created_us, 0
@@ -161,7 +162,8 @@
     def _most_unreported(self, gaps: Mapping[str, Sequence[Gap]], quota_index: int, wall_us: int) -> int:
         """Return the number of sessions that can have been admitted in the gaps.
 
-        In each window the origins with a gap can have used the whole quota but the floors of the others.
+        In each window, the origins with a gap may have used the whole quota except for the floors of the
+        origins without a gap, which are never lent.
         """
         quota = self._quota_settings.quotas[quota_index]
         window_us = self._quota_settings.loan_terms.window_us
@@ -178,12 +180,12 @@
 
 
 def overlaps_gap(gaps: Sequence[Gap], begin_us: int, end_us: int) -> bool:
-    """Return whether any gap overlaps this interval."""
+    """Return whether any of the gaps overlaps the interval from `begin_us` to `end_us`."""
     return any(gap.begin_us < end_us and gap.end_us > begin_us for gap in gaps)
 
 
 def _append_thinned(samples: deque[Sample], sample: Sample) -> None:
-    """Append the newest sample; drop the last one if it is too close to the one before it."""
+    """Append a sample; drop the one before it if that is too close in time to its own predecessor."""
     same_incarnation = (
         len(samples) > 1 and samples[-1].incarnation == samples[-2].incarnation == sample.incarnation
     )
--- a/larchlatch/cluster/quota/demand.py
+++ b/larchlatch/cluster/quota/demand.py
@@ -6,17 +6,17 @@
 
 from larchlatch.broker.sliding_window import SLOTS, SlidingWindowCounter
 
-MEAN_WINDOWS = 4  # windows of the mean demand, about as long as a loan
+MEAN_WINDOWS = 4  # windows over which the mean demand is taken, about as long as a loan
 
 
 @dataclass(slots=True)
 class DemandMeter:
-    """Counts sessions in sliding windows.
+    """Counts the requested and the admitted sessions of one quota in sliding windows.
 
     Attributes:
         window_us: length of the window, in microseconds.
         used: sessions admitted in the last window.
-        requested: sessions requested in the last window, whether admitted or not.
+        requested: sessions requested in the last window, whether they were admitted or not.
         requested_lately: sessions requested in the last `MEAN_WINDOWS` windows.
 
     """
@@ -28,11 +28,11 @@
 
     @property
     def slot_us(self) -> int:
-        """Return the length of a slot of the window, in microseconds."""
+        """Return the length of one slot of the window, in microseconds, rounded up."""
         return -(-self.window_us // SLOTS)
 
     def slot(self, now: int) -> int:
-        """Return the number of the slot at this time."""
+        """Return the number of the slot that contains this time."""
         return now // self.slot_us
 
     def record_request(self, now: int) -> None:
@@ -50,11 +50,11 @@
         return self.used.advance(self.slot(now))
 
     def mean(self, now: int) -> int:
-        """Return the mean number of sessions requested per window, rounded up."""
+        """Return the mean number of sessions requested per window over `MEAN_WINDOWS` windows, rounded up."""
         return -(-self.requested_lately.advance(self.slot(now) // MEAN_WINDOWS) // MEAN_WINDOWS)
 
     def need(self, now: int) -> int:
-        """Return the expected demand per window: the last window's, or the mean if that is higher."""
+        """Return the expected demand: the requests in the last window, or the mean if it is higher."""
         return max(self.requested.advance(self.slot(now)), self.mean(now))
 
     def wait_us(self, now: int, count: int) -> int:
--- a/larchlatch/cluster/quota/lender.py
+++ b/larchlatch/cluster/quota/lender.py
@@ -1,4 +1,4 @@
-"""The lender's side of loans: the answers to requests. No I/O."""
+"""The lender's side of loans: grants in answer to loan requests. No I/O."""
 
 from __future__ import annotations
 
@@ -36,30 +36,31 @@
         self._replay_guard = ReplayGuard()
 
     def follow(self, settings: QuotaSettings) -> None:
-        """Use a changed cluster file; members that it no longer has are forgotten."""
+        """Use the settings of a changed cluster file; forget the requests of members that it removes."""
         self.settings = settings
         self._replay_guard.keep_only(settings.names)
 
     def is_new(self, request: LoanRequest) -> bool:
-        """Return whether a request is newer than all earlier ones of its sender.
+        """Return whether a request is newer than all earlier ones of its sender that were processed.
 
-        Others are duplicates or delayed, and are not answered.
+        Any other request is a duplicate or delayed, and is not answered.
         """
         return self._replay_guard.is_new(request)
 
     def answer(self, now: int, request: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
-        """Return the grant of a loan, which is deducted here first; None if nothing is lent.
+        """Deduct a loan from this node's account or pool, and return its grant; None if nothing is lent.
 
         Args:
             now: present time.
-            request: the request.
-            permit: permit of the quota allocator, if this node holds that role.
+            request: the loan request.
+            permit: this node's permit as quota allocator; `NO_PERMIT` if it does not hold that role.
 
         """
         self._replay_guard.record(request)
         if self.settings.pooled and permit.lease != self._pools.lease:
             return None
-        # With another cluster file the borrower may use another term, which could end too late.
+        # A borrower with another cluster file may use a longer term: it would still spend the loan when
+        # this node spends the amount again.
         if request.amount <= 0 or request.config_digest != self.settings.digest:
             return None
         amount = self._pools.lend(now, request) if self.settings.pooled else self._lend_own(now, request)
@@ -74,7 +75,7 @@
         )
 
     def _lend_own(self, now: int, request: LoanRequest) -> int:
-        """Lend from this node's own share, or renew a loan; return the amount that is lent."""
+        """Make or renew a loan from this node's own share; return the amount, 0 if nothing is lent."""
         account = self._accounts.get(request.quota)
         if account is None:
             return 0
--- a/larchlatch/cluster/quota/loan_terms.py
+++ b/larchlatch/cluster/quota/loan_terms.py
@@ -7,12 +7,12 @@
 
 
 class LoanTerms(NamedTuple):
-    """Times of loans, equal on all nodes, in microseconds of each node's own clock.
+    """The lengths that govern loans, equal on all nodes, in microseconds of each node's own clock.
 
     Attributes:
         window_us: length of the quota window.
         term_us: length of a loan.
-        skew: greatest relative error of a clock.
+        skew: greatest relative error of a clock's rate.
 
     """
 
@@ -22,12 +22,12 @@
 
     @property
     def counting_window_us(self) -> int:
-        """Return the window to count by: with the fastest clock it is still as long as the true window."""
+        """Return the window length to count by: on the fastest clock, it lasts as long as the true window."""
         return ceil(self.window_us * (1 + self.skew))
 
     @property
     def recovery_us(self) -> int:
-        """Return the time after which a lender may spend a loan again, by its own clock."""
-        # Sessions admitted at the end of the term count for one more window. Clocks are taken as fast at the
-        # lender and slow at the borrower.
+        """Return the time after which a lender may spend a lent amount again, by its own clock."""
+        # Sessions that the borrower admits at the end of the term count for one more window. The worst case
+        # is the fastest clock at the lender and the slowest one at the borrower.
         return ceil((1 + self.skew) * (self.term_us / (1 - self.skew) + self.window_us))
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -1,4 +1,4 @@
-"""The quota allocator's side of loans: pools of what no node has as its own share. No I/O."""
+"""The quota allocator's side of loans: pools of the amounts that are in no node's own share. No I/O."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
     from larchlatch.cluster.protocol.messages import LoanRequest
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-ACTIVE_TERMS = 2  # loan terms for which a node gets an equal share of a pool after its last request
-PARTS = 3  # loans in which an equal share is lent, so that a part of it can be reclaimed
+ACTIVE_TERMS = 2  # loan terms for which a node keeps an equal share of a pool after its last request
+PARTS = 3  # loans into which an equal share is divided, so that a part of it can be reclaimed
 
 
 class Division(NamedTuple):
     """The present division of a pool, in sessions per window.
 
     Attributes:
-        equal: the equal share of each node that has asked recently.
-        lent: the amount that is lent to each node.
+        equal: the share of the pool for each node with a recent request.
+        lent: the amount that is lent to each node, by its name.
 
     """
 
@@ -29,10 +29,10 @@
 
 
 class QuotaPools:
-    """The pools, one for each quota, while this node holds the role of the quota allocator.
+    """Lends from one pool for each quota while this node holds the role of the quota allocator.
 
     Attributes:
-        lease: number of the lease under which this node lends from the pools; 0: it holds none.
+        lease: number of the lease under which this node lends from the pools; 0: it does not lend.
 
     """
 
@@ -41,20 +41,21 @@
         self.lease = 0
         self._pools: dict[str, QuotaAccount] = {}
         self._asked_at: dict[str, int] = {}  # time of each node's last request
-        self._short_at: dict[str, int] = {}  # time at which each node last got too little
+        # Time at which each node last got less than one part and less than it had asked for.
+        self._short_at: dict[str, int] = {}
 
     def follow(self, settings: QuotaSettings) -> None:
-        """Use a changed cluster file; nothing is lent until the role is held under that file."""
+        """Use the settings of a changed cluster file, and lend nothing until `hold` sets a lease."""
         self.settings = settings
         self.lease = 0
         self._pools = {}
 
     def hold(self, now: int, lease: int) -> None:
-        """Begin, continue or cease to lend under a lease; 0: this node does not hold the role."""
+        """Lend under the lease of this number from now on; 0: stop lending."""
         if lease == self.lease:
             return
-        # The loans of the previous allocator are unknown here. As after a start, nothing is lent until all of
-        # them must have ended.
+        # The loans of the previous allocator are unknown here. As after a start of the node, nothing is lent
+        # until all of them must have ended.
         self.lease = lease
         self._pools = {}
         for quota in self.settings.quotas if lease else ():
@@ -63,7 +64,7 @@
             self._pools[quota.name] = pool
 
     def lend(self, now: int, request: LoanRequest) -> int:
-        """Lend from a pool, or renew a loan; return the amount that is lent."""
+        """Make or renew a loan from a pool; return the amount, 0 if nothing is lent."""
         pool = self._pools.get(request.quota)
         if pool is None:
             return 0
@@ -75,7 +76,7 @@
         return pool.renew(now, LoanId.of(request), request.amount)
 
     def _divide(self, now: int, pool: QuotaAccount, sender: str) -> Division:
-        """Return the division of a pool, with the sender among the nodes that get an equal share."""
+        """Record a request by `sender`; return the division of a pool among nodes with recent requests."""
         oldest = now - ACTIVE_TERMS * self.settings.loan_terms.term_us
         self._asked_at = {name: at for name, at in self._asked_at.items() if at > oldest}
         self._asked_at[sender] = now
@@ -85,10 +86,10 @@
         return Division(pool.share.own // len(self._asked_at), lent)
 
     def _allocate(self, now: int, pool: QuotaAccount, request: LoanRequest) -> int:
-        """Return the amount for a request: max-min fair by the requested amounts, one part at a time."""
+        """Return the max-min fair amount for a request: at most one part of an equal share."""
         equal, lent = self._divide(now, pool, request.sender)
         spare = pool.spare(now)
-        # The unused rest of the other nodes' equal shares is reserved for them.
+        # The amounts by which other nodes' loans are below their equal shares are reserved for these nodes.
         others = [name for name in self._asked_at if name != request.sender]
         reserved = sum(max(0, equal - lent[name]) for name in others)
         part = max(1, -(-equal // PARTS))
@@ -100,7 +101,10 @@
         return amount
 
     def _is_reclaimed(self, now: int, pool: QuotaAccount, request: LoanRequest) -> bool:
-        """Return whether to reclaim a loan, as another node with less than its equal share got too little."""
+        """Return whether to refuse a renewal, so that a node below its equal share can get the amount.
+
+        Only a loan beyond the sender's own equal share is reclaimed.
+        """
         equal, lent = self._divide(now, pool, request.sender)
         oldest = now - self.settings.loan_terms.term_us
         others_short = any(
--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -1,4 +1,4 @@
-"""One node's part in all quotas of a cluster. No I/O."""
+"""Admission and loans at one node under all quotas that the cluster shares. No I/O."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 
 
 class QuotaStatus(NamedTuple):
-    """One quota, for the operators of the node; amounts are sessions per window.
+    """The status of one quota at this node, as logged for operators; amounts are sessions per window.
 
     Attributes:
         quota: the quota's name.
         total: the limit of the whole cluster.
         own: the node's share.
-        floor: the part of the share that it never lends.
-        limit: what the node may admit now.
+        floor: the part of the share that the node never lends.
+        limit: the amount that the node may admit now, with its loans taken into account.
         used: sessions admitted in the last window.
-        borrowed: sum of the loans from others.
-        lent: sum of the loans to others.
+        borrowed: sum of the loans from other nodes.
+        lent: sum of the loans to other nodes.
         spent: sessions admitted since the node's start.
         refused: sessions rejected since the node's start.
 
@@ -48,7 +48,7 @@
     refused: int
 
     def to_json(self) -> dict[str, str | int]:
-        """Return the row that a node logs on SIGUSR1."""
+        """Return the status as the fields that the node logs on SIGUSR1."""
         return {
             "quota": self.quota,
             "limit": self.total,
@@ -64,13 +64,15 @@
 
 
 class SharedQuotas:
-    """One node's part in all quotas: it admits, borrows, lends, and may be the quota allocator.
+    """Admits sessions of one node under all quotas, and borrows and lends parts of the quotas.
+
+    If the node is the quota allocator, it also lends from the pools.
 
     Attributes:
         heartbeat_us: interval between heartbeats, in microseconds.
         settings: quotas by the present cluster file.
         accounts: this node's account of each quota, in the order of the file.
-        any_file_differs: whether a member reports that it uses another cluster file.
+        any_file_differs: whether another member reports a cluster file other than this node's.
 
     """
 
@@ -90,15 +92,15 @@
         self._borrower = Borrower(settings, self.accounts, random.shuffle)
         self._pools = QuotaPools(settings)
         self._lender = Lender(own_name, settings, self.accounts, self._pools)
-        self._all_agreed = False  # whether all members have reported at one time that they use this file
+        self._all_agreed = False  # whether all members have once agreed on this cluster file
 
     def admit(self, now: int, traffic_class: str) -> int:
-        """Admit one session of a traffic class; return 0, or the microseconds after which to try again."""
+        """Admit one session of a traffic class; return 0, or the microseconds after which to retry."""
         quota = self._quota_names.get(traffic_class)
         wait_us = self.accounts[quota].admit(now) if quota is not None else 0
         if not wait_us:
             return 0
-        # Spread over a window, so that sessions rejected together don't come back together.
+        # Retries are spread over a window, so that sessions rejected together don't return together.
         return wait_us + int(self._uniform(0, self.settings.loan_terms.window_us))
 
     # Loans.
@@ -109,19 +111,20 @@
         Args:
             now: present time.
             allocator: name of that node; empty: none is known.
-            lease: number of this node's own lease of the role; 0: it holds none.
+            lease: number of this node's own lease of the role; 0: this node does not hold it.
 
         """
         self._borrower.allocator = allocator
-        # A node that still uses the former file may have more than its floor as its own.
+        # Until all members agree on the file, a node that uses the former one may spend more than its floor,
+        # and so a part of the pools.
         self._pools.hold(now, lease if self.settings.pooled and self._all_agreed else 0)
 
     def reports(self, now: int) -> list[QuotaReport]:
-        """Return the report on each quota for the node's record, in the order of the file."""
+        """Return the report on each quota for this node's record, in the order of the cluster file."""
         return [QuotaReport(account.spent, account.spare(now)) for account in self.accounts.values()]
 
     def wants_loans(self, now: int) -> bool:
-        """Return whether there may be loans to request."""
+        """Return whether there may be a loan to request or to renew."""
         return self._borrower.wants_loans(now)
 
     def loan_requests(
@@ -131,7 +134,7 @@
 
         Args:
             now: present time by the process's own clock.
-            origin: what each request says of this node.
+            origin: the header fields that identify this node in each request.
             spare: the amounts that each other node offers to lend, in the order of the quotas.
 
         """
@@ -140,29 +143,29 @@
     def request_loan(
         self, now: int, origin: RequestOrigin, *, lender: str, quota: str, amount: int
     ) -> LoanRequest:
-        """Return a request to one lender for a new loan, independent of the demand here."""
+        """Return a request to one lender for a new loan, whatever the demand at this node is."""
         request = PendingRequest(lender, quota, amount, asked_at=now, renews=0)
         return self._borrower.request(origin, request)
 
     def expects(self, message: LoanRequest | LoanGrant) -> bool:
-        """Return whether this node could use a message, so that its signature is worth verifying."""
+        """Return whether this node can use a message; if not, its signature need not be verified."""
         if isinstance(message, LoanGrant):
             return self._borrower.expects(message)
         return self._lender.is_new(message)
 
     def answer(self, now: int, request: LoanRequest, permit: OrderPermit) -> LoanGrant | None:
-        """Lend what a request asks for; None if nothing is lent.
+        """Return the grant that answers a loan request; None if nothing is lent.
 
         Args:
             now: present time.
-            request: the request.
-            permit: permit of the quota allocator, if this node holds that role.
+            request: the loan request.
+            permit: this node's permit as quota allocator; `NO_PERMIT` if it does not hold that role.
 
         """
         return self._lender.answer(now, request, permit)
 
     def accept_grant(self, now: int, grant: LoanGrant) -> bool:
-        """Enter the loan of an expected grant; return whether it can still be used."""
+        """Enter the loan of an expected grant in the account; return whether it can still be used."""
         return self._borrower.accept(now, grant)
 
     # A new cluster file.
@@ -179,13 +182,14 @@
         self._all_agreed = False
 
     def _followed(self, quota: Quota, settings: QuotaSettings, now: int) -> QuotaAccount:
-        """Return the account of a quota under new settings."""
+        """Return the account of a quota under new settings: the existing one if its terms are the same."""
         share = settings.share(quota, self.own_name)
         former = self.accounts.get(quota.name)
         if former is not None and former.loan_terms == settings.loan_terms:
             former.follow(share)
             return former
-        # Use in windows of another length is unknown, as after a start.
+        # The recent use is counted in windows of the former length. In windows of the new length it is
+        # unknown, as after a start.
         account = QuotaAccount(share, settings.loan_terms, now)
         account.open(now)
         if former is not None:
@@ -193,7 +197,7 @@
         return account
 
     def compare_digests(self, now: int, digests: Sequence[int | None]) -> None:
-        """Compare the digests of the other members' cluster files with this node's; None: not reported."""
+        """Compare the quota digests that the other members report with this node's; None: not reported."""
         own = self.settings.digest
         all_agree = all(digest == own for digest in digests)
         self.any_file_differs = any(digest not in (None, own) for digest in digests)
@@ -204,22 +208,28 @@
     # Hot restart: one process of a node replaces another.
 
     def open(self, now: int) -> None:
-        """Begin to spend, as no other process of this node does so now."""
+        """Allow this process to spend; no other process of this node may do so now."""
         for account in self.accounts.values():
             account.open(now)
 
     def close(self, now: int) -> dict[str, int]:
-        """Stop spending; return what this process has spent of each quota in the last window."""
+        """Stop spending; return the sessions admitted under each quota in the last window, by its name."""
         return {name: account.close(now) for name, account in self.accounts.items()}
 
     def take_over(self, now: int, used: Mapping[str, int]) -> None:
-        """Begin to spend in place of the predecessor, which spent `used` of each quota in its last window."""
+        """Spend in place of the predecessor process.
+
+        Args:
+            now: present time.
+            used: sessions that the predecessor admitted in its last window, by the name of the quota.
+
+        """
         for name, account in self.accounts.items():
             if name in used:
                 account.take_over(now, used[name])
 
     def statuses(self, now: int) -> list[QuotaStatus]:
-        """Return the status of each quota, in the order of the file."""
+        """Return the status of each quota, in the order of the cluster file."""
         return [self._status(now, quota) for quota in self.settings.quotas]
 
     def _status(self, now: int, quota: Quota) -> QuotaStatus:
--- a/tests/cluster/test_health_observations.py
+++ b/tests/cluster/test_health_observations.py
@@ -1,4 +1,4 @@
-"""Health observations that nodes exchange: probes, ejection advice, and reporters that are wrong."""
+"""Health observations that nodes exchange: the probes and ejections they cause, and false reports."""
 
 from __future__ import annotations
 
@@ -27,13 +27,15 @@
 
 
 def test_report_causes_a_probe_and_two_reporters_of_two_sites_an_ejection() -> None:
+    """Reports that count without confirmation would eject an upstream that only some nodes can't reach."""
+
     def new_observations() -> HealthObservations:
         known = HealthObservations()
         known.set_upstreams([7, 8])
         return known
 
     def twice(sites: str, *reporters: str, **age: int) -> tuple[Any, Any]:
-        """Return the advice of the heartbeat in which reports come, and of the next, after an own probe."""
+        """Return the advice at the heartbeat in which reports arrive, and at the next, after a probe."""
         known = new_observations()
         return tuple(
             advice_for(known, START + heartbeat * HEARTBEAT_US, sites, *reporters, **age)
@@ -41,43 +43,48 @@
         )
 
     assert twice("eeww", "b") == (([7], [], []), ([], [], []))
-    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), "its own probe goes first"
+    assert twice("eeee", "b", "c") == (([7], [], []), ([], [(7, 2)], [7])), (
+        "the node itself has to probe first"
+    )
     assert twice("eeww", "a", "b") == (([7], [], []), ([], [], [])), (
         "one site may be cut off from a healthy upstream"
     )
     assert twice("eeww", "b", "c") == (([7], [], []), ([], [(7, 2)], [7]))
     assert twice("eeww", "b", "c", age=OBSERVATION_TTL_US) == (([], [], []), ([], [], []))
-    assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), "it may be back since"
+    assert twice("eeww", "b", "c", age=ACTIONABLE_US) == (([7], [], []), ([], [], [])), (
+        "the upstream may have recovered since"
+    )
     known = new_observations()
     advice_for(known, START, "eeww", "b", "c")
     known.observe(START + 1, 7, reached=True)
     assert advice_for(known, START + HEARTBEAT_US, "eeww", "b", "c").failures == [], (
-        "two sites may be cut off from it"
+        "an upstream that this node reaches must not be ejected: two other sites may be cut off from it"
     )
     known = new_observations()
     known.observe(START, 7, reached=True)
     assert advice_for(known, START + SECOND, "eeww", "b", "c").failures == [], (
-        "its own observation goes before reports"
+        "this node's own observation must take precedence over reports"
     )
     assert known.own_report(START + SECOND) == []
     known.observe(START + SECOND, 7, reached=None)
     assert advice_for(known, START + SECOND, "eeww").probes == [7], (
-        "a connection that broke off makes it probe at once"
+        "a connection that broke off must cause a probe at once"
     )
     known.observe(START + SECOND, 7, reached=False)
-    assert known.own_report(START + SECOND) == [], "one may be a lost packet"
-    assert advice_for(known, START + SECOND, "eeww").probes == [7], "and a failed probe makes it probe again"
+    assert known.own_report(START + SECOND) == [], "a single failure may be a lost packet"
+    assert advice_for(known, START + SECOND, "eeww").probes == [7], "a failed probe must cause another"
     known.observe(START + SECOND, 7, reached=False)
     assert known.own_report(START + 2 * SECOND) == [HealthObservation(7, 2, SECOND)]
-    assert known.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "an observation expires"
+    assert known.own_report(START + SECOND + OBSERVATION_TTL_US) == [], "the observation has expired"
     late = START + SECOND + OBSERVATION_TTL_US
     assert advice_for(known, late, "eeww", "b", "c").probes == [7]
     assert advice_for(known, late + HEARTBEAT_US, "eeww", "b", "c") == ([], [(7, 2)], [7]), (
-        "it may have come back, and failed again"
+        "after this node's observations expire, reports must count again: the upstream may have failed anew"
     )
 
 
 def test_one_who_says_it_again_and_again_orders_few_looks_and_nothing_else() -> None:
+    """A faulty node that repeats its report at every heartbeat must not cause a probe each time."""
     known = HealthObservations()
     known.set_upstreams([7])
     advice = [advice_for(known, START + heartbeat * HEARTBEAT_US, "eeww", "b") for heartbeat in range(50)]
@@ -101,9 +108,9 @@
     row = emulated()
     assert row["hearsay"] == 0 and row["hearsay_wrong"] == 0 and not any(row["broken"].values())
     monkeypatch.setattr(observations, "CONFIRMATIONS", 1)
-    assert emulated(zones=1)["hearsay_wrong"] == 0, "an own observation goes before reports"
+    assert emulated(zones=1)["hearsay_wrong"] == 0, "the own observation must take precedence over reports"
     monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
-    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single reporter that is believed is caught"
+    assert emulated(zones=1)["hearsay_wrong"] > 0, "a single reporter that is believed must be detected"
 
 
 def test_upstream_unreachable_from_two_sites_is_not_ejected_at_the_third(
@@ -122,4 +129,6 @@
     rows = [cut(seed) for seed in (1, 5)]
     assert not any(row["hearsay_wrong"] or any(row["broken"].values()) for row in rows)
     monkeypatch.setattr(UpstreamObservation, "probed_since_report", lambda *_: True)
-    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, "reports that go before an own probe"
+    assert sum(cut(seed)["hearsay_wrong"] for seed in (1, 5)) > 0, (
+        "reports that count before the own probe must be detected"
+    )
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas that nodes share, decided without I/O. The invariant checker detects planted faults."""
+"""Shared quotas without I/O: safety on a bad network, and planted faults that the checker must detect."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 SECOND = 1_000_000
 HEARTBEAT_US, STEP_US = 200_000, 20_000
 LOAN_TERMS = LoanTerms(SECOND, 2 * SECOND, 0.01)
-START = 1_000_000 * SECOND  # also the wall clock: an incarnation is the time of its start
+START = 1_000_000 * SECOND  # by the wall clock too: a node's incarnation is the time of its start
 LIMIT = 24
 NAMES = "abcd"
 
@@ -54,7 +54,7 @@
 
 
 class ClusterNode:
-    """A node of a cluster with quotas, from one start to the next."""
+    """One incarnation of a node in a cluster with quotas: a restart creates a new object."""
 
     def __init__(self, name: str, now: int, drift: DriftingClock, rng: random.Random) -> None:
         self.drift = drift
@@ -86,7 +86,18 @@
 def played(
     seed: int, loss: float, double: float, late: float, faults: bool, span_s: int = 14, hot: str = NAMES
 ) -> QuotaSafety:
-    """Run nodes that share a quota, some of `hot` using it at a time, over a bad network."""
+    """Run nodes that share a quota over a network that loses, duplicates and delays datagrams.
+
+    Args:
+        seed: seed of all random choices.
+        loss: probability that a datagram is lost.
+        double: probability that a datagram is delivered twice.
+        late: probability that a datagram is delayed by up to 4 s instead of 60 ms.
+        faults: whether the network is partitioned, and nodes are restarted or paused.
+        span_s: duration of the run, in seconds.
+        hot: names of the nodes from which those that request sessions are drawn every 3 s.
+
+    """
     rng = random.Random(seed)
     drifts = [DriftingClock(START) for _ in NAMES]
     for drift in drifts:
@@ -146,7 +157,7 @@
 
 
 def play_late_grant() -> QuotaSafety:
-    """Run two nodes; a grant arrives just before its term is over, and both use all they may."""
+    """Run a lender and a borrower that admit all they may; the grant arrives just before its term ends."""
     checker, began = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
     lender, borrower = (
         SharedQuotas(n, quota_settings(names="ab"), HEARTBEAT_US, START, random.Random(1)) for n in "ab"
@@ -181,12 +192,13 @@
 
 
 def test_an_answer_that_comes_late_overspends_nothing() -> None:
+    """A borrower that counts the term from the answer would spend the loan after the lender does so again."""
     assert play_late_grant().verdict().holds and play_late_grant().used_share() > 0.8
 
 
 def test_a_budget_that_one_node_wants_reaches_it() -> None:
     assert played(1, 0.0, 0.0, 0.0, False, 24, "a").used_share() > 0.5, (
-        "its own share is a quarter, and 0.62 with all that others can lend"
+        "the node's own share is 0.25 of the quota, and 0.62 with all that the others can lend"
     )
 
 
@@ -216,7 +228,12 @@
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
 def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """Among them a restart that forgets, a lender that deducts no loan, a term counted from the answer."""
+    """A checker that misses a planted fault would also miss it in the tests above.
+
+    Planted are a start that ignores earlier use and loans, a loan that is not deducted, a term counted from
+    the answer, a lender that spends a loan again when its term ends, and usage ranges that ignore the time
+    without reports.
+    """
     monkeypatch.setattr(*fault)
     checkers = chain([play_late_grant()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
     assert any(not checker.verdict().holds for checker in checkers)
@@ -233,7 +250,7 @@
     assert all(row["agreed_s"] is not None and not any(row["broken"].values()) for row in rows)
     monkeypatch.setattr(QuotaAccount, "open", forgetful)
     assert Simulation(read_scenario_file(LOANS, {"seed": 1})).run()["over_budget"] > 0, (
-        "this scenario shows the planted fault"
+        "a restart that ignores earlier use and loans must exceed the quota in this scenario"
     )
 
 
@@ -249,7 +266,7 @@
 
 def test_a_start_waits_a_window_then_has_its_floor_then_all_of_its_own() -> None:
     account = QuotaAccount(QuotaShare(10, 4), LOAN_TERMS, START)
-    assert account.limit(START + 99 * SECOND) == 0, "another process of this node may be spending"
+    assert account.limit(START + 99 * SECOND) == 0, "before open(), another process may be spending"
     account.open(START + 100 * SECOND)
     opened = START + 100 * SECOND
     assert account.limit(opened + SECOND) == 0 and account.admit(opened) > 0
@@ -258,7 +275,7 @@
 
 
 def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
-    # Nodes read it one after the other: raised at once, a share would be spent twice.
+    # Nodes read a new file one after the other. If a share grew at once, two nodes would spend one amount.
     budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START)
     now = START + 60 * SECOND
@@ -276,11 +293,12 @@
         budgets.compare_digests(now + at * SECOND, digests)
         assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (digests, at)
     assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
-        "the request is of another file"
+        "a request from a node with another cluster file must be declined"
     )
 
 
 def test_a_node_that_starts_with_another_file_than_the_others_keeps_to_its_floor() -> None:
+    """By the others' file, a part of the starting node's share may be theirs and would be spent twice."""
     budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START)
     for heartbeat in range(100):
@@ -289,23 +307,24 @@
 
 
 def test_one_process_of_a_node_spends_after_the_other() -> None:
-    # In a hot restart two processes of one node run: each would have the whole share of the node.
+    # In a hot restart two processes of one node run. If both spent, each would spend the whole share.
     old, new = (SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1)) for _ in range(2))
     old.open(START)
     now = START + 60 * SECOND
     assert [old.admit(now, "t") for _ in range(6)] == [0] * 6 and new.admit(now, "t") > 0
     used = old.close(now)
     new.take_over(now, used)
-    assert old.admit(now, "t") > 0 and new.admit(now, "t") > 0, "the window is used up"
+    assert old.admit(now, "t") > 0 and new.admit(now, "t") > 0, "the predecessor used up the window"
     later = now + LOAN_TERMS.counting_window_us + SECOND
-    assert [new.admit(later, "t") > 0 for _ in range(4)] == [False, False, False, True], "its floor"
+    assert [new.admit(later, "t") > 0 for _ in range(4)] == [False, False, False, True], "only its floor"
     new.open(later)
-    assert new.accounts["all"].limit(later + SECOND) == 3, "loans of the predecessor have not ended yet"
+    assert new.accounts["all"].limit(later + SECOND) == 3, "loans by the predecessor have not ended yet"
     old.open(later)
-    assert old.admit(later, "t") > 0, "after a failed restart: the successor may have spent until now"
+    assert old.admit(later, "t") > 0, "after a failed hot restart, the successor may have spent until now"
 
 
 def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
+    """The lender of a late grant may spend the amount again; a grant without a request has no known term."""
     budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
     budgets.open(START - 60 * SECOND)
     request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
@@ -315,16 +334,16 @@
     assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
     request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500)), (
-        "its clock never runs back"
+        "an earlier time must not turn the account's clock back"
     )
     now = START + 9 * SECOND
     request = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
     assert budgets.accept_grant(now + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500))
-    assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "no more than was asked for"
+    assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "only the requested amount counts"
 
 
 class RecordingCluster:
-    """A cluster that records the quota usage it takes over."""
+    """Stands in for the cluster of a node; records the quota usage that it takes over."""
 
     def __init__(self) -> None:
         self.used: Any = None
@@ -337,6 +356,8 @@
 
 
 def test_spent_quota_is_handed_over_in_a_hot_restart() -> None:
+    """Without the handed-over use, the successor would admit the share of the same window a second time."""
+
     def actor(cluster: Any) -> BalancerActor:
         settings, descriptors = UpstreamSettings(250_000, False, False, 0), DescriptorBudget(100)
         counters = Counters()
@@ -352,4 +373,4 @@
     alone.restore(state, 0)
     assert successor_cluster.used == {"all": 5}
     new.restore(alone.hand_over(), 0)
-    assert successor_cluster.used == {"all": 5}, "a predecessor without a cluster hands over no usage"
+    assert successor_cluster.used == {"all": 5}, "a predecessor without a cluster must hand over no usage"
