--- a/larchlatch/cluster/health/observations.py
+++ b/larchlatch/cluster/health/observations.py
@@ -68,8 +68,8 @@
         failed_at_us: time of the last of these failures.
         reached_at_us: time of the last successful connection.
         probed_at_us: time of the last requested probe.
-        probed_for: nodes that reported the upstream at the time of that probe.
-        acted_for: nodes whose reports have counted as failures since the upstream was last reached.
+        reporters_at_probe: nodes that reported the upstream at the time of that probe.
+        counted_reporters: nodes whose reports have counted as failures since the upstream was last reached.
         connection_broke: whether an established connection broke off, so that a probe is due.
         is_unreachable: whether the upstream counted as unreachable at the last heartbeat.
 
@@ -79,8 +79,8 @@
     failed_at_us: int = 0
     reached_at_us: int = -OBSERVATION_TTL_US
     probed_at_us: int = -REPROBE_US
-    probed_for: frozenset[str] = frozenset()
-    acted_for: frozenset[str] = frozenset()
+    reporters_at_probe: frozenset[str] = frozenset()
+    counted_reporters: frozenset[str] = frozenset()
     connection_broke: bool = False
     is_unreachable: bool = False
 
@@ -102,7 +102,7 @@
         """
         if self.failures >= REPORTABLE_FAILURES:
             return False
-        if self.failures > 0 or self.connection_broke or not reporters <= self.probed_for:
+        if self.failures > 0 or self.connection_broke or not reporters <= self.reporters_at_probe:
             return True
         return bool(reporters) and now_us >= self.probed_at_us + REPROBE_US
 
@@ -112,7 +112,7 @@
         Two other sites may both be cut off from an upstream that this site reaches. So reports count only
         one heartbeat after they arrive, when the result of this node's own probe is known.
         """
-        return reporters <= self.probed_for and now_us > self.probed_at_us
+        return reporters <= self.reporters_at_probe and now_us > self.probed_at_us
 
     def contradicts(self, now_us: int) -> bool:
         """Return whether this node has recent observations of its own, which take precedence over reports."""
@@ -121,14 +121,14 @@
     def record_probe(self, now_us: int, reporters: frozenset[str]) -> None:
         """Record that a probe is requested now, and which nodes report the upstream."""
         self.probed_at_us = now_us
-        self.probed_for = reporters
+        self.reporters_at_probe = reporters
         self.connection_broke = False
 
     def update_unreachable(self) -> bool:
         """Update whether the upstream counts as unreachable; return whether it newly does."""
-        before = self.is_unreachable
-        self.is_unreachable = self.failures >= REPORTABLE_FAILURES or bool(self.acted_for)
-        return self.is_unreachable and not before
+        was_unreachable = self.is_unreachable
+        self.is_unreachable = self.failures >= REPORTABLE_FAILURES or bool(self.counted_reporters)
+        return self.is_unreachable and not was_unreachable
 
 
 class HealthObservations:
@@ -145,8 +145,8 @@
 
     def set_upstreams(self, upstreams: Iterable[int]) -> None:
         """Use a new endpoint list; reports of upstreams that are not on it are ignored."""
-        known = self.upstreams
-        self.upstreams = {upstream: known.get(upstream, UpstreamObservation()) for upstream in upstreams}
+        previous = self.upstreams
+        self.upstreams = {upstream: previous.get(upstream, UpstreamObservation()) for upstream in upstreams}
 
     def observe(self, now_us: int, upstream: int, *, reached: bool | None) -> None:
         """Record the result of an attempt or a probe of this node.
@@ -157,15 +157,19 @@
             reached: whether a connection could be established; None: an established one broke off.
 
         """
-        known = self.upstreams.setdefault(upstream, UpstreamObservation())
-        known.connection_broke = reached is None
+        observation = self.upstreams.setdefault(upstream, UpstreamObservation())
+        observation.connection_broke = reached is None
         if reached is None:
             return
         if reached:
-            known.failures, known.reached_at_us, known.acted_for = 0, now_us, frozenset()
+            observation.failures, observation.reached_at_us, observation.counted_reporters = (
+                0,
+                now_us,
+                frozenset(),
+            )
         else:
-            known.failures += 1
-            known.failed_at_us = now_us
+            observation.failures += 1
+            observation.failed_at_us = now_us
 
     def own_report(self, now_us: int) -> list[HealthObservation]:
         """Return the observations for this node's record.
@@ -174,9 +178,10 @@
         seem to confirm what a single faulty node reports.
         """
         reportable = [
-            (now_us - known.failed_at_us, upstream, known.failures)
-            for upstream, known in self.upstreams.items()
-            if known.failures >= REPORTABLE_FAILURES and now_us < known.failed_at_us + OBSERVATION_TTL_US
+            (now_us - observation.failed_at_us, upstream, observation.failures)
+            for upstream, observation in self.upstreams.items()
+            if observation.failures >= REPORTABLE_FAILURES
+            and now_us < observation.failed_at_us + OBSERVATION_TTL_US
         ]
         newest = sorted(reportable)[:MAX_REPORTED]
         return [HealthObservation(upstream, failures, age_us) for age_us, upstream, failures in newest]
@@ -203,15 +208,15 @@
         reported = reporters_by_upstream(reports, ages_us)
         due: list[tuple[int, int]] = []  # time of the last probe, then the upstream
         failures: list[ReportedFailure] = []
-        for upstream, known in self.upstreams.items():
+        for upstream, observation in self.upstreams.items():
             reporters = reported.get(upstream, NO_REPORTERS)
-            known.expire_failures(now_us)
-            if known.needs_probe(now_us, reporters.all):
-                due.append((known.probed_at_us, upstream))
+            observation.expire_failures(now_us)
+            if observation.needs_probe(now_us, reporters.all):
+                due.append((observation.probed_at_us, upstream))
             if not reporters.all:
-                known.acted_for = frozenset()
+                observation.counted_reporters = frozenset()
             elif self._is_confirmed(reporters, sites, several_sites=several_sites):
-                failures += self._act(now_us, upstream, reporters.recent)
+                failures += self._count_reports(now_us, upstream, reporters.recent)
         probes = [upstream for _, upstream in sorted(due)[:MAX_PROBES]]
         for upstream in probes:
             self.upstreams[upstream].record_probe(now_us, reported.get(upstream, NO_REPORTERS).all)
@@ -224,15 +229,17 @@
             return False
         return not several_sites or len({sites[name] for name in reporters.recent}) > 1
 
-    def _act(self, now_us: int, upstream: int, reporters: frozenset[str]) -> list[ReportedFailure]:
+    def _count_reports(self, now_us: int, upstream: int, reporters: frozenset[str]) -> list[ReportedFailure]:
         """Return the failure that confirmed reports add: at most one, none if not new or contradicted."""
-        known = self.upstreams[upstream]
-        if not known.probed_since_report(now_us, reporters) or known.contradicts(now_us):
+        observation = self.upstreams[upstream]
+        if not observation.probed_since_report(now_us, reporters) or observation.contradicts(now_us):
             return []
-        if reporters <= known.acted_for:
+        if reporters <= observation.counted_reporters:
             return []
-        known.acted_for |= reporters
+        observation.counted_reporters |= reporters
         return [ReportedFailure(upstream, len(reporters))]
 
     def _newly_unreachable(self) -> list[int]:
-        return [upstream for upstream, known in self.upstreams.items() if known.update_unreachable()]
+        return [
+            upstream for upstream, observation in self.upstreams.items() if observation.update_unreachable()
+        ]
--- a/larchlatch/cluster/quota/account.py
+++ b/larchlatch/cluster/quota/account.py
@@ -50,10 +50,10 @@
 
 @dataclass(slots=True)
 class Lent:
-    """A loan by this node, in sessions per window; this node may spend the amount again from `back_at` on."""
+    """A loan by this node, in sessions per window; it recovers the amount at `recovered_at`."""
 
     amount: int
-    back_at: int
+    recovered_at: int
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
         lent: loans to other nodes.
         closed: whether this process must not spend, as another process of this node may be spending.
         opens_at: time before which nothing may be spent.
-        whole_at: time before which only the floor may be spent, and nothing may be lent.
+        full_share_at: time before which only the floor may be spent, and nothing may be lent.
         next_share: the share by a new cluster file, which has not taken effect; None: there is none.
         next_share_at: time at which that share takes effect; None while not all members have reported that
             they use the new file.
@@ -87,7 +87,7 @@
     lent: dict[LoanId, Lent] = field(default_factory=dict)
     closed: bool = True
     opens_at: int = 0
-    whole_at: int = 0
+    full_share_at: int = 0
     next_share: QuotaShare | None = None
     next_share_at: int | None = None
     demand: DemandMeter = field(init=False)
@@ -105,7 +105,7 @@
         if self.closed:
             self.closed = False
             self.opens_at = self.now + self.loan_terms.counting_window_us
-        self.whole_at = max(self.whole_at, self.now + self.loan_terms.recovery_us)
+        self.full_share_at = max(self.full_share_at, self.now + self.loan_terms.recovery_us)
 
     def close(self, now: int) -> int:
         """Stop spending, as another process of this node takes over; return the use in the last window."""
@@ -132,7 +132,7 @@
     @property
     def own(self) -> int:
         """Return the part of the node's share that may be spent or lent now, in sessions per window."""
-        return self.share.own if self.now >= self.whole_at else self.share.floor
+        return self.share.own if self.now >= self.full_share_at else self.share.floor
 
     @property
     def lent_total(self) -> int:
@@ -148,7 +148,7 @@
         """Remove loans that have ended, and apply a new share that has taken effect."""
         self._advance(now)
         self.borrowed = {n: loan for n, loan in self.borrowed.items() if self.now < loan.ends_at}
-        self.lent = {loan_id: loan for loan_id, loan in self.lent.items() if self.now < loan.back_at}
+        self.lent = {loan_id: loan for loan_id, loan in self.lent.items() if self.now < loan.recovered_at}
         if self.next_share is not None and self.next_share_at is not None and self.now >= self.next_share_at:
             self.share = self.next_share
             self.next_share = self.next_share_at = None
@@ -176,23 +176,23 @@
 
     # Lending and borrowing.
 
-    def need(self, now: int) -> int:
+    def expected_demand(self, now: int) -> int:
         """Return the expected demand at this node, in sessions per window."""
         self._advance(now)
-        return self.demand.need(self.now)
+        return self.demand.expected_demand(self.now)
 
-    def wanted(self, now: int) -> int:
+    def shortfall(self, now: int) -> int:
         """Return the expected demand above the limit, which is to be borrowed, in sessions per window."""
         limit = self.limit(now)
-        return max(0, self.need(now) - limit) if self.is_open else 0
+        return max(0, self.expected_demand(now) - limit) if self.is_open else 0
 
     def spare(self, now: int) -> int:
         """Return the amount that can be lent: the part of the share above floor, use and mean demand."""
         self.expire(now)
-        if self.closed or self.now < self.whole_at or self.next_share is not None:
+        if self.closed or self.now < self.full_share_at or self.next_share is not None:
             return 0
-        busy = max(self.share.floor, self.demand.mean(self.now), self.demand.use(self.now))
-        return max(0, self.share.own - self.lent_total - busy)
+        reserved = max(self.share.floor, self.demand.mean_demand(self.now), self.demand.use(self.now))
+        return max(0, self.share.own - self.lent_total - reserved)
 
     def lend(self, now: int, loan_id: LoanId, amount: int) -> int:
         """Lend up to `amount`, which is deducted from this account; return the amount that is lent."""
@@ -205,9 +205,9 @@
         """Renew a loan for another term, unless this node needs it; return the amount, 0 if not renewed."""
         self.expire(now)
         loan = self.lent.get(loan_id)
-        if loan is None or loan.amount != amount or self.wanted(now):
+        if loan is None or loan.amount != amount or self.shortfall(now):
             return 0
-        loan.back_at = self.now + self.loan_terms.recovery_us
+        loan.recovered_at = self.now + self.loan_terms.recovery_us
         return loan.amount
 
     def borrow(self, now: int, *, request: int, lender: str, amount: int, asked_at: int) -> bool:
@@ -227,15 +227,15 @@
         ends_at = asked_at + self.loan_terms.term_us
         if amount <= 0 or self.now >= ends_at:
             return False
-        known = self.borrowed.get(request)
-        if known is not None:
-            ends_at = max(ends_at, known.ends_at)
+        existing = self.borrowed.get(request)
+        if existing is not None:
+            ends_at = max(ends_at, existing.ends_at)
         self.borrowed[request] = Borrowed(lender, amount, ends_at)
         return True
 
     # A new cluster file.
 
-    def follow(self, share: QuotaShare) -> None:
+    def change_share(self, share: QuotaShare) -> None:
         """Change the share: a reduction applies at once, an increase once no node uses the former file."""
         # Nodes read a new file one after the other. If an increase applied at once, it would be spent while
         # another node that has not read the file yet still spends the same amount.
@@ -253,10 +253,10 @@
 
         """
         self.expire(now)
-        if any_differs and self.now < self.whole_at:
+        if any_differs and self.now < self.full_share_at:
             # This node started with a new file among nodes that use the former one. By the former file, a
             # part of this node's share may belong to them.
-            self.whole_at = self.now + self.loan_terms.recovery_us
+            self.full_share_at = self.now + self.loan_terms.recovery_us
         if not all_agree:
             self.next_share_at = None
         elif self.next_share is not None and self.next_share_at is None:
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -71,9 +71,9 @@
 
     def wants_loans(self, now: int) -> bool:
         """Return whether there may be a loan to request or to renew."""
-        return any(account.borrowed or account.wanted(now) for account in self._accounts.values())
+        return any(account.borrowed or account.shortfall(now) for account in self._accounts.values())
 
-    def requests(
+    def due_requests(
         self, now: int, origin: RequestOrigin, heartbeat_us: int, spare: Mapping[str, Sequence[int]]
     ) -> list[LoanRequest]:
         """Return the requests that are due with this heartbeat.
@@ -85,7 +85,7 @@
             spare: the amounts that each other node offers to lend, in the order of the quotas.
 
         """
-        self._forget_old(now)
+        self._drop_expired(now)
         awaited_since = now - ANSWER_HEARTBEATS * heartbeat_us
         requests: list[LoanRequest] = []
         for index, (name, account) in enumerate(self._accounts.items()):
@@ -94,15 +94,19 @@
                 for request in self._pending.values()
                 if request.quota == name and request.asked_at > awaited_since
             ]
-            wanted = account.wanted(now) - sum(request.amount for request in awaited if not request.renews)
+            shortfall = account.shortfall(now) - sum(
+                request.amount for request in awaited if not request.renews
+            )
             drafts = self._renewals(now, name, account, awaited)
-            offers = self._offers(index, wanted, spare)
+            offers = self._offers(index, shortfall, spare)
             if len(account.borrowed) < MAX_LOANS:
-                drafts += self._new_loans(now, name, wanted, offers, awaited)
-            requests += [self.request(origin, draft) for draft in drafts[: MAX_REQUESTS - len(requests)]]
+                drafts += self._new_loans(now, name, shortfall, offers, awaited)
+            requests += [
+                self.create_request(origin, draft) for draft in drafts[: MAX_REQUESTS - len(requests)]
+            ]
         return requests
 
-    def _forget_old(self, now: int) -> None:
+    def _drop_expired(self, now: int) -> None:
         """Remove pending requests whose loan would have ended by now."""
         oldest = now - self.settings.loan_terms.term_us
         self._pending = {n: request for n, request in self._pending.items() if request.asked_at > oldest}
@@ -111,7 +115,7 @@
         self, now: int, quota: str, account: QuotaAccount, awaited: Sequence[PendingRequest]
     ) -> list[PendingRequest]:
         """Return requests to renew the loans that end within half a term and are still needed."""
-        limit, need = account.limit(now), account.need(now)
+        limit, expected_demand = account.limit(now), account.expected_demand(now)
         half_term_us = self.settings.loan_terms.term_us // 2
         renewing = {request.renews for request in awaited}
         drafts = []
@@ -119,16 +123,16 @@
             if loan.ends_at - now > half_term_us or number in renewing:
                 continue
             # A loan that is no longer needed is left to end without renewal.
-            if limit - loan.amount < need:
+            if limit - loan.amount < expected_demand:
                 drafts.append(PendingRequest(loan.lender, quota, loan.amount, asked_at=now, renews=number))
             else:
                 limit -= loan.amount
         return drafts
 
-    def _offers(self, index: int, wanted: int, spare: Mapping[str, Sequence[int]]) -> list[Offer]:
+    def _offers(self, index: int, shortfall: int, spare: Mapping[str, Sequence[int]]) -> list[Offer]:
         """Return offers for the quota at `index`: the allocator's, or else other nodes' in random order."""
         if self.settings.pooled:
-            return [Offer(self.allocator, wanted)] if self.allocator else []
+            return [Offer(self.allocator, shortfall)] if self.allocator else []
         lenders = [name for name, amounts in spare.items() if index < len(amounts) and amounts[index] > 0]
         self._shuffle(lenders)
         return [Offer(name, spare[name][index]) for name in lenders[:MAX_LENDERS]]
@@ -137,23 +141,23 @@
         self,
         now: int,
         quota: str,
-        wanted: int,
+        shortfall: int,
         offers: Sequence[Offer],
         awaited: Sequence[PendingRequest],
     ) -> list[PendingRequest]:
-        """Return requests that divide the wanted amount among lenders without a pending request."""
+        """Return requests that divide the shortfall among lenders without a pending request."""
         asked = {request.lender for request in awaited}
         drafts = []
         for offer in offers:
-            if wanted <= 0:
+            if shortfall <= 0:
                 break
             if offer.lender not in asked:
-                amount = min(wanted, offer.amount)
+                amount = min(shortfall, offer.amount)
                 drafts.append(PendingRequest(offer.lender, quota, amount, asked_at=now, renews=0))
-                wanted -= amount
+                shortfall -= amount
         return drafts
 
-    def request(self, origin: RequestOrigin, request: PendingRequest) -> LoanRequest:
+    def create_request(self, origin: RequestOrigin, request: PendingRequest) -> LoanRequest:
         """Record a request as pending under a new number, and return the message to send."""
         self._last_number += 1
         self._pending[self._last_number] = request
@@ -175,13 +179,13 @@
         """Enter the loan of an expected grant in the account; return whether it can still be used."""
         request = self._pending.pop(grant.request_id)
         account = self._accounts.get(grant.quota)
-        late = self.settings.pooled and now >= order_ends_at(request.asked_at, grant.remaining_us)
-        if account is None or late:
+        permit_ended = self.settings.pooled and now >= order_ends_at(request.asked_at, grant.remaining_us)
+        if account is None or permit_ended:
             return False
         amount = min(grant.amount, request.amount)
         if request.renews:
-            known = account.borrowed.get(request.renews)
-            if known is None or known.amount != amount:
+            loan = account.borrowed.get(request.renews)
+            if loan is None or loan.amount != amount:
                 return False
         return account.borrow(
             now,
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -119,7 +119,7 @@
         least = sum(usage.least for usage in usages.values())
         reported = sum(usage.most for usage in usages.values())
         most = reported + self._most_unreported(gaps, quota_index, wall_us)
-        reported_until_us = min((own[-1].begin_us for own in gaps.values()), default=wall_us)
+        reported_until_us = min((origin_gaps[-1].begin_us for origin_gaps in gaps.values()), default=wall_us)
         limit = self._quota_settings.quotas[quota_index].sessions
         return UsageRange(least, min(most, limit * WINDOWS), wall_us - reported_until_us)
 
@@ -138,7 +138,7 @@
                 since_us = previous.created_us
                 admitted = sample.admitted[quota_index] - previous.admitted[quota_index]
             else:
-                since_us, admitted = self._first_of_incarnation(sample, quota_index, start_us)
+                since_us, admitted = self._covered_by_first_sample(sample, quota_index, start_us)
                 gaps.append(Gap(known_until_us, since_us + difference_us))
             if since_us - difference_us >= start_us:
                 least += admitted
@@ -149,7 +149,7 @@
         gaps.append(Gap(known_until_us, wall_us + difference_us))
         return OriginUsage(least, most, gaps)
 
-    def _first_of_incarnation(self, sample: Sample, quota_index: int, start_us: int) -> tuple[int, int]:
+    def _covered_by_first_sample(self, sample: Sample, quota_index: int, start_us: int) -> tuple[int, int]:
         """Return the begin of the time that an incarnation's first sample covers, and its admissions.
 
         The sample covers the incarnation from its start. If that start is before the last windows, the sample
@@ -172,9 +172,11 @@
         end_us = wall_us + self.clock_difference_us
         most = 0
         while end_us > earliest_us:
-            known = [name for name in gaps if not overlaps_gap(gaps[name], end_us - window_us, end_us)]
-            if len(known) < len(gaps):
-                most += max(0, quota.sessions - sum(floors[name] for name in known))
+            reported_origins = [
+                name for name in gaps if not overlaps_gap(gaps[name], end_us - window_us, end_us)
+            ]
+            if len(reported_origins) < len(gaps):
+                most += max(0, quota.sessions - sum(floors[name] for name in reported_origins))
             end_us -= window_us
         return most
 
--- a/larchlatch/cluster/quota/demand.py
+++ b/larchlatch/cluster/quota/demand.py
@@ -49,13 +49,13 @@
         """Return the number of sessions that were admitted in the last window."""
         return self.used.advance(self.slot(now))
 
-    def mean(self, now: int) -> int:
+    def mean_demand(self, now: int) -> int:
         """Return the mean number of sessions requested per window over `MEAN_WINDOWS` windows, rounded up."""
         return -(-self.requested_lately.advance(self.slot(now) // MEAN_WINDOWS) // MEAN_WINDOWS)
 
-    def need(self, now: int) -> int:
+    def expected_demand(self, now: int) -> int:
         """Return the expected demand: the requests in the last window, or the mean if it is higher."""
-        return max(self.requested.advance(self.slot(now)), self.mean(now))
+        return max(self.requested.advance(self.slot(now)), self.mean_demand(now))
 
     def wait_us(self, now: int, count: int) -> int:
         """Return the microseconds until `count` admitted sessions have left the window."""
--- a/larchlatch/cluster/quota/lender.py
+++ b/larchlatch/cluster/quota/lender.py
@@ -35,7 +35,7 @@
         self._pools = pools
         self._replay_guard = ReplayGuard()
 
-    def follow(self, settings: QuotaSettings) -> None:
+    def apply_settings(self, settings: QuotaSettings) -> None:
         """Use the settings of a changed cluster file; forget the requests of members that it removes."""
         self.settings = settings
         self._replay_guard.keep_only(settings.names)
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -12,19 +12,19 @@
     from larchlatch.cluster.quota.settings import QuotaSettings
 
 ACTIVE_TERMS = 2  # loan terms for which a node keeps an equal share of a pool after its last request
-PARTS = 3  # loans into which an equal share is divided, so that a part of it can be reclaimed
+PARTS_PER_SHARE = 3  # loans into which an equal share is divided, so that a part of it can be reclaimed
 
 
 class Division(NamedTuple):
     """The present division of a pool, in sessions per window.
 
     Attributes:
-        equal: the share of the pool for each node with a recent request.
+        equal_share: the share of the pool for each node with a recent request.
         lent: the amount that is lent to each node, by its name.
 
     """
 
-    equal: int
+    equal_share: int
     lent: Counter[str]
 
 
@@ -40,17 +40,17 @@
         self.settings = settings
         self.lease = 0
         self._pools: dict[str, QuotaAccount] = {}
-        self._asked_at: dict[str, int] = {}  # time of each node's last request
+        self._last_request_at: dict[str, int] = {}  # time of each node's last request
         # Time at which each node last got less than one part and less than it had asked for.
-        self._short_at: dict[str, int] = {}
+        self._underserved_at: dict[str, int] = {}
 
-    def follow(self, settings: QuotaSettings) -> None:
-        """Use the settings of a changed cluster file, and lend nothing until `hold` sets a lease."""
+    def apply_settings(self, settings: QuotaSettings) -> None:
+        """Use the settings of a changed cluster file, and lend nothing until `set_lease` sets one."""
         self.settings = settings
         self.lease = 0
         self._pools = {}
 
-    def hold(self, now: int, lease: int) -> None:
+    def set_lease(self, now: int, lease: int) -> None:
         """Lend under the lease of this number from now on; 0: stop lending."""
         if lease == self.lease:
             return
@@ -78,26 +78,28 @@
     def _divide(self, now: int, pool: QuotaAccount, sender: str) -> Division:
         """Record a request by `sender`; return the division of a pool among nodes with recent requests."""
         oldest = now - ACTIVE_TERMS * self.settings.loan_terms.term_us
-        self._asked_at = {name: at for name, at in self._asked_at.items() if at > oldest}
-        self._asked_at[sender] = now
+        self._last_request_at = {name: at for name, at in self._last_request_at.items() if at > oldest}
+        self._last_request_at[sender] = now
         lent: Counter[str] = Counter()
         for loan_id, loan in pool.lent.items():
             lent[loan_id.borrower] += loan.amount
-        return Division(pool.share.own // len(self._asked_at), lent)
+        return Division(pool.share.own // len(self._last_request_at), lent)
 
     def _allocate(self, now: int, pool: QuotaAccount, request: LoanRequest) -> int:
         """Return the max-min fair amount for a request: at most one part of an equal share."""
-        equal, lent = self._divide(now, pool, request.sender)
+        equal_share, lent = self._divide(now, pool, request.sender)
         spare = pool.spare(now)
         # The amounts by which other nodes' loans are below their equal shares are reserved for these nodes.
-        others = [name for name in self._asked_at if name != request.sender]
-        reserved = sum(max(0, equal - lent[name]) for name in others)
-        part = max(1, -(-equal // PARTS))
-        amount = max(0, min(request.amount, part, spare, max(equal - lent[request.sender], spare - reserved)))
+        others = [name for name in self._last_request_at if name != request.sender]
+        reserved = sum(max(0, equal_share - lent[name]) for name in others)
+        part = max(1, -(-equal_share // PARTS_PER_SHARE))
+        amount = max(
+            0, min(request.amount, part, spare, max(equal_share - lent[request.sender], spare - reserved))
+        )
         if amount < min(request.amount, part):
-            self._short_at[request.sender] = now
+            self._underserved_at[request.sender] = now
         else:
-            self._short_at.pop(request.sender, None)
+            self._underserved_at.pop(request.sender, None)
         return amount
 
     def _is_reclaimed(self, now: int, pool: QuotaAccount, request: LoanRequest) -> bool:
@@ -105,11 +107,11 @@
 
         Only a loan beyond the sender's own equal share is reclaimed.
         """
-        equal, lent = self._divide(now, pool, request.sender)
+        equal_share, lent = self._divide(now, pool, request.sender)
         oldest = now - self.settings.loan_terms.term_us
-        others_short = any(
-            at > oldest and lent[name] < equal
-            for name, at in self._short_at.items()
+        others_underserved = any(
+            at > oldest and lent[name] < equal_share
+            for name, at in self._underserved_at.items()
             if name != request.sender
         )
-        return others_short and lent[request.sender] - request.amount >= equal
+        return others_underserved and lent[request.sender] - request.amount >= equal_share
--- a/larchlatch/cluster/quota/settings.py
+++ b/larchlatch/cluster/quota/settings.py
@@ -79,6 +79,6 @@
         """Return the part of a quota that belongs to no node; the quota allocator lends it from a pool."""
         return QuotaShare(quota.sessions - sum(self.share(quota, name).own for name in self.names), 0)
 
-    def quota_names(self) -> dict[str, str]:
+    def quota_by_traffic_class(self) -> dict[str, str]:
         """Return the name of the quota for each traffic class that has one, by the class's name."""
         return {traffic_class: quota.name for quota in self.quotas for traffic_class in quota.traffic_classes}
--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -87,7 +87,7 @@
             quota.name: QuotaAccount(settings.share(quota, own_name), settings.loan_terms, now)
             for quota in settings.quotas
         }
-        self._quota_names = settings.quota_names()
+        self._quota_by_traffic_class = settings.quota_by_traffic_class()
         self._uniform = random.uniform
         self._borrower = Borrower(settings, self.accounts, random.shuffle)
         self._pools = QuotaPools(settings)
@@ -96,7 +96,7 @@
 
     def admit(self, now: int, traffic_class: str) -> int:
         """Admit one session of a traffic class; return 0, or the microseconds after which to retry."""
-        quota = self._quota_names.get(traffic_class)
+        quota = self._quota_by_traffic_class.get(traffic_class)
         wait_us = self.accounts[quota].admit(now) if quota is not None else 0
         if not wait_us:
             return 0
@@ -117,7 +117,7 @@
         self._borrower.allocator = allocator
         # Until all members agree on the file, a node that uses the former one may spend more than its floor,
         # and so a part of the pools.
-        self._pools.hold(now, lease if self.settings.pooled and self._all_agreed else 0)
+        self._pools.set_lease(now, lease if self.settings.pooled and self._all_agreed else 0)
 
     def reports(self, now: int) -> list[QuotaReport]:
         """Return the report on each quota for this node's record, in the order of the cluster file."""
@@ -138,14 +138,14 @@
             spare: the amounts that each other node offers to lend, in the order of the quotas.
 
         """
-        return self._borrower.requests(now, origin, self.heartbeat_us, spare)
+        return self._borrower.due_requests(now, origin, self.heartbeat_us, spare)
 
     def request_loan(
         self, now: int, origin: RequestOrigin, *, lender: str, quota: str, amount: int
     ) -> LoanRequest:
         """Return a request to one lender for a new loan, whatever the demand at this node is."""
         request = PendingRequest(lender, quota, amount, asked_at=now, renews=0)
-        return self._borrower.request(origin, request)
+        return self._borrower.create_request(origin, request)
 
     def expects(self, message: LoanRequest | LoanGrant) -> bool:
         """Return whether this node can use a message; if not, its signature need not be verified."""
@@ -172,28 +172,28 @@
 
     def follow(self, settings: QuotaSettings, now: int) -> None:
         """Use the quotas of a changed cluster file."""
-        accounts = {quota.name: self._followed(quota, settings, now) for quota in settings.quotas}
+        accounts = {quota.name: self._updated_account(quota, settings, now) for quota in settings.quotas}
         self.accounts.clear()
         self.accounts.update(accounts)
-        self._quota_names = settings.quota_names()
+        self._quota_by_traffic_class = settings.quota_by_traffic_class()
         self.settings = self._borrower.settings = settings
-        self._pools.follow(settings)
-        self._lender.follow(settings)
+        self._pools.apply_settings(settings)
+        self._lender.apply_settings(settings)
         self._all_agreed = False
 
-    def _followed(self, quota: Quota, settings: QuotaSettings, now: int) -> QuotaAccount:
+    def _updated_account(self, quota: Quota, settings: QuotaSettings, now: int) -> QuotaAccount:
         """Return the account of a quota under new settings: the existing one if its terms are the same."""
         share = settings.share(quota, self.own_name)
         former = self.accounts.get(quota.name)
         if former is not None and former.loan_terms == settings.loan_terms:
-            former.follow(share)
+            former.change_share(share)
             return former
         # The recent use is counted in windows of the former length. In windows of the new length it is
         # unknown, as after a start.
         account = QuotaAccount(share, settings.loan_terms, now)
         account.open(now)
         if former is not None:
-            account.whole_at = max(account.whole_at, now + former.loan_terms.recovery_us)
+            account.full_share_at = max(account.full_share_at, now + former.loan_terms.recovery_us)
         return account
 
     def compare_digests(self, now: int, digests: Sequence[int | None]) -> None:
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -56,14 +56,14 @@
 class ClusterNode:
     """One incarnation of a node in a cluster with quotas: a restart creates a new object."""
 
-    def __init__(self, name: str, now: int, drift: DriftingClock, rng: random.Random) -> None:
-        self.drift = drift
+    def __init__(self, name: str, now: int, clock: DriftingClock, rng: random.Random) -> None:
+        self.clock = clock
         self.members = Membership(
             name,
             dict.fromkeys(NAMES, ""),
             heartbeat_us=HEARTBEAT_US,
             wall_us=now,
-            now_us=drift.at(now),
+            now_us=clock.at(now),
             rng=rng,
         )
         shared = SharedState.create(
@@ -72,11 +72,11 @@
             Electorate(),
             max_clock_difference_us=0,
             heartbeat_us=HEARTBEAT_US,
-            now=drift.at(now),
+            now=clock.at(now),
             random=rng,
         )
-        self.budgets, self.counts, self.observations, *_ = shared
-        shared.open(drift.at(now))
+        self.quotas, self.usage, self.health, *_ = shared
+        shared.open(clock.at(now))
         keys = {name: unsigned_key(name) for name in NAMES}
         sites, signer = dict.fromkeys(NAMES, ""), UnsignedSigner(name)
         self.exchange = Exchange(self.members, shared, sites, keys, signer, signer, lambda kind: None)
@@ -84,7 +84,13 @@
 
 
 def played(
-    seed: int, loss: float, double: float, late: float, faults: bool, span_s: int = 14, hot: str = NAMES
+    seed: int,
+    loss: float,
+    double: float,
+    late: float,
+    faults: bool,
+    span_s: int = 14,
+    active_names: str = NAMES,
 ) -> QuotaSafety:
     """Run nodes that share a quota over a network that loses, duplicates and delays datagrams.
 
@@ -95,15 +101,15 @@
         late: probability that a datagram is delayed by up to 4 s instead of 60 ms.
         faults: whether the network is partitioned, and nodes are restarted or paused.
         span_s: duration of the run, in seconds.
-        hot: names of the nodes from which those that request sessions are drawn every 3 s.
+        active_names: names of the nodes from which those that request sessions are drawn every 3 s.
 
     """
     rng = random.Random(seed)
-    drifts = [DriftingClock(START) for _ in NAMES]
-    for drift in drifts:
-        drift.set_gain(START, rng.choice((-0.01, 0.0, 0.01)))
-    nodes = [ClusterNode(name, START, drift, rng) for name, drift in zip(NAMES, drifts, strict=True)]
-    checker, in_flight, cut, sessions = (
+    clocks = [DriftingClock(START) for _ in NAMES]
+    for clock in clocks:
+        clock.set_gain(START, rng.choice((-0.01, 0.0, 0.01)))
+    nodes = [ClusterNode(name, START, clock, rng) for name, clock in zip(NAMES, clocks, strict=True)]
+    checker, in_flight, isolated, sessions = (
         QuotaSafety(LIMIT, SECOND),
         list[tuple[int, float, str, bytes]](),
         "",
@@ -112,21 +118,21 @@
     requesting: list[str] = []
     for now in range(START, START + span_s * SECOND, STEP_US):
         if now % (3 * SECOND) == START % (3 * SECOND):
-            requesting = rng.sample(hot, rng.randint(1, len(hot)))
+            requesting = rng.sample(active_names, rng.randint(1, len(active_names)))
         if faults and now % SECOND == 0:
-            cut = rng.choice(("", "", "a", "ab", "abc"))
-            which, what = rng.randrange(len(NAMES)), rng.random()
-            if what < 0.15:
-                nodes[which] = ClusterNode(NAMES[which], now, drifts[which], rng)
-            elif what < 0.3:
-                nodes[which].awake_at = now + rng.randrange(4 * SECOND)
+            isolated = rng.choice(("", "", "a", "ab", "abc"))
+            index, draw = rng.randrange(len(NAMES)), rng.random()
+            if draw < 0.15:
+                nodes[index] = ClusterNode(NAMES[index], now, clocks[index], rng)
+            elif draw < 0.3:
+                nodes[index].awake_at = now + rng.randrange(4 * SECOND)
         sent: list[tuple[str, str, bytes]] = []
         due = sorted((at, n, to, data) for at, n, to, data in in_flight if at <= now)
         in_flight = [entry for entry in in_flight if entry[0] > now]
         for _, _, to, data in due:
             node = nodes[NAMES.index(to)]
             if now >= node.awake_at:
-                received = node.exchange.receive(data, now=node.drift.at(now), wall=now)
+                received = node.exchange.receive(data, now=node.clock.at(now), wall=now)
                 sent += [(to, *datagram) for datagram in received.datagrams]
         for name, node in zip(NAMES, nodes, strict=True):
             if now < node.awake_at:
@@ -134,15 +140,15 @@
             if now >= node.next_heartbeat_at:
                 node.next_heartbeat_at = now + HEARTBEAT_US
                 sent += [
-                    (name, *d) for d in node.exchange.heartbeat(now=node.drift.at(now), wall=now).datagrams
+                    (name, *d) for d in node.exchange.heartbeat(now=node.clock.at(now), wall=now).datagrams
                 ]
             for _ in range(rng.choice((0, 0, 0, 0, 1, 1, 2)) * (name in requesting)):
                 sessions += 1
                 checker.observe(SessionRequested(now, str(sessions)))
-                if not node.budgets.admit(node.drift.at(now), "t"):
+                if not node.quotas.admit(node.clock.at(now), "t"):
                     checker.observe(SessionAdmitted(now, str(sessions)))
         for sender, to, data in sent:
-            if rng.random() < loss or (sender in cut) is not (to in cut):
+            if rng.random() < loss or (sender in isolated) is not (to in isolated):
                 continue
             for _ in range(2 if rng.random() < double else 1):
                 delay = rng.randrange(4 * SECOND) if rng.random() < late else rng.randrange(60_000)
@@ -150,25 +156,27 @@
         if now % SECOND == 0:
             for node in nodes:
                 if now >= node.awake_at:
-                    [known] = node.counts.ranges(now)
-                    report = QuotaUsageReported(now, known.least, known.most, node.counts.span_us)
+                    [usage] = node.usage.ranges(now)
+                    report = QuotaUsageReported(now, usage.least, usage.most, node.usage.span_us)
                     checker.observe(report)
     return checker
 
 
-def play_late_grant() -> QuotaSafety:
+def run_with_late_grant() -> QuotaSafety:
     """Run a lender and a borrower that admit all they may; the grant arrives just before its term ends."""
-    checker, began = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
+    checker, requested_at = QuotaSafety(LIMIT, SECOND), START + 60 * SECOND
     lender, borrower = (
         SharedQuotas(n, quota_settings(names="ab"), HEARTBEAT_US, START, random.Random(1)) for n in "ab"
     )
     for node in (lender, borrower):
         node.open(START)
-    request = borrower.request_loan(began, RequestOrigin("b", 1, began), lender="a", quota="all", amount=6)
-    grant = lender.answer(began, request, NO_PERMIT)
+    request = borrower.request_loan(
+        requested_at, RequestOrigin("b", 1, requested_at), lender="a", quota="all", amount=6
+    )
+    grant = lender.answer(requested_at, request, NO_PERMIT)
     assert grant is not None and borrower.expects(grant)
-    for now in range(began, began + 6 * SECOND, STEP_US):
-        if now == began + LOAN_TERMS.term_us - STEP_US:
+    for now in range(requested_at, requested_at + 6 * SECOND, STEP_US):
+        if now == requested_at + LOAN_TERMS.term_us - STEP_US:
             assert borrower.accept_grant(now, grant)
         for name, node in (("a", lender), ("b", borrower)):
             for number in range(9):
@@ -191,43 +199,43 @@
     assert judge.verdict().holds and judge.reports > 20
 
 
-def test_an_answer_that_comes_late_overspends_nothing() -> None:
+def test_late_grant_does_not_exceed_the_quota() -> None:
     """A borrower that counts the term from the answer would spend the loan after the lender does so again."""
-    assert play_late_grant().verdict().holds and play_late_grant().used_share() > 0.8
+    assert run_with_late_grant().verdict().holds and run_with_late_grant().used_share() > 0.8
 
 
-def test_a_budget_that_one_node_wants_reaches_it() -> None:
+def test_quota_is_lent_to_the_only_node_with_demand() -> None:
     assert played(1, 0.0, 0.0, 0.0, False, 24, "a").used_share() > 0.5, (
         "the node's own share is 0.25 of the quota, and 0.62 with all that the others can lend"
     )
 
 
-def forgetful(account: QuotaAccount, now: int) -> None:
-    account.closed, account.opens_at, account.whole_at = False, now, now
+def open_without_waiting(account: QuotaAccount, now: int) -> None:
+    account.closed, account.opens_at, account.full_share_at = False, now, now
 
 
-def careless(account: QuotaAccount, now: int, loan: Any, amount: int) -> int:
+def lend_without_deducting(account: QuotaAccount, now: int, loan: Any, amount: int) -> int:
     return max(0, min(amount, account.spare(now)))
 
 
-def late_borrower(
+def borrow_from_answer(
     account: QuotaAccount, now: int, *, request: int, lender: str, amount: int, asked_at: int
 ) -> bool:
-    return borrow(account, now, request=request, lender=lender, amount=amount, asked_at=now)
+    return original_borrow(account, now, request=request, lender=lender, amount=amount, asked_at=now)
 
 
-borrow = QuotaAccount.borrow
+original_borrow = QuotaAccount.borrow
 PLANTED_FAULTS: list[tuple[object, str, Any]] = [
-    (QuotaAccount, "open", forgetful),
-    (QuotaAccount, "lend", careless),
-    (QuotaAccount, "borrow", late_borrower),
+    (QuotaAccount, "open", open_without_waiting),
+    (QuotaAccount, "lend", lend_without_deducting),
+    (QuotaAccount, "borrow", borrow_from_answer),
     (LoanTerms, "recovery_us", property(lambda loan_terms: loan_terms.term_us)),
     (counts, "overlaps_gap", lambda *args: False),
 ]
 
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
-def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_planted_fault_is_detected(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
     """A checker that misses a planted fault would also miss it in the tests above.
 
     Planted are a start that ignores earlier use and loans, a loan that is not deducted, a term counted from
@@ -235,28 +243,28 @@
     without reports.
     """
     monkeypatch.setattr(*fault)
-    checkers = chain([play_late_grant()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
+    checkers = chain([run_with_late_grant()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
     assert any(not checker.verdict().holds for checker in checkers)
 
 
 LOANS = Path(__file__).parents[2] / "scenarios" / "loans.toml"
 
 
-def test_a_day_of_cuts_deaths_and_a_shorter_file_in_the_middle_of_loans(
+def test_partitions_crashes_and_a_shorter_cluster_file_during_loans_keep_the_quota(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     rows = [Simulation(read_scenario_file(LOANS, {"seed": seed})).run() for seed in (1, 2)]
     assert all(row["over_budget"] == 0 and row["outside"] == 0 and row["members_wrong"] == 0 for row in rows)
     assert all(row["agreed_s"] is not None and not any(row["broken"].values()) for row in rows)
-    monkeypatch.setattr(QuotaAccount, "open", forgetful)
+    monkeypatch.setattr(QuotaAccount, "open", open_without_waiting)
     assert Simulation(read_scenario_file(LOANS, {"seed": 1})).run()["over_budget"] > 0, (
         "a restart that ignores earlier use and loans must exceed the quota in this scenario"
     )
 
 
-def test_shares_make_up_the_limit_and_a_static_division_lends_nothing() -> None:
+def test_shares_add_up_to_the_limit_and_a_full_floor_lends_nothing() -> None:
     for limit, count in ((24, 4), (10, 7), (3, 8), (1000, 200)):
-        shares = [share_at(limit, 0.5, count, place) for place in range(count)]
+        shares = [share_at(limit, 0.5, count, index) for index in range(count)]
         assert sum(share.own for share in shares) == limit
         assert all(0 <= share.floor <= share.own for share in shares)
     account = QuotaAccount(share_at(24, 1.0, 4, 0), LOAN_TERMS, START)
@@ -264,7 +272,7 @@
     assert account.spare(START + 60 * SECOND) == 0
 
 
-def test_a_start_waits_a_window_then_has_its_floor_then_all_of_its_own() -> None:
+def test_started_node_waits_a_window_then_spends_its_floor_then_its_whole_share() -> None:
     account = QuotaAccount(QuotaShare(10, 4), LOAN_TERMS, START)
     assert account.limit(START + 99 * SECOND) == 0, "before open(), another process may be spending"
     account.open(START + 100 * SECOND)
@@ -274,15 +282,15 @@
     assert account.limit(opened + LOAN_TERMS.recovery_us) == 10
 
 
-def test_a_new_file_takes_at_once_and_gives_when_all_have_read_it() -> None:
+def test_changed_file_reduces_shares_at_once_and_raises_them_once_all_agree() -> None:
     # Nodes read a new file one after the other. If a share grew at once, two nodes would spend one amount.
-    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
-    budgets.open(START)
+    quotas = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
+    quotas.open(START)
     now = START + 60 * SECOND
-    assert budgets.accounts["all"].limit(now) == 6
-    budgets.follow(quota_settings(limit=12, digest=2), now)
-    assert budgets.accounts["all"].limit(now) == 3
-    budgets.follow(quota_settings(limit=48, digest=3), now)
+    assert quotas.accounts["all"].limit(now) == 6
+    quotas.follow(quota_settings(limit=12, digest=2), now)
+    assert quotas.accounts["all"].limit(now) == 3
+    quotas.follow(quota_settings(limit=48, digest=3), now)
     for digests, at, limit in (
         ([3, 3, None], 30, 3),
         ([3, 2, 3], 60, 3),
@@ -290,23 +298,23 @@
         ([3, 3, 3], 63, 3),
         ([3, 3, 3], 66, 12),
     ):
-        budgets.compare_digests(now + at * SECOND, digests)
-        assert budgets.accounts["all"].limit(now + at * SECOND) == limit, (digests, at)
-    assert budgets.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
+        quotas.compare_digests(now + at * SECOND, digests)
+        assert quotas.accounts["all"].limit(now + at * SECOND) == limit, (digests, at)
+    assert quotas.answer(now, LoanRequest("b", 1, 1, now, "a", 2, "all", 1, 0), NO_PERMIT) is None, (
         "a request from a node with another cluster file must be declined"
     )
 
 
-def test_a_node_that_starts_with_another_file_than_the_others_keeps_to_its_floor() -> None:
+def test_node_started_with_a_different_file_spends_only_its_floor() -> None:
     """By the others' file, a part of the starting node's share may be theirs and would be spent twice."""
-    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
-    budgets.open(START)
+    quotas = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
+    quotas.open(START)
     for heartbeat in range(100):
-        budgets.compare_digests(START + heartbeat * HEARTBEAT_US, [1, 7, None])
-    assert budgets.accounts["all"].limit(START + 100 * HEARTBEAT_US) == 3 and budgets.any_file_differs
+        quotas.compare_digests(START + heartbeat * HEARTBEAT_US, [1, 7, None])
+    assert quotas.accounts["all"].limit(START + 100 * HEARTBEAT_US) == 3 and quotas.any_file_differs
 
 
-def test_one_process_of_a_node_spends_after_the_other() -> None:
+def test_two_processes_of_a_node_never_spend_at_once() -> None:
     # In a hot restart two processes of one node run. If both spent, each would spend the whole share.
     old, new = (SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1)) for _ in range(2))
     old.open(START)
@@ -323,23 +331,23 @@
     assert old.admit(later, "t") > 0, "after a failed hot restart, the successor may have spent until now"
 
 
-def test_a_grant_that_was_not_asked_for_or_comes_too_late_is_not_spent() -> None:
+def test_unrequested_and_late_grants_are_not_spent() -> None:
     """The lender of a late grant may spend the amount again; a grant without a request has no known term."""
-    budgets = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
-    budgets.open(START - 60 * SECOND)
-    request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
+    quotas = SharedQuotas("a", quota_settings(), HEARTBEAT_US, START, random.Random(1))
+    quotas.open(START - 60 * SECOND)
+    request = quotas.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
     for lender, number in (("c", 1), ("b", 2)):
-        assert not budgets.expects(LoanGrant(lender, "a", 1, number, "all", 5))
+        assert not quotas.expects(LoanGrant(lender, "a", 1, number, "all", 5))
     grant = LoanGrant("b", "a", 1, request.request_id, "all", 500)
-    assert budgets.expects(grant) and not budgets.accept_grant(START + LOAN_TERMS.term_us, grant)
-    request = budgets.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
-    assert not budgets.accept_grant(START + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500)), (
+    assert quotas.expects(grant) and not quotas.accept_grant(START + LOAN_TERMS.term_us, grant)
+    request = quotas.request_loan(START, RequestOrigin("a", 1, START), lender="b", quota="all", amount=5)
+    assert not quotas.accept_grant(START + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500)), (
         "an earlier time must not turn the account's clock back"
     )
     now = START + 9 * SECOND
-    request = budgets.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
-    assert budgets.accept_grant(now + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500))
-    assert budgets.accounts["all"].limit(now + 1) == 6 + 5, "only the requested amount counts"
+    request = quotas.request_loan(now, RequestOrigin("a", 1, now), lender="b", quota="all", amount=5)
+    assert quotas.accept_grant(now + 1, LoanGrant("b", "a", 1, request.request_id, "all", 500))
+    assert quotas.accounts["all"].limit(now + 1) == 6 + 5, "only the requested amount counts"
 
 
 class RecordingCluster:
@@ -367,10 +375,10 @@
         return BalancerActor(balancer, [], mailbox, upstreams, counters, cluster=cluster)
 
     successor_cluster = RecordingCluster()
-    old, new, alone = actor(RecordingCluster()), actor(successor_cluster), actor(None)
+    old, new, without_cluster = actor(RecordingCluster()), actor(successor_cluster), actor(None)
     state = old.hand_over()
     new.restore(state, 0)
-    alone.restore(state, 0)
+    without_cluster.restore(state, 0)
     assert successor_cluster.used == {"all": 5}
-    new.restore(alone.hand_over(), 0)
+    new.restore(without_cluster.hand_over(), 0)
     assert successor_cluster.used == {"all": 5}, "a predecessor without a cluster must hand over no usage"
