--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -105,7 +105,7 @@
         self.membership.heartbeat_us = quotas.heartbeat_us = election.heartbeat_us = heartbeat_us
         self.membership.set_members(sites)
         if quota_settings.digest != quotas.settings.digest:
-            quotas.follow(quota_settings, now)
+            quotas.apply_settings(quota_settings, now)
             self.state.quota_usage.set_quotas(quota_settings)
         if electorate.digest != election.electorate.digest:
             self.state.tokens.follow(electorate)
--- a/larchlatch/cluster/quota/shared_quotas.py
+++ b/larchlatch/cluster/quota/shared_quotas.py
@@ -170,7 +170,7 @@
 
     # A new cluster file.
 
-    def follow(self, settings: QuotaSettings, now: int) -> None:
+    def apply_settings(self, settings: QuotaSettings, now: int) -> None:
         """Use the quotas of a changed cluster file."""
         accounts = {quota.name: self._updated_account(quota, settings, now) for quota in settings.quotas}
         self.accounts.clear()
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -288,9 +288,9 @@
     quotas.open(START)
     now = START + 60 * SECOND
     assert quotas.accounts["all"].limit(now) == 6
-    quotas.follow(quota_settings(limit=12, digest=2), now)
+    quotas.apply_settings(quota_settings(limit=12, digest=2), now)
     assert quotas.accounts["all"].limit(now) == 3
-    quotas.follow(quota_settings(limit=48, digest=3), now)
+    quotas.apply_settings(quota_settings(limit=48, digest=3), now)
     for digests, at, limit in (
         ([3, 3, None], 30, 3),
         ([3, 2, 3], 60, 3),
