--- a/larchlatch/cluster/exchange/__init__.py
+++ b/larchlatch/cluster/exchange/__init__.py
@@ -1,1 +1,1 @@
-"""Received datagrams are checked and dispatched here, and those to send are composed. No I/O."""
+"""Checks and dispatches the datagrams that a node receives, and composes those that it sends. No I/O."""
--- a/larchlatch/cluster/exchange/ballots.py
+++ b/larchlatch/cluster/exchange/ballots.py
@@ -1,4 +1,4 @@
-"""Ballot requests and votes, as nodes send them to each other."""
+"""Handles the ballot requests and votes that nodes send to each other."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class BallotExchange:
-    """Answer the ballot requests of other nodes, and count the votes on this node's own."""
+    """Answers the ballot requests of other nodes, and counts the votes on this node's own ballots."""
 
     def __init__(self, context: ExchangeContext) -> None:
         self._election = context.state.election
         self._pack = context.pack
 
     def handle_request(self, request: BallotRequest, now: int, result: ExchangeResult) -> None:
-        """Vote on a candidate's ballot, if this node is an elector and may answer now."""
+        """Answer a candidate's ballot request with a vote, if this node is an elector and may vote now."""
         vote = self._election.answer_ballot(now, request)
         if vote is not None:
             result.datagrams.append(self._pack(vote))
 
     def handle_vote(self, vote: Vote, *, now: int, wall: int, result: ExchangeResult) -> None:
-        """Count a vote, and send the ballot requests that follow from it."""
+        """Count a vote, and add the ballot requests that follow from it to the datagrams to send."""
         result.datagrams += map(self._pack, self._election.count_vote(now, vote, wall=wall))
--- a/larchlatch/cluster/exchange/context.py
+++ b/larchlatch/cluster/exchange/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one node's exchange work with."""
+"""Defines what the components of one node's exchange share."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ExchangeContext:
-    """What each part of one node's exchange reads, updates and calls.
+    """The state and the functions that all components of one node's exchange use.
 
     Attributes:
-        membership: the members, as this node knows them.
-        state: the state that the members share.
+        membership: this node's view of the members.
+        state: this node's copy of the state that the members share.
         pack: returns the signed datagram that carries one message to its recipient.
         count: adds one to the counter of this name.
 
--- a/larchlatch/cluster/exchange/exchange.py
+++ b/larchlatch/cluster/exchange/exchange.py
@@ -1,4 +1,4 @@
-"""One node's exchange of datagrams with the other members, without the I/O."""
+"""Handles the datagrams that one node exchanges with the other members. No I/O."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 
 
 class Exchange:
-    """Handle received datagrams and compose those to send.
+    """Handles received datagrams and composes those to send.
 
-    Everything that is sent passes through `sign`, which a subclass may override.
+    Every record and direct message that is sent is signed by `sign`, which a subclass may override.
 
     Attributes:
-        membership: the members, as this node knows them.
-        state: the state that the members share.
+        membership: this node's view of the members.
+        state: this node's copy of the state that the members share.
 
     """
 
@@ -51,11 +51,11 @@
         verifier: SignatureVerifier,
         count: Callable[[str], None],
     ) -> None:
-        """Compose one node's exchange from its parts.
+        """Create one node's exchange.
 
         Args:
-            membership: the members, as this node knows them.
-            state: the state that the members share.
+            membership: this node's view of the members.
+            state: this node's copy of the state that the members share.
             sites: site of each member.
             keys: public key of each member.
             signer: signs this node's messages.
@@ -73,7 +73,7 @@
 
     @property
     def unknown_version(self) -> int | None:
-        """Return the first unknown protocol version that was received; None: there was none."""
+        """Return the first unknown protocol version that was received; None if there was none."""
         return self._receiver.unknown_version
 
     def apply_configuration(
@@ -86,16 +86,16 @@
         heartbeat_us: int,
         now: int,
     ) -> None:
-        """Apply a cluster file that was read again.
+        """Apply a cluster file that was loaded again.
 
-        Members that the file no longer has are forgotten; what is known of the others is kept. Quotas and
+        Members that are no longer in the file are removed, and the state of the others is kept. Quotas and
         roles start over only if the file changes them.
 
         Args:
             sites: site of each member.
             keys: public key of each member.
-            quota_settings: how the quotas are divided.
-            electorate: who elects, for which roles.
+            quota_settings: the quotas of the cluster, and how they are divided among the nodes.
+            electorate: the electors, and the roles that they elect nodes for.
             heartbeat_us: time between two heartbeats.
             now: monotonic time in microseconds.
 
@@ -112,7 +112,7 @@
             election.follow(electorate, now)
 
     def receive(self, data: bytes, *, now: int, wall: int) -> ExchangeResult:
-        """Handle one datagram; what can't be used is dropped and counted by reason.
+        """Handle one datagram; records and messages that can't be used are dropped and counted by reason.
 
         Args:
             data: the datagram.
@@ -123,7 +123,7 @@
         return self._receiver.receive(data, now=now, wall=wall)
 
     def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
-        """Do what is due with one heartbeat.
+        """Update the state at a heartbeat, and return what the caller has to send, log and pass on.
 
         Args:
             now: monotonic time in microseconds.
@@ -139,7 +139,7 @@
 
         Args:
             session: the session's number.
-            candidates: warming upstreams that it may go to, each with the hash of its name.
+            candidates: warming upstreams that the session may be placed on, each with the hash of its name.
             now: monotonic time in microseconds.
             wall: Unix time in microseconds.
 
@@ -152,5 +152,5 @@
         return SignedMessage(body, self._signer.sign(body))
 
     def pack(self, message: DirectMessage) -> OutgoingDatagram:
-        """Return the datagram that carries this one message to its recipient."""
+        """Return a signed datagram that carries only this message to its recipient."""
         return OutgoingDatagram(message.recipient, encode_datagram([], [self.sign(message)]))
--- a/larchlatch/cluster/exchange/handlers.py
+++ b/larchlatch/cluster/exchange/handlers.py
@@ -1,4 +1,4 @@
-"""The parts of an exchange that handle direct messages, one part for each subject."""
+"""Groups the handlers of direct messages, one for each pair of request and response."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class MessageHandlers(NamedTuple):
-    """What handles direct messages.
+    """The handlers of direct messages.
 
     Attributes:
-        loans: requests and grants of quota loans.
-        tokens: requests and grants of slow-start tokens.
-        ballots: ballot requests and votes.
+        loans: handles requests and grants of quota loans.
+        tokens: handles requests and grants of slow-start tokens.
+        ballots: handles ballot requests and votes.
 
     """
 
--- a/larchlatch/cluster/exchange/heartbeat.py
+++ b/larchlatch/cluster/exchange/heartbeat.py
@@ -1,4 +1,4 @@
-"""What a node updates and sends with each heartbeat."""
+"""Updates a node's state at each heartbeat, and composes the datagrams that it sends."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class HeartbeatSender:
-    """Update all parts once per heartbeat, and compose the datagrams to the other members.
+    """Updates a node's shared state at each heartbeat, and composes the datagrams to the other members.
 
     Attributes:
         sites: site of each member.
@@ -39,7 +39,7 @@
         self._pack = context.pack
 
     def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
-        """Do what is due with one heartbeat.
+        """Update the state at a heartbeat, and return what the caller has to send, log and pass on.
 
         Args:
             now: monotonic time in microseconds.
@@ -49,7 +49,7 @@
         changes = self._membership.advance(now)
         self._state.quotas.compare_digests(now, self._membership.configuration_digests())
         present = self._membership.present_records
-        # Only these records are needed with their ages; most records have neither.
+        # Only the ages of records with observations or promises are needed; most records have neither.
         reporting = {
             name: record for name, record in present.items() if record.health_observations or record.promises
         }
@@ -77,7 +77,10 @@
         return record
 
     def _record_datagrams(self, *, now: int, wall: int) -> list[OutgoingDatagram]:
-        """Return the gossip: all records that fit for some members, this node's alone for some watchers."""
+        """Return the datagrams that carry records.
+
+        Gossip targets receive this node's record and as many of others as fit, watchers only this node's.
+        """
         signed = self._sign(self._own_record(now=now, wall=wall))
         targets = self._membership.gossip_targets()
         contents = self._membership.pack_records(signed, len(targets))
@@ -99,7 +102,7 @@
         ages: Mapping[str, int],
         present: Mapping[str, NodeRecord],
     ) -> EjectionAdvice:
-        """Return which upstreams to probe or eject by the members' health observations."""
+        """Return which upstreams to probe or eject according to the members' health observations."""
         own_site = self.sites.get(self._membership.own_name, "")
         reports = {name: record.health_observations for name, record in reporting.items()}
         several_sites = any(self.sites[name] != own_site for name in present)
--- a/larchlatch/cluster/exchange/loans.py
+++ b/larchlatch/cluster/exchange/loans.py
@@ -1,4 +1,4 @@
-"""Requests and grants of quota loans, as nodes send them to each other."""
+"""Handles the requests and grants of quota loans that nodes send to each other."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LoanExchange:
-    """Borrow from other nodes and lend to them."""
+    """Borrows quota from other nodes and lends quota to them."""
 
     def __init__(self, context: ExchangeContext) -> None:
         self._membership = context.membership
@@ -27,7 +27,7 @@
         self._count = context.count
 
     def handle_request(self, request: LoanRequest, now: int, result: ExchangeResult) -> None:
-        """Lend what can be spared to the node that asks; a declined request gets no answer."""
+        """Answer a loan request with what this node can spare; a declined request gets no answer."""
         grant = self._quotas.answer(now, request, self._orders.permit(now))
         if grant is None:
             self._count(ClusterCounter.LOANS_DECLINED)
@@ -36,7 +36,10 @@
         result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: LoanGrant, now: int, result: ExchangeResult) -> None:
-        """Enter a loan; one from the quota allocator is an order and needs a valid fencing token."""
+        """Add a granted loan to this node's quota, unless the grant comes too late.
+
+        A grant from the quota allocator is an order, and is ignored unless its fencing token is valid.
+        """
         if grant.lease and not self._orders.accepts(grant.lease):
             return
         usable = self._quotas.accept_grant(now, grant)
@@ -45,16 +48,16 @@
             result.orders.append(self._orders.executed(lease=grant.lease, holder=grant.sender))
 
     def update_allocator(self, now: int) -> None:
-        """Update which node is the quota allocator, and this node's own lease of that role."""
+        """Update which node is the quota allocator, and this node's lease if it holds that role."""
         self._quotas.update_allocator(now, self._orders.holder_name(), self._orders.permit(now).lease)
 
     def heartbeat(self, now: int, *, wall: int, present: Mapping[str, NodeRecord]) -> list[OutgoingDatagram]:
-        """Return the requests that are due with this heartbeat.
+        """Return the datagrams with the loan requests that are due at this heartbeat.
 
         Args:
             now: monotonic time in microseconds.
             wall: Unix time in microseconds.
-            present: the newest record of each member that is present.
+            present: the newest record of each present member.
 
         """
         if self._membership.is_departing or not self._quotas.wants_loans(now):
@@ -74,7 +77,7 @@
         return datagrams
 
     def _borrow_from_own_pool(self, request: LoanRequest, now: int) -> None:
-        """Answer this node's own request at once, as it is the quota allocator itself."""
+        """Grant this node's own loan request without a datagram, as it is the quota allocator itself."""
         grant = self._quotas.answer(now, request, self._orders.permit(now))
         if grant is not None:
             self._quotas.accept_grant(now, grant)
--- a/larchlatch/cluster/exchange/receiver.py
+++ b/larchlatch/cluster/exchange/receiver.py
@@ -1,4 +1,4 @@
-"""Check received datagrams, and dispatch their records and messages."""
+"""Checks received datagrams, and dispatches their records and messages."""
 
 from __future__ import annotations
 
@@ -37,11 +37,11 @@
 
 
 class DatagramReceiver:
-    """Check what other nodes send, the cheap checks first, and dispatch what passes.
+    """Checks what other nodes send, with the cheap checks first, and dispatches what passes them.
 
     Attributes:
         keys: public key of each member.
-        unknown_version: the first unknown protocol version that was received.
+        unknown_version: the first unknown protocol version that was received; None if there was none.
 
     """
 
@@ -61,7 +61,7 @@
         self._count = context.count
 
     def receive(self, data: bytes, *, now: int, wall: int) -> ExchangeResult:
-        """Handle one datagram; what can't be used is dropped and counted by reason.
+        """Handle one datagram; records and messages that can't be used are dropped and counted by reason.
 
         Args:
             data: the datagram.
@@ -102,7 +102,7 @@
                 self._membership.receive_again(record.name, signed)
             return True
         if not self._is_signed_by(record.name, signed):
-            # The sender is no member or is faulty: verifying its other messages would waste processor time.
+            # The sender is no member or is faulty: verifying the rest of its datagram would waste CPU time.
             self._count_drop(DropReason.INVALID_SIGNATURE)
             return False
         self._accept_record(record, signed, direct=direct, result=result)
@@ -137,17 +137,17 @@
         return True
 
     def _drop_reason(self, message: DirectMessage, wall: int) -> DropReason | None:
-        """Return why a message can't be accepted by this node now; None if it may be."""
+        """Return why this node has to drop a message; None if it may accept the message."""
         if message.sender not in self._membership.members:
             return DropReason.UNKNOWN_MEMBER
         if message.recipient != self._membership.own_name:
             return DropReason.WRONG_RECIPIENT
         if isinstance(message, Request):
             return self._membership.check_time(message.created_us, wall_us=wall)
-        return None  # responses carry no time: `_is_expected` compares them with the pending requests
+        return None  # a response has no creation time; `_is_expected` compares it with the pending requests
 
     def _is_expected(self, message: DirectMessage) -> bool:
-        """Return whether this node could use a message, so that its signature is worth verifying."""
+        """Return whether this node could use a message; if not, its signature need not be verified."""
         match message:
             case Vote():
                 return self._state.election.expects_vote(message)
@@ -161,7 +161,7 @@
                 return self._state.quotas.expects(message)
 
     def _dispatch(self, message: DirectMessage, *, now: int, wall: int, result: ExchangeResult) -> None:
-        """Pass an authenticated message to its handler."""
+        """Pass a message with a valid signature to its handler."""
         match message:
             case LoanRequest():
                 self._handlers.loans.handle_request(message, now, result)
--- a/larchlatch/cluster/exchange/results.py
+++ b/larchlatch/cluster/exchange/results.py
@@ -1,4 +1,4 @@
-"""Results of a datagram or a heartbeat: what the caller, which does the I/O, has to send, log and pass on."""
+"""Results of a datagram or a heartbeat: what the caller, which does the I/O, sends, logs and passes on."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     """A datagram to be sent.
 
     Attributes:
-        recipient: name of the member that it goes to.
+        recipient: name of the member that it is sent to.
         data: its bytes.
 
     """
@@ -25,7 +25,7 @@
 
 
 class ExecutedOrder(NamedTuple):
-    """An order of a role's holder that this node has executed.
+    """An order from a role's holder that this node has executed.
 
     Attributes:
         role: the role's name.
@@ -41,12 +41,12 @@
 
 @dataclass(slots=True)
 class ExchangeResult:
-    """The result of a received datagram, or of a request that this node makes.
+    """The result of handling a received datagram, or of a request of this node.
 
     Attributes:
         changes: members whose state has changed.
         datagrams: datagrams to send at once.
-        orders: orders that were executed.
+        orders: orders that this node has executed, to be logged.
         token_updates: notices about slow-start tokens for the balancer.
 
     """
@@ -63,7 +63,7 @@
     Attributes:
         changes: members whose state has changed.
         datagrams: datagrams to send.
-        advice: upstreams to probe or eject, by the health observations of all members.
+        advice: upstreams to probe or eject, according to the health observations of all members.
         token_updates: notices about slow-start tokens; the balancer has to receive them before the datagrams
             are sent.
 
--- a/larchlatch/cluster/exchange/state.py
+++ b/larchlatch/cluster/exchange/state.py
@@ -1,4 +1,4 @@
-"""One node's copy of the state that the members of a cluster share."""
+"""Holds one node's copy of the state that the members of a cluster share."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 
 
 class SharedState(NamedTuple):
-    """The parts of one node's state that datagrams between the members keep up to date.
+    """One node's copy of the shared state, which datagrams between the members keep up to date.
 
     Attributes:
         quotas: the node's quota accounts and loans.
-        quota_usage: sessions that all nodes have admitted in the last windows.
-        health: observations of upstreams.
+        quota_usage: number of sessions that all nodes have admitted in the last quota windows.
+        health: health observations of upstreams.
         election: the election of roles, with this node as elector and candidate.
-        tokens: slow-start tokens, with this node as requester and issuer.
+        tokens: the slow-start tokens, with this node as requester and issuer.
 
     """
 
@@ -47,16 +47,16 @@
         now: int,
         random: Random,
     ) -> SharedState:
-        """Return the state of a node that starts.
+        """Return the initial state of a node.
 
         Args:
             name: the node's name.
-            quota_settings: how the quotas are divided.
-            electorate: who elects, for which roles.
+            quota_settings: the quotas of the cluster, and how they are divided among the nodes.
+            electorate: the electors, and the roles that they elect nodes for.
             max_clock_difference_us: how far the wall clocks of two nodes may differ.
             heartbeat_us: time between two heartbeats.
             now: monotonic time in microseconds.
-            random: source of all random choices, which quotas and election share.
+            random: source of the random choices of both quotas and election.
 
         """
         return cls(
@@ -68,6 +68,6 @@
         )
 
     def open(self, now: int) -> None:
-        """Begin to spend quotas and to promise leases, as no other process of this node does so now."""
+        """Begin to spend quotas and promise leases; call it once no other process of this node does so."""
         self.quotas.open(now)
         self.election.open(now)
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -1,4 +1,4 @@
-"""Requests and grants of slow-start tokens, as nodes send them to each other."""
+"""Handles the requests and grants of slow-start tokens that nodes send to each other."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class TokenExchange:
-    """Request tokens from the token issuer, and issue them while this node holds that role."""
+    """Requests tokens from the token issuer, and issues tokens while this node holds that role."""
 
     def __init__(self, context: ExchangeContext) -> None:
         self._membership = context.membership
@@ -34,7 +34,7 @@
             now: monotonic time in microseconds.
             wall: Unix time in microseconds.
             session: the session's number.
-            candidates: warming upstreams that it may go to, each with the hash of its name.
+            candidates: warming upstreams that the session may be placed on, each with the hash of its name.
 
         """
         result = ExchangeResult()
@@ -52,7 +52,7 @@
             result.datagrams.append(self._pack(grant))
 
     def handle_grant(self, grant: TokenGrant, now: int, result: ExchangeResult) -> None:
-        """Accept the token issuer's answer, unless a later holder of the role is known."""
+        """Accept the token issuer's answer, unless this node knows a later holder of the role."""
         if not self._orders.accepts(grant.lease):
             return
         notice = self._tokens.requester.accept(now, grant)
@@ -65,7 +65,7 @@
             )
 
     def heartbeat(self, now: int, *, wall: int) -> ExchangeResult:
-        """Return what is due with this heartbeat: a request that hands the slow-start turns over again."""
+        """Update issuer and requester; return the request that hands this node's turns over again, if due."""
         result = ExchangeResult()
         if not self._tokens.enabled:
             return result
--- a/larchlatch/cluster/membership/__init__.py
+++ b/larchlatch/cluster/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The members of a cluster and their states, by gossiped heartbeats. No I/O."""
+"""Cluster membership: the members of a cluster and their states, learned from gossiped heartbeats. No I/O."""
--- a/larchlatch/cluster/membership/bitmap.py
+++ b/larchlatch/cluster/membership/bitmap.py
@@ -1,4 +1,4 @@
-"""Flags encoded as the bits of a byte string, from the lowest bit of the first byte on."""
+"""Packs flags into a byte string, one bit for each, beginning with the lowest bit of the first byte."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def pack_bits(flags: Sequence[bool]) -> bytes:
-    """Return one bit for each flag; the last byte is padded with zeros."""
+    """Return a byte string with one bit for each flag; the last byte is padded with zeros."""
     bits = bytearray(-(-len(flags) // 8))
     for index, flag in enumerate(flags):
         if flag:
--- a/larchlatch/cluster/membership/dissemination.py
+++ b/larchlatch/cluster/membership/dissemination.py
@@ -1,4 +1,4 @@
-"""The targets of a heartbeat, and the records that it forwards (van Renesse et al. 1998). No I/O."""
+"""Chooses the targets of a heartbeat and the records that it forwards (van Renesse et al. 1998). No I/O."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 
     from larchlatch.cluster.protocol.messages import NodeRecord, SignedMessage
 
-WATCHERS_PER_HEARTBEAT = 4  # watchers that a heartbeat is sent to besides the gossip targets
-URGENT_FORWARDS = 8  # datagrams in which a record with urgent news is forwarded before others
-MAX_FORWARDED = 16  # upper bound of the records in one datagram: the shortest takes over 100 bytes
+WATCHERS_PER_HEARTBEAT = 4  # watchers that each heartbeat is sent to, in addition to the gossip targets
+URGENT_FORWARDS = 8  # datagrams in which an urgent record is forwarded ahead of others
+MAX_FORWARDED = 16  # upper bound of the records in one datagram: the shortest record takes over 100 bytes
 
 
 class TargetRotation:
     """Chooses the members that heartbeats are sent to: each in turn, in an order that is shuffled each round.
 
-    So each member hears directly from each other one within a bounded time, as in SWIM.
+    As in SWIM, each member thus receives a record directly from each other one within a bounded time.
     """
 
     def __init__(self, rng: Random) -> None:
         """Start a rotation whose orders are drawn from `rng`."""
         self._shuffle: Callable[[list[str]], None] = rng.shuffle
-        self._remaining: list[str] = []  # in this round; the next target is the last item
+        self._remaining: list[str] = []  # members still to be chosen in this round, the next one last
 
     def set_members(self, members: Mapping[str, Member]) -> None:
-        """Continue the round without the members that were removed."""
+        """Drop removed members from the current round; added ones are chosen from the next round on."""
         self._remaining = [name for name in self._remaining if name in members]
 
     def next_targets(self, members: Mapping[str, Member]) -> list[str]:
         """Return the targets of the next heartbeat: `FAN_OUT` members, or all if there are fewer.
 
-        During a partition most datagrams to silent members are lost. So only one datagram of a heartbeat
-        is sent to one of them, which detects the end of the partition; the others go to present members.
+        During a partition most datagrams to silent members are lost. So only one target of a heartbeat is a
+        silent member, which is enough to detect the end of the partition, unless too few others remain.
         """
         targets: list[str] = []
         while len(targets) < min(FAN_OUT, len(members)):
@@ -55,20 +55,20 @@
 
 
 def _has_enough_silent(targets: Sequence[str], members: Mapping[str, Member]) -> bool:
-    """Return whether a target is silent already, and enough members that are not silent remain."""
+    """Return whether a silent member is a target already, and others that are not silent can be added."""
     silent = sum(members[name].is_silent for name in targets)
     return silent > 0 and len(targets) - silent < sum(not member.is_silent for member in members.values())
 
 
 def watcher_targets(watchers: Sequence[str], record_number: int) -> list[str]:
-    """Return the watchers that this node's record of this number is sent to: some of them in turn."""
+    """Return the watchers that the record of this number is sent to; successive records take them in turn."""
     first = record_number * WATCHERS_PER_HEARTBEAT
     count = min(WATCHERS_PER_HEARTBEAT, len(watchers))
     return [watchers[(first + offset) % len(watchers)] for offset in range(count)]
 
 
 def has_urgent_news(record: NodeRecord, previous: NodeRecord | None) -> bool:
-    """Return whether a record has to reach all members soon: it suspects another member, or has promises.
+    """Return whether a record has to reach all members soon: it has a new suspicion or promises of leases.
 
     Members derive the holder of a role from the newest records of its electors.
     """
@@ -79,10 +79,10 @@
 def pack_records(
     own: SignedMessage, members: Iterable[Member], datagram_count: int
 ) -> list[list[SignedMessage]]:
-    """Choose the records of a heartbeat's datagrams: this node's own, then as many others as fit.
+    """Choose the records of a heartbeat's datagrams: this node's own, then as many of others as fit.
 
-    Records that were forwarded least often go first, and among these the newest, so that old records don't
-    displace new ones. Records of silent members are not forwarded.
+    Records that were forwarded least often go first, and the newest of these before the older ones, so that
+    old records don't displace new ones. Records of silent members are not forwarded.
 
     Args:
         own: this node's record.
@@ -90,7 +90,7 @@
         datagram_count: number of datagrams.
 
     Returns:
-        The records of each datagram, the own one first.
+        The records of each datagram, this node's own first.
 
     """
     candidates = [member for member in members if member.signed is not None and not member.is_silent]
@@ -105,7 +105,7 @@
 
 
 def _fill_datagram(own: SignedMessage, waiting: Sequence[Member]) -> list[SignedMessage]:
-    """Return the first waiting records that fit into a datagram beside this node's own."""
+    """Return the first waiting records, as many as fit into a datagram together with this node's own."""
     free_bytes = MAX_DATAGRAM_BYTES - DATAGRAM_OVERHEAD_BYTES - encoded_size(own)
     forwarded: list[SignedMessage] = []
     for member in waiting:
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -1,6 +1,6 @@
-"""The members of a cluster, by records that members forward (gossip, van Renesse et al. 1998). No I/O.
+"""A node's view of the cluster's members, built from gossiped records (van Renesse et al. 1998). No I/O.
 
-Times are whole microseconds: `now_us` of a monotonic clock, `wall_us` of Unix time.
+Times are whole microseconds: `now_us` is the time of a monotonic clock, `wall_us` is Unix time.
 """
 
 from __future__ import annotations
@@ -33,12 +33,13 @@
     from collections.abc import Mapping
     from random import Random
 
-# Greatest age of an accepted record, and bound on the difference of wall clocks: older ones may be replayed.
+# Greatest difference between a message's creation time and this node's wall clock: an older message may be a
+# replay.
 MAX_CLOCK_DIFFERENCE_US = 30_000_000
 
 
 class RecordNovelty(Enum):
-    """Whether a record is newer than the newest known one of its origin."""
+    """Whether a record is newer than the newest one that this node has of the same origin."""
 
     NEWER = "newer"  # its signature has to be verified
     KNOWN = "known"
@@ -47,14 +48,14 @@
 class Membership:
     """A node's view of the cluster: receives the records of others, and composes its own heartbeats.
 
-    Its parts own their state: `MemberTable` the members, `SuspicionTracker` the watchers and their reports,
-    `TargetRotation` the order of targets, and `ListeningClock` the time that all of them use.
+    Its components hold the state: `MemberTable` the members, `SuspicionTracker` the watchers and their
+    reports, `TargetRotation` the order of targets, and `ListeningClock` the time that all of them use.
 
     Attributes:
         own_name: this node's name.
-        incarnation: Unix time of this node's start, or later if its clock was ahead at an earlier start.
+        incarnation: Unix time of this node's start; greater if an earlier start used a greater incarnation.
         record_number: number of this node's newest record in this incarnation.
-        is_departing: whether this node's records announce that it shuts down.
+        is_departing: whether this node's records announce that it is shutting down.
 
     """
 
@@ -68,14 +69,14 @@
         now_us: int,
         rng: Random,
     ) -> None:
-        """Start with members that are unheard.
+        """Start with all members in state UNHEARD.
 
         Args:
             own_name: this node's name.
             sites: the site of each member, this node included.
             heartbeat_us: interval between two heartbeats.
             wall_us: Unix time, which becomes this node's incarnation.
-            now_us: present time of a monotonic clock.
+            now_us: current time of a monotonic clock.
             rng: source of the random order of targets.
 
         """
@@ -90,7 +91,7 @@
         self.set_members(sites)
 
     def set_members(self, sites: Mapping[str, str]) -> None:
-        """Set the members by the cluster file; what is known of members that stay is kept."""
+        """Set the members from the cluster file; the state of members that remain in it is kept."""
         others = [name for name in sites if name != self.own_name]
         self._table.replace(others, listened_us=self._clock.listened_us)
         self._clock.member_count = len(others)
@@ -112,7 +113,7 @@
         """Classify a record whose signature is not verified yet.
 
         Returns:
-            Whether the record is newer than the known one, or the reason to drop it.
+            Whether the record is newer than the known one of its origin, or the reason to drop it.
 
         """
         if record.name == self.own_name:
@@ -141,7 +142,7 @@
             direct: whether its origin sent it directly.
 
         Returns:
-            The state that its origin enters by it; None if its state does not change.
+            The change of its origin's state; None if the state stays the same.
 
         """
         if record.name == self.own_name:
@@ -168,16 +169,17 @@
         return MemberChange(member.name, member.state) if member.state is not state_before else None
 
     def receive_again(self, name: str, signed: SignedMessage) -> None:
-        """Apply a known record that its origin sent directly, after another member had forwarded it."""
+        """Note a direct contact: the origin of a known record sent it, after others had forwarded it."""
         member = self._table.members.get(name)
-        # The signature was not verified again, so all bytes have to be the same.
+        # The signature is not verified again, so the bytes must equal those of the verified record.
         if member is not None and member.signed == signed:
             self._record_direct_contact(member)
 
     def _outbid(self, record: NodeRecord) -> None:
-        """Continue with an incarnation above that of an earlier start, when this node's clock was ahead.
+        """Choose an incarnation above that of a record which an earlier start of this node created.
 
-        Otherwise the other members would ignore this node's records as outdated.
+        If this node's clock was set back since then, its current incarnation is lower, and the other members
+        would ignore its records as outdated.
         """
         self.incarnation, self.record_number = record.incarnation + 1, 0
 
@@ -185,10 +187,10 @@
         member.last_direct_us = self._clock.listened_us
         self._suspicions.clear_own_suspicion(member.name)
 
-    # What this node sends.
+    # Heartbeats: state changes that are due, and what this node sends.
 
     def advance(self, now_us: int) -> list[MemberChange]:
-        """Advance the listening clock, and return the members that are silent from now on."""
+        """Advance the listening clock, and return the members that enter state SILENT."""
         self._clock.advance(now_us)
         self._suspicions.update_own_suspicions()
         silent = set(self._suspicions.confirmed())
@@ -210,14 +212,14 @@
         observations: list[HealthObservation],
         promises: list[Promise],
     ) -> NodeRecord:
-        """Return this node's next record, not signed yet, after a call of `advance`.
+        """Return this node's next record, unsigned; `advance` has to be called before.
 
         Args:
-            wall_us: Unix time.
+            wall_us: current Unix time.
             digest: digest of the cluster file that this node uses.
-            quota_reports: what it reports of each quota.
-            observations: upstreams that it could not reach.
-            promises: its promises as an elector.
+            quota_reports: this node's report on each quota.
+            observations: its health observations: upstreams that it could not reach.
+            promises: the leases that it has promised as an elector.
 
         """
         self.record_number += 1
@@ -236,22 +238,22 @@
         )
 
     def request_origin(self, wall_us: int) -> RequestOrigin:
-        """Return what requests that this node sends at this Unix time say of it."""
+        """Return the fields that identify this node and the time in a request created at this Unix time."""
         return RequestOrigin(self.own_name, self.incarnation, wall_us)
 
     def gossip_targets(self) -> list[str]:
-        """Return the targets of the next heartbeat; a new order is drawn when a round is over."""
+        """Return the gossip targets of the next heartbeat; a new order is drawn when a round is over."""
         return self._targets.next_targets(self._table.members)
 
     def watcher_targets(self) -> list[str]:
-        """Return the watchers that this node's record is sent to besides the gossip targets."""
+        """Return the watchers that this node's record is sent to, in addition to the gossip targets."""
         return watcher_targets(self._suspicions.own_watchers, self.record_number)
 
     def pack_records(self, own: SignedMessage, datagram_count: int) -> list[list[SignedMessage]]:
         """Return the records of each datagram of a heartbeat; see `dissemination.pack_records`."""
         return pack_records(own, self._table.members.values(), datagram_count)
 
-    # What this node knows.
+    # Queries.
 
     @property
     def members(self) -> Mapping[str, Member]:
@@ -271,15 +273,15 @@
 
     @property
     def is_alone(self) -> bool:
-        """Return whether no other member is present, though the cluster file has others."""
+        """Return whether the cluster file has other members and none of them is present."""
         return bool(self.members) and not self._table.present
 
     def configuration_digests(self) -> list[int | None]:
-        """Return the digests of the cluster files that members use; None stands for unheard members."""
+        """Return the digests of the cluster files that members use; None stands for members still UNHEARD."""
         return self._table.configuration_digests()
 
     def snapshot(self) -> list[MemberSnapshot]:
-        """Return each other member, for the operators of the node."""
+        """Return the report to operators about each other member."""
         return [self._snapshot(member) for member in self.members.values()]
 
     def _snapshot(self, member: Member) -> MemberSnapshot:
--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -1,9 +1,9 @@
-"""Suspicion of members by their watchers, and its confirmation. No I/O.
+"""Tracks which members their watchers suspect, and confirms suspicions. No I/O.
 
-In a large cluster old records of a failed member are forwarded for many seconds. So its watchers, which it
-sends its records to directly, report in their own records which members they no longer hear. One watcher may
-be cut off itself: a member counts as silent once `CONFIRMATIONS` watchers suspect it (compare SWIM, Das et
-al. 2002).
+In a large cluster old records of a failed member are forwarded for many seconds, so gossip reveals the
+failure too late. Therefore each member sends its records directly to its watchers, and these report in their
+own records which members they no longer hear. One watcher alone may be partitioned from the rest, so a member
+counts as silent once `CONFIRMATIONS` watchers suspect it (compare SWIM, Das et al. 2002).
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     from larchlatch.cluster.protocol.messages import NodeRecord
 
 CONFIRMATIONS = 2  # watchers that have to suspect a member before it counts as silent
-MAX_REPORTED = 12  # suspected members in one record, to leave space for others' records
+MAX_REPORTED = 12  # upper bound of the suspicions in one record, which leaves space for the records of others
 
 
 class SuspicionTracker:
@@ -34,7 +34,7 @@
         names: sorted names of all members and this node; records refer to a member by its index here.
         index_by_name: the index of each name.
         own_watchers: the members that watch this node; empty in a small cluster.
-        own_report: this node's own suspicions as of the last heartbeat, for its record.
+        own_report: this node's own suspicions at the last heartbeat, to be sent in its record.
 
     """
 
@@ -47,17 +47,17 @@
         self._own_name = own_name
         self._table = table
         self._clock = clock
-        self._watched_by: dict[str, list[str]] = {}  # the members that each member watches
-        self._suspected: set[str] = set()  # members that another watcher suspects
+        self._watched_by: dict[str, list[str]] = {}  # for each member, the members that it watches
+        self._suspected: set[str] = set()  # members that at least one other watcher suspects
         self._own_suspicions: set[str] = set()
 
     def set_members(self, sites: Mapping[str, str]) -> None:
-        """Assign watchers to the members that the table has now."""
+        """Assign watchers to the members that are now in the table."""
         members = self._table.members
         self._suspected = {name for name in self._suspected if name in members}
         self.names = sorted({*sites, self._own_name})
         self.index_by_name = {name: index for index, name in enumerate(self.names)}
-        # In a small cluster gossiped records are new enough to reveal a failed member.
+        # In a small cluster gossiped records are recent enough to reveal a failed member.
         has_watchers = self._clock.needs_watchers and self._own_name in sites
         watchers = assign_watchers(self.names, sites) if has_watchers else {}
         self.own_watchers = watchers.get(self._own_name, [])
@@ -65,14 +65,14 @@
         for member in members.values():
             member.watchers = frozenset(watchers.get(member.name, ()))
 
-    # Reports of others.
+    # Reports of other members.
 
     def process_report(self, record: NodeRecord) -> None:
-        """Add the suspicions that a member's record reports, and withdraw those that it no longer reports.
+        """Add the suspicions in a member's record, and withdraw those that the member no longer reports.
 
-        Right after a partition the records of the other side still suspect all members of this side, and
-        this node's records of that side's members are older than these suspicions. So suspicions of a
-        member that has only just ceased to be silent are ignored.
+        Right after a partition, records from the other side still report suspicions of all members of this
+        side, and the records that this node has of that side's members are older than these suspicions. So
+        what a member suspects is ignored for `RECOVERY_US` after the member has ceased to be silent.
         """
         suspected = {
             report.member_index: RecordAge(report.incarnation, report.sequence)
@@ -89,7 +89,7 @@
             member = self._table.members.get(self.names[index])
             if member is None or record.name not in member.watchers:
                 continue
-            # A report that does not cover the newest record is outdated.
+            # Otherwise the member has sent further records since, and the report is outdated.
             if member.record is None or self._covers(known_age, member.record, record.created_us):
                 member.suspected_by[record.name] = known_age
                 self._update_suspected(member)
@@ -101,16 +101,23 @@
                 continue
             if member.suspected_by.pop(record.name, None) is not None:
                 self._update_suspected(member)
-            # In a large cluster a member's own records arrive rarely: a watcher that hears it is news, too.
+            # In a large cluster a member's own records arrive rarely. The report of a watcher that hears the
+            # member directly also proves that it is running.
             if not member.is_silent and has_bit(record.direct_contacts, bit):
                 self._table.renew(member, listened_us=self._clock.listened_us)
 
     def _covers(self, known_age: RecordAge, newest: NodeRecord, reported_at_us: int) -> bool:
-        """Return whether a suspicion based on a record of this age also applies to the newest one known here.
+        """Return whether a suspicion also applies to a record that its watcher may not have had.
+
+        The last record of a member before a partition may have reached this node and none of the watchers.
+        Their suspicion then names an earlier record. It applies to the last one as well if the report was
+        created so long after that record that the member would have sent further ones in between.
+
+        Args:
+            known_age: the version of the newest record that the watcher had.
+            newest: the newest record that this node has of the suspected member.
+            reported_at_us: Unix time at which the watcher created its report.
 
-        The last record before a partition may have reached this node and none of the watchers. Their
-        suspicion, which is based on an earlier record, applies to it as well once they have reported it for
-        so long that the member would have sent further records.
         """
         if newest.version <= known_age:
             return True
@@ -121,10 +128,10 @@
         return few_ahead and reported_at_us - newest.created_us >= self._clock.suspicion_us
 
     def withdraw_by_record(self, member: Member, record: NodeRecord) -> None:
-        """Withdraw the suspicions that a record of the member refutes.
+        """Withdraw the suspicions of a member that its new record refutes.
 
-        Old records of a failed member are forwarded for a long time. Only a record that is newer than the one
-        the watchers had proves that the member is running.
+        Old records of a failed member are forwarded for a long time. So a record refutes the suspicion of a
+        watcher only if it is newer than the one that the watcher had.
         """
         if member.suspected_by:
             member.suspected_by = {
@@ -141,11 +148,11 @@
     # This node's own suspicions.
 
     def clear_own_suspicion(self, name: str) -> None:
-        """Withdraw this node's suspicion of a member that it has just heard directly."""
+        """Withdraw this node's own suspicion of a member that it has just heard directly."""
         self._own_suspicions.discard(name)
 
     def update_own_suspicions(self) -> None:
-        """Determine which of the members that it watches this node suspects now."""
+        """Determine which of its watched members this node suspects now."""
         watched = (self._table.members[name] for name in self._watched_by[self._own_name])
         suspects = [member for member in watched if self._suspects(member)]
         suspects.sort(key=lambda member: -member.last_direct_us)
@@ -157,10 +164,11 @@
         self._own_suspicions = {self.names[report.member_index] for report in self.own_report}
 
     def _suspects(self, member: Member) -> bool:
-        """Return whether this node suspects a member that it watches: it was heard before, but not lately.
+        """Return whether this node suspects a watched member, which it heard before but not lately.
 
-        A member whose records still arrive by way of others is running. Reported with the number of such a
-        record, it would count as silent at all members that have an older one.
+        A member whose records still arrive through others is running, so it is not suspected. If this node
+        reported a suspicion with the version of such a record, the members that have an older record would
+        treat the running member as silent.
         """
         since_us = self._clock.listened_us - self._clock.suspicion_us
         return (
@@ -183,18 +191,18 @@
         suspected = self._suspected | self._own_suspicions
         return (name for name in suspected if self.is_confirmed(self._table.members[name]))
 
-    # Direct contacts, as records report them.
+    # Direct contacts, which records report as bits.
 
     def contact_names(self, name: str) -> Sequence[str]:
-        """Return the members for which a member's record has a contact bit, in the order of the bits.
+        """Return the members for which a member's record has a direct-contact bit, in the order of the bits.
 
-        In a large cluster bits for all members would take the space of other records, so a member reports
-        only on those that it watches.
+        In a large cluster bits for all members would take space from other records, so a member reports only
+        on those that it watches.
         """
         return self._watched_by[name] if self.own_watchers else self.names
 
     def own_contact_bits(self) -> bytes:
-        """Return the contact bits of this node's record: whether it hears each member directly."""
+        """Return the direct-contact bits of this node's record, one for each of its `contact_names`."""
         since_us = self._clock.direct_since_us
         return pack_bits([self._hears(name, since_us) for name in self.contact_names(self._own_name)])
 
@@ -203,7 +211,7 @@
         return member is not None and member.last_direct_us >= since_us and not member.is_silent
 
     def hears_us(self, member: Member) -> bool | None:
-        """Return whether a member reports that it hears this node; None if it does not report this."""
+        """Return whether a member reports that it hears this node directly; None if it reports neither."""
         contacts = self.contact_names(member.name)
         if self._own_name not in contacts:
             return None
--- a/larchlatch/cluster/membership/table.py
+++ b/larchlatch/cluster/membership/table.py
@@ -1,4 +1,4 @@
-"""The members that a node knows, by name and by the time of their last news. No I/O."""
+"""Stores the members by name and by the time of the last news of them. No I/O."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 class MemberTable:
     """All other members, and an index of those that are present.
 
-    Present members are kept in the order of their last news, so that a heartbeat in a large cluster checks
-    only those whose time is over.
+    Present members are kept in the order of the last news of them. So in a large cluster a heartbeat visits
+    only the members whose silence threshold has passed.
 
     Attributes:
         members: all other members, in the order of their names.
-        present: members in state PRESENT; the one that is longest without news comes first.
+        present: members in state PRESENT; the one without news for the longest time comes first.
 
     """
 
@@ -32,7 +32,7 @@
         self._digest_counts: Counter[int | None] = Counter()
 
     def replace(self, names: Iterable[str], *, listened_us: int) -> None:
-        """Set the members: those already known keep their state, new ones start unheard, all others go."""
+        """Set the members: known ones keep their state, new ones start as UNHEARD, all others are removed."""
         known = self.members
         self.members = {
             name: known[name] if name in known else Member(name, last_news_us=listened_us)
@@ -42,13 +42,13 @@
         self._digest_counts = Counter(member.configuration_digest for member in self.members.values())
 
     def store(self, member: Member, record: NodeRecord, signed: SignedMessage) -> None:
-        """Replace a member's record by a newer one."""
+        """Replace a member's record with a newer one."""
         self._digest_counts[member.configuration_digest] -= 1
         member.record, member.signed = record, signed
         self._digest_counts[member.configuration_digest] += 1
 
     def renew(self, member: Member, *, listened_us: int) -> None:
-        """Record news of a member, and move it to the end of the present ones or remove it from them."""
+        """Note news of a member: move it to the end of `present`, or remove it from there if not present."""
         member.last_news_us = listened_us
         self.present.pop(member.name, None)
         if member.state is MemberState.PRESENT:
@@ -60,12 +60,12 @@
         del self.present[member.name]
 
     def without_news_since(self, listened_us: int) -> Iterator[str]:
-        """Yield the present members without news since this time."""
+        """Yield the names of the present members without news after this listening time."""
         for name, member in self.present.items():
             if member.last_news_us >= listened_us:
                 break
             yield name
 
     def configuration_digests(self) -> list[int | None]:
-        """Return the digests of the cluster files that members use; None stands for unheard members."""
+        """Return the digests of the cluster files that members use; None stands for members still UNHEARD."""
         return [digest for digest, count in self._digest_counts.items() if count]
--- a/larchlatch/cluster/membership/watchers.py
+++ b/larchlatch/cluster/membership/watchers.py
@@ -1,7 +1,7 @@
-"""Assignment of watchers in a large cluster. No I/O.
+"""Assigns watchers to the members of a large cluster. No I/O.
 
-Gossiped records are old in a large cluster. So each member sends its records directly to a few others, its
-watchers.
+In a large cluster gossiped records are old when they arrive. So each member also sends its records directly
+to a few other members, its watchers.
 """
 
 from __future__ import annotations
@@ -12,23 +12,30 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping, Sequence
 
-WATCHERS = 8  # of each member; over all sites, so that each side of a partition has some
+WATCHERS = 8  # watchers of each member; taken from all sites, so that each side of a partition has some
 
 
 class SiteRing(NamedTuple):
-    """The members of one site, listed twice so that a turn may run past the end."""
+    """The members of one site as a ring, from which a run of consecutive members is taken.
+
+    Attributes:
+        size: number of members.
+        turn: length of a run.
+        names: the members, listed twice so that a run may continue past the end.
+
+    """
 
     size: int
     turn: int
     names: list[str]
 
     def from_index(self, first: int) -> list[str]:
-        """Return the members in the turn that starts at this index."""
+        """Return the members in the run that starts at this index."""
         return self.names[first : first + self.turn]
 
 
 def assign_watchers(names: Sequence[str], sites: Mapping[str, str]) -> dict[str, list[str]]:
-    """Assign watchers to each member: equally many of each site, in turns that load all of a site equally.
+    """Assign watchers to each member: about as many from each site, spread evenly over the site's members.
 
     A member that watched too many others could not report all of them in one record during a partition.
 
@@ -53,7 +60,7 @@
 
 
 def invert(watchers: Mapping[str, Sequence[str]], names: Sequence[str]) -> dict[str, list[str]]:
-    """Return the members that each of these members watches, in the order of the assignment."""
+    """Return for each of `names` the members that it watches, in the order in which they were assigned."""
     watched: dict[str, list[str]] = {name: [] for name in names}
     for watched_name, watching in watchers.items():
         for name in watching:
@@ -65,11 +72,11 @@
     by_site: dict[str, list[str]] = {}
     for name in names:
         by_site.setdefault(sites.get(name, ""), []).append(name)
-    # One more than needed, as the member itself may be among them.
+    # One more than the number of watchers, as the watched member itself may be in the run.
     return [SiteRing(len(own), min(WATCHERS + 1, len(own)), own * 2) for own in by_site.values()]
 
 
 def _interleave(turns: Sequence[Sequence[str]]) -> Iterator[str]:
-    """Yield the first name of each turn, then the second of each, and so on."""
+    """Yield the first name of each run, then the second of each, and so on."""
     for row in zip_longest(*turns):
         yield from (name for name in row if name is not None)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership without I/O, and in simulated clusters."""
+"""Tests of the membership without I/O, and in simulated clusters."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 def test_all_members_become_present_and_a_stopped_one_is_silent_until_it_resumes() -> None:
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
-    assert all(node.members.is_alone for node in nodes), "no other node is present at the start"
+    assert all(node.members.is_alone for node in nodes), "at the start no other node counts as present"
     at = run_heartbeats(nodes, 0, 6)
     assert {node.state(n) for node in nodes for n in "abcd" if n != node.members.own_name} == {
         MemberState.PRESENT
@@ -62,19 +62,24 @@
 
 
 def test_a_node_that_was_stopped_takes_nobody_for_silent_on_waking() -> None:
-    # Otherwise it would suspect all other nodes because of heartbeats that it missed itself.
+    # Otherwise it would suspect all other nodes, because it received no heartbeats while stopped.
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 6)
     woken = nodes[0]
-    assert woken.members.advance(60_000_000) == [], "it could receive nothing while it was stopped"
+    assert woken.members.advance(60_000_000) == [], (
+        "the time in which the node was stopped must not count as silence of others"
+    )
     assert woken.members.advance(60_000_000 + HEARTBEAT_US) == []
     for number in range(2, 12):
         woken.members.advance(60_000_000 + number * HEARTBEAT_US)
-    assert woken.members.is_alone, "by now their heartbeats could have arrived"
+    assert woken.members.is_alone, (
+        "the node has listened long enough to receive heartbeats of running members"
+    )
 
 
 def test_node_with_clock_set_back_exceeds_its_earlier_incarnation() -> None:
-    # Its records have a lower incarnation than the others know: all of them would be ignored as known.
+    # The incarnation of the restarted node is lower than that of its earlier records, so the other members
+    # would ignore all its records as known.
     nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
     at = run_heartbeats(nodes, 0, 6)
     later = ManualNode("a", wall=WALL_US - 5_000_000)
@@ -92,7 +97,7 @@
     run_heartbeats(nodes, at, 3)
     assert nodes[0].state("d") is MemberState.LEFT
     run_heartbeats(nodes[:3], at + 3, 20)
-    assert nodes[0].state("d") is MemberState.LEFT, "silence does not change it"
+    assert nodes[0].state("d") is MemberState.LEFT, "a member that has left must not become silent"
 
 
 def test_member_that_the_file_no_longer_has_is_forgotten_and_ignored() -> None:
@@ -101,7 +106,7 @@
     nodes[0].members.set_members(dict.fromkeys("abc", ""))
     run_heartbeats(nodes, at, 6)
     assert "d" not in nodes[0].members.members and nodes[0].drop_count(DropReason.UNKNOWN_MEMBER) > 0
-    assert nodes[0].state("c") is MemberState.PRESENT, "the others are kept"
+    assert nodes[0].state("c") is MemberState.PRESENT, "members that remain in the file keep their state"
 
 
 def test_records_report_direct_contacts() -> None:
@@ -135,7 +140,8 @@
 
 
 def test_two_watchers_confirm_a_failed_member_in_a_large_cluster_and_one_does_not() -> None:
-    # Old records of a failed member are gossiped for many seconds, as if it were present.
+    # Old records of a failed member are gossiped for many seconds, so it would seem to be present. A single
+    # watcher may be cut off itself, and must not silence a running member.
     names = [f"n{number:02}" for number in range(40)]
     members = Membership(
         "n00",
@@ -147,7 +153,9 @@
     )
     dead = members.members["n20"]
     place, watchers = members.member_indexes["n20"], sorted(dead.watchers - {"n00"})
-    assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, "from different sites"
+    assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, (
+        "its watchers are in different sites"
+    )
 
     times = itertools.count(1)
 
@@ -160,14 +168,20 @@
     receive("n20", 5)
     stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
     assert receive(watchers[0], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
-        "one watcher alone may be cut off"
+        "one watcher alone may be cut off itself"
+    )
+    assert receive(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+        "a member that does not watch it must not count"
     )
-    assert receive(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, "it is no watcher"
     assert receive(watchers[1], 1, Suspicion(place, WALL_US, 9)) is MemberState.SILENT
-    assert receive("n20", 9) is MemberState.SILENT, "a record that its watchers had already"
-    assert receive("n20", 10) is MemberState.PRESENT, "a newer record refutes the suspicion"
+    assert receive("n20", 9) is MemberState.SILENT, (
+        "a record that its watchers already had refutes no suspicion"
+    )
+    assert receive("n20", 10) is MemberState.PRESENT, (
+        "a record newer than those of its watchers refutes their suspicions"
+    )
     assert receive(watchers[2], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
-        "a suspicion by an older record"
+        "a suspicion based on an outdated record must not count"
     )
 
 
@@ -185,7 +199,11 @@
 
 
 def test_a_cut_among_many_takes_nobody_for_silent_who_is_on_the_same_side() -> None:
-    """Reports of the other side are older than the cut, and the last record before it reached few nodes."""
+    """Members of the same side are declared silent because of outdated suspicions.
+
+    The other side reports suspicions that are based on records from before the partition, and the last record
+    of a member before the partition reached only few nodes.
+    """
     faults = [
         {"kind": "lossy", "at_s": 0.1, "loss": 0.2, "for_s": 60.0},
         {"kind": "part", "at_s": 8.0, "zone": 0, "for_s": 11.0},
@@ -231,11 +249,13 @@
     )
     sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
-    assert {name for targets in sent for name in targets} == set(names[1:]), "each is reached within a round"
+    assert {name for targets in sent for name in targets} == set(names[1:]), (
+        "each member is sent a heartbeat within one round"
+    )
     records = members.pack_records(own, 1)[0]
     assert len(encode_datagram(records)) <= MAX_DATAGRAM_BYTES and len(records) >= 5
     newest = decode_record(records[1].body)
-    assert newest is not None and newest.name == names[-1], "the newest is forwarded first"
+    assert newest is not None and newest.name == names[-1], "the newest record has to be forwarded first"
 
 
 @settings(derandomize=True, deadline=None)
