--- a/larchlatch/cluster/exchange/loans.py
+++ b/larchlatch/cluster/exchange/loans.py
@@ -45,7 +45,7 @@
         usable = self._quotas.accept_grant(now, grant)
         self._count(ClusterCounter.LOANS_RECEIVED if usable else ClusterCounter.LOANS_TOO_LATE)
         if usable and grant.lease:
-            result.orders.append(self._orders.executed(lease=grant.lease, holder=grant.sender))
+            result.orders.append(self._orders.executed_order(lease=grant.lease, holder=grant.sender))
 
     def update_allocator(self, now: int) -> None:
         """Update which node is the quota allocator, and this node's lease if it holds that role."""
--- a/larchlatch/cluster/exchange/role_orders.py
+++ b/larchlatch/cluster/exchange/role_orders.py
@@ -39,6 +39,6 @@
             self._count(ClusterCounter.ORDERS_OUTDATED)
         return accepted
 
-    def executed(self, *, lease: int, holder: str) -> ExecutedOrder:
+    def executed_order(self, *, lease: int, holder: str) -> ExecutedOrder:
         """Return the description of an order that this node has executed, for its log."""
         return ExecutedOrder(self._role, lease, holder)
--- a/larchlatch/cluster/exchange/tokens.py
+++ b/larchlatch/cluster/exchange/tokens.py
@@ -58,7 +58,7 @@
         notice = self._tokens.requester.accept(now, grant)
         if notice is not None:
             result.token_updates.append(notice)
-            result.orders.append(self._orders.executed(lease=grant.lease, holder=grant.sender))
+            result.orders.append(self._orders.executed_order(lease=grant.lease, holder=grant.sender))
         if grant.upstream:
             self._count(
                 ClusterCounter.TOKENS_RECEIVED if notice is not None else ClusterCounter.TOKENS_TOO_LATE
--- a/larchlatch/cluster/membership/dissemination.py
+++ b/larchlatch/cluster/membership/dissemination.py
@@ -47,14 +47,14 @@
                 self._remaining = list(members)
                 self._shuffle(self._remaining)
             name = self._remaining.pop()
-            if members[name].is_silent and _has_enough_silent(targets, members):
+            if members[name].is_silent and _should_skip_silent(targets, members):
                 continue
             if name not in targets:
                 targets.append(name)
         return targets
 
 
-def _has_enough_silent(targets: Sequence[str], members: Mapping[str, Member]) -> bool:
+def _should_skip_silent(targets: Sequence[str], members: Mapping[str, Member]) -> bool:
     """Return whether a silent member is a target already, and others that are not silent can be added."""
     silent = sum(members[name].is_silent for name in targets)
     return silent > 0 and len(targets) - silent < sum(not member.is_silent for member in members.values())
--- a/larchlatch/cluster/membership/member.py
+++ b/larchlatch/cluster/membership/member.py
@@ -24,7 +24,7 @@
     LEFT = "left"  # its last record announced that it shuts down
 
 
-class RecordAge(NamedTuple):
+class RecordVersion(NamedTuple):
     """Orders the records of one member: the higher incarnation is newer, then the higher number."""
 
     incarnation: int
@@ -61,7 +61,7 @@
     times_forwarded: int = 0
     is_silent: bool = False
     watchers: frozenset[str] = frozenset()
-    suspected_by: dict[str, RecordAge] = field(default_factory=dict)
+    suspected_by: dict[str, RecordVersion] = field(default_factory=dict)
     false_positives: int = 0
 
     @property
--- a/larchlatch/cluster/membership/membership.py
+++ b/larchlatch/cluster/membership/membership.py
@@ -146,7 +146,7 @@
 
         """
         if record.name == self.own_name:
-            self._outbid(record)
+            self._raise_incarnation(record)
             return None
         member = self._table.members[record.name]
         state_before = member.state
@@ -159,12 +159,12 @@
         member.times_forwarded = -URGENT_FORWARDS if urgent else 0
         if direct:
             self._record_direct_contact(member)
-        self._suspicions.withdraw_by_record(member, record)
+        self._suspicions.withdraw_refuted(member, record)
         member.is_silent = self._suspicions.is_confirmed(member)
         if silent_incarnation is not None and not member.is_silent:
             member.recovered_us = self._clock.listened_us
             member.false_positives += silent_incarnation == record.incarnation
-        self._table.renew(member, listened_us=self._clock.listened_us)
+        self._table.note_news(member, listened_us=self._clock.listened_us)
         self._suspicions.process_report(record)
         return MemberChange(member.name, member.state) if member.state is not state_before else None
 
@@ -175,7 +175,7 @@
         if member is not None and member.signed == signed:
             self._record_direct_contact(member)
 
-    def _outbid(self, record: NodeRecord) -> None:
+    def _raise_incarnation(self, record: NodeRecord) -> None:
         """Choose an incarnation above that of a record which an earlier start of this node created.
 
         If this node's clock was set back since then, its current incarnation is lower, and the other members
@@ -199,7 +199,7 @@
         for name in sorted(silent):
             member = self._table.members[name]
             if member.state is MemberState.PRESENT:
-                self._table.silence(member)
+                self._table.mark_silent(member)
                 changes.append(MemberChange(name, MemberState.SILENT))
         return changes
 
--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -12,8 +12,8 @@
 
 from larchlatch.cluster.membership.bitmap import has_bit, pack_bits
 from larchlatch.cluster.membership.clock import SUSPICION_HEARTBEATS
-from larchlatch.cluster.membership.member import NEVER_US, RECOVERY_US, Member, RecordAge
-from larchlatch.cluster.membership.watchers import assign_watchers, invert
+from larchlatch.cluster.membership.member import NEVER_US, RECOVERY_US, Member, RecordVersion
+from larchlatch.cluster.membership.watchers import assign_watchers, members_by_watcher
 from larchlatch.cluster.protocol.messages import Suspicion
 
 if TYPE_CHECKING:
@@ -24,7 +24,7 @@
     from larchlatch.cluster.protocol.messages import NodeRecord
 
 CONFIRMATIONS = 2  # watchers that have to suspect a member before it counts as silent
-MAX_REPORTED = 12  # upper bound of the suspicions in one record, which leaves space for the records of others
+MAX_SUSPICIONS_PER_RECORD = 12  # leaves space for the records of other members
 
 
 class SuspicionTracker:
@@ -61,7 +61,7 @@
         has_watchers = self._clock.needs_watchers and self._own_name in sites
         watchers = assign_watchers(self.names, sites) if has_watchers else {}
         self.own_watchers = watchers.get(self._own_name, [])
-        self._watched_by = invert(watchers, self.names)
+        self._watched_by = members_by_watcher(watchers, self.names)
         for member in members.values():
             member.watchers = frozenset(watchers.get(member.name, ()))
 
@@ -75,7 +75,7 @@
         what a member suspects is ignored for `RECOVERY_US` after the member has ceased to be silent.
         """
         suspected = {
-            report.member_index: RecordAge(report.incarnation, report.sequence)
+            report.member_index: RecordVersion(report.incarnation, report.sequence)
             for report in record.suspicions
             if report.member_index < len(self.names)
         }
@@ -84,17 +84,17 @@
             self._add_suspicions(record, suspected)
         self._withdraw_suspicions(record, suspected)
 
-    def _add_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordAge]) -> None:
-        for index, known_age in suspected.items():
+    def _add_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordVersion]) -> None:
+        for index, known_version in suspected.items():
             member = self._table.members.get(self.names[index])
             if member is None or record.name not in member.watchers:
                 continue
             # Otherwise the member has sent further records since, and the report is outdated.
-            if member.record is None or self._covers(known_age, member.record, record.created_us):
-                member.suspected_by[record.name] = known_age
+            if member.record is None or self._covers(known_version, member.record, record.created_us):
+                member.suspected_by[record.name] = known_version
                 self._update_suspected(member)
 
-    def _withdraw_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordAge]) -> None:
+    def _withdraw_suspicions(self, record: NodeRecord, suspected: Mapping[int, RecordVersion]) -> None:
         for bit, name in enumerate(self._watched_by[record.name]):
             member = self._table.members.get(name)
             if member is None or self.index_by_name[name] in suspected:
@@ -104,9 +104,9 @@
             # In a large cluster a member's own records arrive rarely. The report of a watcher that hears the
             # member directly also proves that it is running.
             if not member.is_silent and has_bit(record.direct_contacts, bit):
-                self._table.renew(member, listened_us=self._clock.listened_us)
+                self._table.note_news(member, listened_us=self._clock.listened_us)
 
-    def _covers(self, known_age: RecordAge, newest: NodeRecord, reported_at_us: int) -> bool:
+    def _covers(self, known_version: RecordVersion, newest: NodeRecord, reported_at_us: int) -> bool:
         """Return whether a suspicion also applies to a record that its watcher may not have had.
 
         The last record of a member before a partition may have reached this node and none of the watchers.
@@ -114,20 +114,20 @@
         created so long after that record that the member would have sent further ones in between.
 
         Args:
-            known_age: the version of the newest record that the watcher had.
+            known_version: the version of the newest record that the watcher had.
             newest: the newest record that this node has of the suspected member.
             reported_at_us: Unix time at which the watcher created its report.
 
         """
-        if newest.version <= known_age:
+        if newest.version <= known_version:
             return True
-        few_ahead = (
-            newest.incarnation == known_age.incarnation
-            and newest.sequence <= known_age.number + SUSPICION_HEARTBEATS
+        slightly_newer = (
+            newest.incarnation == known_version.incarnation
+            and newest.sequence <= known_version.number + SUSPICION_HEARTBEATS
         )
-        return few_ahead and reported_at_us - newest.created_us >= self._clock.suspicion_us
+        return slightly_newer and reported_at_us - newest.created_us >= self._clock.suspicion_us
 
-    def withdraw_by_record(self, member: Member, record: NodeRecord) -> None:
+    def withdraw_refuted(self, member: Member, record: NodeRecord) -> None:
         """Withdraw the suspicions of a member that its new record refutes.
 
         Old records of a failed member are forwarded for a long time. So a record refutes the suspicion of a
@@ -158,7 +158,7 @@
         suspects.sort(key=lambda member: -member.last_direct_us)
         self.own_report = [
             Suspicion(self.index_by_name[member.name], member.record.incarnation, member.record.sequence)
-            for member in suspects[:MAX_REPORTED]
+            for member in suspects[:MAX_SUSPICIONS_PER_RECORD]
             if member.record is not None
         ]
         self._own_suspicions = {self.names[report.member_index] for report in self.own_report}
--- a/larchlatch/cluster/membership/table.py
+++ b/larchlatch/cluster/membership/table.py
@@ -47,14 +47,14 @@
         member.record, member.signed = record, signed
         self._digest_counts[member.configuration_digest] += 1
 
-    def renew(self, member: Member, *, listened_us: int) -> None:
+    def note_news(self, member: Member, *, listened_us: int) -> None:
         """Note news of a member: move it to the end of `present`, or remove it from there if not present."""
         member.last_news_us = listened_us
         self.present.pop(member.name, None)
         if member.state is MemberState.PRESENT:
             self.present[member.name] = member
 
-    def silence(self, member: Member) -> None:
+    def mark_silent(self, member: Member) -> None:
         """Mark a present member as silent."""
         member.is_silent = True
         del self.present[member.name]
--- a/larchlatch/cluster/membership/watchers.py
+++ b/larchlatch/cluster/membership/watchers.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator, Mapping, Sequence
 
-WATCHERS = 8  # watchers of each member; taken from all sites, so that each side of a partition has some
+WATCHERS_PER_MEMBER = 8  # taken from all sites, so that each side of a partition has some
 
 
 class SiteRing(NamedTuple):
@@ -20,18 +20,18 @@
 
     Attributes:
         size: number of members.
-        turn: length of a run.
+        run_length: number of consecutive members in a run.
         names: the members, listed twice so that a run may continue past the end.
 
     """
 
     size: int
-    turn: int
+    run_length: int
     names: list[str]
 
-    def from_index(self, first: int) -> list[str]:
+    def run_from(self, first: int) -> list[str]:
         """Return the members in the run that starts at this index."""
-        return self.names[first : first + self.turn]
+        return self.names[first : first + self.run_length]
 
 
 def assign_watchers(names: Sequence[str], sites: Mapping[str, str]) -> dict[str, list[str]]:
@@ -44,22 +44,22 @@
         sites: the site of each member.
 
     Returns:
-        The names of up to `WATCHERS` watchers for each member.
+        The names of up to `WATCHERS_PER_MEMBER` watchers for each member.
 
     """
     rings = _site_rings(names, sites)
-    turn_step = -(-WATCHERS // len(rings)) if rings else 0
+    run_step = -(-WATCHERS_PER_MEMBER // len(rings)) if rings else 0
     watchers: dict[str, list[str]] = {}
     for index, name in enumerate(names):
-        turns = [
-            [other for other in ring.from_index(index * turn_step % ring.size) if other != name]
+        runs = [
+            [other for other in ring.run_from(index * run_step % ring.size) if other != name]
             for ring in rings
         ]
-        watchers[name] = list(islice(_interleave(turns), WATCHERS))
+        watchers[name] = list(islice(_interleave(runs), WATCHERS_PER_MEMBER))
     return watchers
 
 
-def invert(watchers: Mapping[str, Sequence[str]], names: Sequence[str]) -> dict[str, list[str]]:
+def members_by_watcher(watchers: Mapping[str, Sequence[str]], names: Sequence[str]) -> dict[str, list[str]]:
     """Return for each of `names` the members that it watches, in the order in which they were assigned."""
     watched: dict[str, list[str]] = {name: [] for name in names}
     for watched_name, watching in watchers.items():
@@ -73,10 +73,13 @@
     for name in names:
         by_site.setdefault(sites.get(name, ""), []).append(name)
     # One more than the number of watchers, as the watched member itself may be in the run.
-    return [SiteRing(len(own), min(WATCHERS + 1, len(own)), own * 2) for own in by_site.values()]
+    return [
+        SiteRing(len(site_names), min(WATCHERS_PER_MEMBER + 1, len(site_names)), site_names * 2)
+        for site_names in by_site.values()
+    ]
 
 
-def _interleave(turns: Sequence[Sequence[str]]) -> Iterator[str]:
+def _interleave(runs: Sequence[Sequence[str]]) -> Iterator[str]:
     """Yield the first name of each run, then the second of each, and so on."""
-    for row in zip_longest(*turns):
+    for row in zip_longest(*runs):
         yield from (name for name in row if name is not None)
--- a/tests/cluster/test_membership.py
+++ b/tests/cluster/test_membership.py
@@ -14,7 +14,7 @@
 from larchlatch.cluster.membership.clock import FAN_OUT, ListeningClock
 from larchlatch.cluster.membership.member import MemberState
 from larchlatch.cluster.membership.membership import Membership
-from larchlatch.cluster.membership.watchers import WATCHERS, assign_watchers
+from larchlatch.cluster.membership.watchers import WATCHERS_PER_MEMBER, assign_watchers
 from larchlatch.cluster.protocol.codec import (
     MAX_DATAGRAM_BYTES,
     decode_record,
@@ -33,46 +33,46 @@
 
 
 def test_all_members_become_present_and_a_stopped_one_is_silent_until_it_resumes() -> None:
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
     assert all(node.members.is_alone for node in nodes), "at the start no other node counts as present"
-    at = run_heartbeats(nodes, 0, 6)
+    next_heartbeat = run_heartbeats(nodes, 0, 6)
     assert {node.state(n) for node in nodes for n in "abcd" if n != node.members.own_name} == {
         MemberState.PRESENT
     }
-    at = run_heartbeats(nodes[:3], at, 12)
+    next_heartbeat = run_heartbeats(nodes[:3], next_heartbeat, 12)
     assert nodes[0].state("d") is MemberState.SILENT and nodes[0].state("b") is MemberState.PRESENT
-    run_heartbeats(nodes, at, 6)
+    run_heartbeats(nodes, next_heartbeat, 6)
     assert nodes[0].state("d") is MemberState.PRESENT
     assert nodes[0].members.members["d"].false_positives == 1
 
 
 def test_partition_is_detected_on_both_sides_and_heals() -> None:
-    nodes = [ManualNode(name, "abcdefgh", seed=place) for place, name in enumerate("abcdefgh")]
-    at = run_heartbeats(nodes, 0, 8)
-    at = run_heartbeats(nodes, at, 14, cut=frozenset("abc"))
+    nodes = [ManualNode(name, "abcdefgh", seed=index) for index, name in enumerate("abcdefgh")]
+    next_heartbeat = run_heartbeats(nodes, 0, 8)
+    next_heartbeat = run_heartbeats(nodes, next_heartbeat, 14, cut=frozenset("abc"))
     for node in nodes:
-        here = node.members.own_name in "abc"
+        in_cut = node.members.own_name in "abc"
         for name in node.members.members:
-            assert (node.state(name) is MemberState.PRESENT) is ((name in "abc") is here), (
+            assert (node.state(name) is MemberState.PRESENT) is ((name in "abc") is in_cut), (
                 node.members.own_name,
                 name,
             )
-    run_heartbeats(nodes, at, 8)
+    run_heartbeats(nodes, next_heartbeat, 8)
     assert all(node.state(n) is MemberState.PRESENT for node in nodes for n in node.members.members)
 
 
-def test_a_node_that_was_stopped_takes_nobody_for_silent_on_waking() -> None:
+def test_a_node_resuming_after_a_stop_declares_no_member_silent() -> None:
     # Otherwise it would suspect all other nodes, because it received no heartbeats while stopped.
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 6)
-    woken = nodes[0]
-    assert woken.members.advance(60_000_000) == [], (
+    resumed = nodes[0]
+    assert resumed.members.advance(60_000_000) == [], (
         "the time in which the node was stopped must not count as silence of others"
     )
-    assert woken.members.advance(60_000_000 + HEARTBEAT_US) == []
+    assert resumed.members.advance(60_000_000 + HEARTBEAT_US) == []
     for number in range(2, 12):
-        woken.members.advance(60_000_000 + number * HEARTBEAT_US)
-    assert woken.members.is_alone, (
+        resumed.members.advance(60_000_000 + number * HEARTBEAT_US)
+    assert resumed.members.is_alone, (
         "the node has listened long enough to receive heartbeats of running members"
     )
 
@@ -80,37 +80,37 @@
 def test_node_with_clock_set_back_exceeds_its_earlier_incarnation() -> None:
     # The incarnation of the restarted node is lower than that of its earlier records, so the other members
     # would ignore all its records as known.
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
-    at = run_heartbeats(nodes, 0, 6)
-    later = ManualNode("a", wall=WALL_US - 5_000_000)
-    at = run_heartbeats([later, *nodes[1:]], at, 14)
-    assert later.members.incarnation > WALL_US
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
+    next_heartbeat = run_heartbeats(nodes, 0, 6)
+    restarted = ManualNode("a", wall=WALL_US - 5_000_000)
+    next_heartbeat = run_heartbeats([restarted, *nodes[1:]], next_heartbeat, 14)
+    assert restarted.members.incarnation > WALL_US
     known = nodes[1].members.members["a"].record
-    assert known is not None and known.incarnation == later.members.incarnation
+    assert known is not None and known.incarnation == restarted.members.incarnation
     assert nodes[1].state("a") is MemberState.PRESENT
 
 
-def test_a_node_that_leaves_says_so() -> None:
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
-    at = run_heartbeats(nodes, 0, 6)
+def test_a_departing_node_announces_that_it_leaves() -> None:
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
+    next_heartbeat = run_heartbeats(nodes, 0, 6)
     nodes[3].members.is_departing = True
-    run_heartbeats(nodes, at, 3)
+    run_heartbeats(nodes, next_heartbeat, 3)
     assert nodes[0].state("d") is MemberState.LEFT
-    run_heartbeats(nodes[:3], at + 3, 20)
+    run_heartbeats(nodes[:3], next_heartbeat + 3, 20)
     assert nodes[0].state("d") is MemberState.LEFT, "a member that has left must not become silent"
 
 
 def test_member_that_the_file_no_longer_has_is_forgotten_and_ignored() -> None:
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
-    at = run_heartbeats(nodes, 0, 6)
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
+    next_heartbeat = run_heartbeats(nodes, 0, 6)
     nodes[0].members.set_members(dict.fromkeys("abc", ""))
-    run_heartbeats(nodes, at, 6)
+    run_heartbeats(nodes, next_heartbeat, 6)
     assert "d" not in nodes[0].members.members and nodes[0].drop_count(DropReason.UNKNOWN_MEMBER) > 0
     assert nodes[0].state("c") is MemberState.PRESENT, "members that remain in the file keep their state"
 
 
 def test_records_report_direct_contacts() -> None:
-    nodes = [ManualNode(name, seed=place) for place, name in enumerate("abcd")]
+    nodes = [ManualNode(name, seed=index) for index, name in enumerate("abcd")]
     run_heartbeats(nodes, 0, 12)
     for member in nodes[0].members.snapshot():
         assert member.direct and member.hears_us and member.state is MemberState.PRESENT
@@ -151,9 +151,9 @@
         now_us=0,
         rng=random.Random(1),
     )
-    dead = members.members["n20"]
-    place, watchers = members.member_indexes["n20"], sorted(dead.watchers - {"n00"})
-    assert len(dead.watchers) == 8 and len({name[-1] for name in dead.watchers}) == 8, (
+    failed = members.members["n20"]
+    index, watchers = members.member_indexes["n20"], sorted(failed.watchers - {"n00"})
+    assert len(failed.watchers) == 8 and len({name[-1] for name in failed.watchers}) == 8, (
         "its watchers are in different sites"
     )
 
@@ -163,24 +163,24 @@
         record = NodeRecord(name, WALL_US, number, WALL_US, False, b"", suspicions=list(suspicions))
         members.receive(record, SignedMessage(encode_body(record), bytes(64)), direct=False)
         members.advance(next(times))
-        return dead.state
+        return failed.state
 
     receive("n20", 5)
-    stranger = next(name for name in names[1:] if name not in watchers and name != "n20")
-    assert receive(watchers[0], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+    non_watcher = next(name for name in names[1:] if name not in watchers and name != "n20")
+    assert receive(watchers[0], 1, Suspicion(index, WALL_US, 9)) is MemberState.PRESENT, (
         "one watcher alone may be cut off itself"
     )
-    assert receive(stranger, 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert receive(non_watcher, 1, Suspicion(index, WALL_US, 9)) is MemberState.PRESENT, (
         "a member that does not watch it must not count"
     )
-    assert receive(watchers[1], 1, Suspicion(place, WALL_US, 9)) is MemberState.SILENT
+    assert receive(watchers[1], 1, Suspicion(index, WALL_US, 9)) is MemberState.SILENT
     assert receive("n20", 9) is MemberState.SILENT, (
         "a record that its watchers already had refutes no suspicion"
     )
     assert receive("n20", 10) is MemberState.PRESENT, (
         "a record newer than those of its watchers refutes their suspicions"
     )
-    assert receive(watchers[2], 1, Suspicion(place, WALL_US, 9)) is MemberState.PRESENT, (
+    assert receive(watchers[2], 1, Suspicion(index, WALL_US, 9)) is MemberState.PRESENT, (
         "a suspicion based on an outdated record must not count"
     )
 
@@ -198,7 +198,7 @@
     assert row["cluster_bytes_s"] < 20_000
 
 
-def test_a_cut_among_many_takes_nobody_for_silent_who_is_on_the_same_side() -> None:
+def test_partition_of_a_large_cluster_silences_no_member_of_the_same_side() -> None:
     """Members of the same side are declared silent because of outdated suspicions.
 
     The other side reports suspicions that are based on records from before the partition, and the last record
@@ -216,17 +216,17 @@
 
 
 @pytest.mark.parametrize("sites", [[50, 50, 50, 50], [100, 60, 40], [30, 10]])
-def test_watching_falls_on_all_of_a_site_alike(sites: list[int]) -> None:
+def test_watch_load_is_even_within_each_site(sites: list[int]) -> None:
     site_of = {f"n{n}-{site}": f"s{site}" for site, count in enumerate(sites) for n in range(count)}
     names = sorted(site_of)
     watch_counts: Counter[str] = Counter()
     for name, watchers in assign_watchers(names, site_of).items():
-        assert len(set(watchers)) == WATCHERS and name not in watchers
+        assert len(set(watchers)) == WATCHERS_PER_MEMBER and name not in watchers
         assert {site_of[other] for other in watchers} == set(site_of.values())
         watch_counts.update(watchers)
     for site in set(site_of.values()):
         counts = [watch_counts[name] for name in names if site_of[name] == site]
-        assert max(counts) - min(counts) <= WATCHERS
+        assert max(counts) - min(counts) <= WATCHERS_PER_MEMBER
 
 
 def test_heartbeat_cost_does_not_depend_on_cluster_size() -> None:
@@ -239,13 +239,13 @@
         now_us=0,
         rng=random.Random(1),
     )
-    blank = bytes(64)
+    signature = bytes(64)
     for number, name in enumerate(names[1:]):
         record = NodeRecord(name, WALL_US, number, WALL_US + number, False, bytes(125))
-        members.receive(record, SignedMessage(encode_body(record), blank), direct=False)
+        members.receive(record, SignedMessage(encode_body(record), signature), direct=False)
     own = SignedMessage(
         encode_body(members.next_record(WALL_US, digest=0, quota_reports=[], observations=[], promises=[])),
-        blank,
+        signature,
     )
     sent = [members.gossip_targets() for _ in range(333)]
     assert all(len(set(targets)) == FAN_OUT for targets in sent)
@@ -278,7 +278,7 @@
     assert clock.needs_watchers and clock.silence_us == 1_620_000
 
 
-def test_members_of_an_emulated_fleet_agree_through_every_fault_and_equal_days_are_equal() -> None:
+def test_emulated_members_agree_through_every_fault_and_repeated_runs_are_equal() -> None:
     faults = [
         {
             "kind": "lossy",
@@ -316,7 +316,7 @@
     rows = []
     for faults in (
         [],
-        [{"kind": "stall", "at_s": 0.05 + place, "nodes": 4, "for_s": 0.02} for place in range(9)],
+        [{"kind": "stall", "at_s": 0.05 + index, "nodes": 4, "for_s": 0.02} for index in range(9)],
     ):
         scenario = {"span_s": 12.0, "cluster": {"on": True}, "nodes": {"count": 4}, "faults": faults}
         rows.append(Simulation(parse_scenario(scenario, "day")).run()["cluster_bytes_s"])
