--- a/larchlatch/cluster/membership/member.py
+++ b/larchlatch/cluster/membership/member.py
@@ -25,7 +25,7 @@
 
 
 class RecordVersion(NamedTuple):
-    """Orders the records of one member: the higher incarnation is newer, then the higher number."""
+    """The version of a member's record: the higher incarnation is newer, then the higher number."""
 
     incarnation: int
     number: int
