--- a/larchlatch/node/clients/requests.py
+++ b/larchlatch/node/clients/requests.py
@@ -23,7 +23,7 @@
 
 
 class RejectionReason(StrEnum):
-    """Why a request is answered with an error without an attempt; the values are parts of counter names.
+    """Why a request is rejected with an error and without an attempt; the values are parts of counter names.
 
     The reason for a malformed line is in its `BadLine` instead.
     """
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -291,7 +291,7 @@
         return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
 
     async def _end(self, client: Lines, record: SessionRecord, delivered: Delivered, end: RelayEnd) -> None:
-        """Report that a session has ended, and end both its connections in the same way."""
+        """Report how a session has ended, and end both its connections in that way."""
         self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}")
         log.debug(
             "session_ended",
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -40,7 +40,8 @@
 
     Attributes:
         capacity: descriptors that may be in use.
-        free: descriptors that may still be reserved; negative after the capacity was reduced by more.
+        free: descriptors that may still be reserved; negative after the capacity was reduced by more than
+            were free.
         idle_limit: how many idle connections may be open.
 
     """
--- a/larchlatch/node/session_watch.py
+++ b/larchlatch/node/session_watch.py
@@ -20,7 +20,7 @@
 CHECK_INTERVAL_S = 0.25  # short compared with the limits below
 REPORT_INTERVAL_US = 1_000_000  # between two reports on the same upstream
 
-# Limits: how long a state may last before the action that is named.
+# Limits: how long a state may last before the node acts as described.
 UNRESPONSIVE_US = 500_000  # an upstream that answers on no session is reported; many round trips
 SILENCE_LIMIT_US = 1_500_000  # a session without an answer migrates; healthy upstreams answer at once
 CLIENT_STALL_LIMIT_US = 10_000_000  # a client that does not read is disconnected
