--- a/larchlatch/policy/__init__.py
+++ b/larchlatch/policy/__init__.py
@@ -1,18 +1,18 @@
-"""The decisions of a node: where a session goes, whether it is tried again, and what is rejected.
+"""Decides which upstream a session goes to, whether it gets further attempts, and what a node sheds.
 
 A node makes one `larchlatch.policy.balancer.Balancer` from its settings and a seeded `random.Random`, and
 calls
 
-- `place(now, session)`, which returns where to send a session, or that it is held, or its final answer;
+- `place(now, session)`, which returns the upstream for a session, or that it is held, or its final answer;
 - `outcome(now, session, outcome)`, which records how an attempt ended and returns what to do next;
-- `wait(now)`, which returns what is due now (probes, a poll of the endpoint list, migrations, attempts to be
-  cancelled) and how long until something else is.
+- `wait(now)`, which returns the actions due now (probes, a poll of the endpoint list, migrations, attempts to
+  be cancelled) and the time until the next action is due.
 
-It reports what it observes by the balancer's other methods. Their types are in `larchlatch.policy.types`.
-Times are whole microseconds of the caller's clock. Nothing here reads a clock, does I/O or shares state with
-another node.
+The node reports its observations through the other methods of the balancer. The types of arguments and
+results are in `larchlatch.policy.types`. Times are whole microseconds of the caller's clock. No module here
+reads a clock, does I/O or shares state with another node.
 
-`policy` in deploy/balancer.toml lists the modules that hold thresholds and make choices. The others (`types`,
-`upstream`, `structures`, `status`, `state_export`, `driver`) decide nothing. docs/design.md explains the
-choices.
+The key `policy` of deploy/balancer.toml lists the modules that hold thresholds and make choices. The others
+(`types`, `upstream`, `structures`, `status`, `state_export`, `driver`) make no decisions. docs/design.md
+explains the choices.
 """
--- a/larchlatch/policy/backoff.py
+++ b/larchlatch/policy/backoff.py
@@ -1,4 +1,4 @@
-"""Backoff after failed attempts: of one upstream, or of all the attempts of a node.
+"""Backoff after failed attempts: for one upstream, or for all attempts of a node.
 
 An upstream in backoff is ejected: it gets no new session until the delay is over, and then one per delay.
 """
@@ -9,30 +9,30 @@
 
 # Backoff of one upstream.
 RECENT_OUTCOMES = 3  # one failure alone does not eject it
-BACKOFF_US = 100_000  # about as long as a full queue takes to move on
-LONGEST_BACKOFF_US = 6_000_000  # an upstream that has returned is found within this
+BACKOFF_US = 100_000  # about the time in which a full queue has room again
+LONGEST_BACKOFF_US = 6_000_000  # a recovered upstream gets an attempt within this time
 
 # Backoff of an upstream that has reset a session.
-RESET_BACKOFF_US = 1_000_000  # work that has piled up takes longer than a queue
-RESET_TRIAL_INTERVAL_US = 250_000  # all nodes together try such an upstream once in this
+RESET_BACKOFF_US = 1_000_000  # accumulated work takes longer to clear than a full queue
+RESET_TRIAL_INTERVAL_US = 250_000  # time between two attempts at such an upstream, over all nodes
 
-# Backoff of a node, over its attempts at all upstreams.
+# Backoff of a node, which counts its attempts at all upstreams.
 NODE_RECENT_OUTCOMES = 8
 NODE_BACKOFF_US = 20_000
 LONGEST_NODE_BACKOFF_US = 1_000_000
-NODE_TRIAL_INTERVAL_US = 2_000_000  # all nodes together establish one session an upstream in this
+NODE_TRIAL_INTERVAL_US = 2_000_000  # time between two sessions at each upstream, over all nodes
 
 
 class Backoff:
-    """Spaces out attempts after failures; owns the recent outcomes and the delay.
+    """Spaces out attempts after failures, and owns the recent outcomes and the delay.
 
     Attributes:
         recent: Whether each of the last few attempts succeeded.
         initial_us: The first delay after a failure, in microseconds.
-        longest_us: The bound of the delay, in microseconds.
-        delay_us: The present delay, in microseconds; above 0 only one attempt is sent per delay.
+        longest_us: The upper bound of the delay, in microseconds.
+        delay_us: The present delay, in microseconds; while it is above 0, only one attempt is sent per delay.
         until: When the next attempt may be sent, in microseconds.
-        doubled_at: When the delay was last doubled, in microseconds; -1 before.
+        doubled_at: When the delay was last doubled, in microseconds; -1 if it never was.
     """
 
     def __init__(self, *, recent_outcomes: int, initial_us: int, longest_us: int) -> None:
@@ -45,12 +45,12 @@
 
     @classmethod
     def of_upstream(cls) -> Backoff:
-        """Return the backoff of one upstream."""
+        """Return a new backoff for one upstream."""
         return cls(recent_outcomes=RECENT_OUTCOMES, initial_us=BACKOFF_US, longest_us=LONGEST_BACKOFF_US)
 
     @classmethod
     def of_node(cls) -> Backoff:
-        """Return the backoff of a node, which spaces its attempts at all upstreams."""
+        """Return a new backoff for a node, which spaces out its attempts at all upstreams."""
         return cls(
             recent_outcomes=NODE_RECENT_OUTCOMES,
             initial_us=NODE_BACKOFF_US,
@@ -58,12 +58,12 @@
         )
 
     def record(self, now: int, sent_at: int, *, succeeded: bool) -> None:
-        """Record the outcome of an attempt; back off if most of the recent ones have failed.
+        """Record the outcome of an attempt, and back off if most of the recent attempts have failed.
 
         Args:
             now: The present time in microseconds.
-            sent_at: When the attempt was sent.
-            succeeded: Whether it succeeded.
+            sent_at: When the attempt was sent, in microseconds.
+            succeeded: Whether the attempt succeeded.
         """
         self.recent.append(succeeded)
         if succeeded:
@@ -72,11 +72,14 @@
             self.escalate(now, sent_at, least_us=self.initial_us, longest_us=self.longest_us)
 
     def escalate(self, now: int, sent_at: int, *, least_us: int, longest_us: int) -> None:
-        """Back off by a doubled delay; all attempts sent before the last doubling count as one failure.
+        """Double the delay and start it now.
+
+        A failure of an attempt that was sent before the last doubling does not double the delay again: such
+        attempts count as one failure.
 
         Args:
             now: The present time in microseconds.
-            sent_at: When the attempt that failed was sent.
+            sent_at: When the attempt that failed was sent, in microseconds.
             least_us: The shortest delay, in microseconds.
             longest_us: The longest delay, in microseconds.
         """
@@ -87,17 +90,17 @@
         self.until = max(self.until, now + self.delay_us)
 
     def attempt_sent(self, now: int) -> None:
-        """Let the next attempt wait for one delay."""
+        """Record that an attempt is sent: the next one waits for one delay."""
         self.until = now + self.delay_us
 
     def reset(self) -> None:
-        """Forget all outcomes and end the delay."""
+        """Discard all recorded outcomes and end the delay."""
         self.recent.clear()
         self.delay_us = 0
         self.until = 0
 
     def _shorten(self, now: int) -> None:
-        # Halved, not ended: the sessions held back would otherwise all be sent at once.
+        # The delay is halved, not ended: otherwise all sessions that are held back would be sent at once.
         can_halve = self.delay_us >= 2 * self.initial_us
         self.delay_us = self.delay_us // 2 if can_halve else 0
         self.until = min(self.until, now + self.delay_us)
--- a/larchlatch/policy/balancer.py
+++ b/larchlatch/policy/balancer.py
@@ -1,4 +1,7 @@
-"""The balancer of a node: one object that its callers ask and report to. The package says how to call it."""
+"""The balancer of a node, which combines the deciding modules behind one interface.
+
+The docstring of `larchlatch.policy` explains how to call it.
+"""
 
 from __future__ import annotations
 
@@ -23,28 +26,28 @@
 
     from larchlatch.policy.types import DeploymentSettings, Endpoint, ProbeResult, Session, Token
 
-CHECK_INTERVAL_US = 1_000_000  # upstreams are checked for what is due at least once in this
+CHECK_INTERVAL_US = 1_000_000  # longest time between two checks for due probes and migrations
 
 
 class Balancer:
-    """Makes the deciding parts, and passes calls on to them.
+    """Creates the deciding components of a node and delegates each call to them.
 
     Attributes:
         settings: The deployment settings.
         random: The source of all random draws.
-        fleet: What is known of upstreams.
-        node_backoff: Spaces the attempts of this node at all upstreams.
-        ring: The hash ring.
-        slow_start: What upstreams in slow start may take.
-        load: Load estimates.
-        retries: Which attempts are harmless, and final answers.
-        probing: When upstreams are probed.
-        polling: When the endpoint list is polled.
-        selector: The choice among candidates.
-        migration: Which sessions migrate.
-        placement: Where a session goes.
-        outcomes: What outcomes mean.
-        probes: What results of probes mean.
+        fleet: The records of all upstreams.
+        node_backoff: Spaces out the attempts of this node at all upstreams.
+        ring: The consistent hash ring.
+        slow_start: Limits the sessions that upstreams in slow start may take.
+        load: Estimates the load of upstreams.
+        retries: Decides which further attempts are safe, and gives final answers.
+        probing: Decides when upstreams are probed.
+        polling: Decides when the endpoint list is polled.
+        selector: Chooses among the candidates of a session.
+        migration: Decides which established sessions migrate.
+        placement: Decides where a session goes.
+        outcomes: Records the outcomes of attempts and sessions.
+        probes: Records the results of probes.
     """
 
     def __init__(self, settings: DeploymentSettings, random: Random) -> None:
@@ -81,8 +84,8 @@
         Args:
             now: The present time in microseconds.
             session: The session.
-            outcome: What became of its attempt, or of the established session.
-            answered: Whether its client has its final answer, so that nothing is left to do.
+            outcome: How its attempt, or the established session, ended.
+            answered: Whether the client has the final answer already, so that nothing is left to decide.
         """
         if outcome is Outcome.ESTABLISHED:
             self.outcomes.record_established(now, session)
@@ -91,12 +94,12 @@
         return Nothing() if answered else self.place(now, session)
 
     def wait(self, now: int) -> DueActions:
-        """Return what falls due now, and how long until the next does."""
+        """Return the actions that are due now, and the time until the next one is due."""
         fleet = self.fleet
         probes: list[int] = []
         migrations: list[int] = []
         superseded: list[int] = []
-        # This is called after every event, and checks all upstreams only if one may have something due.
+        # This method is called after every event. It checks all upstreams only if one may have an action due.
         if now >= fleet.next_check_at:
             fleet.next_check_at = now + CHECK_INTERVAL_US
             probes = self.probing.due(now)
@@ -116,13 +119,13 @@
         )
 
     def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
-        """Take over an endpoint list, or the changes to it.
+        """Apply an endpoint list, or changes to it.
 
         Args:
             now: The present time in microseconds.
             endpoints: The endpoints.
-            whole: Whether this is the complete list: an upstream that it lacks is gone.
-            asked: Whether it answers a poll.
+            whole: Whether this is the complete list, so that an upstream missing from it is gone.
+            asked: Whether the list is the answer to a poll.
         """
         updated = self.fleet.update(list(endpoints), whole=whole)
         self.node_backoff.longest_us = self._longest_node_backoff_us()
@@ -131,7 +134,7 @@
         self.ring.update(updated)
 
     def discovery_failed(self, now: int) -> None:
-        """Record that a poll failed, or that the subscription was lost."""
+        """Record that a poll of the endpoint list failed, or that the subscription to it was lost."""
         self.polling.failed(now)
 
     def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
@@ -139,7 +142,7 @@
         self.probes.record(now, self.fleet.upstreams[number], probe)
 
     def record_load(self, now: int, session: Session, load: float) -> None:
-        """Record a session's present load, in microseconds of work a second."""
+        """Record the present load of a session, in microseconds of work per second."""
         self.fleet.change_load(session, load)
         self.fleet.mean_session_load = running_mean(self.fleet.mean_session_load, load)
 
@@ -148,32 +151,39 @@
         self.migration.record_delay(now, self.fleet.upstreams[session.upstream], delay_us)
 
     def record_unresponsive(self, now: int, number: int) -> None:
-        """Record that an upstream has answered no message on any session for a while."""
+        """Record that an upstream has stopped answering messages on all of its sessions."""
         self.migration.record_unresponsive(now, self.fleet.upstreams[number])
 
     def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None:
-        """Record until when a token issuer speaks for all nodes, and the token that it issues, if any."""
+        """Record until when a token issuer allots slow-start budgets, and a token if it issued one."""
         self.slow_start.record_token(now, issuer_until, token)
 
     def add_established(self, session: Session, number: int) -> None:
-        """Take over a session that was established before this node started.
+        """Add a session that was established before this process started.
 
-        No endpoint list need have named its upstream yet.
+        Its upstream need not have appeared in an endpoint list yet.
         """
         self.fleet.add_established(session, number)
         self.ring.record_established(session)
 
     def remove_session(self, session: Session) -> None:
-        """Forget a session whose client is gone, or that another node or process has taken over."""
+        """Remove a session whose client is gone, or that another node or process has taken over."""
         self.retries.attempt_ended(session)
         self.fleet.remove(session)
 
     def release_slow_start_budget(self, *, released: bool) -> None:
-        """Leave the node's slow-start budget to another process of this node, or take it back."""
+        """Leave the slow-start budget of this node to another process of the node, or take it back.
+
+        Args:
+            released: Whether another process has the budget from now on.
+        """
         self.slow_start.released = released
 
     def _longest_node_backoff_us(self) -> int:
-        """Return the bound of the node's backoff, in which all nodes together try each upstream."""
+        """Return the upper bound of this node's backoff, in microseconds.
+
+        At this bound, all nodes together still send each upstream a session every `NODE_TRIAL_INTERVAL_US`.
+        """
         upstream_count = len(self.fleet.ready) or 1
         interval_us = NODE_TRIAL_INTERVAL_US * self.settings.nodes // upstream_count
         return max(LONGEST_NODE_BACKOFF_US, interval_us)
--- a/larchlatch/policy/driver.py
+++ b/larchlatch/policy/driver.py
@@ -1,6 +1,6 @@
-"""What the drivers of a balancer have in common: the emulated node and the simulator's adapter.
+"""The common base of the emulated node and the simulator's adapter, which both drive a balancer.
 
-A driver asks the balancer, holds sessions that wait to be placed again, and carries the answers out.
+A driver asks the balancer for decisions, keeps the sessions that are held, and executes the decisions.
 """
 
 from __future__ import annotations
@@ -13,19 +13,22 @@
 
 
 class Decisions(Protocol):
-    """The calls by which a driver asks; it passes observations on by methods that it calls itself."""
+    """The decisions that a driver requests from its balancer.
+
+    Observations are not part of this protocol: the subclasses of `Driver` report them to their balancer.
+    """
 
     def place(self, now: int, session: Session) -> Answer:
         """Return an upstream for a session, or that it is held, or its final answer."""
         ...
 
     def wait(self, now: int) -> DueActions:
-        """Return what falls due now, and how long until the next does."""
+        """Return the actions that are due now, and the time until the next one is due."""
         ...
 
 
 class HeldSession(NamedTuple):
-    """A session that waits to be placed again.
+    """A held session, which is placed again later.
 
     Attributes:
         retry_at: When to place it again, in microseconds.
@@ -37,11 +40,11 @@
 
 
 class Driver(ABC):
-    """Holds sessions that wait, and carries out what falls due; a subclass executes each kind of answer.
+    """Keeps held sessions and executes due actions; a subclass implements each kind of action.
 
     Attributes:
-        decisions: The balancer, or a baseline policy.
-        held: The sessions that wait to be placed again, as a heap by time.
+        decisions: The balancer, or a baseline policy that replaces it.
+        held: The held sessions, as a heap ordered by the time of their next placement.
     """
 
     def __init__(self, decisions: Decisions) -> None:
@@ -50,7 +53,7 @@
 
     @abstractmethod
     def session(self, number: int) -> Session | None:
-        """Return the session of this number; None if it is over."""
+        """Return the session with this number; None if it has ended."""
 
     @abstractmethod
     def send(self, now: int, session: Session, upstream: int, until: int) -> None:
@@ -58,11 +61,11 @@
 
     @abstractmethod
     def shed(self, now: int, session: Session, retry_after_us: int) -> None:
-        """Answer that nothing has run, and advise when to try again; 0 for no advice."""
+        """Answer the client that nothing has run, with an advised wait before it retries; 0 for no advice."""
 
     @abstractmethod
     def fail(self, now: int, session: Session) -> None:
-        """Answer without a promise: an attempt may have run."""
+        """Answer the client that the session failed and that an attempt may have run."""
 
     @abstractmethod
     def probe(self, now: int, upstream: int) -> None:
@@ -74,7 +77,7 @@
 
     @abstractmethod
     def cancel_attempt(self, now: int, session: int) -> None:
-        """Cancel a session's attempt; its outcome is reported like any other."""
+        """Cancel a session's attempt; the balancer is told its outcome like any other."""
 
     @abstractmethod
     def poll_endpoints(self, now: int) -> None:
@@ -93,9 +96,9 @@
                 self.fail(now, session)
 
     def due(self, now: int) -> int:
-        """Carry out what has fallen due, and return when to call this again, in microseconds.
+        """Execute the actions that are due, and return when to call this method again, in microseconds.
 
-        All observations up to now have to be reported to the balancer before.
+        All observations up to now must have been reported to the balancer before this call.
         """
         self._place_held(now)
         due = self.decisions.wait(now)
--- a/larchlatch/policy/health.py
+++ b/larchlatch/policy/health.py
@@ -1,4 +1,4 @@
-"""Which upstreams take sessions at all: predicates on what is known of one upstream."""
+"""Predicates on the record of one upstream, which decide whether it takes sessions."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def is_slow(now: int, upstream: Upstream) -> bool:
-    """Return whether the messages of an upstream count as late."""
+    """Return whether the messages of an upstream currently count as late."""
     return now < upstream.slow_until
 
 
@@ -24,10 +24,10 @@
 
 
 def is_unreachable(now: int, upstream: Upstream) -> bool:
-    """Return whether the last connection to an upstream failed and the next trial is not yet due."""
+    """Return whether the last connection to an upstream failed and its backoff is not over yet."""
     return upstream.unreachable and now < upstream.backoff.until
 
 
 def has_vanished(now: int, upstream: Upstream) -> bool:
-    """Return whether an upstream answers no message on any session and no connection to it can be had."""
+    """Return whether an upstream answers no messages on its sessions and accepts no new connection either."""
     return upstream.unreachable and now < upstream.unresponsive_until
--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -1,4 +1,4 @@
-"""Which upstreams are slow, and which established sessions migrate off them."""
+"""Detects slow upstreams, and decides which established sessions migrate off them."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
     from larchlatch.policy.types import DeploymentSettings, Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-# When an upstream is slow.
-SLOW_US = 2_000_000  # a delay counts this long: it is reported once a second while it lasts
-SLOW_SHARE = 0.34  # of the strictest message objective
-UNEVEN_RATIO = 1.5  # utilization over that of others, from which they can take what this one loses
-MAX_LATENCY_RATIO = 4.0  # message latency over the objective, up to which more sessions migrate
+# Detection of slow upstreams.
+SLOW_US = 2_000_000  # validity of a reported delay, which is reported once a second while it lasts
+SLOW_SHARE = 0.34  # share of the strictest message objective above which a delay makes an upstream slow
+UNEVEN_RATIO = 1.5  # ratio to the utilization of others above which they can take sessions of this one
+MAX_LATENCY_RATIO = 4.0  # ratio of latency to objective above which no more sessions migrate per round
 
 # Migration off a slow upstream.
-ROUND_INTERVAL_US = 1_000_000  # long enough for the next report to show what the last round did
-ROUND_SHARE = 0.1  # of the own sessions at the upstream, times its latency ratio
+ROUND_INTERVAL_US = 1_000_000  # long enough for the next report to show the effect of the last round
+ROUND_SHARE = 0.1  # share of own sessions at the upstream per round; multiplied by its latency ratio
 
-STRAYED = -1  # rank of sessions at an upstream that is none of their candidates
+STRAYED = -1  # rank of sessions that are at an upstream outside their candidates
 
 
 @dataclass(eq=False)
 class Migration:
-    """Relieves slow upstreams; owns what their records say of slowness.
+    """Moves sessions off slow upstreams, and owns the fields on slowness in upstream records.
 
     Attributes:
         settings: The deployment settings.
         fleet: All upstreams.
-        selector: Knows the candidates of sessions, and the load of upstreams.
-        node_backoff: The backoff of the node.
+        selector: Finds the candidates of sessions, and holds the load estimator.
+        node_backoff: Spaces out the attempts of this node at all upstreams.
         random: The source of random draws.
     """
 
@@ -58,21 +58,22 @@
             upstream.unresponsive_until = 0
 
     def record_unresponsive(self, now: int, upstream: Upstream) -> None:
-        """Record that no message is answered at an upstream."""
+        """Record that an upstream answers no messages on any of its sessions."""
         upstream.unresponsive_until = now + SLOW_US
         self._mark_slow(now, upstream, latency_ratio=MAX_LATENCY_RATIO, duration_us=SLOW_US)
 
     def check_report(self, now: int, upstream: Upstream) -> None:
-        """Mark an upstream slow if its load report shows overload that no message latency shows."""
+        """Mark an upstream slow by its load report, if its overload does not show in message latencies."""
         if self.settings.reports_delay:
             return
         if upstream.utilization > max(NEARLY_FULL, self._uneven_utilization(now, upstream)):
-            # It has to lose its excess, and a little more; then it is probed again.
+            # The latency ratio is set so that one round takes the excess and a little more off the upstream,
+            # which is then probed again.
             excess = (upstream.utilization - NEARLY_FULL) / ROUND_SHARE
             self._mark_slow(now, upstream, latency_ratio=1 + excess, duration_us=ROUND_INTERVAL_US)
 
     def due(self, now: int) -> list[int]:
-        """Return the numbers of the sessions that migrate now; they are no longer counted anywhere."""
+        """Return the numbers of the sessions that migrate now, and stop counting them at their upstreams."""
         vanished = [other for other in self.fleet.ready if has_vanished(now, other)]
         migrated = self._migrate_off_vanished(now, vanished)
         migrated += self._migrate_off_slow(now, vanished)
@@ -81,10 +82,10 @@
         return [session.number for session in migrated]
 
     def _uneven_utilization(self, now: int, upstream: Upstream) -> float:
-        """Return the utilization above which other upstreams have room for what this one would lose.
+        """Return the utilization above which the other upstreams have capacity for sessions of this one.
 
-        Where all are as full, its sessions would only be handed round. A large upstream with room may be able
-        to take much, though the mean is high.
+        If all upstreams were equally full, sessions would only move in circles. The lower of two thresholds
+        holds, as a large upstream may have much free capacity even though the mean utilization is high.
         """
         reporting = with_recent_reports(now, self.fleet.ready)
         of_others = joint_utilization([other for other in reporting if other is not upstream])
@@ -98,19 +99,20 @@
         self.fleet.check_now(now)
         self.selector.load.penalize(now, upstream)
         if self._most_used_are_slow(now):
-            # What migrates off one fills the next: sessions have to come in more slowly than they leave.
+            # Sessions that migrate off one upstream would fill the next, so new sessions have to be admitted
+            # more slowly than existing ones end.
             self.node_backoff.record(now, now, succeeded=False)
 
     def _most_used_are_slow(self, now: int) -> bool:
-        """Return whether most of the several upstreams that hold own sessions are slow."""
+        """Return whether this node has sessions at several reachable upstreams and most of these are slow."""
         used = [other for other in self.fleet.upstreams.values() if other.sessions and not other.unreachable]
         slow_count = sum(is_slow(now, other) for other in used)
         return 2 * slow_count > len(used) > 1
 
     def _migrate_off_vanished(self, now: int, vanished: list[Upstream]) -> list[Session]:
-        """Return all sessions of vanished upstreams, and eject these for the longest time.
+        """Return all sessions of upstreams that are down, and eject these upstreams for the longest backoff.
 
-        A vanished upstream resets no session: those left there would stay silent for good.
+        An upstream that is down resets no session, so sessions left there would never get an answer again.
         """
         migrated = [session for upstream in vanished for session in upstream.established()]
         for upstream in vanished:
@@ -119,13 +121,15 @@
         return migrated
 
     def _migrate_off_slow(self, now: int, vanished: list[Upstream]) -> list[Session]:
-        """Return the sessions that this round takes off slow upstreams.
+        """Return the sessions that migrate off slow upstreams in this round.
 
-        Vanished upstreams don't count here: their sessions may fill the others, which need relief then.
+        Upstreams that are down count neither as slow nor as ready here: their sessions may fill the other
+        upstreams, and sessions must still be able to migrate off these.
         """
         ready = self.fleet.ready
         slow = [other for other in ready if is_slow(now, other) and other not in vanished]
-        # Where most are slow, migration does not help, unless strayed sessions are the cause.
+        # If most upstreams are slow, only sessions outside their candidates migrate, as these may be the
+        # cause. Migrating others would not help.
         only_strayed = 2 * len(slow) > len(ready) - len(vanished)
         migrated: list[Session] = []
         for upstream in slow:
@@ -137,7 +141,10 @@
         return migrated
 
     def _round(self, now: int, upstream: Upstream, *, only_strayed: bool) -> list[Session]:
-        """Return the sessions that one round takes off an upstream: whole groups, strayed ones first."""
+        """Return the sessions that one round takes off an upstream, group by group.
+
+        Sessions outside their candidates come first.
+        """
         groups = self._groups_by_rank(now, upstream)
         quota = self._round_quota(upstream)
         migrated: list[Session] = []
@@ -150,9 +157,10 @@
         return migrated
 
     def _groups_by_rank(self, now: int, upstream: Upstream) -> dict[tuple[int, int], list[Session]]:
-        """Return the sessions established at an upstream by their candidates' rank and affinity key.
+        """Return the sessions established at an upstream, by rank and affinity key.
 
-        Sorted by these, the same groups migrate first on every node.
+        The rank is the upstream's index among the session's candidates, or `STRAYED`. As rounds go through
+        these keys in ascending order, the same groups migrate first on every node.
         """
         groups: dict[tuple[int, int], list[Session]] = {}
         for session in upstream.established():
@@ -165,14 +173,14 @@
     def _round_quota(self, upstream: Upstream) -> int:
         """Return how many sessions a round may take off an upstream.
 
-        A share below one is rounded at random: were it rounded up, hundreds of nodes with few sessions each
-        would empty the upstream and fill the next.
+        The number is rounded up or down at random. If it were always rounded up, hundreds of nodes with few
+        sessions each would empty the upstream and overload the next one.
         """
         share = ROUND_SHARE * upstream.latency_ratio * len(upstream.sessions)
         return int(share + self.random.uniform(0, 1))
 
     def _candidates_can_take(self, now: int, session: Session) -> bool:
-        """Return whether a candidate of a session is healthy and may take it."""
+        """Return whether any candidate of a session is healthy and may take the session."""
         pair = self.selector.candidates(now, session).pair
         slow_start = self.selector.slow_start
         return any(is_healthy(now, other) and slow_start.may_take(now, other, session) for other in pair)
--- a/larchlatch/policy/outcomes.py
+++ b/larchlatch/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcomes of attempts, sessions and probes mean for their upstreams and for the node."""
+"""Updates upstream records and the node's backoff by the outcomes of attempts, sessions and probes."""
 
 from __future__ import annotations
 
@@ -20,29 +20,29 @@
     from larchlatch.policy.types import DeploymentSettings, ProbeResult, Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-# Outcomes that show the state of what all attempts depend on. A failed connection shows only that of one
-# upstream, or of its network.
+# Outcomes that are recorded in the node's backoff, as they show the state of what all attempts depend on. A
+# failed connection shows only the state of one upstream or of its network.
 RECORDED_FOR_NODE = frozenset(
     {Outcome.COMPLETED, Outcome.REJECTED, Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET}
 )
-# Outcomes that say nothing of the upstream.
+# Outcomes that tell nothing about the upstream.
 IGNORED_FOR_UPSTREAM = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED})
 
-SETTLE_US = 1_000_000  # an established session is a success after this: overload resets new ones sooner
+SETTLE_US = 1_000_000  # an established session is a success after this time: overload resets it sooner
 
 
 @dataclass(eq=False)
 class OutcomeRecorder:
-    """Records how attempts and sessions end; owns the sessions that have just been established.
+    """Records how attempts and sessions end, and owns the list of recently established sessions.
 
     Attributes:
         settings: The deployment settings.
         fleet: All upstreams.
-        node_backoff: Spaces the attempts of this node at all upstreams.
-        ring: Counts established sessions by group.
+        node_backoff: Spaces out the attempts of this node at all upstreams.
+        ring: Counts established sessions by affinity key.
         load: Penalizes upstreams that reset sessions.
-        retries: Knows the attempts in flight.
-        settling: Established sessions that are not yet a success, oldest first.
+        retries: Keeps the attempts in flight.
+        settling: Established sessions that do not count as successes yet, oldest first.
         mean_setup_us: Running mean of the time from sending an attempt to its establishment.
     """
 
@@ -67,7 +67,7 @@
         self.ring.record_established(session)
 
     def record_end(self, now: int, session: Session, outcome: Outcome) -> None:
-        """Record how an attempt or an established session has ended."""
+        """Record the outcome that ended an attempt or an established session."""
         upstream = self.fleet.upstreams[session.upstream]
         self.retries.attempt_ended(session)
         self.fleet.check_now(now)
@@ -81,9 +81,10 @@
             session.attempt_may_have_run(self.settings.class_of(session))
 
     def credit_settled(self, now: int) -> None:
-        """Count sessions as successes that have stayed established for a while.
+        """Record the sessions that have stayed established for `SETTLE_US` in the backoffs.
 
-        An overloaded upstream establishes sessions and resets them at once: those were no success.
+        Establishment alone is not a success, as an overloaded upstream establishes sessions and soon resets
+        them.
         """
         while self.settling and now >= self.settling[0].established_at + SETTLE_US:
             session = self.settling.popleft()
@@ -109,18 +110,21 @@
             backoff.record(now, session.sent_at, succeeded=outcome is Outcome.COMPLETED)
 
     def _longest_reset_backoff_us(self, upstream: Upstream) -> int:
-        """Return the bound of the backoff after resets: all nodes try the upstream, each after its own."""
+        """Return the upper bound of an upstream's backoff after resets, in microseconds.
+
+        It grows with the number of nodes, as each of them sends the upstream attempts after its own backoff.
+        """
         return max(upstream.backoff.longest_us, RESET_TRIAL_INTERVAL_US * self.settings.nodes)
 
 
 @dataclass(eq=False)
 class ProbeRecorder:
-    """Records the results of probes; owns no state.
+    """Records the results of probes in upstream records, and has no state of its own.
 
     Attributes:
         fleet: All upstreams.
         slow_start: Derives capacities from load reports.
-        migration: Checks load reports for overload.
+        migration: Marks upstreams slow whose load reports show overload.
     """
 
     fleet: Fleet
@@ -141,5 +145,5 @@
 
 
 def _has_settled(now: int, session: Session) -> bool:
-    """Return whether a session has been established so long that its end says nothing of new ones."""
+    """Return whether a session was established so long ago that its end tells nothing about new sessions."""
     return session.established and now >= session.established_at + SETTLE_US
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -1,4 +1,4 @@
-"""When upstreams are probed, and when the endpoint list is polled."""
+"""Decides when upstreams are probed and when the endpoint list is polled."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
     from larchlatch.policy.types import DeploymentSettings, Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-# Probes of upstreams with own sessions, where only load reports show that one is full.
+# Times between two probes of an upstream with own sessions, if only load reports show that it is full.
 WATCH_INTERVAL_US = 5_000_000
-RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off the upstream
+RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off it, or if its last report is doubtful
 
-# A report is doubtful where many sessions have come since.
-DOUBTFUL_GROWTH = 4  # own sessions more than at the last probe; fewer differ by chance
-DOUBTFUL_CURRENT_US = 500_000  # for so long such a report counts as current
+# A load report is doubtful if this node has sent the upstream many sessions since.
+DOUBTFUL_GROWTH = 4  # own sessions more than at the last probe; smaller differences are random
+DOUBTFUL_CURRENT_US = 500_000  # how long a doubtful report counts as current
 
 # Polls of the endpoint list.
-FIRST_POLL_PAUSE_US = 1_000_000  # bound of the pause after the first failure; it doubles
+FIRST_POLL_PAUSE_US = 1_000_000  # upper bound of the pause after the first failure; each failure doubles it
 POLL_TIMEOUT_US = 10_000_000
 
 
 @dataclass(eq=False)
 class Probing:
-    """Decides when upstreams are probed; owns the times and requests of probes in their records.
+    """Decides when upstreams are probed, and owns the fields on probes in upstream records.
 
     Attributes:
         settings: The deployment settings.
@@ -43,7 +43,7 @@
         """Request probes of those upstreams whose load is not known well enough to place a new session.
 
         Returns:
-            Whether any probe was requested, which the session has to wait for.
+            Whether any probe was requested, so that the session has to wait for it.
         """
         if not self.settings.probes_report_load or session.mid_flow or session.attempt_count:
             return False
@@ -54,7 +54,7 @@
         return bool(unknown)
 
     def due(self, now: int) -> list[int]:
-        """Return the upstreams to be probed now."""
+        """Return the numbers of the upstreams to be probed now, and record these probes as sent."""
         if not self.settings.probes:
             return []
         due = []
@@ -69,7 +69,7 @@
         return due
 
     def _interval_us(self, upstream: Upstream) -> int | None:
-        """Return the time between two probes of an upstream; None if it is not probed."""
+        """Return the time between two probes of an upstream in microseconds; None if it is not probed."""
         if upstream.probe_requested:
             return _current_us(upstream)
         if upstream.backoff.delay_us:
@@ -85,16 +85,16 @@
 
 
 def _current_us(upstream: Upstream) -> int:
-    """Return for how long the last report of an upstream shows its present load."""
+    """Return how long a load report of an upstream counts as current, in microseconds."""
     return DOUBTFUL_CURRENT_US if _is_doubtful(upstream) else REPORT_CURRENT_US
 
 
 def _is_doubtful(upstream: Upstream) -> bool:
-    """Return whether own sessions since the last probe may have filled an upstream that had room then."""
+    """Return whether own sessions may have filled an upstream that had capacity at its last probe."""
     sessions = len(upstream.sessions)
     sessions_then = upstream.sessions_at_probe
     if sessions_then < DOUBTFUL_GROWTH:
-        # It was nearly empty: its utilization does not tell what a session takes there.
+        # With so few sessions, the reported utilization does not show how much of it a session causes.
         return sessions >= 2 * DOUBTFUL_GROWTH
     has_grown = sessions >= sessions_then + DOUBTFUL_GROWTH
     return has_grown and upstream.utilization * sessions > NEARLY_FULL * sessions_then
@@ -104,8 +104,8 @@
     """Whether the endpoint list is polled now.
 
     Attributes:
-        poll_now: Whether to poll it now.
-        wait_us: How long until a poll falls due, as far as that is known.
+        poll_now: Whether to poll the list now.
+        wait_us: The time until the next poll is due, in microseconds; `NO_END` if that is unknown.
     """
 
     poll_now: bool
@@ -118,15 +118,15 @@
 
 @dataclass(eq=False)
 class DiscoveryPolling:
-    """Decides when the endpoint list is polled; owns the state of the subscription and of the poll.
+    """Decides when the endpoint list is polled, and owns the state of the poll and of the subscription.
 
     Attributes:
         settings: The deployment settings.
         random: The source of random draws.
         subscribed: Whether changes of the list are pushed to this node.
-        in_flight: Whether a poll has no answer yet.
-        poll_at: When the next poll is due, or the one in flight was sent, in microseconds.
-        longest_pause_us: The bound of the pause after the next failure.
+        in_flight: Whether a poll has been sent and is unanswered.
+        poll_at: When the next poll is due, or the poll in flight was sent, in microseconds.
+        longest_pause_us: The upper bound of the pause after the next failure, in microseconds.
     """
 
     settings: DeploymentSettings
@@ -137,20 +137,20 @@
     longest_pause_us: int = FIRST_POLL_PAUSE_US
 
     def answered(self) -> None:
-        """Record that a poll was answered, which also subscribes the node to changes."""
+        """Record that a poll was answered, which also subscribes this node to changes of the list."""
         self.subscribed = True
         self.in_flight = False
         self.longest_pause_us = FIRST_POLL_PAUSE_US
 
     def failed(self, now: int) -> None:
-        """Record that a poll failed or that the subscription was lost; the pauses between polls grow."""
+        """Record that a poll failed or the subscription was lost; polling resumes after a random pause."""
         self.subscribed = False
         self.in_flight = False
         self.poll_at = now + int(self.random.uniform(0, self.longest_pause_us))
         self.longest_pause_us = min(2 * self.settings.poll_within_us, 2 * self.longest_pause_us)
 
     def due(self, now: int) -> PollDecision:
-        """Return whether to poll now; a poll that is due counts as sent."""
+        """Return whether to poll the endpoint list now; a poll that is due is recorded as sent."""
         if self.in_flight and now >= self.poll_at + POLL_TIMEOUT_US:
             self.in_flight = False
         if self.subscribed or self.in_flight or not self.settings.polls_discovery:
--- a/larchlatch/policy/retries.py
+++ b/larchlatch/policy/retries.py
@@ -1,4 +1,4 @@
-"""Which further attempts are harmless, the final answer, and attempts that later ones have superseded."""
+"""Decides which further attempts are safe, which attempts are cancelled, and a session's final answer."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
     from larchlatch.policy.types import DeploymentSettings, Session, TrafficClass
     from larchlatch.policy.upstream import Fleet, Upstream
 
-RETRY_AFTER_US = 200_000  # least wait advised to a shed client: longer than a round of further attempts
-SUPERSEDED_CHECK_US = 250_000  # between two checks for superseded attempts: short against latency objectives
+RETRY_AFTER_US = 200_000  # shortest wait advised to a shed client; longer than a round of further attempts
+SUPERSEDED_CHECK_US = 250_000  # time between two checks; short compared with latency objectives
 
 
 @dataclass(eq=False)
 class Retries:
-    """Keeps the effect of a session from happening twice; owns the attempts in flight.
+    """Prevents a session from taking effect twice, and owns the list of attempts in flight.
 
     Attributes:
         settings: The deployment settings.
         fleet: All upstreams.
         random: The source of random draws.
         in_flight: The sessions with an attempt in flight by number, in the order of sending.
-        established_sent_at: When the latest attempt was sent that has established its session.
-        check_at: When to look for superseded attempts again, in microseconds.
+        established_sent_at: The latest time at which an attempt was sent that established its session, in
+            microseconds.
+        check_at: When the next check for superseded attempts is due, in microseconds.
     """
 
     settings: DeploymentSettings
@@ -42,7 +43,7 @@
         self.in_flight[session.number] = session
 
     def attempt_ended(self, session: Session) -> None:
-        """Record that a session has no attempt in flight any more."""
+        """Record that a session no longer has an attempt in flight."""
         self.in_flight.pop(session.number, None)
 
     def record_established(self, session: Session) -> None:
@@ -50,7 +51,7 @@
         self.established_sent_at = max(self.established_sent_at, session.sent_at)
 
     def may_retry(self, now: int, session: Session, upstream: Upstream) -> bool:
-        """Return whether an attempt at an upstream can't make the session's effect happen twice."""
+        """Return whether an attempt at an upstream is safe: it can't make the session take effect twice."""
         traffic_class = self.settings.class_of(session)
         if session.maybe_executed_at < 0 or traffic_class.idempotency is Idempotency.IDEMPOTENT:
             return True
@@ -65,7 +66,7 @@
         Args:
             now: The present time in microseconds.
             session: The session.
-            least_wait_us: The least wait advised to its client if it is shed, in microseconds.
+            least_wait_us: The shortest wait to advise the client if the session is shed, in microseconds.
         """
         if session.maybe_executed_at >= 0 and not self._is_harmless_anywhere(now, session):
             return Fail()
@@ -73,9 +74,9 @@
         return Shed(min(self.settings.max_retry_after_us, retry_after_us))
 
     def superseded(self, now: int) -> list[int]:
-        """Return the sessions whose attempts are cancelled now, to be sent to another upstream.
+        """Return the numbers of the sessions whose attempts are cancelled now, to be repeated elsewhere.
 
-        An upstream that has lost an attempt never answers it. Its client would wait until the deadline.
+        An upstream that has lost an attempt never answers it, so the client would wait until its deadline.
         """
         if now < self.check_at:
             return []
@@ -97,10 +98,15 @@
         return superseded
 
     def _is_superseded(self, session: Session, lead_us: int) -> bool:
-        """Return whether an attempt sent at least a latency objective later has established its session.
+        """Return whether an attempt is superseded and may be repeated.
 
-        What all attempts depend on would delay that one as well. By less than the objective, a queue may
-        answer in another order.
+        It is superseded if an attempt sent at least a latency objective later has already established its
+        session. A dependency that all attempts share would have delayed that one as well. With a smaller lead
+        in time, a queue may simply have answered in another order.
+
+        Args:
+            session: The session with the attempt in flight.
+            lead_us: How much later the latest successful attempt was sent, in microseconds.
         """
         traffic_class = self.settings.class_of(session)
         return (
@@ -110,7 +116,7 @@
         )
 
     def _is_harmless_anywhere(self, now: int, session: Session) -> bool:
-        """Return whether a second run cannot count twice, whatever upstream the client's next try reaches."""
+        """Return whether the client may safely retry, whichever upstream its next request reaches."""
         traffic_class = self.settings.class_of(session)
         if _is_deduplicated_everywhere(traffic_class):
             return now < session.repeat_until
@@ -122,7 +128,7 @@
 
 
 def _share_dedup_scope(scope: DedupScope, upstream: Upstream, other: Upstream) -> bool:
-    """Return whether an upstream discards the repeat of an attempt that another one may have run."""
+    """Return whether an upstream discards the repeat of an attempt that another upstream may have run."""
     match scope:
         case DedupScope.ALL:
             return True
--- a/larchlatch/policy/ring.py
+++ b/larchlatch/policy/ring.py
@@ -1,4 +1,4 @@
-"""The consistent hash ring (SCALE, section 4.3), and the affinity keys that place sessions on it."""
+"""Maintains the consistent hash ring (SCALE, section 4.3), on which sessions are placed by affinity key."""
 
 from __future__ import annotations
 
@@ -18,28 +18,28 @@
     from larchlatch.policy.types import DeploymentSettings, Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-CANDIDATE_COUNT = 2  # master and second
+CANDIDATE_COUNT = 2  # the master and the second
 
 # Ring points of an upstream.
-POINTS_PER_SIZE = 32  # arcs of upstreams of one size then differ by about an eighth
-MAX_POINTS = 512  # bounds the time of a rebuild to a few milliseconds
+POINTS_PER_SIZE = 32  # with these, the shares of equal upstreams differ by about an eighth
+MAX_POINTS = 512  # limits the time of a rebuild to a few milliseconds
 
-# Sessions by which the size of a group is judged.
-RECENT_SESSIONS = 64  # a group of a twentieth of all sessions shows among as many
-PRIOR_SESSIONS = 8.0  # usual sessions added to counts, as small counts vary by about that
+# Estimates of the size of a group.
+RECENT_SESSIONS = 64  # enough to detect a group that makes up a twentieth of all sessions
+PRIOR_SESSIONS = 8.0  # average sessions added to counts, as small counts vary by about that many
 
 
 @dataclass(eq=False)
 class UpstreamRing:
-    """Finds the upstreams near a session; owns the ring points and the affinity keys of recent sessions.
+    """Finds the upstreams of a session on the ring; owns the ring and the affinity keys of recent sessions.
 
     Attributes:
         settings: The deployment settings.
         fleet: All upstreams.
         random: The source of random draws, for sessions without an affinity key.
-        hash_ring: The ring points of upstreams by their numbers.
-        recent_keys: Affinity keys of the sessions established last. The open ones would not do: one node of
-            hundreds holds too few of them.
+        hash_ring: The ring points of upstreams, with their numbers as members.
+        recent_keys: The affinity keys of the most recently established sessions. Open sessions would not be
+            enough to estimate the size of a group, as one node of hundreds holds too few of them.
     """
 
     settings: DeploymentSettings
@@ -49,33 +49,33 @@
     recent_keys: deque[int] = field(default_factory=lambda: deque(maxlen=RECENT_SESSIONS))
 
     def successors(self, session: Session) -> Iterator[Upstream]:
-        """Return the distinct ready upstreams clockwise from a session's place on the ring.
+        """Return the distinct ready upstreams clockwise from a session's position on the ring.
 
-        A session without an affinity key is placed at random.
+        A session without an affinity key gets a random position.
         """
         position = self._position(session)
         upstreams = map(self.fleet.upstreams.__getitem__, self.hash_ring.successors(position))
         return (upstream for upstream in upstreams if upstream.state is EndpointState.READY)
 
     def affinity_key(self, session: Session) -> int:
-        """Return what a session shares its place on the ring by: its group, else its client's key, else 0."""
+        """Return the key that sets a session's ring position: its group, else its client's key, else 0."""
         if self.settings.uses_groups and session.group:
             return session.group
         return session.key or 0
 
     def share(self, session: Session) -> float:
-        """Return the share of the recent sessions that have this session's affinity key."""
+        """Return the share of recent sessions with this session's affinity key; 0 if it has no such key."""
         key = self.affinity_key(session)
         if not key:
             return 0.0
         return self.recent_keys.count(key) / (len(self.recent_keys) + PRIOR_SESSIONS)
 
     def record_established(self, session: Session) -> None:
-        """Count a session among the recent ones."""
+        """Record a session that has been established as a recent one."""
         self.recent_keys.append(self.affinity_key(session))
 
     def update(self, updated: Iterable[Upstream]) -> None:
-        """Give those of the updated upstreams that are new or resized their ring points."""
+        """Assign ring points to those of the updated upstreams that are new or have another size."""
         present = [upstream for upstream in updated if upstream.state is not EndpointState.GONE]
         changed = [upstream for upstream in present if upstream.ring_points != self._point_count(upstream)]
         if changed:
@@ -90,8 +90,8 @@
     def _rebuild(self, changed: list[Upstream]) -> None:
         """Replace the ring points of changed upstreams, and remove those of upstreams that are gone.
 
-        Upstreams that go keep their points until the next rebuild, and walks pass over them: a rebuild for
-        each list would cost more than all placements.
+        An upstream that is gone keeps its points until the next rebuild, and `successors` skips it. A rebuild
+        for each endpoint list would cost more time than all placements.
         """
         gone = [other for other in self.fleet.upstreams.values() if other.state is EndpointState.GONE]
         self.hash_ring.remove({upstream.number for upstream in gone + changed})
@@ -103,7 +103,10 @@
         self.hash_ring.sort()
 
     def _point_count(self, upstream: Upstream) -> int:
-        """Return how many ring points an upstream has, by its own size alone: a change remaps locally."""
+        """Return the number of ring points of an upstream.
+
+        It depends on the size of this upstream alone, so that a change of one upstream remaps few sessions.
+        """
         if not self.settings.weighted:
             return POINTS_PER_SIZE
         return min(MAX_POINTS, max(1, round(POINTS_PER_SIZE * upstream.size)))
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -1,4 +1,4 @@
-"""The candidates of a session on the ring, and the choice among them."""
+"""Finds the candidates of a session on the hash ring, and chooses an upstream for it."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
     from larchlatch.policy.types import Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-MASTER_TIE = 1.2  # the second is chosen if the master bears more than this times its load
+MASTER_TIE = 1.2  # the second is chosen if the master's load is more than this multiple of the second's
 
 # Utilizations, as load reports state them.
 LEAST_CROWDED_UTILIZATION = 0.5  # lowest threshold that a placement draws; CROWDED_UTILIZATION is the highest
-STRAY_UTILIZATION = 0.6  # in wide trouble, sessions stray only if the mean of healthy upstreams is lower
+STRAY_UTILIZATION = 0.6  # mean of healthy upstreams below which they have capacity for more sessions
 
 
 class Preference(IntEnum):
-    """The order in which upstreams are preferred where no candidate is free."""
+    """The order of preference among healthy upstreams if a placement finds all of them crowded."""
 
     CANDIDATE_NOT_FULL = 0
     NOT_FULL = 1
@@ -42,13 +42,13 @@
 
 @dataclass(eq=False)
 class UpstreamSelector:
-    """Chooses an upstream for a session; owns no state.
+    """Chooses an upstream for a session, and has no state of its own.
 
     Attributes:
         fleet: All upstreams.
-        ring: Finds the upstreams near a session.
+        ring: Finds the upstreams of a session on the ring.
         load: Estimates the load of upstreams.
-        slow_start: Says what upstreams in slow start may take.
+        slow_start: Limits the sessions that upstreams in slow start may take.
         random: The source of random draws.
     """
 
@@ -59,9 +59,10 @@
     random: Random
 
     def ring_walk(self, now: int, session: Session) -> Iterator[Upstream]:
-        """Return the ready upstreams clockwise from a session's place on the ring.
+        """Return the ready upstreams clockwise from a session's position on the ring.
 
-        For a session that another node has handed over they are those that it was placed among.
+        For the first attempt of a session that another node has handed over, upstreams in slow start are left
+        out unless they are the majority: the session was placed when they had not started yet.
         """
         successors = self.ring.successors(session)
         return self._prefer_warm(now, successors) if is_first_of_handed_over(session) else successors
@@ -69,10 +70,15 @@
     def candidates(
         self, now: int, session: Session, ring_walk: Iterator[Upstream] | None = None
     ) -> Candidates:
-        """Return the reachable candidates among these upstreams; by default on the whole ring walk.
+        """Return the reachable candidates of a session.
 
-        A large group spreads over more upstreams, so that none bears more of it than the mean upstream bears
-        in all.
+        A large group is spread over more upstreams, so that none has more of its sessions than the average
+        upstream has sessions in all.
+
+        Args:
+            now: The present time in microseconds.
+            session: The session.
+            ring_walk: The upstreams to choose from, in the order of the ring; by default all ready ones.
         """
         if ring_walk is None:
             ring_walk = self.ring.successors(session)
@@ -86,7 +92,10 @@
         return Candidates(near[:CANDIDATE_COUNT], near[CANDIDATE_COUNT:], ring_walk)
 
     def choose(self, now: int, session: Session, candidates: Candidates) -> Upstream | None:
-        """Return the less loaded of master and second, or another where both are unfit; None for not now."""
+        """Return the less loaded of master and second, or another upstream if neither can take the session.
+
+        The result is None if no upstream may take the session now.
+        """
         usable = [other for other in candidates.pair if self.slow_start.may_take(now, other, session)]
         if is_first_of_handed_over(session):
             return usable[0] if usable else None
@@ -109,10 +118,15 @@
         return self._most_preferred(now, healthy, candidates.pair, fleet_load)
 
     def reachable(self, now: int, near: list[Upstream], beyond: Iterator[Upstream]) -> Iterable[Upstream]:
-        """Return the upstreams that a session may stray to.
+        """Return the upstreams to which a session may be sent instead of its candidates.
+
+        If many upstreams are unhealthy and the healthy ones lack capacity, these are only the near ones. At
+        any other upstream, the session would cause the work of its group once more.
 
-        Only the near ones where many upstreams are unhealthy and the others have no room: elsewhere a stray
-        session would add its group's own work to one more upstream.
+        Args:
+            now: The present time in microseconds.
+            near: Upstreams over which the session's group is spread.
+            beyond: The rest of the ring walk.
         """
         present = [upstream for upstream in self.fleet.ready if not is_unreachable(now, upstream)]
         healthy = [upstream for upstream in present if is_healthy(now, upstream)]
@@ -122,17 +136,18 @@
         return chain(near, beyond)
 
     def _prefer_warm(self, now: int, successors: Iterable[Upstream]) -> Iterator[Upstream]:
-        """Return the warm upstreams of a ring walk, or all of them if fewer than half are warm."""
+        """Return the warm upstreams of a ring walk, or all its upstreams if fewer than half are warm."""
         upstreams = list(successors)
         warm_upstreams = [upstream for upstream in upstreams if self.slow_start.is_warm(now, upstream)]
         most_are_warm = 2 * len(warm_upstreams) >= len(upstreams)
         return iter(warm_upstreams if most_are_warm else upstreams)
 
     def _crowded_threshold(self, now: int, fleet_load: FleetLoad) -> float:
-        """Return the utilization above which an upstream is crowded for this placement.
+        """Return the utilization above which an upstream counts as crowded for one placement.
 
-        Many nodes read the same report within a short time. So that they don't all act on it alike, each
-        placement draws its threshold, unless the other upstreams lack room or one is in slow start.
+        Many nodes read the same load report within a short time. Each placement draws a random threshold so
+        that they don't all react in the same way, unless the fleet lacks capacity or an upstream is in slow
+        start.
         """
         has_capacity = fleet_load.reports_below(NEARLY_FULL)
         if has_capacity and all(self.slow_start.is_warm(now, upstream) for upstream in self.fleet.ready):
@@ -149,7 +164,7 @@
         return second if master_load > MASTER_TIE * second_load else master
 
     def _strays(self, now: int, session: Session, candidates: Candidates) -> Iterator[Upstream]:
-        """Yield the healthy upstreams other than its candidates that a session may go to."""
+        """Yield the healthy upstreams, other than its candidates, that may take a session."""
         for upstream in self.reachable(now, candidates.spread, candidates.beyond):
             is_available = is_healthy(now, upstream) and not is_unreachable(now, upstream)
             if is_available and self.slow_start.may_take(now, upstream, session, candidate=False):
@@ -158,7 +173,7 @@
     def _most_preferred(
         self, now: int, upstreams: list[Upstream], pair: list[Upstream], fleet_load: FleetLoad
     ) -> Upstream | None:
-        """Return a candidate with room, else another upstream with room, else the least loaded."""
+        """Return the least loaded of the most preferred upstreams; None if there are no upstreams."""
 
         def preference(upstream: Upstream) -> tuple[Preference, float]:
             load = self.load.estimate(now, upstream, fleet_load)
@@ -176,6 +191,6 @@
 
 
 def _have_capacity(now: int, healthy: list[Upstream]) -> bool:
-    """Return whether these upstreams report that they have room; False without reports."""
+    """Return whether these upstreams report free capacity on average; False without reports."""
     reports = [upstream.utilization for upstream in with_recent_reports(now, healthy)]
     return sum(reports) < STRAY_UTILIZATION * len(reports)
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -1,8 +1,8 @@
-"""Slow start: what upstreams that have just started may take.
+"""Limits the sessions that are sent to upstreams in slow start, which have just started.
 
-All nodes together send such an upstream no more in an overload window than it bears as it warms up. Without
-a token issuer the nodes take turns: each overload window of an upstream is the turn of one node, which may
-spend the whole budget of that window there.
+All nodes together send such an upstream no more sessions in an overload window than it can handle while it
+warms up. Without a token issuer the nodes take turns: each overload window of an upstream is the turn of one
+node, which may spend the whole budget of that window there.
 """
 
 from __future__ import annotations
@@ -21,24 +21,25 @@
     from larchlatch.policy.types import DeploymentSettings, Session, Token
     from larchlatch.policy.upstream import Fleet, Upstream
 
-# Shares of the stated overload multiple that a turn's budget uses.
-SAFE_SHARE = 0.75  # where probes tell what a warm upstream bears
-GUESSED_SHARE = 0.5  # where that is guessed from the node's own sessions
+# Shares of the configured overload multiple that the budget of a turn uses.
+SAFE_SHARE = 0.75  # if probes report the capacity of warm upstreams
+GUESSED_SHARE = 0.5  # if that capacity is estimated from this node's own sessions
 
-REPORTABLE_UTILIZATION = 0.1  # below this, a few sessions more or less would change the capacity derived
+REPORTABLE_UTILIZATION = 0.1  # below this, a few sessions more or less would change the derived capacity
 
 
 @dataclass(eq=False)
 class SlowStart:
-    """Decides what upstreams in slow start may take; owns recent arrivals and who has the node's budget.
+    """Limits the sessions that upstreams in slow start may take; owns recent arrivals and the budget's state.
 
     Attributes:
         settings: The deployment settings.
         fleet: All upstreams.
-        ring: Tells how large a session's group is.
-        arrivals: The sessions that came to this node within the last overload window.
-        issuer_until: Until when a token issuer speaks for all nodes, in place of turns, in microseconds.
-        released: Whether another process of this node has its budget; what that spends is not seen here.
+        ring: Estimates the size of a session's group.
+        arrivals: The sessions that arrived at this node within the last overload window.
+        issuer_until: Until when a token issuer allots the budgets of all nodes, instead of turns, in
+            microseconds.
+        released: Whether another process of this node has its budget, so that this process may not spend any.
     """
 
     settings: DeploymentSettings
@@ -49,7 +50,7 @@
     released: bool = False
 
     def warm_share(self, now: int, upstream: Upstream) -> float:
-        """Return the share of its work that an upstream can do at least, by the time since it started."""
+        """Return the least share of its full capacity that an upstream has, by the time since it started."""
         settings = self.settings
         if not upstream.started_at or now >= upstream.started_at + settings.slow_start_us:
             return 1.0
@@ -61,7 +62,7 @@
         return self.warm_share(now, upstream) >= 1.0
 
     def has_token_issuer(self, now: int) -> bool:
-        """Return whether a token issuer speaks for all nodes now."""
+        """Return whether a token issuer currently allots the slow-start budgets of all nodes."""
         return now < self.issuer_until
 
     def may_take(self, now: int, upstream: Upstream, session: Session, *, candidate: bool = True) -> bool:
@@ -69,10 +70,10 @@
 
         Args:
             now: The present time in microseconds.
-            upstream: A warm upstream, which always may, or one in slow start.
+            upstream: The upstream; a warm one may take every session.
             session: The session to be placed.
-            candidate: Whether the upstream is one of the session's candidates. Any session may stray to
-                another one, so there all of them count as demand.
+            candidate: Whether the upstream is one of the session's candidates. Otherwise the sessions of all
+                groups count as demand, as any session may be sent to an upstream outside its candidates.
         """
         if self.is_warm(now, upstream):
             return True
@@ -91,19 +92,20 @@
         return self._may_take_by_chance(upstream, session, turn=turn, budget=budget, candidate=candidate)
 
     def turn_budget(self, now: int, upstream: Upstream, capacity: float) -> float:
-        """Return how many usual sessions an upstream in slow start bears in one overload window.
+        """Return how many average sessions an upstream in slow start may be sent in one overload window.
 
         Args:
             now: The present time in microseconds.
             upstream: The upstream.
-            capacity: The sessions that fill it once it is warm, by reports; 0 if unknown.
+            capacity: The number of sessions that fill it once it is warm, by load reports; 0 if unknown.
         """
         settings = self.settings
         safe_share = SAFE_SHARE
         if not capacity:
             safe_share = GUESSED_SHARE
             capacity = self._guessed_capacity(now, upstream)
-        # The stated slow start is the slowest one: where a probe has shown more, that holds.
+        # The configured slow start is the slowest possible one. A higher capacity shown by a probe takes
+        # precedence.
         stated = self.warm_share(now, upstream) * capacity
         probed = min(upstream.capacity, capacity)
         bearable_sessions = max(stated, probed)
@@ -111,7 +113,7 @@
         return multiple * bearable_sessions * settings.overload_window_us / settings.slow_start_us
 
     def reported_capacity(self, upstream: Upstream) -> float:
-        """Return the sessions that fill an upstream once it is warm, by probes of warm ones; 0 if unknown."""
+        """Return how many sessions fill an upstream once it is warm, by probes of warm ones; 0 if unknown."""
         known = [other for other in self.fleet.upstreams.values() if other.warm_capacity]
         if not known:
             return 0.0
@@ -119,7 +121,7 @@
         return total_per_size / len(known) * upstream.size
 
     def record_arrival(self, now: int, session: Session) -> None:
-        """Count a session among the recent arrivals, once however often it is placed."""
+        """Count a session among the recent arrivals, only once even if it is placed repeatedly."""
         self.arrivals.record(now, session, self.settings.overload_window_us)
 
     def record_capacity(self, now: int, upstream: Upstream, sessions: float) -> None:
@@ -130,13 +132,13 @@
         upstream.warm_capacity = upstream.capacity if self.is_warm(now, upstream) else 0.0
 
     def record_token(self, now: int, issuer_until: int, token: Token | None) -> None:
-        """Record until when a token issuer speaks for all nodes, and the token that it issues, if any."""
+        """Record until when a token issuer allots slow-start budgets, and a token if it issued one."""
         self.issuer_until = issuer_until
         if token is not None and token.upstream in self.fleet.upstreams:
             self.fleet.upstreams[token.upstream].add_token(now, token)
 
     def token_candidate(self, now: int, session: Session, upstream: Upstream) -> TokenCandidate:
-        """Return what the token issuer has to know of an upstream in slow start."""
+        """Return the candidate to name in a token request, for a session and an upstream in slow start."""
         budget = self.turn_budget(now, upstream, self.reported_capacity(upstream))
         return TokenCandidate(upstream.number, budget, self.fleet.weight(session))
 
@@ -148,7 +150,7 @@
         upstream.tokens.pop(session.number, None)
 
     def _turn(self, now: int, upstream: Upstream) -> int:
-        """Return the number of the present overload window of an upstream, from 0 at its start."""
+        """Return the number of the present overload window of an upstream, counted from 0 at its start."""
         return (now - upstream.started_at) // self.settings.overload_window_us
 
     def _is_own(self, turn: int) -> bool:
@@ -166,21 +168,26 @@
     def _may_take_by_chance(
         self, upstream: Upstream, session: Session, *, turn: int, budget: float, candidate: bool
     ) -> bool:
-        """Return whether a session is admitted outside of this node's turn, or beyond its share of it.
+        """Return whether a random draw admits a session without a turn of this node.
 
-        Turns pass unused where each node sees few sessions. So a share of them is admitted that stays within
-        the budget if all nodes have as many arrivals as this one. The draw is a hash: however often and
-        wherever a session is placed again within the turn, it comes out the same.
+        If each node sees few sessions, many turns pass unused. So a share of all sessions is admitted in
+        addition, which stays within the budget if all nodes have as many arrivals as this one. The draw is a
+        hash, so that it gives the same result however often and on whichever node a session is placed again
+        within the turn.
         """
         demand = self._expected_demand(session, candidate=candidate)
-        # The number admitted varies by about the root of its mean: the budget leaves room for that.
+        # The number of admitted sessions varies by about the square root of its mean. The mean is chosen so
+        # that the budget covers this variation.
         admitted = (budget**0.5 - 1) ** 2
         seed = ((session.key or session.number) + turn) % HASH_RANGE
         draw = xxh3_64_intdigest(upstream.name.encode(), seed)
         return bool(draw * demand < admitted * HASH_RANGE)
 
     def _expected_demand(self, session: Session, *, candidate: bool) -> float:
-        """Return the usual sessions that may want the upstream in this window, if all nodes see as many."""
+        """Return the expected demand for the upstream in this overload window, in average sessions.
+
+        All nodes are assumed to have as many arrivals as this one.
+        """
         share = 1.0
         if candidate:
             share = CANDIDATE_COUNT / max(1, len(self.fleet.ready)) + self.ring.share(session)
@@ -193,13 +200,13 @@
 
 
 def _spent_in(turn: int, upstream: Upstream) -> float:
-    """Return what this node has spent of its budget at an upstream in this turn, in usual sessions."""
+    """Return how much budget this node has spent at an upstream in this turn, in average sessions."""
     return upstream.spent_in_turn if upstream.turn == turn else 0.0
 
 
 def _own_turn_limit(budget: float, capacity: float) -> float:
-    """Return what a node spends in its own turn without a draw, in usual sessions.
+    """Return how much budget a node may spend in its own turn without a random draw, in average sessions.
 
-    Where the capacity is known, further sessions are admitted by chance: those of other nodes are too.
+    If the capacity is known, that is one session, as random draws admit sessions of all nodes in this turn.
     """
     return 1.0 if capacity else max(1.0, budget)
--- a/larchlatch/policy/state_export.py
+++ b/larchlatch/policy/state_export.py
@@ -1,7 +1,7 @@
-"""Export and restore of what the balancer has learned, for a hot restart.
+"""Exports and restores the learned state of a balancer for a hot restart.
 
-The next process of a node reads what this one wrote, and may be of another version. So the keys stand here as
-strings, apart from the names of attributes, and must not change.
+The next process of a node reads the state that this process wrote, and may run another version. So the keys
+are literal strings, independent of the names of attributes, and must not change.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSnapshot:
-    """What a balancer has learned of one upstream, and spent there in slow start.
+    """The learned state of one upstream, including the slow-start budget spent there.
 
     The attributes are those of `Upstream` and of its backoff; times are microseconds of one process's clock.
     """
@@ -110,7 +110,11 @@
 
     @classmethod
     def from_json(cls, raw: JsonObject, clock_shift_us: int) -> UpstreamSnapshot:
-        """Return the snapshot in JSON values, with its times on this process's clock.
+        """Return the snapshot that these JSON values describe.
+
+        Args:
+            raw: The JSON values, as `to_json` returns them.
+            clock_shift_us: The difference to add to their times, in microseconds.
 
         Raises:
             KeyError, TypeError, ValueError, OverflowError: A value is missing or unreadable.
@@ -136,7 +140,7 @@
 
 
 def export_state(balancer: Balancer) -> JsonObject:
-    """Return what was observed of upstreams and demand, and spent in slow start, as JSON values."""
+    """Return the learned state of all upstreams, recent arrivals and the mean session load as JSON values."""
     rows = {
         upstream.name: {**UpstreamSnapshot.of(upstream).to_json(), STARTED_AT: upstream.started_at}
         for upstream in balancer.fleet.upstreams.values()
@@ -149,16 +153,16 @@
 
 
 def restore_state(balancer: Balancer, state: JsonObject, clock_shift_us: int) -> None:
-    """Continue from exported state, except for upstreams that have started anew since.
+    """Restore exported state, except for upstreams that have restarted since the export.
 
     Args:
-        balancer: The balancer that continues.
-        state: What `export_state` returned, decoded from JSON.
-        clock_shift_us: This process's clock less the exporter's, in microseconds.
+        balancer: The balancer to restore the state to.
+        state: The result of `export_state`, decoded from JSON.
+        clock_shift_us: This process's clock minus the exporting process's clock, in microseconds.
 
     Raises:
-        AttributeError, KeyError, TypeError, ValueError, OverflowError: The state is unreadable; nothing has
-            changed then.
+        AttributeError, KeyError, TypeError, ValueError, OverflowError: The state is unreadable; the balancer
+            is unchanged then.
     """
     snapshots = [
         (upstream, UpstreamSnapshot.from_json(row, clock_shift_us))
@@ -167,7 +171,8 @@
     ]
     arrivals = deque(int(at) + clock_shift_us for at in state[ARRIVALS])
     mean_session_load = float(state[MEAN_SESSION_LOAD])
-    # All of it is read by now: an unreadable state is not restored in part.
+    # The whole state has been read before anything is written, so that unreadable state is not restored in
+    # part.
     for upstream, snapshot in snapshots:
         snapshot.restore_to(upstream)
     balancer.slow_start.arrivals.times = arrivals
--- a/larchlatch/policy/status.py
+++ b/larchlatch/policy/status.py
@@ -1,4 +1,4 @@
-"""What the balancer knows of its upstreams, for operators. No decision depends on it."""
+"""Reports the status of upstreams to operators. No decision of the balancer depends on it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def upstream_statuses(balancer: Balancer, now: int) -> list[UpstreamStatus]:
-    """Return the status of each upstream, those that are gone included."""
+    """Return the status of every upstream, including those that are gone."""
     fleet_load = balancer.load.fleet_load(now)
     rows = []
     for upstream in balancer.fleet.upstreams.values():
@@ -35,9 +35,9 @@
 
 
 def exclusion(balancer: Balancer, now: int, upstream: Upstream, fleet_load: FleetLoad) -> Exclusion | None:
-    """Return why no new session goes to an upstream before others do; None where it has its share.
+    """Return why new sessions go to other upstreams first; None if nothing excludes this upstream.
 
-    The reasons stand in the order in which a placement asks for them.
+    If several reasons apply, the one that a placement checks first is returned.
     """
     is_crowded = balancer.load.is_crowded(now, upstream, fleet_load, max_utilization=CROWDED_UTILIZATION)
     reasons = (
--- a/larchlatch/policy/structures.py
+++ b/larchlatch/policy/structures.py
@@ -1,4 +1,4 @@
-"""Data structures of the deciding parts: a hash ring of numbers, and a count over a sliding window."""
+"""Data structures for the deciding modules: a consistent hash ring, and a count over a sliding window."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
     from larchlatch.policy.types import Session
 
-HASH_RANGE = 2**64  # number of values that a hash of 64 bits can have
+HASH_RANGE = 2**64  # number of different 64-bit hashes
 NUMBER_MASK = 0xFFFFFF  # the low bits of a point hold its member's number
-MIN_NAME_BYTES = 4  # the hashes of shorter names, seeded by index, would coincide
+MIN_NAME_BYTES = 4  # hashes of shorter names, seeded by index, would collide
 
 
 class HashRing:
-    """Sorted 64-bit points; each member has as many as it was given.
+    """A ring of sorted 64-bit points, of which each member has a given number.
 
     Attributes:
         points: The points in ascending order, each with its member's number in the low bits.
@@ -29,7 +29,7 @@
         self.points: list[int] = []
 
     def successors(self, start: int) -> Iterator[int]:
-        """Yield the distinct members clockwise from a point, as far as they are asked for."""
+        """Yield the distinct members clockwise from a point, lazily."""
         points, seen = self.points, set()
         end = bisect_right(points, start)
         for index in range(end - len(points), end):
@@ -43,7 +43,7 @@
         self.points = [point for point in self.points if point & NUMBER_MASK not in numbers]
 
     def add(self, number: int, name: str, point_count: int) -> None:
-        """Add a member with this number of points, hashed from its name; `sort` has to follow."""
+        """Add a member with points hashed from its name; `sort` must be called after the last addition."""
         padded = name.encode().rjust(MIN_NAME_BYTES, b"#")
         hashes = (xxh3_64_intdigest(padded, index) for index in range(point_count))
         self.points += [point & ~NUMBER_MASK | number for point in hashes]
@@ -54,17 +54,17 @@
 
 
 class Arrivals:
-    """Counts the sessions that came within a sliding window, each once however often it is recorded.
+    """Counts the sessions that arrived within a sliding window, each only once.
 
     Attributes:
-        times: When the counted sessions came, in microseconds, oldest first.
+        times: When the counted sessions arrived, in microseconds, oldest first.
     """
 
     def __init__(self) -> None:
         self.times: deque[int] = deque()
 
     def record(self, now: int, session: Session, window_us: int) -> None:
-        """Count a session unless it was counted within the window; forget those before the window."""
+        """Count a session unless it was counted within the window, and drop arrivals before the window."""
         while self.times and now >= self.times[0] + window_us:
             self.times.popleft()
         if now >= session.counted_at + window_us:
--- a/larchlatch/policy/types.py
+++ b/larchlatch/policy/types.py
@@ -1,4 +1,4 @@
-"""The types of the balancer's arguments and answers. They decide nothing."""
+"""The types of the balancer's arguments and results. They hold no decision logic."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from enum import Enum, IntEnum
 from typing import NamedTuple
 
-NO_END = 2**62  # microseconds: later than all times
+NO_END = 2**62  # microseconds; later than every time that occurs
 
 
 class Idempotency(Enum):
-    """What a second run of a session's request would do; the values stand in stored files."""
+    """Whether a session's request may run twice; the values are written to files."""
 
     IDEMPOTENT = "rerunnable"
     KEYED = "ticketed"
@@ -18,7 +18,7 @@
 
 
 class DedupScope(Enum):
-    """Which upstreams discard the repeats of a keyed session; the values stand in files."""
+    """Which upstreams discard the repeats of a keyed session; the values are written to files."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,7 +26,7 @@
 
 
 class EndpointState(Enum):
-    """The state of an upstream by the endpoint list; the values stand in rows for operators."""
+    """The state of an upstream in the endpoint list; the values appear in status rows for operators."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -34,21 +34,21 @@
 
 
 class Outcome(IntEnum):
-    """What became of an attempt, or of the session that it established; the numbers stand in packets."""
+    """How an attempt, or the session that it established, ended; the numbers are sent in packets."""
 
-    ESTABLISHED = 0  # the session is up; how it ends is a further outcome
-    COMPLETED = 1  # answered and ended in order
-    REJECTED = 2  # before anything ran
+    ESTABLISHED = 0  # the session is established; a later outcome tells how it ended
+    COMPLETED = 1  # answered and ended normally
+    REJECTED = 2  # the upstream rejected the attempt before it ran
     CONNECT_FAILED = 3  # no connection in time
-    NOT_SENT = 4  # nothing left the node
+    NOT_SENT = 4  # the node sent nothing to the upstream
     ERROR = 5
     TIMED_OUT = 6  # no answer in time
     RESET = 7
     CANCELLED = 8
 
 
-# Whether an outcome shows that its upstream can be reached; None where it makes that doubtful. Outcomes that
-# are not listed show nothing.
+# Whether an outcome shows that its upstream is reachable; None if it makes that doubtful. Outcomes that are
+# not listed tell nothing about reachability.
 REACHED = {
     Outcome.ESTABLISHED: True,
     Outcome.COMPLETED: True,
@@ -56,20 +56,21 @@
     Outcome.CONNECT_FAILED: False,
     Outcome.RESET: None,
 }
-# Outcomes of attempts that have not run.
+# Outcomes of attempts that certainly did not run.
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 @dataclass(frozen=True, slots=True)
 class TrafficClass:
-    """Settings shared by the sessions of a kind.
+    """Settings that all sessions of one traffic class share.
 
     Attributes:
-        latency_objective_us: The time within which a session should be established.
-        message_objective_us: The same for a message on an established session; 0 if unknown.
-        idempotency: What a second run would do.
+        latency_objective_us: The time within which a session should be established, in microseconds.
+        message_objective_us: The time within which a message on an established session should be answered, in
+            microseconds; 0 if unknown.
+        idempotency: Whether a request may run twice.
         dedup_scope: Which upstreams discard the repeats of a keyed session.
-        dedup_window_us: For how long these recognize a repeat.
+        dedup_window_us: How long these upstreams recognize a repeat, in microseconds.
     """
 
     latency_objective_us: int
@@ -79,10 +80,10 @@
     dedup_window_us: int
 
     def repeat_until(self, maybe_executed_at: int) -> int:
-        """Return until when further attempts may be sent after one that may have run.
+        """Return until when a repeat of an attempt that may have run is safe, in microseconds.
 
         Args:
-            maybe_executed_at: When that one was sent, in microseconds.
+            maybe_executed_at: When the attempt that may have run was sent, in microseconds.
         """
         if self.idempotency is Idempotency.IDEMPOTENT:
             return NO_END
@@ -91,26 +92,28 @@
 
 @dataclass(frozen=True, slots=True)
 class DeploymentSettings:
-    """What the operators agreed for a deployment, as far as decisions depend on it.
+    """The settings of a deployment on which the balancer's decisions depend.
 
     Attributes:
         me: This node's number, from 0.
-        nodes: How many nodes there are.
+        nodes: The number of nodes.
         traffic_classes: The traffic classes, by number.
         uses_groups: Whether sessions of one group share work on an upstream.
-        weighted: Whether listed sizes are stable, so that the ring may depend on them.
-        polls_discovery: Whether the endpoint list has to be polled before changes are pushed.
+        weighted: Whether the sizes in the endpoint list are stable, so that ring points may depend on them.
+        polls_discovery: Whether a node must poll the endpoint list before changes of it are pushed.
         probes: Whether upstreams can be probed.
         can_cancel: Whether an attempt may be cancelled.
         probes_report_load: Whether probes report load.
         reports_delay: Whether the overload of an upstream shows in its message latency.
-        max_attempts: The most attempts for a session.
-        max_retry_after_us: The longest wait that shed clients follow; 0 if they take no advice.
-        poll_within_us: The time within which the endpoint list should be polled again.
-        slow_start_min_share: The share of its work that an upstream can do when it has just started.
-        slow_start_us: How long an upstream takes until it can do all of its work.
-        overload_multiple: How many times the sessions that it can serve overload an upstream in slow start.
-        overload_window_us: The time within which so many sessions overload it.
+        max_attempts: The largest number of attempts per session.
+        max_retry_after_us: The longest advised wait that shed clients follow, in microseconds; 0 if they
+            follow no advice.
+        poll_within_us: The time within which the endpoint list should be polled again, in microseconds.
+        slow_start_min_share: The share of its full capacity that an upstream has when it has just started.
+        slow_start_us: The longest time that an upstream takes to reach its full capacity, in microseconds.
+        overload_multiple: The multiple of its present capacity that overloads an upstream in slow start, if
+            as many sessions arrive within `overload_window_us`.
+        overload_window_us: The time within which that many sessions overload it, in microseconds.
     """
 
     me: int
@@ -133,7 +136,7 @@
 
     @property
     def message_objective_us(self) -> int:
-        """The strictest of the traffic classes' message objectives; 0 if none is known."""
+        """The strictest message objective of all traffic classes, in microseconds; 0 if none is known."""
         objectives = [traffic_class.message_objective_us for traffic_class in self.traffic_classes]
         return min(filter(None, objectives), default=0)
 
@@ -144,27 +147,28 @@
 
 @dataclass(slots=True)
 class Session:
-    """A session: what its client requested, and the state of its attempts.
+    """A session: the request of its client, and the state of its attempts.
 
     Attributes:
         number: Its number at this node.
         traffic_class: The number of its traffic class.
         key: The client's key, if any.
-        group: The group that it shares work with, if any.
+        group: The group whose sessions share work on an upstream, if any.
         deadline: When its client must have its final answer, in microseconds.
         mid_flow: Whether another node has handed it over after it was established.
-        load: The work that it makes, in microseconds a second; 0 if unknown.
+        load: The work that it causes, in microseconds per second; 0 if unknown.
         attempt_count: How many attempts have been sent.
-        upstream: The number of the upstream of its last attempt, or where it is established; -1 before.
-        attempt_in_flight: Whether an attempt is without an outcome.
+        upstream: The number of the upstream of its last attempt, or where it is established; -1 before that.
+        attempt_in_flight: Whether an attempt has been sent and has no outcome yet.
         established: Whether it is established at its upstream.
         token_requested: Whether a slow-start token was requested for it since its last attempt.
         counted_at: When it was last counted among arrivals, in microseconds.
-        sent_at: When its last attempt was sent.
-        established_at: When it was established.
-        maybe_executed_at: When the first attempt that may have run was sent; -1 if none may have.
-        maybe_executed_upstream: The number of the upstream that it was sent to; -1 if none may have.
-        repeat_until: Until when upstreams recognize a further attempt as a repeat.
+        sent_at: When its last attempt was sent, in microseconds.
+        established_at: When it was established, in microseconds.
+        maybe_executed_at: When the first attempt that may have run was sent, in microseconds; -1 if there is
+            no such attempt.
+        maybe_executed_upstream: The number of the upstream of that attempt; -1 if there is no such attempt.
+        repeat_until: Until when upstreams recognize a further attempt as a repeat, in microseconds.
     """
 
     number: int
@@ -195,18 +199,18 @@
         self.token_requested = False
 
     def attempt_established(self, now: int) -> None:
-        """Record that the attempt has established the session."""
+        """Record that the attempt in flight has established the session."""
         self.attempt_in_flight = False
         self.established = True
         self.established_at = now
 
     def attempt_ended(self) -> None:
-        """Record that the attempt, or the established session, has ended."""
+        """Record that the attempt in flight, or the established session, has ended."""
         self.attempt_in_flight = False
         self.established = False
 
     def attempt_may_have_run(self, traffic_class: TrafficClass) -> None:
-        """Record that the last attempt may have run; the first such attempt counts."""
+        """Record that the last attempt may have run; only the first such attempt is kept."""
         if self.maybe_executed_at >= 0:
             return
         self.maybe_executed_at = self.sent_at
@@ -223,8 +227,8 @@
         zone: The number of its zone; -1 if unknown.
         cell: The number of its cell; -1 if unknown.
         state: Its state.
-        size: Its capacity in units of the usual upstream's.
-        started_at: When it started, in microseconds; 0 if it is long past slow start.
+        size: Its capacity, in units of a standard upstream's capacity.
+        started_at: When it started, in microseconds; 0 if its slow start is long over.
     """
 
     upstream: int
@@ -237,7 +241,7 @@
 
     @classmethod
     def unlisted(cls, upstream: int) -> Endpoint:
-        """Return the endpoint of an upstream that no list has named."""
+        """Return a placeholder for an upstream that has not appeared in any endpoint list."""
         return cls(upstream, "", -1, -1, EndpointState.GONE, 1.0, 0)
 
 
@@ -245,9 +249,9 @@
     """The result of a probe of an upstream.
 
     Attributes:
-        answered: Whether it was answered in time.
-        utilization: The load over capacity that it reported, if any.
-        sessions: The number of sessions that it reported, if any.
+        answered: Whether the upstream answered in time.
+        utilization: The ratio of load to capacity that the upstream reported, if any.
+        sessions: The number of sessions that the upstream reported, if any.
     """
 
     answered: bool
@@ -256,12 +260,12 @@
 
 
 class TokenCandidate(NamedTuple):
-    """An upstream in slow start that a session may go to with a token.
+    """An upstream in slow start that may take a session if a token is issued for it.
 
     Attributes:
         upstream: The upstream's number.
-        budget: How many usual sessions all nodes together may send there in an overload window.
-        weight: How many usual sessions this one counts for.
+        budget: How many average sessions all nodes together may send there in an overload window.
+        weight: How many average sessions this session counts as.
     """
 
     upstream: int
@@ -288,11 +292,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Send an attempt.
+    """The decision to send an attempt to an upstream.
 
     Attributes:
-        upstream: The number of the upstream to send it to.
-        give_up_at: When it times out, in microseconds.
+        upstream: The number of the upstream.
+        give_up_at: When the attempt times out, in microseconds.
     """
 
     upstream: int
@@ -301,10 +305,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Hold:
-    """Place the session again later.
+    """The decision to hold a session and place it again later.
 
     Attributes:
-        until: When to place it again at the latest, in microseconds.
+        until: When to place the session again at the latest, in microseconds.
         token_candidates: The upstreams for which a token is to be requested, in order of preference.
     """
 
@@ -314,10 +318,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """Give the final answer that nothing has taken effect, so that trying again is harmless.
+    """The final answer that nothing has taken effect, so that the client may safely retry.
 
     Attributes:
-        retry_after_us: How long the client is advised to wait, in microseconds; 0 for no advice.
+        retry_after_us: The advised wait before the client retries, in microseconds; 0 for no advice.
     """
 
     retry_after_us: int
@@ -325,19 +329,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Give the final answer without a promise: an attempt may have run."""
+    """The final answer that the session failed, after an attempt that may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class Nothing:
-    """Do nothing."""
+    """The decision that nothing is left to do for a session."""
 
 
 Answer = Forward | Hold | Shed | Fail | Nothing
 
 
 class Exclusion(Enum):
-    """Why an upstream gets no new session before others do."""
+    """Why new sessions go to other upstreams before this one."""
 
     NOT_READY = "not_ready"
     UNREACHABLE = "unreachable"
@@ -349,16 +353,16 @@
 
 
 class UpstreamStatus(NamedTuple):
-    """What the balancer knows of an upstream, for operators to compare with the open sockets.
+    """The balancer's view of an upstream, which operators can compare with the open sockets.
 
     Attributes:
         upstream: The upstream's number.
-        state: Its state by the endpoint list.
-        attempts: Own attempts in flight there.
-        established: Own sessions established there.
-        utilization: Load over capacity by its last report, if it has made one.
+        state: Its state in the endpoint list.
+        attempts: The number of this node's attempts in flight there.
+        established: The number of this node's sessions established there.
+        utilization: The ratio of load to capacity in its last load report, if there is one.
         utilization_age_us: The age of that report in microseconds.
-        exclusion: Why no new session goes there before others do; None if it has its share.
+        exclusion: Why new sessions go to other upstreams first; None if nothing excludes this upstream.
     """
 
     upstream: int
@@ -371,15 +375,15 @@
 
 
 class DueActions(NamedTuple):
-    """What falls due now, and how long until something else does.
+    """The actions that are due now, and the time until the next one is due.
 
     Attributes:
-        wait_us: How long until something else falls due, in microseconds.
+        wait_us: The time until the next action is due, in microseconds.
         probes: The numbers of the upstreams to be probed.
         poll_list: Whether to poll the endpoint list.
-        migrations: The numbers of the sessions to be migrated; they no longer count at their upstreams.
-        superseded: The numbers of the sessions whose attempts are to be cancelled; their outcomes are
-            reported like any other.
+        migrations: The numbers of the sessions to be migrated, which no longer count at their upstreams.
+        superseded: The numbers of the sessions whose attempts are to be cancelled. The caller reports the
+            outcomes of these attempts like any other.
         setup_us: How long it takes to establish a session, in microseconds; 0 if unknown.
     """
 
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -1,7 +1,7 @@
 """The record of an upstream, and the fleet of all upstreams.
 
-The deciding parts keep their figures of an upstream in its one record. Here are fields, counts and lists by
-state; thresholds and choices stand in the deciding parts.
+The deciding modules share one record per upstream. This module holds its fields, session counts, and the
+lists of upstreams by state. Thresholds and choices belong to the deciding modules.
 """
 
 from __future__ import annotations
@@ -17,43 +17,43 @@
 
     from larchlatch.policy.types import Session, Token
 
-NEVER = -10_000_000  # microseconds; earlier than every time that a node compares it with
+NEVER = -10_000_000  # microseconds; earlier than every time with which a node compares it
 
 
 @dataclass(slots=True, eq=False)
 class Upstream:
-    """What this node knows of one upstream; times are in microseconds.
+    """This node's record of one upstream; times are in microseconds.
 
     Attributes:
-        endpoint: Its entry in the endpoint list, whose fields become attributes of the record.
+        endpoint: Its entry in the endpoint list, whose fields are copied to the record.
         number: Its number at this node.
         name: Its name.
         zone: The number of its zone; -1 if unknown.
         cell: The number of its cell; -1 if unknown.
-        state: Its state by the endpoint list.
-        size: Its capacity in units of the usual upstream's.
-        started_at: When it started; 0 if it is long past slow start.
-        ring_points: How many points it has on the ring.
-        sessions: Own sessions by number, established there or with an attempt in flight.
-        known_load: Sum of the known loads of those sessions.
-        unknown_loads: How many of them have no known load.
-        backoff: Its backoff; while it lasts the upstream is ejected.
-        overload_penalty: Factor on its load estimate; above 1 if it was short of capacity lately.
-        penalized_at: When that factor was last raised.
+        state: Its state in the endpoint list.
+        size: Its capacity, in units of a standard upstream's capacity.
+        started_at: When it started; 0 if its slow start is long over.
+        ring_points: The number of its points on the ring.
+        sessions: This node's sessions by number, established there or with an attempt in flight.
+        known_load: The sum of the known loads of those sessions, in microseconds of work per second.
+        unknown_loads: How many of those sessions have no known load.
+        backoff: Its backoff; while a delay lasts, the upstream is ejected.
+        overload_penalty: Factor on its load estimate; above 1 if it recently lacked capacity.
+        penalized_at: When the overload penalty was last raised.
         unreachable: Whether the last attempt or probe got no connection.
         slow_until: Until when its messages count as late.
-        latency_ratio: Last message latency over the strictest message objective.
-        unresponsive_until: Until when it counts as answering no message on any session.
-        migrate_at: When the next sessions may migrate off it, if it is slow.
-        utilization: Load over capacity by its last load report.
-        utilization_at: When it made that report.
+        latency_ratio: The ratio of its last message latency to the strictest message objective.
+        unresponsive_until: Until when it counts as answering no messages on its sessions.
+        migrate_at: When sessions may next migrate off it, if it is slow.
+        utilization: The ratio of load to capacity in its last load report.
+        utilization_at: When that report was received.
         capacity: How many sessions fill it, by its last probe; 0 if unknown.
-        warm_capacity: The same if it was past slow start at that probe; else 0.
+        warm_capacity: How many sessions fill it, if it was past slow start at its last probe; else 0.
         probe_requested: Whether a session waits for its load report.
         probed_at: When it was last probed.
-        sessions_at_probe: How many own sessions it held then.
-        turn: The overload window in which the node last spent of its slow-start budget.
-        spent_in_turn: What the node spent in that window, in usual sessions.
+        sessions_at_probe: The number of this node's sessions there when it was last probed.
+        turn: The number of the overload window in which this node last spent slow-start budget there.
+        spent_in_turn: The budget that this node spent in that window, in average sessions.
         tokens: When each slow-start token expires, by the number of its session.
     """
 
@@ -92,7 +92,7 @@
         self.follow(endpoint)
 
     def follow(self, endpoint: Endpoint) -> None:
-        """Take over the fields of its endpoint; a new start drops what was known of the process before."""
+        """Copy the fields of its endpoint; a restart clears the state learned from the previous process."""
         if endpoint.started_at > self.started_at and endpoint.state is EndpointState.READY:
             self.backoff.reset()
             self.slow_until = 0
@@ -108,41 +108,41 @@
         self.started_at = endpoint.started_at
 
     def add(self, session: Session) -> None:
-        """Count a session here."""
+        """Count a session at this upstream, if it is not counted there yet."""
         if session.number not in self.sessions:
             self.sessions[session.number] = session
             self.known_load += session.load
             self.unknown_loads += not session.load
 
     def remove(self, session: Session) -> None:
-        """Count a session here no longer."""
+        """Stop counting a session at this upstream."""
         if self.sessions.pop(session.number, None) is not None:
             self.known_load -= session.load
             self.unknown_loads -= not session.load
 
     def established(self) -> list[Session]:
-        """Return the sessions that are established here."""
+        """Return this node's sessions that are established at this upstream."""
         return [session for session in self.sessions.values() if session.established]
 
     def probe_sent(self, now: int) -> None:
-        """Record that a probe is sent."""
+        """Record that a probe is sent to this upstream."""
         self.probed_at = now
         self.probe_requested = False
         self.sessions_at_probe = len(self.sessions)
 
     def load_reported(self, now: int, utilization: float) -> None:
-        """Record a load report."""
+        """Record the utilization that this upstream has reported."""
         self.utilization = utilization
         self.utilization_at = now
 
     def add_token(self, now: int, token: Token) -> None:
-        """Keep a token for its session, and drop expired ones."""
+        """Store a slow-start token for its session, and drop expired tokens."""
         held = {session: until for session, until in self.tokens.items() if now < until}
         self.tokens = {**held, token.session: token.until}
 
 
 class Candidates(NamedTuple):
-    """The upstreams that a session may go to, in order of preference.
+    """The upstreams to which a session may be sent, in order of preference.
 
     Attributes:
         pair: The master and the second.
@@ -156,7 +156,7 @@
 
 
 def mean_utilization(upstreams: Collection[Upstream]) -> float:
-    """Return the mean of the reported utilizations, whatever the sizes; 0 without upstreams."""
+    """Return the mean of the reported utilizations, not weighted by size; 0 without upstreams."""
     return sum(other.utilization for other in upstreams) / len(upstreams) if upstreams else 0.0
 
 
@@ -167,12 +167,13 @@
 
 
 class Fleet:
-    """All upstreams that the endpoint list has named; owns their records.
+    """All known upstreams; owns their records.
 
     Attributes:
-        upstreams: The records by number, those of upstreams that are gone included.
-        ready: The records of the ready upstreams, in the order in which they were first named.
-        mean_session_load: Running mean of known loads, in microseconds of work a second; 0 if none is known.
+        upstreams: The records by number, including those of upstreams that are gone.
+        ready: The records of the ready upstreams, in the order in which the upstreams became known.
+        mean_session_load: Running mean of known session loads, in microseconds of work per second; 0 if none
+            is known.
         next_check_at: When an upstream may next have a probe or migrations due, in microseconds.
     """
 
@@ -183,30 +184,30 @@
         self.next_check_at = 0
 
     def check_now(self, now: int) -> None:
-        """Note that an upstream may have something due now."""
+        """Record that an upstream may have a probe or migrations due now."""
         self.next_check_at = now
 
     def check_by(self, at: int) -> None:
-        """Note that an upstream has something due at this time."""
+        """Record that an upstream has a probe or migrations due at this time."""
         self.next_check_at = min(self.next_check_at, at)
 
     def weight(self, session: Session) -> float:
-        """Return a session's load in usual sessions."""
+        """Return the load of a session in units of an average session; 1 if its load is unknown."""
         return session.load / self.mean_session_load if session.load and self.mean_session_load else 1.0
 
     def add_established(self, session: Session, number: int) -> None:
-        """Count a session as established at an upstream, even if no endpoint list has named it yet."""
+        """Count a session as established at an upstream, which need not have appeared in a list yet."""
         session.upstream = number
         session.established = True
         self.find(Endpoint.unlisted(number)).add(session)
 
     def remove(self, session: Session) -> None:
-        """Count a session at no upstream any more."""
+        """Stop counting a session at its upstream."""
         if session.upstream >= 0:
             self.upstreams[session.upstream].remove(session)
 
     def change_load(self, session: Session, load: float) -> None:
-        """Set a session's load if it is counted at an upstream."""
+        """Change the load of a session that is counted at an upstream."""
         upstream = self.upstreams.get(session.upstream)
         if upstream is not None and session.number in upstream.sessions:
             upstream.remove(session)
@@ -214,26 +215,28 @@
             upstream.add(session)
 
     def mean_sessions(self) -> float:
-        """Return the own sessions, in usual ones, per unit of size over all ready upstreams."""
+        """Return this node's sessions at ready upstreams per unit of size, in average sessions."""
         size = sum(upstream.size for upstream in self.ready)
         used = [upstream for upstream in self.ready if upstream.sessions]
         return sum(map(self.sessions_at, used)) / size if size else 0.0
 
     def sessions_at(self, upstream: Upstream) -> float:
-        """Return the own sessions at an upstream, in usual sessions."""
+        """Return this node's sessions at an upstream, in average sessions."""
         known = upstream.known_load / self.mean_session_load if self.mean_session_load else 0.0
         return known + upstream.unknown_loads
 
     def find(self, endpoint: Endpoint) -> Upstream:
-        """Return the record of an endpoint's upstream; a new one if there is none."""
+        """Return the record of an endpoint's upstream, which is created if there is none."""
         if endpoint.upstream not in self.upstreams:
             self.upstreams[endpoint.upstream] = Upstream(endpoint)
         return self.upstreams[endpoint.upstream]
 
     def update(self, endpoints: Collection[Endpoint], *, whole: bool) -> list[Upstream]:
-        """Take over an endpoint list, or changes to it; return the records of its endpoints.
+        """Apply an endpoint list, or changes to it, and return the records of its endpoints.
 
-        An upstream that a whole list does not name is gone.
+        Args:
+            endpoints: The endpoints.
+            whole: Whether this is the complete list, so that an upstream missing from it is gone.
         """
         updated = [self.find(endpoint) for endpoint in endpoints]
         for upstream, endpoint in zip(updated, endpoints, strict=True):
--- a/tests/policy/test_deciding_modules.py
+++ b/tests/policy/test_deciding_modules.py
@@ -1,4 +1,7 @@
-"""The deploy file names every module that decides, and only those decide."""
+"""Tests that the deploy file lists exactly the modules of the policy that make decisions.
+
+A deciding module missing from the file, or a decision made in another module, would otherwise go unnoticed.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 ROOT = Path(__file__).parents[2]
 POLICY = ROOT / "larchlatch" / "policy"
 
-# Modules of the package that hold no threshold and make no choice.
+# Modules of the package that hold no thresholds and make no choices.
 SUPPORTING = {
     "__init__.py",
     "driver.py",
@@ -63,7 +66,7 @@
 
 
 def test_only_balancer_actor_and_runtime_import_placement_modules() -> None:
-    """The client side may import pure modules: admission, the retry advice, and types."""
+    """The client side may import only pure modules: admission, the advised wait of `retries`, and types."""
     allowed = SUPPORTING | {"admission.py", "retries.py"}
     node = ROOT / "larchlatch" / "node"
     for path in sorted(node.rglob("*.py")):
--- a/tests/policy/test_known_results.py
+++ b/tests/policy/test_known_results.py
@@ -1,4 +1,4 @@
-"""The ring and the two choices, against results that are known in closed form."""
+"""Tests of the hash ring and of the choice between two candidates against known theoretical results."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_two_choices_keep_the_fullest_bin_far_below_that_of_one() -> None:
-    """Balls into bins: about ln n / ln ln n against ln ln n / ln 2."""
+    """The fullest bin holds about ln n / ln ln n balls with one choice, and ln ln n / ln 2 with two."""
     most: dict[int, list[int]] = {1: [], 2: []}
     for seed in range(5):
         for choices in most:
@@ -28,7 +28,10 @@
 
 @pytest.mark.parametrize("name", ["{}", "h{}", "h-{}", "host{:04}", "rack 7, number {:06}", "{0:x}.{0}"])
 def test_arcs_of_the_ring_become_even_with_more_points(name: str) -> None:
-    """The share of an upstream varies as one over the root of its ring points, whatever its name."""
+    """If names gave poor hashes, points would cluster and upstreams of one size would differ too much.
+
+    The share of an upstream should vary by one over the square root of the number of its ring points.
+    """
     spread = {}
     for size in (1.0, 4.0):
         balancer = Balancer(deployment_settings(parse_scenario({}, "day"), 0), random.Random(1))
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -1,4 +1,4 @@
-"""Which sessions migrate off slow and unresponsive upstreams."""
+"""Tests of which sessions migrate off slow and unresponsive upstreams."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def test_sessions_migrate_off_one_slow_upstream_but_not_if_all_are_slow() -> None:
-    """A slow upstream serves nobody in time, but a slowdown of all must not move all sessions."""
+    """Sessions left on a slow upstream stay late; if all slowed down, migration would move every session."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -18,7 +18,8 @@
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
         moved += harness.balancer.wait(harness.now).migrations
         harness.now += SECOND_US
-    # A tenth of the upstream's sessions a round over all nodes: one from each node would empty it at once.
+    # A round moves a tenth of the upstream's sessions over all nodes; one session from each node would empty
+    # it at once.
     assert 1 <= len(moved) <= 12 and all(
         sessions[number].upstream == sessions[0].upstream for number in moved
     )
@@ -29,7 +30,7 @@
 
 
 def test_slow_upstreams_take_no_new_session_even_if_all_are_slow() -> None:
-    """New sessions on slow upstreams would keep all sessions there late, and the fleet would not recover."""
+    """New sessions on slow upstreams would keep all sessions there late, so the fleet would not recover."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -39,7 +40,7 @@
     assert late.number not in harness.attempt_upstreams
     too_short = harness.arrive(key=50, deadline=SECOND_US)
     assert too_short.number not in harness.sessions, (
-        "held though no upstream is available before its deadline"
+        "the session is held although no upstream is available before its deadline"
     )
     for session in sessions:
         harness.balancer.record_delay(harness.now, session, 10_000)
@@ -49,7 +50,7 @@
 
 
 def test_more_sessions_migrate_the_later_messages_are() -> None:
-    """An upstream with a backlog of seconds would keep all its sessions late while only a tenth migrates."""
+    """If only a tenth of the sessions migrated, an upstream with a long backlog would delay all others."""
     moved = []
     for delay in (51_000, 900_000):
         harness = BalancerHarness(upstreams=6)
@@ -62,7 +63,7 @@
 
 
 def test_sessions_migrate_off_an_upstream_that_only_load_reports_show_to_be_full() -> None:
-    """It answers at once and serves nobody in time: without probes its sessions would stay."""
+    """Its message latency shows no overload, so without probes its sessions would stay and be served late."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     sessions = []
     for key in range(1, 60):
@@ -88,7 +89,7 @@
 
 
 def test_no_session_migrates_if_load_reports_show_all_upstreams_equally_full() -> None:
-    """Sessions would migrate in circles at a cost for each client, and no upstream would be relieved."""
+    """Sessions would migrate in circles at a cost to each client, without relieving any upstream."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
         session = harness.arrive(key=key)
@@ -106,7 +107,7 @@
 
 
 def test_all_sessions_migrate_at_once_off_an_unresponsive_and_unreachable_upstream() -> None:
-    """An upstream that is gone resets nothing: most of its sessions would stay silent for seconds."""
+    """An upstream that is down resets no session, so most of its sessions would get no answer for seconds."""
     for answered in (True, False):
         harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
         sessions = [Session(number, 0, number + 1, None, 0) for number in range(40)]
@@ -123,7 +124,10 @@
 
 
 def test_unresponsive_upstream_gets_no_attempt_and_full_ones_are_still_relieved() -> None:
-    """Its sessions fill others. If it counted as slow too, most would be slow and none be relieved."""
+    """Sessions of an unresponsive upstream fill others, off which sessions must still migrate.
+
+    If the unresponsive upstream counted as slow, most upstreams would be slow, which stops all migration.
+    """
     harness = BalancerHarness(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
         harness.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 5)
@@ -146,7 +150,7 @@
 
 
 def test_small_full_upstream_is_relieved_if_a_large_one_has_capacity() -> None:
-    """Among a few upstreams its own report raises the mean: by the mean alone it would stay full."""
+    """With few upstreams, its own report raises the mean: compared with the mean alone it would stay full."""
     for large, relieved in ((0.4, True), (0.9, False)):
         harness = BalancerHarness(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         harness.update_endpoints(endpoint(0, size=1.5), endpoint(1, size=1.5), endpoint(2, size=6.0))
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -1,4 +1,4 @@
-"""What failed, reset and superseded attempts mean for upstreams and for the node."""
+"""Tests of the effects of failed, reset and superseded attempts on upstreams and on the node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def test_unreachable_upstream_is_skipped_and_attempted_once_per_backoff() -> None:
-    """It must not take every session of its keys, nor many at once when it may be back."""
+    """Otherwise it would take every session of its keys, or many at once when it may have recovered."""
     harness = BalancerHarness()
     bad = harness.arrive(key=5).upstream
     harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
@@ -23,7 +23,7 @@
 
 
 def test_sessions_do_not_return_at_once_to_an_upstream_that_reset_them() -> None:
-    """Their clients return at once, and would be reset there again."""
+    """Clients of reset sessions return at once, and an overloaded upstream would reset them again."""
     harness = BalancerHarness()
     sessions = [harness.arrive(key=5) for _ in range(6)]
     for session in sessions:
@@ -37,7 +37,7 @@
 
 
 def test_sessions_that_are_soon_reset_or_late_count_as_failed() -> None:
-    """Upstreams over capacity establish sessions. Counted as successes, they would end the backoff."""
+    """Overloaded upstreams still establish sessions, which would end the backoff if they were successes."""
     for late in (False, True):
         harness = BalancerHarness(upstreams=40)
         attempt_count = 0
@@ -59,7 +59,7 @@
 
 
 def test_node_spaces_attempts_while_most_used_upstreams_are_slow() -> None:
-    """Admitted as fast as they migrate, sessions would only move between upstreams that are all late."""
+    """If sessions were admitted as fast as they migrate, they would only move between slow upstreams."""
     harness = BalancerHarness(upstreams=40)
     sessions = [harness.arrive(key=key) for key in range(1, 9)]
     for session in sessions:
@@ -73,14 +73,14 @@
 
 
 def test_superseded_attempt_is_cancelled_and_sent_to_another_upstream() -> None:
-    """An upstream that has lost an attempt never answers it: its client would wait until the deadline."""
+    """An upstream never answers an attempt that it has lost, so the client would wait until its deadline."""
     for traffic_class, later_established, cancelled in ((0, True, True), (0, False, False), (4, True, False)):
         harness = BalancerHarness(can_cancel=True)
         lost = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
         first = harness.attempt_upstreams[lost.number]
         for wait in (SECOND_US // 10, SECOND_US // 2):
             assert not harness.balancer.wait(harness.now).superseded, (
-                "less than an objective later does not supersede"
+                "an attempt sent less than a latency objective later does not supersede this one"
             )
             harness.advance(wait)
             later = harness.arrive(key=2, deadline=3 * SECOND_US)
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -1,4 +1,4 @@
-"""When upstreams are probed, and when the endpoint list is polled."""
+"""Tests of when upstreams are probed and when the endpoint list is polled."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def test_new_session_waits_once_for_load_reports_of_its_candidates() -> None:
-    """Probes that are never answered must not hold a session."""
+    """If a session waited for every probe, an upstream that answers none would hold it until its deadline."""
     harness = BalancerHarness(probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     assert session.number in harness.held_until and len(harness.balancer.wait(harness.now).probes) == 2
@@ -20,7 +20,7 @@
 
 
 def test_upstream_that_may_have_filled_up_is_probed_before_the_next_session() -> None:
-    """Many sessions arrive while a report is current: it shows the load before they came."""
+    """Sessions that arrived since the last report may have filled the upstream without showing in it."""
     for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
         harness = BalancerHarness(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
         probed = {0: 0, 1: 0}
@@ -31,12 +31,12 @@
                 probed[number] += 1
             harness.advance(SECOND_US // 20)
             harness.finish_attempt(session, Outcome.ESTABLISHED)
-        # Where capacity is plentiful a report stays current: probes every few sessions would scatter groups.
+        # With plenty of capacity, a report stays current: probes every few sessions would scatter groups.
         assert all(least <= number <= most for number in probed.values())
 
 
 def test_endpoint_list_is_polled_until_a_poll_is_answered() -> None:
-    """Without a subscription the node learns of no drain, yet the node counts as notified."""
+    """Without a subscription, a node is not told of drains, although it counts as notified."""
     harness = BalancerHarness(polls_discovery=True)
     harness.balancer.discovery_failed(harness.now)
     at = [harness.now]
@@ -51,8 +51,11 @@
 
 @pytest.mark.parametrize("nodes", [10, 40, 200])
 def test_nodes_that_lose_subscriptions_together_renew_them_at_an_overloaded_service(nodes: int) -> None:
-    """It serves one call for every seven nodes a second, calls that timed out included. If all nodes
-    polled on at once, it would answer each call too late, and no node would learn of a drain."""
+    """If all nodes polled at once, the service would answer each call too late, and no node would learn of
+    drains.
+
+    Each second, the service handles one call per seven nodes, including calls that have timed out.
+    """
     harnesses = [BalancerHarness(polls_discovery=True, nodes=nodes, seed=seed) for seed in range(nodes)]
     for harness in harnesses:
         harness.balancer.discovery_failed(harness.now)
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""The candidates of a session, and the choice among them."""
+"""Tests of the candidates of a session and of the choice among upstreams."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 
 def test_node_with_hardly_a_session_chooses_by_load_reports() -> None:
-    """One node of hundreds has a session or two at an upstream, which say nothing of its load."""
+    """One of hundreds of nodes has very few sessions at an upstream, which tell nothing about its load."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     master, second = harness.balancer.wait(harness.now).probes
@@ -64,7 +64,7 @@
 
 
 def test_large_group_spreads_and_small_one_does_not() -> None:
-    """Two upstreams of a large fleet would reset the sessions of a group that makes up a tenth of all."""
+    """A group with a large share of all sessions would overload two upstreams, which would reset them."""
     harness = BalancerHarness(upstreams=60)
     placed = {}
     for number in range(120):
@@ -81,7 +81,7 @@
 
 
 def test_session_skips_candidates_that_report_to_be_full() -> None:
-    """If both candidates are full, the less loaded of them would serve it late as well."""
+    """If both candidates are full, even the less loaded one would serve the session late."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
     full = harness.balancer.wait(harness.now).probes
@@ -92,7 +92,7 @@
 
 
 def upstream_of_handed_over(balancer: Balancer, now: int, number: int, key: int) -> int:
-    """Return the upstream that a session handed over in mid-flow is placed on."""
+    """Return the number of the upstream on which a session handed over by another node is placed."""
     return forwarded_to(balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND_US, mid_flow=True)))
 
 
@@ -148,7 +148,7 @@
         placed_at.append(forwarded_to(balancer.place(now, session)))
         assert placed_at[-1] not in bad
     assert all(upstream >= 0 for upstream in placed_at) == placed_elsewhere, (
-        "three of eight are slow, both candidates of each session among them"
+        "three of eight upstreams are slow, including both candidates of each session"
     )
 
 
@@ -182,12 +182,12 @@
 
 
 def test_nodes_with_equal_load_reports_do_not_all_choose_the_same_upstream() -> None:
-    # An upstream just relieved would look healthy to all nodes at once, and be full again.
+    # If all nodes reacted alike, an upstream that sessions have just left would be filled again at once.
     assert sum(sessions_placed_by_many_nodes(0.8, 0.2)) < 40, (
-        "its candidates are nearly full, and others have capacity"
+        "the session's candidates are nearly full, and other upstreams have capacity"
     )
     assert sum(sessions_placed_by_many_nodes(0.3, 0.2)) == 60, (
-        "its candidates have capacity: the ordinary choice"
+        "the session's candidates have capacity, so it goes to one of them"
     )
     assert sum(sessions_placed_by_many_nodes(0.8, 0.85)) == 60, (
         "no upstream has capacity: leaving the candidates would gain nothing"
--- a/tests/policy/test_session_rules.py
+++ b/tests/policy/test_session_rules.py
@@ -1,4 +1,4 @@
-"""The rules that hold for every session, whatever the order of events."""
+"""Tests of the rules that hold for every session in every order of events."""
 
 from __future__ import annotations
 
@@ -76,14 +76,14 @@
 
 
 def test_attempt_may_last_until_the_deadline() -> None:
-    """An attempt that times out in a shared queue is served all the same: timeouts would fill the queue."""
+    """An upstream serves queued attempts even after they time out, so timeouts would fill its queue."""
     harness = BalancerHarness()
     session = harness.arrive(key=1, deadline=4 * SECOND_US)
     assert harness.attempt_deadlines[session.number] == session.deadline
 
 
 def test_session_established_at_an_upstream_that_no_list_names_is_taken_over() -> None:
-    """A node restarted with an old list is handed sessions at upstreams that this list never named."""
+    """A node restarted with an old endpoint list may take over sessions at upstreams missing from it."""
     harness = BalancerHarness()
     session = Session(500, 0, 1, 1, 0)
     harness.balancer.add_established(session, 77)
@@ -92,8 +92,11 @@
 
 
 def test_unusual_fleets_and_node_numbers_leave_every_session_with_its_answer() -> None:
-    """A list that empties and comes back, one that names hundreds at once, a node number beyond the number of
-    nodes."""
+    """Endpoint lists and node numbers out of the usual range could leave sessions without an answer.
+
+    The cases are a list that becomes empty and then names 300 upstreams at once, and a node number that is
+    not below the number of nodes.
+    """
     for upstreams, me in ((0, 0), (1, 7), (300, 500)):
         harness = BalancerHarness(upstreams=upstreams, me=me)
         sessions = [harness.arrive(key=key) for key in (1, 2)]
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Upstreams in slow start: turns, budgets and the chance beside them."""
+"""Tests of slow start: the turns of nodes, their budgets, and random admission without a turn."""
 
 from __future__ import annotations
 
@@ -36,8 +36,10 @@
 def test_warming_upstream_is_filled_but_not_overloaded_if_nodes_see_few_sessions(
     nodes: int, sessions: int, least: int, calm: bool
 ) -> None:
-    """By turns alone it would stay empty beside full ones. If only the own sessions of each node counted, a
-    crowd at all nodes at once would overload it."""
+    """With turns alone, the upstream would stay almost empty beside full ones, as few sessions meet a turn.
+
+    If each node counted only its own sessions, bursts at all nodes at once would overload the upstream.
+    """
     full, sends = 100.0, []
     for me in range(nodes):
         harness = BalancerHarness(
@@ -58,8 +60,8 @@
                 harness.finish_attempt(session, Outcome.ESTABLISHED)
         sends += [at - start for at, upstream in harness.slow_start_sends if upstream == 9]
     deployment_settings = harness.settings
-    # What an upstream may be sent in a second, as it warms evenly: the stated multiple of what fills it
-    # meanwhile.
+    # The sessions per second that a warm upstream may be sent: the configured multiple of the sessions that
+    # fill it, divided by the duration of slow start.
     rate = deployment_settings.overload_multiple * full * SECOND_US / deployment_settings.slow_start_us
 
     def allowed(at: int) -> float:
@@ -69,17 +71,19 @@
         )
 
     assert all(sum(at <= other < at + SECOND_US for other in sends) <= allowed(at) for at in sends)
-    # Ten seconds hold ten turns, most of them of nodes that have no session then.
+    # Ten seconds have ten turns, and most of them belong to nodes without a session at that time.
     assert not calm or len(sends) >= least
 
 
 def test_returning_client_gets_the_same_draw_for_a_warming_upstream() -> None:
-    """Held sessions are placed many times a second, and a shed client comes to the next node. If each time
-    were a new chance, all sessions that wait would get in."""
+    """If each placement made a new random draw, all waiting sessions would be admitted sooner or later.
+
+    Held sessions are placed many times a second, and a shed client retries at another node.
+    """
     rows = []
     for key in range(1, 21):
         taken = []
-        # The fifth node has its turn; with the others about half of all sessions are admitted by chance.
+        # Node 0 has its turn; the other nodes admit about half of all sessions by the draw.
         for me in range(1, 5):
             harness = BalancerHarness(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
             harness.balancer.record_probe(harness.now, 0, ProbeResult(True, 0.5, 50))
@@ -95,8 +99,11 @@
 
 
 def test_budget_follows_probes_of_an_upstream_that_warms_faster_than_stated() -> None:
-    """The stated slow start is the slowest. An upstream is never taken to do more than a warm one of its
-    size, nor what it could do before a new start."""
+    """The configured slow start is the slowest possible one, so it would leave a faster upstream unused.
+
+    A probe must not raise the budget above that of a warm upstream of the same size, and a probe before a
+    restart must not raise it at all.
+    """
     harness = BalancerHarness(nodes=40, upstreams=4, probes=True, probes_report_load=True)
     balancer, start = harness.balancer, harness.now
     for number in range(4):
@@ -108,7 +115,7 @@
         return balancer.slow_start.turn_budget(now, upstream, balancer.slow_start.reported_capacity(upstream))
 
     stated = budget(start)
-    # The utilization is too low to derive a capacity.
+    # The reported utilization is too low to derive a capacity from it.
     balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))
     assert budget(start) == stated
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 20))
@@ -120,7 +127,7 @@
 
 
 def test_sessions_do_not_migrate_towards_a_warming_upstream_without_budget() -> None:
-    """They would come back to the upstream that they left, at the cost of a setup each time."""
+    """Such sessions would return to the upstream that they left, at the cost of a setup each time."""
     harness = BalancerHarness(upstreams=1, nodes=2, me=0)
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -138,8 +145,7 @@
 
 
 def test_arrivals_of_earlier_windows_are_forgotten() -> None:
-    """On a fleet without an upstream in slow start the count would otherwise grow for as long as the node
-    runs."""
+    """Without upstreams in slow start, the list of arrivals would grow for as long as the node runs."""
     harness = BalancerHarness()
     for number in range(200):
         harness.finish_attempt(harness.arrive(key=number), Outcome.COMPLETED)
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""An upstream in slow start: what all nodes together send there stays within what it bears."""
+"""Tests that all nodes together send an upstream in slow start no more sessions than it can handle."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from larchlatch.policy.types import Outcome, ProbeResult
 from tests.support.balancer_harness import SECOND_US, BalancerHarness, endpoint
 
-SESSIONS_WHEN_FULL = 100.0  # sessions that fill a warm upstream of this size
+SESSIONS_WHEN_FULL = 100.0  # sessions that fill a warm upstream of size 1
 WARMING = 9  # number of the upstream that has just started
 DURATION_US = 10 * SECOND_US
 
 
 def restarted_node(fleet: int, me: int, seed: int, now: int, started_at: int) -> BalancerHarness:
-    """Return a node that has just started, and that knows an upstream in slow start."""
+    """Return a node that has just restarted and has an upstream in slow start in its endpoint list."""
     node = BalancerHarness(nodes=fleet, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True)
     node.now = now
     node.update_endpoints(endpoint(WARMING, started_at=started_at))
@@ -23,7 +23,7 @@
 
 
 def place_one_session(node: BalancerHarness, key: int) -> None:
-    """Have one session arrive whose candidates are probed."""
+    """Let one session arrive after probes of all upstreams."""
     for upstream in node.endpoints:
         node.balancer.record_probe(
             node.now,
@@ -42,8 +42,11 @@
 def test_fleet_keeps_slow_start_budget(
     nodes: int, sessions: int, stated_ratio: float, restarts: bool
 ) -> None:
-    """Bursts at every node at once, and again later; nodes restart and forget what they have spent; the
-    number of nodes stated to each is wrong by a tenth."""
+    """Simultaneous bursts at all nodes would overload the upstream if nodes spent more than their budgets.
+
+    Nodes that restart lose the record of what they have spent, and the number of nodes in their settings is
+    wrong by up to a tenth.
+    """
     fleet = max(1, round(nodes * stated_ratio))
     sends: list[int] = []
     start = 0
@@ -80,7 +83,7 @@
         )
         return mean + 2 * math.sqrt(mean) + 2
 
-    assert sends, "without any session the budget was not tried"
+    assert sends, "no session was sent, so the budget was not tested"
     for at in sends:
         assert sum(at <= other < at + deployment_settings.overload_window_us for other in sends) <= allowed(
             at
