--- a/larchlatch/policy/balancer.py
+++ b/larchlatch/policy/balancer.py
@@ -75,7 +75,7 @@
         """Return an upstream for a session, or that it is held, or its final answer."""
         if session.attempt_in_flight or session.established:
             return Nothing()
-        self.outcomes.credit_settled(now)
+        self.outcomes.record_stable_sessions(now)
         return self.placement.place(now, session)
 
     def outcome(self, now: int, session: Session, outcome: Outcome, *, answered: bool = False) -> Answer:
--- a/larchlatch/policy/driver.py
+++ b/larchlatch/policy/driver.py
@@ -12,7 +12,7 @@
 from larchlatch.policy.types import Answer, DueActions, Fail, Forward, Hold, Session, Shed
 
 
-class Decisions(Protocol):
+class DecisionMaker(Protocol):
     """The decisions that a driver requests from its balancer.
 
     Observations are not part of this protocol: the subclasses of `Driver` report them to their balancer.
@@ -47,7 +47,7 @@
         held: The held sessions, as a heap ordered by the time of their next placement.
     """
 
-    def __init__(self, decisions: Decisions) -> None:
+    def __init__(self, decisions: DecisionMaker) -> None:
         self.decisions = decisions
         self.held: list[HeldSession] = []
 
--- a/larchlatch/policy/health.py
+++ b/larchlatch/policy/health.py
@@ -28,6 +28,6 @@
     return upstream.unreachable and now < upstream.backoff.until
 
 
-def has_vanished(now: int, upstream: Upstream) -> bool:
+def is_down(now: int, upstream: Upstream) -> bool:
     """Return whether an upstream answers no messages on its sessions and accepts no new connection either."""
     return upstream.unreachable and now < upstream.unresponsive_until
--- a/larchlatch/policy/outcomes.py
+++ b/larchlatch/policy/outcomes.py
@@ -28,7 +28,7 @@
 # Outcomes that tell nothing about the upstream.
 IGNORED_FOR_UPSTREAM = frozenset({Outcome.NOT_SENT, Outcome.CANCELLED})
 
-SETTLE_US = 1_000_000  # an established session is a success after this time: overload resets it sooner
+STABLE_AFTER_US = 1_000_000  # an established session is a success after this time: overload resets it sooner
 
 
 @dataclass(eq=False)
@@ -42,7 +42,7 @@
         ring: Counts established sessions by affinity key.
         load: Penalizes upstreams that reset sessions.
         retries: Keeps the attempts in flight.
-        settling: Established sessions that do not count as successes yet, oldest first.
+        recently_established: Established sessions that do not count as successes yet, oldest first.
         mean_setup_us: Running mean of the time from sending an attempt to its establishment.
     """
 
@@ -52,7 +52,7 @@
     ring: UpstreamRing
     load: LoadEstimator
     retries: Retries
-    settling: deque[Session] = field(default_factory=deque)
+    recently_established: deque[Session] = field(default_factory=deque)
     mean_setup_us: float = 0.0
 
     def record_established(self, now: int, session: Session) -> None:
@@ -63,35 +63,37 @@
         self.mean_setup_us = running_mean(self.mean_setup_us, now - session.sent_at)
         session.attempt_established(now)
         upstream.unreachable = False
-        self.settling.append(session)
+        self.recently_established.append(session)
         self.ring.record_established(session)
 
     def record_end(self, now: int, session: Session, outcome: Outcome) -> None:
         """Record the outcome that ended an attempt or an established session."""
         upstream = self.fleet.upstreams[session.upstream]
         self.retries.attempt_ended(session)
-        self.fleet.check_now(now)
+        self.fleet.schedule_check_now(now)
         upstream.remove(session)
         self._record_for_upstream(now, session, upstream, outcome)
-        if outcome in RECORDED_FOR_NODE and not _has_settled(now, session):
+        if outcome in RECORDED_FOR_NODE and not _is_stable(now, session):
             succeeded = outcome is Outcome.COMPLETED
             self.node_backoff.record(now, session.sent_at, succeeded=succeeded)
         session.attempt_ended()
         if outcome not in NEVER_RAN:
             session.attempt_may_have_run(self.settings.class_of(session))
 
-    def credit_settled(self, now: int) -> None:
-        """Record the sessions that have stayed established for `SETTLE_US` in the backoffs.
+    def record_stable_sessions(self, now: int) -> None:
+        """Record the sessions that have stayed established for `STABLE_AFTER_US` in the backoffs.
 
         Establishment alone is not a success, as an overloaded upstream establishes sessions and soon resets
         them.
         """
-        while self.settling and now >= self.settling[0].established_at + SETTLE_US:
-            session = self.settling.popleft()
+        while (
+            self.recently_established and now >= self.recently_established[0].established_at + STABLE_AFTER_US
+        ):
+            session = self.recently_established.popleft()
             if session.established:
-                self._credit(now, session)
+                self._record_stable_session(now, session)
 
-    def _credit(self, now: int, session: Session) -> None:
+    def _record_stable_session(self, now: int, session: Session) -> None:
         upstream = self.fleet.upstreams[session.upstream]
         succeeded = now >= upstream.slow_until
         upstream.backoff.record(now, session.established_at, succeeded=succeeded)
@@ -135,7 +137,7 @@
         """Record the result of a probe of an upstream."""
         upstream.unreachable = not probe.answered
         if upstream.unreachable and now < upstream.unresponsive_until:
-            self.fleet.check_now(now)
+            self.fleet.schedule_check_now(now)
         if not probe.answered or upstream.backoff.delay_us:
             upstream.backoff.record(now, upstream.probed_at, succeeded=probe.answered)
         if probe.utilization is not None:
@@ -144,6 +146,6 @@
             self.migration.check_report(now, upstream)
 
 
-def _has_settled(now: int, session: Session) -> bool:
+def _is_stable(now: int, session: Session) -> bool:
     """Return whether a session was established so long ago that its end tells nothing about new sessions."""
-    return session.established and now >= session.established_at + SETTLE_US
+    return session.established and now >= session.established_at + STABLE_AFTER_US
--- a/larchlatch/policy/placement.py
+++ b/larchlatch/policy/placement.py
@@ -97,8 +97,8 @@
         # attempt, the token would be wasted.
         self.node_backoff.attempt_sent(now)
         near = candidates.pair + candidates.spread
-        reachable = self.selector.reachable(now, near, candidates.beyond)
-        warming = (other for other in reachable if self._is_healthy_and_warming(now, other))
+        usable = self.selector.fallback_upstreams(now, near, candidates.rest_of_ring)
+        warming = (other for other in usable if self._is_healthy_and_warming(now, other))
         return tuple(
             self.slow_start.token_candidate(now, session, other)
             for other in islice(warming, TOKEN_CANDIDATES)
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -47,11 +47,11 @@
         """
         if not self.settings.probes_report_load or session.mid_flow or session.attempt_count:
             return False
-        unknown = [other for other in upstreams if now >= other.probed_at + _current_us(other)]
-        for upstream in unknown:
+        outdated = [other for other in upstreams if now >= other.probed_at + _current_us(other)]
+        for upstream in outdated:
             upstream.probe_requested = True
-            self.fleet.check_now(now)
-        return bool(unknown)
+            self.fleet.schedule_check_now(now)
+        return bool(outdated)
 
     def due(self, now: int) -> list[int]:
         """Return the numbers of the upstreams to be probed now, and record these probes as sent."""
@@ -65,7 +65,7 @@
             if now >= upstream.probed_at + interval_us:
                 upstream.probe_sent(now)
                 due.append(upstream.number)
-            self.fleet.check_by(upstream.probed_at + interval_us)
+            self.fleet.schedule_check_by(upstream.probed_at + interval_us)
         return due
 
     def _interval_us(self, upstream: Upstream) -> int | None:
--- a/larchlatch/policy/retries.py
+++ b/larchlatch/policy/retries.py
@@ -60,17 +60,17 @@
         first_upstream = self.fleet.upstreams[session.maybe_executed_upstream]
         return _share_dedup_scope(traffic_class.dedup_scope, upstream, first_upstream)
 
-    def final_answer(self, now: int, session: Session, least_wait_us: int = RETRY_AFTER_US) -> Answer:
+    def final_answer(self, now: int, session: Session, min_retry_after_us: int = RETRY_AFTER_US) -> Answer:
         """Return the one final answer of a session that will not be established.
 
         Args:
             now: The present time in microseconds.
             session: The session.
-            least_wait_us: The shortest wait to advise the client if the session is shed, in microseconds.
+            min_retry_after_us: The shortest wait to advise if the session is shed, in microseconds.
         """
-        if session.maybe_executed_at >= 0 and not self._is_harmless_anywhere(now, session):
+        if session.maybe_executed_at >= 0 and not self._is_retry_safe_anywhere(now, session):
             return Fail()
-        retry_after_us = int(self.random.uniform(least_wait_us, 2 * least_wait_us))
+        retry_after_us = int(self.random.uniform(min_retry_after_us, 2 * min_retry_after_us))
         return Shed(min(self.settings.max_retry_after_us, retry_after_us))
 
     def superseded(self, now: int) -> list[int]:
@@ -115,7 +115,7 @@
             and session.attempt_count < self.settings.max_attempts
         )
 
-    def _is_harmless_anywhere(self, now: int, session: Session) -> bool:
+    def _is_retry_safe_anywhere(self, now: int, session: Session) -> bool:
         """Return whether the client may safely retry, whichever upstream its next request reaches."""
         traffic_class = self.settings.class_of(session)
         if _is_deduplicated_everywhere(traffic_class):
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -25,11 +25,11 @@
     from larchlatch.policy.types import Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-MASTER_TIE = 1.2  # the second is chosen if the master's load is more than this multiple of the second's
+MASTER_LOAD_TOLERANCE = 1.2  # ratio of the master's load to the second's above which the second is chosen
 
 # Utilizations, as load reports state them.
 LEAST_CROWDED_UTILIZATION = 0.5  # lowest threshold that a placement draws; CROWDED_UTILIZATION is the highest
-STRAY_UTILIZATION = 0.6  # mean of healthy upstreams below which they have capacity for more sessions
+SPARE_CAPACITY_UTILIZATION = 0.6  # mean of healthy upstreams below which they have capacity for more sessions
 
 
 class Preference(IntEnum):
@@ -111,13 +111,15 @@
         ]
         if free:
             return self._less_loaded(now, free, fleet_load)
-        for upstream in self._strays(now, session, candidates):
+        for upstream in self._available_fallbacks(now, session, candidates):
             if not self.load.is_crowded(now, upstream, fleet_load, max_utilization=max_utilization):
                 return upstream
             healthy.append(upstream)
         return self._most_preferred(now, healthy, candidates.pair, fleet_load)
 
-    def reachable(self, now: int, near: list[Upstream], beyond: Iterator[Upstream]) -> Iterable[Upstream]:
+    def fallback_upstreams(
+        self, now: int, near: list[Upstream], rest_of_ring: Iterator[Upstream]
+    ) -> Iterable[Upstream]:
         """Return the upstreams to which a session may be sent instead of its candidates.
 
         If many upstreams are unhealthy and the healthy ones lack capacity, these are only the near ones. At
@@ -126,14 +128,14 @@
         Args:
             now: The present time in microseconds.
             near: Upstreams over which the session's group is spread.
-            beyond: The rest of the ring walk.
+            rest_of_ring: The rest of the ring walk.
         """
         present = [upstream for upstream in self.fleet.ready if not is_unreachable(now, upstream)]
         healthy = [upstream for upstream in present if is_healthy(now, upstream)]
-        trouble_is_wide = 4 * len(healthy) <= 3 * len(present)
-        if trouble_is_wide and not _have_capacity(now, healthy):
+        many_are_unhealthy = 4 * len(healthy) <= 3 * len(present)
+        if many_are_unhealthy and not _have_capacity(now, healthy):
             return near
-        return chain(near, beyond)
+        return chain(near, rest_of_ring)
 
     def _prefer_warm(self, now: int, successors: Iterable[Upstream]) -> Iterator[Upstream]:
         """Return the warm upstreams of a ring walk, or all its upstreams if fewer than half are warm."""
@@ -161,11 +163,11 @@
         master, second = free
         master_load = self.load.estimate(now, master, fleet_load)
         second_load = self.load.estimate(now, second, fleet_load)
-        return second if master_load > MASTER_TIE * second_load else master
+        return second if master_load > MASTER_LOAD_TOLERANCE * second_load else master
 
-    def _strays(self, now: int, session: Session, candidates: Candidates) -> Iterator[Upstream]:
+    def _available_fallbacks(self, now: int, session: Session, candidates: Candidates) -> Iterator[Upstream]:
         """Yield the healthy upstreams, other than its candidates, that may take a session."""
-        for upstream in self.reachable(now, candidates.spread, candidates.beyond):
+        for upstream in self.fallback_upstreams(now, candidates.spread, candidates.rest_of_ring):
             is_available = is_healthy(now, upstream) and not is_unreachable(now, upstream)
             if is_available and self.slow_start.may_take(now, upstream, session, candidate=False):
                 yield upstream
@@ -193,4 +195,4 @@
 def _have_capacity(now: int, healthy: list[Upstream]) -> bool:
     """Return whether these upstreams report free capacity on average; False without reports."""
     reports = [upstream.utilization for upstream in with_recent_reports(now, healthy)]
-    return sum(reports) < STRAY_UTILIZATION * len(reports)
+    return sum(reports) < SPARE_CAPACITY_UTILIZATION * len(reports)
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -22,10 +22,10 @@
     from larchlatch.policy.upstream import Fleet, Upstream
 
 # Shares of the configured overload multiple that the budget of a turn uses.
-SAFE_SHARE = 0.75  # if probes report the capacity of warm upstreams
-GUESSED_SHARE = 0.5  # if that capacity is estimated from this node's own sessions
+KNOWN_CAPACITY_SHARE = 0.75  # if probes report the capacity of warm upstreams
+ESTIMATED_CAPACITY_SHARE = 0.5  # if that capacity is estimated from this node's own sessions
 
-REPORTABLE_UTILIZATION = 0.1  # below this, a few sessions more or less would change the derived capacity
+MIN_MEASURABLE_UTILIZATION = 0.1  # below this, a few sessions more or less would change the derived capacity
 
 
 @dataclass(eq=False)
@@ -85,11 +85,11 @@
         budget = self.turn_budget(now, upstream, capacity)
         turn = self._turn(now, upstream)
         spent = _spent_in(turn, upstream)
-        if self._is_own(turn) and spent < _own_turn_limit(budget, capacity):
+        if self._is_own_turn(turn) and spent < _own_turn_limit(budget, capacity):
             return True
         if not capacity or spent >= budget - 1:
             return False
-        return self._may_take_by_chance(upstream, session, turn=turn, budget=budget, candidate=candidate)
+        return self._is_admitted_at_random(upstream, session, turn=turn, budget=budget, candidate=candidate)
 
     def turn_budget(self, now: int, upstream: Upstream, capacity: float) -> float:
         """Return how many average sessions an upstream in slow start may be sent in one overload window.
@@ -100,17 +100,17 @@
             capacity: The number of sessions that fill it once it is warm, by load reports; 0 if unknown.
         """
         settings = self.settings
-        safe_share = SAFE_SHARE
+        budget_share = KNOWN_CAPACITY_SHARE
         if not capacity:
-            safe_share = GUESSED_SHARE
-            capacity = self._guessed_capacity(now, upstream)
+            budget_share = ESTIMATED_CAPACITY_SHARE
+            capacity = self._estimated_capacity(now, upstream)
         # The configured slow start is the slowest possible one. A higher capacity shown by a probe takes
         # precedence.
-        stated = self.warm_share(now, upstream) * capacity
-        probed = min(upstream.capacity, capacity)
-        bearable_sessions = max(stated, probed)
-        multiple = safe_share * settings.overload_multiple
-        return multiple * bearable_sessions * settings.overload_window_us / settings.slow_start_us
+        configured_capacity = self.warm_share(now, upstream) * capacity
+        probed_capacity = min(upstream.capacity, capacity)
+        present_capacity = max(configured_capacity, probed_capacity)
+        multiple = budget_share * settings.overload_multiple
+        return multiple * present_capacity * settings.overload_window_us / settings.slow_start_us
 
     def reported_capacity(self, upstream: Upstream) -> float:
         """Return how many sessions fill an upstream once it is warm, by probes of warm ones; 0 if unknown."""
@@ -126,7 +126,7 @@
 
     def record_capacity(self, now: int, upstream: Upstream, sessions: float) -> None:
         """Derive an upstream's capacity from the sessions and the utilization that a probe reports."""
-        if not sessions or upstream.utilization < REPORTABLE_UTILIZATION:
+        if not sessions or upstream.utilization < MIN_MEASURABLE_UTILIZATION:
             return
         upstream.capacity = sessions / upstream.utilization
         upstream.warm_capacity = upstream.capacity if self.is_warm(now, upstream) else 0.0
@@ -153,10 +153,10 @@
         """Return the number of the present overload window of an upstream, counted from 0 at its start."""
         return (now - upstream.started_at) // self.settings.overload_window_us
 
-    def _is_own(self, turn: int) -> bool:
+    def _is_own_turn(self, turn: int) -> bool:
         return turn % self.settings.nodes == self.settings.me
 
-    def _guessed_capacity(self, now: int, upstream: Upstream) -> float:
+    def _estimated_capacity(self, now: int, upstream: Upstream) -> float:
         """Return the sessions at a warm upstream of this size, if all nodes have as many as this one."""
         warm_upstreams = [other for other in self.fleet.ready if self.is_warm(now, other)]
         total_size = sum(other.size for other in warm_upstreams)
@@ -165,7 +165,7 @@
         sessions = self.settings.nodes * sum(len(other.sessions) for other in warm_upstreams)
         return sessions / total_size * upstream.size
 
-    def _may_take_by_chance(
+    def _is_admitted_at_random(
         self, upstream: Upstream, session: Session, *, turn: int, budget: float, candidate: bool
     ) -> bool:
         """Return whether a random draw admits a session without a turn of this node.
--- a/larchlatch/policy/status.py
+++ b/larchlatch/policy/status.py
@@ -49,4 +49,4 @@
         (is_crowded, Exclusion.CROWDED),
         (not balancer.slow_start.is_warm(now, upstream), Exclusion.WARMING_UP),
     )
-    return next((reason for holds, reason in reasons if holds), None)
+    return next((reason for applies, reason in reasons if applies), None)
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -89,9 +89,9 @@
     tokens: dict[int, int] = field(default_factory=dict)
 
     def __post_init__(self, endpoint: Endpoint) -> None:
-        self.follow(endpoint)
+        self.update_from(endpoint)
 
-    def follow(self, endpoint: Endpoint) -> None:
+    def update_from(self, endpoint: Endpoint) -> None:
         """Copy the fields of its endpoint; a restart clears the state learned from the previous process."""
         if endpoint.started_at > self.started_at and endpoint.state is EndpointState.READY:
             self.backoff.reset()
@@ -147,12 +147,12 @@
     Attributes:
         pair: The master and the second.
         spread: Further upstreams over which a large group spreads.
-        beyond: The rest of the ring walk.
+        rest_of_ring: The rest of the ring walk.
     """
 
     pair: list[Upstream]
     spread: list[Upstream]
-    beyond: Iterator[Upstream]
+    rest_of_ring: Iterator[Upstream]
 
 
 def mean_utilization(upstreams: Collection[Upstream]) -> float:
@@ -183,11 +183,11 @@
         self.mean_session_load = 0.0
         self.next_check_at = 0
 
-    def check_now(self, now: int) -> None:
+    def schedule_check_now(self, now: int) -> None:
         """Record that an upstream may have a probe or migrations due now."""
         self.next_check_at = now
 
-    def check_by(self, at: int) -> None:
+    def schedule_check_by(self, at: int) -> None:
         """Record that an upstream has a probe or migrations due at this time."""
         self.next_check_at = min(self.next_check_at, at)
 
@@ -199,7 +199,7 @@
         """Count a session as established at an upstream, which need not have appeared in a list yet."""
         session.upstream = number
         session.established = True
-        self.find(Endpoint.unlisted(number)).add(session)
+        self.find_or_add(Endpoint.unlisted(number)).add(session)
 
     def remove(self, session: Session) -> None:
         """Stop counting a session at its upstream."""
@@ -225,7 +225,7 @@
         known = upstream.known_load / self.mean_session_load if self.mean_session_load else 0.0
         return known + upstream.unknown_loads
 
-    def find(self, endpoint: Endpoint) -> Upstream:
+    def find_or_add(self, endpoint: Endpoint) -> Upstream:
         """Return the record of an endpoint's upstream, which is created if there is none."""
         if endpoint.upstream not in self.upstreams:
             self.upstreams[endpoint.upstream] = Upstream(endpoint)
@@ -238,9 +238,9 @@
             endpoints: The endpoints.
             whole: Whether this is the complete list, so that an upstream missing from it is gone.
         """
-        updated = [self.find(endpoint) for endpoint in endpoints]
+        updated = [self.find_or_add(endpoint) for endpoint in endpoints]
         for upstream, endpoint in zip(updated, endpoints, strict=True):
-            upstream.follow(endpoint)
+            upstream.update_from(endpoint)
         named = {upstream.number for upstream in updated}
         for number, upstream in self.upstreams.items():
             if whole and number not in named:
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -13,15 +13,15 @@
     for session in sessions:
         harness.finish_attempt(session, Outcome.ESTABLISHED)
     harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-    moved = []
+    migrated = []
     for _ in range(20):
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-        moved += harness.balancer.wait(harness.now).migrations
+        migrated += harness.balancer.wait(harness.now).migrations
         harness.now += SECOND_US
     # A round moves a tenth of the upstream's sessions over all nodes; one session from each node would empty
     # it at once.
-    assert 1 <= len(moved) <= 12 and all(
-        sessions[number].upstream == sessions[0].upstream for number in moved
+    assert 1 <= len(migrated) <= 12 and all(
+        sessions[number].upstream == sessions[0].upstream for number in migrated
     )
     harness.advance(SECOND_US)
     for session in sessions:
@@ -36,30 +36,30 @@
     for session in sessions:
         harness.finish_attempt(session, Outcome.ESTABLISHED)
         harness.balancer.record_delay(harness.now, session, 400_000)
-    late = harness.arrive(key=50)
-    assert late.number not in harness.attempt_upstreams
-    too_short = harness.arrive(key=50, deadline=SECOND_US)
-    assert too_short.number not in harness.sessions, (
+    new_session = harness.arrive(key=50)
+    assert new_session.number not in harness.attempt_upstreams
+    short_deadline_session = harness.arrive(key=50, deadline=SECOND_US)
+    assert short_deadline_session.number not in harness.sessions, (
         "the session is held although no upstream is available before its deadline"
     )
     for session in sessions:
         harness.balancer.record_delay(harness.now, session, 10_000)
-    soon = harness.arrive(key=50, deadline=4 * SECOND_US)
+    later_session = harness.arrive(key=50, deadline=4 * SECOND_US)
     harness.advance(SECOND_US + SECOND_US // 10)
-    assert soon.number in harness.attempt_upstreams
+    assert later_session.number in harness.attempt_upstreams
 
 
 def test_more_sessions_migrate_the_later_messages_are() -> None:
     """If only a tenth of the sessions migrated, an upstream with a long backlog would delay all others."""
-    moved = []
+    migrated = []
     for delay in (51_000, 900_000):
         harness = BalancerHarness(upstreams=6)
         sessions = [harness.arrive(key=key) for key in range(1, 300)]
         for session in sessions:
             harness.finish_attempt(session, Outcome.ESTABLISHED)
         harness.balancer.record_delay(harness.now, sessions[0], delay)
-        moved.append(len(harness.balancer.wait(harness.now).migrations))
-    assert 2 * moved[0] < moved[1] <= 30
+        migrated.append(len(harness.balancer.wait(harness.now).migrations))
+    assert 2 * migrated[0] < migrated[1] <= 30
 
 
 def test_sessions_migrate_off_an_upstream_that_only_load_reports_show_to_be_full() -> None:
@@ -73,19 +73,19 @@
         harness.advance(SECOND_US // 5)
         harness.finish_attempt(session, Outcome.ESTABLISHED)
         sessions.append(session)
-    full = sessions[0].upstream
-    there = [session for session in sessions if session.upstream == full]
-    moved: list[int] = []
+    full_upstream = sessions[0].upstream
+    sessions_on_full_upstream = [session for session in sessions if session.upstream == full_upstream]
+    migrated: list[int] = []
     for _ in range(100):
         harness.now += SECOND_US // 10
         due = harness.balancer.wait(harness.now)
         for number in due.probes:
             harness.balancer.record_probe(
-                harness.now, number, ProbeResult(True, 1.05 if number == full else 0.4)
+                harness.now, number, ProbeResult(True, 1.05 if number == full_upstream else 0.4)
             )
-        moved += due.migrations
-    assert len(moved) > len(there) // 3
-    assert {sessions[number].upstream for number in moved} == {full}
+        migrated += due.migrations
+    assert len(migrated) > len(sessions_on_full_upstream) // 3
+    assert {sessions[number].upstream for number in migrated} == {full_upstream}
 
 
 def test_no_session_migrates_if_load_reports_show_all_upstreams_equally_full() -> None:
@@ -118,9 +118,11 @@
         assert 0 in due.probes and 0 < len(due.migrations) < 20
         harness.now += SECOND_US // 2
         harness.balancer.record_probe(harness.now, 0, ProbeResult(answered, 0.5 if answered else None))
-        moved = due.migrations + harness.balancer.wait(harness.now).migrations
-        assert answered or sorted(moved) == [session.number for session in sessions if session.upstream == 0]
-        assert not answered or moved == due.migrations
+        migrated = due.migrations + harness.balancer.wait(harness.now).migrations
+        assert answered or sorted(migrated) == [
+            session.number for session in sessions if session.upstream == 0
+        ]
+        assert not answered or migrated == due.migrations
 
 
 def test_unresponsive_upstream_gets_no_attempt_and_full_ones_are_still_relieved() -> None:
@@ -136,8 +138,8 @@
     harness.balancer.record_probe(harness.now, 0, ProbeResult(False))
     for number in (4, 3, 2, 1):
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 1.5 if number < 3 else 0.2))
-    moved = harness.balancer.wait(harness.now).migrations
-    assert {number % 5 for number in moved} == {0, 1, 2}
+    migrated = harness.balancer.wait(harness.now).migrations
+    assert {number % 5 for number in migrated} == {0, 1, 2}
     for step in range(8):
         harness.now += SECOND_US // 2
         session = harness.arrive(key=step + 1)
@@ -151,11 +153,11 @@
 
 def test_small_full_upstream_is_relieved_if_a_large_one_has_capacity() -> None:
     """With few upstreams, its own report raises the mean: compared with the mean alone it would stay full."""
-    for large, relieved in ((0.4, True), (0.9, False)):
+    for large_utilization, relieved in ((0.4, True), (0.9, False)):
         harness = BalancerHarness(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         harness.update_endpoints(endpoint(0, size=1.5), endpoint(1, size=1.5), endpoint(2, size=6.0))
         for number in range(60):
             harness.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 3)
-        for number, load in ((2, large), (1, 1.0), (0, 1.15)):
+        for number, load in ((2, large_utilization), (1, 1.0), (0, 1.15)):
             harness.balancer.record_probe(harness.now, number, ProbeResult(True, load))
         assert bool(harness.balancer.wait(harness.now).migrations) is relieved
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -10,15 +10,16 @@
 def test_unreachable_upstream_is_skipped_and_attempted_once_per_backoff() -> None:
     """Otherwise it would take every session of its keys, or many at once when it may have recovered."""
     harness = BalancerHarness()
-    bad = harness.arrive(key=5).upstream
+    unreachable_upstream = harness.arrive(key=5).upstream
     harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
     for _ in range(3):
         session = harness.arrive(key=5)
         while (
-            session.number in harness.attempt_upstreams and harness.attempt_upstreams[session.number] == bad
+            session.number in harness.attempt_upstreams
+            and harness.attempt_upstreams[session.number] == unreachable_upstream
         ):
             harness.finish_attempt(session, Outcome.CONNECT_FAILED)
-    attempt_count = sum(harness.arrive(key=5).upstream == bad for _ in range(20))
+    attempt_count = sum(harness.arrive(key=5).upstream == unreachable_upstream for _ in range(20))
     assert attempt_count <= 1
 
 
@@ -28,17 +29,17 @@
     sessions = [harness.arrive(key=5) for _ in range(6)]
     for session in sessions:
         harness.finish_attempt(session, Outcome.ESTABLISHED)
-    worst = sessions[0].upstream
+    resetting_upstream = sessions[0].upstream
     for session in sessions:
-        if session.upstream == worst:
+        if session.upstream == resetting_upstream:
             harness.finish_attempt(session, Outcome.RESET)
             harness.established.discard(session.number)
-    assert all(harness.arrive(key=5).upstream != worst for _ in range(6))
+    assert all(harness.arrive(key=5).upstream != resetting_upstream for _ in range(6))
 
 
 def test_sessions_that_are_soon_reset_or_late_count_as_failed() -> None:
     """Overloaded upstreams still establish sessions, which would end the backoff if they were successes."""
-    for late in (False, True):
+    for has_late_messages in (False, True):
         harness = BalancerHarness(upstreams=40)
         attempt_count = 0
         for key in range(1, 60):
@@ -46,7 +47,7 @@
             if session.number in harness.attempt_upstreams:
                 attempt_count += 1
                 harness.finish_attempt(session, Outcome.ESTABLISHED)
-                if late:
+                if has_late_messages:
                     harness.balancer.record_delay(harness.now, session, 900_000)
                 else:
                     harness.now += 100_000
@@ -76,8 +77,8 @@
     """An upstream never answers an attempt that it has lost, so the client would wait until its deadline."""
     for traffic_class, later_established, cancelled in ((0, True, True), (0, False, False), (4, True, False)):
         harness = BalancerHarness(can_cancel=True)
-        lost = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
-        first = harness.attempt_upstreams[lost.number]
+        lost_session = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
+        first = harness.attempt_upstreams[lost_session.number]
         for wait in (SECOND_US // 10, SECOND_US // 2):
             assert not harness.balancer.wait(harness.now).superseded, (
                 "an attempt sent less than a latency objective later does not supersede this one"
@@ -88,9 +89,9 @@
                 harness.finish_attempt(later, Outcome.ESTABLISHED)
         harness.now += SUPERSEDED_CHECK_US
         due = harness.balancer.wait(harness.now)
-        assert (lost.number in due.superseded) is cancelled
+        assert (lost_session.number in due.superseded) is cancelled
         if cancelled:
-            harness.finish_attempt(lost, Outcome.CANCELLED)
-            assert harness.attempt_upstreams[lost.number] != first
+            harness.finish_attempt(lost_session, Outcome.CANCELLED)
+            assert harness.attempt_upstreams[lost_session.number] != first
             harness.now += SUPERSEDED_CHECK_US
             assert not harness.balancer.wait(harness.now).superseded
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -21,32 +21,34 @@
 
 def test_upstream_that_may_have_filled_up_is_probed_before_the_next_session() -> None:
     """Sessions that arrived since the last report may have filled the upstream without showing in it."""
-    for load, least, most in ((0.05, 1, 2), (0.7, 3, 5)):
+    for load, min_probes, max_probes in ((0.05, 1, 2), (0.7, 3, 5)):
         harness = BalancerHarness(upstreams=2, probes=True, probes_report_load=True, reports_delay=False)
-        probed = {0: 0, 1: 0}
+        probe_counts = {0: 0, 1: 0}
         for key in range(1, 40):
             session = harness.arrive(key=key)
             for number in harness.balancer.wait(harness.now).probes:
                 harness.balancer.record_probe(harness.now, number, ProbeResult(True, load))
-                probed[number] += 1
+                probe_counts[number] += 1
             harness.advance(SECOND_US // 20)
             harness.finish_attempt(session, Outcome.ESTABLISHED)
         # With plenty of capacity, a report stays current: probes every few sessions would scatter groups.
-        assert all(least <= number <= most for number in probed.values())
+        assert all(min_probes <= number <= max_probes for number in probe_counts.values())
 
 
 def test_endpoint_list_is_polled_until_a_poll_is_answered() -> None:
     """Without a subscription, a node is not told of drains, although it counts as notified."""
     harness = BalancerHarness(polls_discovery=True)
     harness.balancer.discovery_failed(harness.now)
-    at = [harness.now]
+    polled_at = [harness.now]
     for _ in range(6000):
         harness.now += SECOND_US // 10
         if harness.balancer.wait(harness.now).poll_list:
-            at.append(harness.now)
+            polled_at.append(harness.now)
             harness.balancer.discovery_failed(harness.now)
-    within = harness.balancer.settings.poll_within_us
-    assert len(at) > 40 and all(later - earlier <= 2 * within + SECOND_US for earlier, later in pairwise(at))
+    poll_within_us = harness.balancer.settings.poll_within_us
+    assert len(polled_at) > 40 and all(
+        later - earlier <= 2 * poll_within_us + SECOND_US for earlier, later in pairwise(polled_at)
+    )
 
 
 @pytest.mark.parametrize("nodes", [10, 40, 200])
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -21,8 +21,8 @@
     assert before == {key: other.arrive(key).upstream for key in range(1, 200)}
     changed = BalancerHarness(seed=3, upstreams=8)
     changed.update_endpoints(endpoint(5, EndpointState.GONE))
-    moved = [key for key in before if changed.arrive(key).upstream != before[key]]
-    assert len(moved) < len(before) // 3
+    remapped = [key for key in before if changed.arrive(key).upstream != before[key]]
+    assert len(remapped) < len(before) // 3
 
 
 def test_sessions_of_one_group_stay_on_two_candidates() -> None:
@@ -84,11 +84,11 @@
     """If both candidates are full, even the less loaded one would serve the session late."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    full = harness.balancer.wait(harness.now).probes
-    for number in full:
+    full_upstreams = harness.balancer.wait(harness.now).probes
+    for number in full_upstreams:
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 1.1))
     harness.advance(SECOND_US // 10)
-    assert harness.attempt_upstreams[session.number] not in full
+    assert harness.attempt_upstreams[session.number] not in full_upstreams
 
 
 def upstream_of_handed_over(balancer: Balancer, now: int, number: int, key: int) -> int:
@@ -98,7 +98,7 @@
 
 def test_handed_over_session_does_not_go_to_an_upstream_that_started_after_it() -> None:
     now = 100 * SECOND_US
-    for started_at, holds in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
+    for started_at, keeps_upstream in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
         before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
         old = [endpoint(number) for number in range(4)]
         before.update_endpoints(now, old, whole=True, asked=True)
@@ -107,7 +107,10 @@
             (upstream_of_handed_over(before, now, key, key), upstream_of_handed_over(after, now, key, key))
             for key in range(1, 200)
         ]
-        assert all(was == now_at for was, now_at in pairs) == holds
+        assert (
+            all(upstream_before == upstream_after for upstream_before, upstream_after in pairs)
+            == keeps_upstream
+        )
 
 
 def test_handed_over_sessions_do_not_all_go_to_a_few_warm_upstreams() -> None:
@@ -137,16 +140,16 @@
         balancer.update_endpoints(now, [endpoint(number) for number in range(8)], whole=True, asked=True)
         session = Session(key, 0, key, key, now + 2 * SECOND_US)
         candidates = balancer.selector.candidates(now, session).pair
-        bad = [upstream.number for upstream in candidates] + [
+        slow_upstreams = [upstream.number for upstream in candidates] + [
             n for n in range(8) if balancer.fleet.upstreams[n] not in candidates
         ][:1]
         for upstream in balancer.fleet.upstreams.values():
             upstream.probed_at = now
             balancer.record_probe(now, upstream.number, ProbeResult(True, load))
-            if upstream.number in bad:
+            if upstream.number in slow_upstreams:
                 upstream.slow_until = now + 2 * SECOND_US
         placed_at.append(forwarded_to(balancer.place(now, session)))
-        assert placed_at[-1] not in bad
+        assert placed_at[-1] not in slow_upstreams
     assert all(upstream >= 0 for upstream in placed_at) == placed_elsewhere, (
         "three of eight upstreams are slow, including both candidates of each session"
     )
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -40,7 +40,7 @@
 
     If each node counted only its own sessions, bursts at all nodes at once would overload the upstream.
     """
-    full, sends = 100.0, []
+    warm_capacity, sends = 100.0, []
     for me in range(nodes):
         harness = BalancerHarness(
             nodes=nodes, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True
@@ -51,7 +51,9 @@
         for number in range(sessions):
             for upstream in harness.endpoints:
                 harness.balancer.record_probe(
-                    harness.now, upstream, ProbeResult(True, 0.05 if upstream == 9 else 0.5, full / 2)
+                    harness.now,
+                    upstream,
+                    ProbeResult(True, 0.05 if upstream == 9 else 0.5, warm_capacity / 2),
                 )
             session = harness.arrive(key=1 + 1000 * me + number)
             harness.advance(SECOND_US // 100)  # its candidates are probed
@@ -62,7 +64,9 @@
     deployment_settings = harness.settings
     # The sessions per second that a warm upstream may be sent: the configured multiple of the sessions that
     # fill it, divided by the duration of slow start.
-    rate = deployment_settings.overload_multiple * full * SECOND_US / deployment_settings.slow_start_us
+    rate = (
+        deployment_settings.overload_multiple * warm_capacity * SECOND_US / deployment_settings.slow_start_us
+    )
 
     def allowed(at: int) -> float:
         return rate * (
@@ -80,9 +84,9 @@
 
     Held sessions are placed many times a second, and a shed client retries at another node.
     """
-    rows = []
+    admitted = []
     for key in range(1, 21):
-        taken = []
+        node_draws = []
         # Node 0 has its turn; the other nodes admit about half of all sessions by the draw.
         for me in range(1, 5):
             harness = BalancerHarness(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
@@ -90,12 +94,12 @@
             harness.update_endpoints(endpoint(9, started_at=harness.now - 10 * SECOND_US))
             session = harness.arrive(key=key)
             upstream = harness.balancer.fleet.upstreams[9]
-            taken.append(
+            node_draws.append(
                 [harness.balancer.slow_start.may_take(harness.now, upstream, session) for _ in range(100)]
             )
-        assert len({tuple(row) for row in taken}) == 1 and len(set(taken[0])) == 1
-        rows.append(taken[0][0])
-    assert 4 <= sum(rows) <= 16
+        assert len({tuple(row) for row in node_draws}) == 1 and len(set(node_draws[0])) == 1
+        admitted.append(node_draws[0][0])
+    assert 4 <= sum(admitted) <= 16
 
 
 def test_budget_follows_probes_of_an_upstream_that_warms_faster_than_stated() -> None:
@@ -114,16 +118,16 @@
     def budget(now: int) -> float:
         return balancer.slow_start.turn_budget(now, upstream, balancer.slow_start.reported_capacity(upstream))
 
-    stated = budget(start)
+    configured_budget = budget(start)
     # The reported utilization is too low to derive a capacity from it.
     balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))
-    assert budget(start) == stated
+    assert budget(start) == configured_budget
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 20))
-    assert budget(start) == pytest.approx(2 * stated)
+    assert budget(start) == pytest.approx(2 * configured_budget)
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 500))
-    assert budget(start) == pytest.approx(5 * stated)
+    assert budget(start) == pytest.approx(5 * configured_budget)
     harness.update_endpoints(endpoint(9, started_at=start + SECOND_US))
-    assert budget(start + SECOND_US) == stated
+    assert budget(start + SECOND_US) == configured_budget
 
 
 def test_sessions_do_not_migrate_towards_a_warming_upstream_without_budget() -> None:
@@ -138,9 +142,9 @@
     )
     for _ in range(4):  # half of these seconds are the other node's turn at the upstream in slow start
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-        moves = harness.balancer.wait(harness.now).migrations
+        migrations = harness.balancer.wait(harness.now).migrations
         in_turn = (harness.now - harness.endpoints[9].started_at) // SECOND_US % 2 == 0
-        assert bool(moves) == in_turn
+        assert bool(migrations) == in_turn
         harness.now += SECOND_US
 
 
--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -14,9 +14,11 @@
 DURATION_US = 10 * SECOND_US
 
 
-def restarted_node(fleet: int, me: int, seed: int, now: int, started_at: int) -> BalancerHarness:
+def restarted_node(stated_nodes: int, me: int, seed: int, now: int, started_at: int) -> BalancerHarness:
     """Return a node that has just restarted and has an upstream in slow start in its endpoint list."""
-    node = BalancerHarness(nodes=fleet, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True)
+    node = BalancerHarness(
+        nodes=stated_nodes, me=me, seed=seed, upstreams=4, probes=True, probes_report_load=True
+    )
     node.now = now
     node.update_endpoints(endpoint(WARMING, started_at=started_at))
     return node
@@ -47,11 +49,13 @@
     Nodes that restart lose the record of what they have spent, and the number of nodes in their settings is
     wrong by up to a tenth.
     """
-    fleet = max(1, round(nodes * stated_ratio))
+    stated_nodes = max(1, round(nodes * stated_ratio))
     sends: list[int] = []
     start = 0
     for me in range(nodes):
-        node = BalancerHarness(nodes=fleet, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True)
+        node = BalancerHarness(
+            nodes=stated_nodes, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True
+        )
         start = node.now
         node.update_endpoints(endpoint(WARMING, started_at=start))
         for burst in range(2):
@@ -60,7 +64,7 @@
             sends += [at - start for at, upstream in node.slow_start_sends if upstream == WARMING]
             node.slow_start_sends.clear()
             if restarts:
-                node = restarted_node(fleet, me, 7 * me + burst, node.now, start)
+                node = restarted_node(stated_nodes, me, 7 * me + burst, node.now, start)
             node.advance(
                 start + (burst + 1) * DURATION_US // 2 - node.now
                 if node.now < start + DURATION_US // 2
