--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -47,11 +47,13 @@
         """Record an attempt's outcome, and return the next answer for a session without a final one."""
         ...
 
-    def wait(self, now: int) -> DueActions:
+    def due_actions(self, now: int) -> DueActions:
         """Return what falls due now, and how long until the next does."""
         ...
 
-    def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
+    def update_endpoints(
+        self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, from_discovery: bool
+    ) -> None:
         """Update the endpoints from the whole list or from changes."""
         ...
 
@@ -142,7 +144,7 @@
         session.attempt_in_flight = session.established = False
         return Nothing() if answered else self.place(now, session)
 
-    def wait(self, now: int) -> DueActions:
+    def due_actions(self, now: int) -> DueActions:
         """Return the probes that are due, and how long until the next are."""
         probes: list[int] = []
         if self.uses_probes and now >= self._next_probe_at:
@@ -153,7 +155,9 @@
             wait_us=wait_us, probes=probes, poll_list=False, migrations=[], superseded=[], setup_us=0
         )
 
-    def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
+    def update_endpoints(
+        self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, from_discovery: bool
+    ) -> None:
         """Update the endpoints from the whole list or from changes."""
         if whole:
             self.ready.clear()
--- a/larchlatch/emulator/node.py
+++ b/larchlatch/emulator/node.py
@@ -81,7 +81,7 @@
             self._environment.rules.endpoint_received(
                 self._now, node=self.number, upstream=endpoint.upstream, state=endpoint.state
             )
-        self.policy.update_endpoints(self._now, endpoints, whole=whole, asked=polled)
+        self.policy.update_endpoints(self._now, endpoints, whole=whole, from_discovery=polled)
         if self.cluster is not None:
             ready = [each for each in self.endpoints.values() if each.state is EndpointState.READY]
             started_at = max((endpoint.started_at for endpoint in ready), default=0)
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -209,7 +209,9 @@
                 self.balancer.record_probe(now, upstream, ProbeResult(answered, utilization, session_count))
             case messages.EndpointsChanged(endpoints, from_discovery):
                 changed = self.upstreams.update(endpoints)
-                self.balancer.update_endpoints(now, changed, whole=endpoints.complete, asked=from_discovery)
+                self.balancer.update_endpoints(
+                    now, changed, whole=endpoints.complete, from_discovery=from_discovery
+                )
                 self._cluster.update_endpoints(now)
             case messages.DiscoveryFailed():
                 self.balancer.discovery_failed(now)
@@ -241,7 +243,7 @@
         self._place_held(now)
         wake_at = now + RETRY_AFTER_FAULT_US
         with self._fault_barrier("wait"):
-            due = self.balancer.wait(now)
+            due = self.balancer.due_actions(now)
             self._carry_out_due(now, due)
             wake_at = now + due.wait_us
         next_retry_at = self._held.next_retry_at()
--- a/larchlatch/policy/__init__.py
+++ b/larchlatch/policy/__init__.py
@@ -5,8 +5,8 @@
 
 - `place(now, session)`, which returns the upstream for a session, or that it is held, or its final answer;
 - `outcome(now, session, outcome)`, which records how an attempt ended and returns what to do next;
-- `wait(now)`, which returns the actions due now (probes, a poll of the endpoint list, migrations, attempts to
-  be cancelled) and the time until the next action is due.
+- `due_actions(now)`, which returns the actions due now (probes, a poll of the endpoint list, migrations,
+  attempts to be cancelled) and the time until the next action is due.
 
 The node reports its observations through the other methods of the balancer. The types of arguments and
 results are in `larchlatch.policy.types`. Times are whole microseconds of the caller's clock. No module here
--- a/larchlatch/policy/balancer.py
+++ b/larchlatch/policy/balancer.py
@@ -93,7 +93,7 @@
         self.outcomes.record_end(now, session, outcome)
         return Nothing() if answered else self.place(now, session)
 
-    def wait(self, now: int) -> DueActions:
+    def due_actions(self, now: int) -> DueActions:
         """Return the actions that are due now, and the time until the next one is due."""
         fleet = self.fleet
         probes: list[int] = []
@@ -118,18 +118,20 @@
             setup_us=int(self.outcomes.mean_setup_us),
         )
 
-    def update_endpoints(self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, asked: bool) -> None:
+    def update_endpoints(
+        self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, from_discovery: bool
+    ) -> None:
         """Apply an endpoint list, or changes to it.
 
         Args:
             now: The present time in microseconds.
             endpoints: The endpoints.
             whole: Whether this is the complete list, so that an upstream missing from it is gone.
-            asked: Whether the list is the answer to a poll.
+            from_discovery: Whether the discovery service sent the list; otherwise it was stored earlier.
         """
         updated = self.fleet.update(list(endpoints), whole=whole)
         self.node_backoff.longest_us = self._longest_node_backoff_us()
-        if asked:
+        if from_discovery:
             self.polling.answered()
         self.ring.update(updated)
 
--- a/larchlatch/policy/driver.py
+++ b/larchlatch/policy/driver.py
@@ -22,7 +22,7 @@
         """Return an upstream for a session, or that it is held, or its final answer."""
         ...
 
-    def wait(self, now: int) -> DueActions:
+    def due_actions(self, now: int) -> DueActions:
         """Return the actions that are due now, and the time until the next one is due."""
         ...
 
@@ -101,7 +101,7 @@
         All observations up to now must have been reported to the balancer before this call.
         """
         self._place_held(now)
-        due = self.decisions.wait(now)
+        due = self.decisions.due_actions(now)
         for upstream in due.probes:
             self.probe(now, upstream)
         for number in due.migrations:
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -137,7 +137,7 @@
     longest_pause_us: int = FIRST_POLL_PAUSE_US
 
     def answered(self) -> None:
-        """Record that a poll was answered, which also subscribes this node to changes of the list."""
+        """Record that the discovery service sent a list: the node is subscribed, and no poll is in flight."""
         self.subscribed = True
         self.in_flight = False
         self.longest_pause_us = FIRST_POLL_PAUSE_US
--- a/larchlatch/simulator_adapter/node_instance.py
+++ b/larchlatch/simulator_adapter/node_instance.py
@@ -157,7 +157,7 @@
             now,
             [self._endpoint(row) for row in rows],
             whole=message.kind is not EndpointListKind.CHANGES,
-            asked=message.kind is not EndpointListKind.STORED,
+            from_discovery=message.kind is not EndpointListKind.STORED,
         )
 
     def _discovery_failed(self, now: int, message: DiscoveryFailed) -> None:
--- a/tests/emulator/test_session_rules.py
+++ b/tests/emulator/test_session_rules.py
@@ -38,9 +38,9 @@
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.rng.choice(upstreams)
 
-    def update_endpoints(self, now: int, endpoints: Any, *, whole: bool, asked: bool) -> None:
+    def update_endpoints(self, now: int, endpoints: Any, *, whole: bool, from_discovery: bool) -> None:
         ready = [endpoint._replace(state=EndpointState.READY) for endpoint in endpoints]
-        super().update_endpoints(now, ready, whole=whole, asked=asked)
+        super().update_endpoints(now, ready, whole=whole, from_discovery=from_discovery)
 
 
 class OverloadsNewest(BaselinePolicy):
--- a/tests/node/test_overdue_requests.py
+++ b/tests/node/test_overdue_requests.py
@@ -69,18 +69,18 @@
 @pytest.mark.parametrize("took", [20_000, 400_000])
 def test_setup_time_is_the_running_mean_of_established_sessions(took: int) -> None:
     harness = BalancerHarness()
-    assert harness.balancer.wait(harness.now).setup_us == 0, "no request is rejected on an estimate"
+    assert harness.balancer.due_actions(harness.now).setup_us == 0, "no request is rejected on an estimate"
     for _ in range(30):
         session = harness.arrive()
         harness.now += took
         harness.finish_attempt(session, Outcome.ESTABLISHED)
-    assert harness.balancer.wait(harness.now).setup_us == took
+    assert harness.balancer.due_actions(harness.now).setup_us == took
     failing = harness.arrive()
     harness.now += SECOND_US
     harness.finish_attempt(failing, Outcome.REJECTED)
-    assert harness.balancer.wait(harness.now).setup_us == took
+    assert harness.balancer.due_actions(harness.now).setup_us == took
     for _ in range(40):
         session = harness.arrive()
         harness.now += 2 * took
         harness.finish_attempt(session, Outcome.ESTABLISHED)
-    assert 1.9 * took < harness.balancer.wait(harness.now).setup_us <= 2 * took
+    assert 1.9 * took < harness.balancer.due_actions(harness.now).setup_us <= 2 * took
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -90,7 +90,7 @@
         100 * SECOND_US,
         [endpoint(0), endpoint(1), endpoint(2, started_at=started_at)],
         whole=True,
-        asked=True,
+        from_discovery=True,
     )
     return made
 
--- a/tests/policy/test_known_results.py
+++ b/tests/policy/test_known_results.py
@@ -36,7 +36,7 @@
     for size in (1.0, 4.0):
         balancer = Balancer(deployment_settings(parse_scenario({}, "day"), 0), random.Random(1))
         upstreams = [Endpoint(n, name.format(n), 0, 0, EndpointState.READY, size, 0) for n in range(40)]
-        balancer.update_endpoints(0, upstreams, whole=True, asked=True)
+        balancer.update_endpoints(0, upstreams, whole=True, from_discovery=True)
         arcs = dict.fromkeys(range(40), 0)
         previous_point = balancer.ring.hash_ring.points[-1] - 2**64
         for point in balancer.ring.hash_ring.points:
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -16,7 +16,7 @@
     migrated = []
     for _ in range(20):
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-        migrated += harness.balancer.wait(harness.now).migrations
+        migrated += harness.balancer.due_actions(harness.now).migrations
         harness.now += SECOND_US
     # A round moves a tenth of the upstream's sessions over all nodes; one session from each node would empty
     # it at once.
@@ -26,7 +26,7 @@
     harness.advance(SECOND_US)
     for session in sessions:
         harness.balancer.record_delay(harness.now, session, 400_000)
-    assert not harness.balancer.wait(harness.now).migrations
+    assert not harness.balancer.due_actions(harness.now).migrations
 
 
 def test_slow_upstreams_take_no_new_session_even_if_all_are_slow() -> None:
@@ -58,7 +58,7 @@
         for session in sessions:
             harness.finish_attempt(session, Outcome.ESTABLISHED)
         harness.balancer.record_delay(harness.now, sessions[0], delay)
-        migrated.append(len(harness.balancer.wait(harness.now).migrations))
+        migrated.append(len(harness.balancer.due_actions(harness.now).migrations))
     assert 2 * migrated[0] < migrated[1] <= 30
 
 
@@ -68,7 +68,7 @@
     sessions = []
     for key in range(1, 60):
         session = harness.arrive(key=key)
-        for number in harness.balancer.wait(harness.now).probes:
+        for number in harness.balancer.due_actions(harness.now).probes:
             harness.balancer.record_probe(harness.now, number, ProbeResult(True, 0.4))
         harness.advance(SECOND_US // 5)
         harness.finish_attempt(session, Outcome.ESTABLISHED)
@@ -78,7 +78,7 @@
     migrated: list[int] = []
     for _ in range(100):
         harness.now += SECOND_US // 10
-        due = harness.balancer.wait(harness.now)
+        due = harness.balancer.due_actions(harness.now)
         for number in due.probes:
             harness.balancer.record_probe(
                 harness.now, number, ProbeResult(True, 1.05 if number == full_upstream else 0.4)
@@ -93,14 +93,14 @@
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     for key in range(1, 40):
         session = harness.arrive(key=key)
-        for number in harness.balancer.wait(harness.now).probes:
+        for number in harness.balancer.due_actions(harness.now).probes:
             harness.balancer.record_probe(harness.now, number, ProbeResult(True, 0.8))
         harness.advance(SECOND_US // 10)
         if session.number in harness.attempt_upstreams:
             harness.finish_attempt(session, Outcome.ESTABLISHED)
     for step in range(100):
         harness.now += SECOND_US // 10
-        due = harness.balancer.wait(harness.now)
+        due = harness.balancer.due_actions(harness.now)
         for number in due.probes:
             harness.balancer.record_probe(harness.now, number, ProbeResult(True, 0.8 + 0.02 * (step % 10)))
         assert not due.migrations
@@ -114,11 +114,11 @@
         for session in sessions:
             harness.balancer.add_established(session, session.number % 2)
         harness.balancer.record_unresponsive(harness.now, 0)
-        due = harness.balancer.wait(harness.now)
+        due = harness.balancer.due_actions(harness.now)
         assert 0 in due.probes and 0 < len(due.migrations) < 20
         harness.now += SECOND_US // 2
         harness.balancer.record_probe(harness.now, 0, ProbeResult(answered, 0.5 if answered else None))
-        migrated = due.migrations + harness.balancer.wait(harness.now).migrations
+        migrated = due.migrations + harness.balancer.due_actions(harness.now).migrations
         assert answered or sorted(migrated) == [
             session.number for session in sessions if session.upstream == 0
         ]
@@ -133,17 +133,17 @@
     harness = BalancerHarness(upstreams=5, probes=True, probes_report_load=True, reports_delay=False)
     for number in range(120):
         harness.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 5)
-    harness.balancer.wait(harness.now)
+    harness.balancer.due_actions(harness.now)
     harness.balancer.record_unresponsive(harness.now, 0)
     harness.balancer.record_probe(harness.now, 0, ProbeResult(False))
     for number in (4, 3, 2, 1):
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 1.5 if number < 3 else 0.2))
-    migrated = harness.balancer.wait(harness.now).migrations
+    migrated = harness.balancer.due_actions(harness.now).migrations
     assert {number % 5 for number in migrated} == {0, 1, 2}
     for step in range(8):
         harness.now += SECOND_US // 2
         session = harness.arrive(key=step + 1)
-        for number in harness.balancer.wait(harness.now).probes:
+        for number in harness.balancer.due_actions(harness.now).probes:
             harness.balancer.record_probe(harness.now, number, ProbeResult(number != 0, 0.2))
         harness.advance(SECOND_US // 20)
         assert harness.attempt_upstreams.get(session.number) != 0
@@ -160,4 +160,4 @@
             harness.balancer.add_established(Session(number, 0, number + 1, None, 0), number % 3)
         for number, load in ((2, large_utilization), (1, 1.0), (0, 1.15)):
             harness.balancer.record_probe(harness.now, number, ProbeResult(True, load))
-        assert bool(harness.balancer.wait(harness.now).migrations) is relieved
+        assert bool(harness.balancer.due_actions(harness.now).migrations) is relieved
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -80,7 +80,7 @@
         lost_session = harness.arrive(key=1, traffic_class=traffic_class, deadline=3 * SECOND_US)
         first = harness.attempt_upstreams[lost_session.number]
         for wait in (SECOND_US // 10, SECOND_US // 2):
-            assert not harness.balancer.wait(harness.now).superseded, (
+            assert not harness.balancer.due_actions(harness.now).superseded, (
                 "an attempt sent less than a latency objective later does not supersede this one"
             )
             harness.advance(wait)
@@ -88,10 +88,10 @@
             if later_established:
                 harness.finish_attempt(later, Outcome.ESTABLISHED)
         harness.now += SUPERSEDED_CHECK_US
-        due = harness.balancer.wait(harness.now)
+        due = harness.balancer.due_actions(harness.now)
         assert (lost_session.number in due.superseded) is cancelled
         if cancelled:
             harness.finish_attempt(lost_session, Outcome.CANCELLED)
             assert harness.attempt_upstreams[lost_session.number] != first
             harness.now += SUPERSEDED_CHECK_US
-            assert not harness.balancer.wait(harness.now).superseded
+            assert not harness.balancer.due_actions(harness.now).superseded
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -14,7 +14,7 @@
     """If a session waited for every probe, an upstream that answers none would hold it until its deadline."""
     harness = BalancerHarness(probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    assert session.number in harness.held_until and len(harness.balancer.wait(harness.now).probes) == 2
+    assert session.number in harness.held_until and len(harness.balancer.due_actions(harness.now).probes) == 2
     harness.advance(SECOND_US // 10)
     assert session.number in harness.attempt_upstreams
 
@@ -26,7 +26,7 @@
         probe_counts = {0: 0, 1: 0}
         for key in range(1, 40):
             session = harness.arrive(key=key)
-            for number in harness.balancer.wait(harness.now).probes:
+            for number in harness.balancer.due_actions(harness.now).probes:
                 harness.balancer.record_probe(harness.now, number, ProbeResult(True, load))
                 probe_counts[number] += 1
             harness.advance(SECOND_US // 20)
@@ -42,7 +42,7 @@
     polled_at = [harness.now]
     for _ in range(6000):
         harness.now += SECOND_US // 10
-        if harness.balancer.wait(harness.now).poll_list:
+        if harness.balancer.due_actions(harness.now).poll_list:
             polled_at.append(harness.now)
             harness.balancer.discovery_failed(harness.now)
     poll_within_us = harness.balancer.settings.poll_within_us
@@ -70,11 +70,11 @@
             answer[1].balancer.discovery_failed(now)
         for harness in harnesses:
             harness.now = now
-            if not harness.balancer.polling.subscribed and harness.balancer.wait(now).poll_list:
+            if not harness.balancer.polling.subscribed and harness.balancer.due_actions(now).poll_list:
                 free_at = max(free_at, now) + 7 * SECOND_US / nodes
                 if free_at > now + 2 * SECOND_US:
                     waiting.append((now + 2 * SECOND_US, harness))
                 else:
-                    harness.balancer.update_endpoints(now, [], whole=False, asked=True)
+                    harness.balancer.update_endpoints(now, [], whole=False, from_discovery=True)
                     answered_count += 1
     assert answered_count >= 0.9 * nodes
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -55,7 +55,7 @@
     """One of hundreds of nodes has very few sessions at an upstream, which tell nothing about its load."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    master, second = harness.balancer.wait(harness.now).probes
+    master, second = harness.balancer.due_actions(harness.now).probes
     first = next(harness.balancer.ring.successors(session)).number
     for number in (master, second):
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 0.9 if number == first else 0.3))
@@ -84,7 +84,7 @@
     """If both candidates are full, even the less loaded one would serve the session late."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    full_upstreams = harness.balancer.wait(harness.now).probes
+    full_upstreams = harness.balancer.due_actions(harness.now).probes
     for number in full_upstreams:
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 1.1))
     harness.advance(SECOND_US // 10)
@@ -101,8 +101,10 @@
     for started_at, keeps_upstream in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
         before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
         old = [endpoint(number) for number in range(4)]
-        before.update_endpoints(now, old, whole=True, asked=True)
-        after.update_endpoints(now, [*old, endpoint(4, started_at=started_at)], whole=True, asked=True)
+        before.update_endpoints(now, old, whole=True, from_discovery=True)
+        after.update_endpoints(
+            now, [*old, endpoint(4, started_at=started_at)], whole=True, from_discovery=True
+        )
         pairs = [
             (upstream_of_handed_over(before, now, key, key), upstream_of_handed_over(after, now, key, key))
             for key in range(1, 200)
@@ -117,7 +119,7 @@
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, overload_multiple=100.0), random.Random(1))
     warming = [endpoint(number, started_at=now - 4 * SECOND_US) for number in range(1, 6)]
-    balancer.update_endpoints(now, [endpoint(0), *warming], whole=True, asked=True)
+    balancer.update_endpoints(now, [endpoint(0), *warming], whole=True, from_discovery=True)
     places = [upstream_of_handed_over(balancer, now, key, key) for key in range(1, 60)]
     assert places.count(0) < len(places) / 2
 
@@ -126,7 +128,9 @@
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, me=0), random.Random(1))
     warming = [endpoint(number, started_at=now - SECOND_US) for number in range(3)]
-    balancer.update_endpoints(now, [*warming, endpoint(3, EndpointState.DRAINING)], whole=True, asked=True)
+    balancer.update_endpoints(
+        now, [*warming, endpoint(3, EndpointState.DRAINING)], whole=True, from_discovery=True
+    )
     assert {upstream_of_handed_over(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
 
 
@@ -137,7 +141,9 @@
     now, placed_at = 100 * SECOND_US, []
     for key in range(1, 40):
         balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
-        balancer.update_endpoints(now, [endpoint(number) for number in range(8)], whole=True, asked=True)
+        balancer.update_endpoints(
+            now, [endpoint(number) for number in range(8)], whole=True, from_discovery=True
+        )
         session = Session(key, 0, key, key, now + 2 * SECOND_US)
         candidates = balancer.selector.candidates(now, session).pair
         slow_upstreams = [upstream.number for upstream in candidates] + [
--- a/tests/policy/test_session_rules.py
+++ b/tests/policy/test_session_rules.py
@@ -100,7 +100,7 @@
     for upstreams, me in ((0, 0), (1, 7), (300, 500)):
         harness = BalancerHarness(upstreams=upstreams, me=me)
         sessions = [harness.arrive(key=key) for key in (1, 2)]
-        harness.balancer.update_endpoints(harness.now, [], whole=True, asked=True)
+        harness.balancer.update_endpoints(harness.now, [], whole=True, from_discovery=True)
         harness.endpoints = {number: endpoint(number, EndpointState.GONE) for number in harness.endpoints}
         sessions.append(harness.arrive(key=3))
         harness.advance(3 * SECOND_US)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -142,7 +142,7 @@
     )
     for _ in range(4):  # half of these seconds are the other node's turn at the upstream in slow start
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-        migrations = harness.balancer.wait(harness.now).migrations
+        migrations = harness.balancer.due_actions(harness.now).migrations
         in_turn = (harness.now - harness.endpoints[9].started_at) // SECOND_US % 2 == 0
         assert bool(migrations) == in_turn
         harness.now += SECOND_US
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -88,11 +88,13 @@
         self.established: set[int] = set()
         self.slow_start_sends: list[tuple[int, int]] = []
         self.session_count = 0
-        self.balancer.update_endpoints(self.now, list(self.endpoints.values()), whole=True, asked=True)
+        self.balancer.update_endpoints(
+            self.now, list(self.endpoints.values()), whole=True, from_discovery=True
+        )
 
     def update_endpoints(self, *lines: Endpoint) -> None:
         self.endpoints.update({entry.upstream: entry for entry in lines})
-        self.balancer.update_endpoints(self.now, lines, whole=False, asked=True)
+        self.balancer.update_endpoints(self.now, lines, whole=False, from_discovery=True)
 
     def arrive(
         self, key: int | None = 1, traffic_class: int = 0, deadline: int = 2 * SECOND_US, load: float = 0.0
@@ -196,7 +198,7 @@
             else:
                 self.finish_attempt(self.sessions[number], Outcome.TIMED_OUT)
         self.now = stop
-        self.balancer.wait(self.now)
+        self.balancer.due_actions(self.now)
         late = [
             n
             for n, session in self.sessions.items()
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -105,7 +105,7 @@
     rows = [
         Endpoint(number, f"host-{number}", 0, 0, EndpointState.READY, 1.0, 7 * number) for number in range(2)
     ]
-    balancer.update_endpoints(NOW, rows, whole=True, asked=True)
+    balancer.update_endpoints(NOW, rows, whole=True, from_discovery=True)
     if observed:
         session = Session(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
         answer = balancer.place(NOW, session)
