--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -19,7 +19,7 @@
 
 # Detection of slow upstreams.
 SLOW_DURATION_US = 2_000_000  # validity of a reported delay, which is reported once a second while it lasts
-SLOW_LATENCY_RATIO = 0.34  # ratio of latency to objective above which an upstream is slow
+SLOW_LATENCY_RATIO = 0.34  # ratio of latency to the strictest message objective above which it is slow
 IMBALANCE_RATIO = 1.5  # ratio to the utilization of others above which they can take sessions of this one
 MAX_LATENCY_RATIO = 4.0  # ratio of latency to objective above which no more sessions migrate per round
 
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -39,7 +39,8 @@
         arrivals: The sessions that arrived at this node within the last overload window.
         issuer_until: Until when a token issuer allots the budgets of all nodes, instead of turns, in
             microseconds.
-        released: Whether another process of this node has its budget, so that this process may not spend any.
+        released: Whether another process of this node has its budget. This process can't see what the other
+            one spends, so it spends nothing itself.
     """
 
     settings: DeploymentSettings
