--- a/larchlatch/cluster/election/ballots.py
+++ b/larchlatch/cluster/election/ballots.py
@@ -1,4 +1,4 @@
-"""The ballots of candidates, and the answers of electors."""
+"""Ballots that candidates send to electors, and the electors' answers."""
 
 from __future__ import annotations
 
@@ -7,28 +7,28 @@
 
 
 class BallotKind(Enum):
-    """What a ballot asks for; the values are part of the protocol."""
+    """What a candidate asks of the electors with a ballot; the values are part of the protocol."""
 
-    PRE_VOTE = 0  # whether the role would be promised; not binding (Raft's pre-vote, Ongaro 2014)
-    GRANT = 1  # a promise of the role
-    RELEASE = 2  # the end of a promise that the candidate no longer relies on
+    PRE_VOTE = 0  # whether they would promise the role; not binding (Raft's pre-vote, Ongaro 2014)
+    GRANT = 1  # to promise the role to the candidate
+    RELEASE = 2  # to end a promise that the candidate no longer relies on
 
 
 class CandidateId(NamedTuple):
-    """A candidate in one incarnation: a promise to an earlier incarnation does not hold for a later one."""
+    """A candidate's name and incarnation; a promise to one incarnation does not apply to a later one."""
 
     name: str
     incarnation: int
 
 
 class Ballot(NamedTuple):
-    """A candidate's ballot, which every elector receives.
+    """A candidate's message about one role, which it sends to every elector.
 
     Attributes:
-        lease: number of the lease that the candidate has or asks for.
-        kind: what is asked for.
-        round_number: number of the ballot round, by which answers are matched.
-        successor: node for which a released role is reserved; empty: none.
+        lease: number of the lease that the candidate holds or asks for.
+        kind: what the candidate asks for.
+        round_number: number of the candidate's ballot round; an answer belongs to the ballot with its number.
+        successor: name of the node for which the electors reserve a released role; empty: none.
 
     """
 
@@ -42,9 +42,10 @@
     """An elector's answer to a ballot.
 
     Attributes:
-        granted: whether the elector agrees.
-        highest_lease: highest number of a lease that the elector has promised.
-        blocked_us: remaining time of a promise to another candidate, in microseconds; 0: there is none.
+        granted: whether the elector promises the role, or would do so in a pre-vote.
+        highest_lease: highest lease number that the elector has promised.
+        blocked_us: remaining time of a promise to, or a reservation for, another node, in microseconds;
+            0: there is neither.
 
     """
 
--- a/larchlatch/cluster/election/candidate.py
+++ b/larchlatch/cluster/election/candidate.py
@@ -1,8 +1,9 @@
-"""One node's part in the election of one role, as its candidate or its holder.
+"""One node's part in the election of one role, as a candidate and as the role's holder.
 
-A candidate first asks the electors whether they would promise the role (a pre-vote), then for the promise
-itself. With promises of a majority it holds the role for a term, counted from the time of its request. Times
-are whole microseconds of the process's own clock, which also advances while the process is stopped.
+A candidate first asks the electors whether they would promise it the role (a pre-vote), and then for the
+promise itself. With promises from a majority it holds the role for one term, counted from the time at which
+it asked for them. Times are whole microseconds of the process's own clock, which also advances while the
+process is suspended.
 """
 
 from __future__ import annotations
@@ -22,33 +23,33 @@
 
 
 class CandidateState(Enum):
-    """The state of a candidate for one role."""
+    """The state of one node's candidacy for one role."""
 
     IDLE = 0
-    PRE_VOTING = 1  # asks whether the role would be promised to it
-    VOTING = 2  # asks for the promise
+    PRE_VOTING = 1  # the candidate has asked whether the electors would promise it the role
+    VOTING = 2  # the candidate has asked the electors for their promises
     HOLDING = 3
 
 
 @dataclass(slots=True)
 class Candidate:
-    """A candidate for one role.
+    """A node's candidacy for one role, and its lease while it holds the role.
 
     Attributes:
         electors: names of all electors.
-        lease_terms: length of a lease.
-        uniform: source of random pauses, `(low, high) -> value`.
-        state: its present state.
-        lease: number of the lease that it holds or asks for.
-        lease_ends_at: end of the lease that it holds.
-        closing: whether it releases the lease at that end instead of renewing it.
-        successor: node for which the role is then reserved; empty: none.
+        lease_terms: lengths of a lease and of a ballot round.
+        uniform: function that returns a random number between two bounds, for random pauses.
+        state: present state of the candidacy.
+        lease: number of the lease that the candidate holds or asks for.
+        lease_ends_at: end of the held lease.
+        closing: whether the candidate releases its lease at the end instead of renewing it.
+        successor: name of the node for which the electors reserve the released role; empty: none.
         round_number: number of the latest ballot round.
-        asked_at: start of that round.
-        granted_by: electors that have granted its ballot.
-        highest_lease: highest number of a lease that electors have reported.
-        ready_at: time before which it starts no round.
-        blocked_until: end of the promises to others that electors have reported.
+        asked_at: start of the latest ballot round.
+        granted_by: names of the electors that have granted the ballot of the latest round.
+        highest_lease: highest lease number that any elector has reported.
+        ready_at: time before which the candidate starts no pre-vote, as it pauses after a failed round.
+        blocked_until: latest reported end of a promise to, or a reservation for, another node.
 
     """
 
@@ -69,28 +70,31 @@
 
     @property
     def majority(self) -> int:
-        """Return how many electors have to agree."""
+        """Return the number of electors that form a majority."""
         return len(self.electors) // 2 + 1
 
     def holds(self, now: int) -> bool:
-        """Return whether it holds the role now; to be called before each act, as the answer expires."""
+        """Return whether the candidate holds the role at `now`.
+
+        The lease can end at any time, so the holder checks this before each action.
+        """
         return self.state is CandidateState.HOLDING and now < self.lease_ends_at
 
     def order_left_us(self, now: int) -> int:
-        """Return for how many microseconds an order given now is valid; 0: none may be given."""
-        # A hand-over has to wait until the orders given before have expired: they last a round at most.
+        """Return for how many microseconds an order given at `now` is valid; 0: no order may be given."""
+        # A hand-over has to wait until all earlier orders have expired, so an order lasts one round at most.
         return min(self.lease_ends_at - now, self.lease_terms.round_us) if self.holds(now) else 0
 
     def step(self, now: int, wall: int, *, eligible: bool) -> list[Ballot]:
-        """Return the ballots that are due now, and update the state.
+        """Update the state, and return the ballots that are due.
 
         Args:
             now: time by the process's own clock.
             wall: Unix time, in microseconds.
-            eligible: whether this node is to become the holder if there is none.
+            eligible: whether this node should try to become the holder if it does not hold the role.
 
         Returns:
-            The ballots, each for every elector.
+            The ballots, each of which goes to every elector.
 
         """
         ballots: list[Ballot] = []
@@ -113,9 +117,9 @@
         return not self.closing and left_us <= self.lease_terms.term_us // RENEWALS_PER_TERM
 
     def _abandon_round(self, now: int) -> list[Ballot]:
-        """End a round that got no majority in time, and pause for a random time."""
+        """End a round that has not reached a majority in time, and pause for a random time."""
         if self.state is CandidateState.VOTING:
-            # Released promises let other candidates ask before the promises expire.
+            # With a release, other candidates need not wait until the promises of this round expire.
             ballots = [self.release_ballot()]
             self.become_idle(now, round(self.uniform(0, self.lease_terms.term_us / 2)))
             return ballots
@@ -124,8 +128,8 @@
         return []
 
     def _start_pre_vote(self, now: int, wall: int) -> Ballot:
-        # Numbers start at the wall clock, so that they still grow after all electors were restarted. A number
-        # is never used twice: a delayed release of the earlier lease would end the later one.
+        # Lease numbers are at least the wall-clock time, so that they still increase after all electors have
+        # restarted. No number is used twice: a delayed release of the earlier lease would end the later one.
         self.lease = max(self.highest_lease + 1, self.lease + 1, wall)
         self.state = CandidateState.PRE_VOTING
         return self._open_round(now, BallotKind.PRE_VOTE)
@@ -137,9 +141,9 @@
         return Ballot(self.lease, kind, self.round_number)
 
     def repeated_ballot(self, now: int) -> Ballot | None:
-        """Return the present round's ballot, for electors that have not answered it; None: there is none."""
-        # A ballot without an answer by the next step was probably lost. While one of three electors is gone,
-        # a round fails if any message of the other two is lost.
+        """Return the ballot of the running round, to send it again; None if no round is running."""
+        # A ballot that has no answer by the next heartbeat was probably lost. While one of three electors is
+        # unreachable, a round without repetition fails if any message to or from the other two is lost.
         if now >= self.asked_at + self.lease_terms.round_us:
             return None
         if self.state is CandidateState.PRE_VOTING:
@@ -149,11 +153,11 @@
         return None
 
     def release_ballot(self) -> Ballot:
-        """Return the ballot that ends the promises for this candidate's lease."""
+        """Return the ballot that ends the electors' promises of this candidate's lease."""
         return Ballot(self.lease, BallotKind.RELEASE, self.round_number, self.successor)
 
     def become_idle(self, now: int, pause_us: int) -> None:
-        """End the round or lease, and start no round for `pause_us` microseconds."""
+        """End the running round or the lease, and start no pre-vote for `pause_us` microseconds."""
         self.state = CandidateState.IDLE
         self.granted_by = set()
         self.ready_at = now + pause_us
@@ -161,7 +165,7 @@
         self.successor = ""
 
     def count_answer(self, now: int, elector: str, round_number: int, answer: Answer) -> list[Ballot]:
-        """Count an elector's answer, and return the ballots that follow from it, each for every elector."""
+        """Count an elector's answer, and return the ballots that it leads to, each for every elector."""
         self.highest_lease = max(self.highest_lease, answer.highest_lease)
         outdated = round_number != self.round_number or self.state is CandidateState.IDLE
         if outdated or elector not in self.electors:
@@ -180,37 +184,37 @@
     def _count_refusal(self, now: int, answer: Answer) -> list[Ballot]:
         self.blocked_until = max(self.blocked_until, now + answer.blocked_us)
         if self.state is CandidateState.PRE_VOTING and self.lease <= answer.highest_lease:
-            # The number was too low, as this node's wall clock is behind: ask again with a higher one.
+            # The lease number was too low, as this node's wall clock is slow: ask again with a higher number.
             self.lease = answer.highest_lease + 1
             return [self._open_round(now, BallotKind.PRE_VOTE)]
         return []
 
     def _begin_term(self, now: int) -> None:
-        # Counted from the answer, the term could end later than the electors' promises. A term that is over
-        # already was never held.
+        # A term counted from the answer could end later than the electors' promises. If the term has already
+        # ended when the majority is reached, the node does not become the holder.
         ends_at = self.asked_at + self.lease_terms.term_us
         if now < ends_at:
             self.state = CandidateState.HOLDING
             self.lease_ends_at = ends_at
 
     def accept_handover(self, now: int) -> None:
-        """Prepare to ask at once, as the role was released and is reserved for this node."""
+        """Allow a pre-vote at once, as the holder has released the role and named this node as successor."""
         if self.state in (CandidateState.IDLE, CandidateState.PRE_VOTING):
             self.become_idle(now, 0)
             self.blocked_until = 0
 
     def resign(self, now: int, successor: str = "") -> None:
-        """Hold the role for one more round, then release it.
+        """Hold the role for one more ballot round at most, then release it.
 
         Args:
             now: time by the process's own clock.
-            successor: node for which the role is then reserved; empty: none.
+            successor: name of the node for which the electors reserve the role then; empty: none.
 
         """
-        # Orders that were given before must expire before another node may hold the role. Orders given from
-        # now on expire with the shortened lease.
+        # Earlier orders must expire before another node can hold the role. Orders that are given from now on
+        # expire at the end of the shortened lease.
         if self.holds(now) and not self.closing:
             self.closing = True
             self.successor = successor
             self.lease_ends_at = min(self.lease_ends_at, now + self.lease_terms.round_us)
-            self.round_number += 1  # pending answers to a renewal no longer count
+            self.round_number += 1  # answers to a pending renewal no longer count
--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -1,4 +1,4 @@
-"""One node as a candidate for all roles, and the events of holding and losing them."""
+"""One node's candidacies for all roles, and the events of gaining and losing a role."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
     from larchlatch.cluster.election.ballots import Ballot
     from larchlatch.cluster.election.electorate import Electorate
 
-LATE_HEARTBEATS = 3  # heartbeat intervals since the previous heartbeat after which one counts as late
-MAX_LATE_HEARTBEATS = 3  # late heartbeats within a term at which a node resigns
-PAUSE_TERMS = 10  # terms for which such a node is no candidate
+LATE_HEARTBEATS = 3  # a heartbeat more than this many intervals after the previous one is late
+MAX_LATE_HEARTBEATS = 3  # number of late heartbeats within one term at which a node resigns its roles
+PAUSE_TERMS = 10  # number of terms for which a node that was too slow is no candidate
 
 
 class RoleChange(StrEnum):
-    """What has happened to a role at this node; the values are part of logs and traces."""
+    """Whether this node began or ceased to hold a role; the values are part of logs and traces."""
 
     HELD = "held"
     ENDED = "ended"
 
 
 class RoleChangeReason(StrEnum):
-    """Why a role is held or no longer held at this node; the values are logged."""
+    """Why this node began or ceased to hold a role; the values are logged."""
 
     VACANT = "nobody held the role"
     HANDED_OVER = "the previous holder handed the role over"
@@ -38,7 +38,7 @@
 
 
 class RoleEvent(NamedTuple):
-    """A change of a role at this node, the number of its lease, and the reason."""
+    """The start or end of holding a role at this node, with the number of its lease and the reason."""
 
     role: str
     change: RoleChange
@@ -47,12 +47,12 @@
 
 
 class CandidateSide:
-    """The candidates of one node, one for each role.
+    """The candidacies of one node, one for each role.
 
     Attributes:
-        candidates: the candidate for each role.
+        candidates: this node's candidacy for each role, by the role's name.
         shutting_down: whether this node is shutting down, so that it hands its roles over.
-        paused_until: time before which this node is no candidate, as it was too slow.
+        paused_until: time before which this node is no candidate, as its heartbeats were late too often.
 
     """
 
@@ -66,18 +66,18 @@
         self.reset(electorate)
 
     def reset(self, electorate: Electorate) -> None:
-        """Start over without any role."""
+        """Start new candidacies for the roles of an electorate; this node then holds no role."""
         self.electorate = electorate
         self.candidates = {
             role: Candidate(electorate.electors, electorate.lease_terms, self.uniform)
             for role in electorate.roles
         }
         self._held = dict.fromkeys(electorate.roles, False)
-        self._released: dict[str, Ballot] = {}  # in the last heartbeat
-        self._handed_over: set[str] = set()  # roles that were reserved for this node
+        self._released: dict[str, Ballot] = {}  # release ballots to repeat at the next heartbeat
+        self._handed_over: set[str] = set()  # roles whose holder named this node as successor
 
     def watch_lateness(self, now: int, heartbeat_us: int) -> None:
-        """Record a heartbeat, and resign all roles if heartbeats are late too often."""
+        """Record a heartbeat, and resign all roles if too many heartbeats within a term were late."""
         if now - self._last_heartbeat_at > LATE_HEARTBEATS * heartbeat_us:
             self._late_heartbeats.append(now)
         self._last_heartbeat_at = now
@@ -91,16 +91,16 @@
                 candidate.resign(now)
 
     def may_stand(self, now: int) -> bool:
-        """Return whether this node may ask for any role."""
+        """Return whether this node may be a candidate: it is neither shutting down nor paused."""
         return not self.shutting_down and now >= self.paused_until
 
     def accept_handover(self, now: int, role: str) -> None:
-        """Ask for a role that its holder has reserved for this node."""
+        """Allow a pre-vote at once for a role whose holder named this node as successor."""
         self.candidates[role].accept_handover(now)
         self._handed_over.add(role)
 
     def permit(self, now: int, role: str) -> OrderPermit:
-        """Return the permit by which this node may give an order of this role now."""
+        """Return the permit for an order that this node gives now as the holder of a role."""
         candidate = self.candidates.get(role)
         if candidate is None:
             return NO_PERMIT
@@ -108,11 +108,11 @@
         return OrderPermit(candidate.lease, left_us) if left_us > 0 else NO_PERMIT
 
     def record_release(self, role: str, ballot: Ballot) -> None:
-        """Record a release that is sent now, so that the next heartbeat repeats it."""
+        """Record a release ballot that is sent now, so that the next heartbeat sends it again."""
         self._released[role] = ballot
 
     def take_release(self, role: str) -> Ballot | None:
-        """Return and forget the release of this role that the last heartbeat sent."""
+        """Remove and return the release ballot that was sent for a role; None: there is none to repeat."""
         return self._released.pop(role, None)
 
     def record_change(self, now: int, role: str) -> None:
@@ -127,7 +127,7 @@
         self._handed_over.discard(role)
 
     def _reason(self, now: int, role: str) -> RoleChangeReason:
-        """Return why the latest change of a role has happened."""
+        """Return the reason for the latest change of whether this node holds a role."""
         if self._held[role]:
             handed_over = role in self._handed_over
             return RoleChangeReason.HANDED_OVER if handed_over else RoleChangeReason.VACANT
@@ -136,7 +136,7 @@
         return RoleChangeReason.TOO_SLOW if now < self.paused_until else RoleChangeReason.NOT_RENEWED
 
     def take_events(self) -> list[RoleEvent]:
-        """Return the events since the last call."""
+        """Return the role events since the last call, and clear them."""
         events = self._events
         self._events = []
         return events
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -1,4 +1,4 @@
-"""One node's part in the election of all roles. No I/O."""
+"""One node's part in the election of all roles, translated to and from the cluster's messages. No I/O."""
 
 from __future__ import annotations
 
@@ -25,15 +25,15 @@
 
 
 class RoleStatus(NamedTuple):
-    """One role, for the operators of the node.
+    """Status of one role, as a node shows it to its operators.
 
     Attributes:
         role: the role's name.
-        holder: its holder as reported by a majority of the electors; None: there is none.
-        lease: number of the holder's lease.
-        left_ms: remaining time of this node's own lease; 0: it holds none.
-        since_ms: time since the last change of the holder.
-        successor: first in the order of preference after the holder.
+        holder: name of the holder that a majority of the electors reports; None: there is none.
+        lease: number of the holder's lease; 0: there is no holder.
+        left_ms: remaining time of this node's own lease, in milliseconds; 0: this node is not the holder.
+        since_ms: time since the last change of the holder, in milliseconds.
+        successor: first present node after the holder in the role's order of preference; empty: none.
         elector_count: number of electors that are present.
 
     """
@@ -47,7 +47,7 @@
     elector_count: int
 
     def to_json(self) -> dict[str, str | int | None]:
-        """Return the row that a node logs on SIGUSR1."""
+        """Return the status as the JSON object that a node logs on SIGUSR1."""
         return {
             "role": self.role,
             "holder": self.holder,
@@ -60,12 +60,12 @@
 
 
 class Election:
-    """One node's part in the election of all roles: as elector, as candidate, and as receiver of orders.
+    """One node's part in the election of all roles: as an elector, a candidate and a receiver of orders.
 
     Attributes:
         heartbeat_us: interval at which `tick` is called, in microseconds.
-        electorate: roles, electors and lease terms by the present cluster file.
-        incarnation: incarnation of this node as its ballot requests state it.
+        electorate: roles, electors and lease terms of the present cluster file.
+        incarnation: incarnation of this node, as stated in the ballot requests of the last heartbeat.
 
     """
 
@@ -81,22 +81,26 @@
         self._elector_side = ElectorSide(own_name, electorate, now)
 
     def open(self, now: int) -> None:
-        """Start over, as no other process of this node takes part now; its promises are unknown here."""
+        """Start over when this process takes over the node's part in elections from another process.
+
+        Promises that the other process made as an elector are unknown here, so the elector starts with a
+        silence in which it answers no ballot.
+        """
         self._candidate_side.reset(self.electorate)
         self._elector_side = ElectorSide(self.own_name, self.electorate, now)
 
     def follow(self, electorate: Electorate, now: int) -> None:
         """Start over with the electorate of a changed cluster file.
 
-        Promises by electors of the former file may still hold. As after a start, nothing is promised for as
-        long as they can, and ballots under the former file are not answered.
+        Promises by electors of the previous file may still be valid. As after a start, this elector makes no
+        promise for as long as they can be, and it does not answer ballots under the previous file.
         """
         self.electorate = electorate
         self._known_holders.follow(electorate, now)
         self.open(now)
 
     def begin_handover(self) -> None:
-        """Hand all roles over from the next heartbeat on, as this node is shutting down."""
+        """Hand over all roles from the next heartbeat on, as this node is shutting down."""
         self._candidate_side.shutting_down = True
 
     def tick(
@@ -106,13 +110,13 @@
         records: Mapping[str, NodeRecord],
         record_ages: Mapping[str, int],
     ) -> list[BallotRequest]:
-        """Update holders and candidates with a heartbeat.
+        """Update the known holders and this node's candidacies at a heartbeat.
 
         Args:
             now: time by the process's own clock, in microseconds.
-            origin: what each ballot request says of this node.
+            origin: this node's name, its incarnation and the Unix time, for the headers of ballot requests.
             records: newest record of each member that is present.
-            record_ages: ages of the records that report promises, in microseconds.
+            record_ages: age of each member's latest report of promises, in microseconds.
 
         Returns:
             The ballot requests to send.
@@ -139,24 +143,24 @@
         return repeated + self._submit(now, origin, role_index, ballots)
 
     def _resign(self, now: int, role: str, present: Collection[str]) -> None:
-        """Hand a role over to the next node in the order of preference."""
+        """Hand over a role that this node holds to the next node in the order of preference."""
         candidate = self._candidate_side.candidates[role]
         if candidate.holds(now):
             successors = [name for name in self._known_holders.ranked(role, present) if name != self.own_name]
             candidate.resign(now, successors[0] if successors else "")
 
     def holder(self, role: str) -> Holder | None:
-        """Return the holder of a role as a majority of the electors reported by the last heartbeat."""
+        """Return the holder of a role that a majority of electors had reported at the last heartbeat."""
         return self._known_holders.holders.get(role)
 
     def majority_holder(
         self, now: int, role_index: int, records: Mapping[str, NodeRecord], record_ages: Mapping[str, int]
     ) -> Holder | None:
-        """Return the holder of a role that a majority of the electors reports by now."""
+        """Return the holder of a role that a majority of electors reports at `now`; None: there is none."""
         return self._known_holders.majority_holder(role_index, self.promises(now), records, record_ages)
 
     def promises(self, now: int) -> list[Promise]:
-        """Return this node's promises as an elector, for its record."""
+        """Return the unexpired promises that this node has made as an elector, for its record."""
         return self._elector_side.promises(now)
 
     # Ballots and votes.
@@ -164,7 +168,7 @@
     def _submit(
         self, now: int, origin: RequestOrigin, role_index: int, ballots: Sequence[Ballot]
     ) -> list[BallotRequest]:
-        """Return ballot requests to the other electors, after this node's own elector has answered."""
+        """Answer ballots as this node's own elector, and return the requests to the other electors."""
         role = self.electorate.roles[role_index]
         candidate = self._candidate_side.candidates[role]
         own_id = CandidateId(self.own_name, self.incarnation)
@@ -184,7 +188,7 @@
     def _ballot_requests(
         self, origin: RequestOrigin, role_index: int, ballot: Ballot, answered: Collection[str] = frozenset()
     ) -> list[BallotRequest]:
-        """Return a ballot request to each elector that has not answered, and to the named successor."""
+        """Return requests to all other electors but those in `answered`, and to the ballot's successor."""
         recipients = {*self.electorate.electors, ballot.successor} - {self.own_name, "", *answered}
         return [
             BallotRequest(
@@ -200,11 +204,11 @@
         ]
 
     def _repeated_requests(self, now: int, origin: RequestOrigin, role_index: int) -> list[BallotRequest]:
-        """Return requests that may have been lost, to send them again."""
+        """Return ballot requests that may have been lost, to send them again."""
         role = self.electorate.roles[role_index]
         candidate = self._candidate_side.candidates[role]
         requests: list[BallotRequest] = []
-        # If a release is lost, unused promises keep other nodes from the role for a term.
+        # After a lost release, promises that nobody uses would block other candidates for a term.
         released = self._candidate_side.take_release(role)
         if released is not None:
             requests += self._ballot_requests(origin, role_index, released)
@@ -214,7 +218,7 @@
         return requests
 
     def answer_ballot(self, now: int, request: BallotRequest) -> Vote | None:
-        """Return this elector's vote on a candidate's ballot; None if the ballot gets no answer."""
+        """Return this node's vote, as an elector, on a received ballot; None: the ballot gets no answer."""
         if not self._knows_ballot(request):
             return None
         role = self.electorate.roles[request.role_index]
@@ -235,7 +239,7 @@
         )
 
     def _knows_ballot(self, request: BallotRequest) -> bool:
-        """Return whether a ballot is of a known kind, for a role of the cluster file that this node uses."""
+        """Return whether a ballot's kind and role are known and its sender uses the same cluster file."""
         return (
             request.config_digest == self.electorate.digest
             and request.role_index < len(self.electorate.roles)
@@ -243,11 +247,11 @@
         )
 
     def expects_vote(self, vote: Vote) -> bool:
-        """Return whether this node could use a vote, so that its signature is worth verifying."""
+        """Return whether a vote may count in the running round; other votes need no signature check."""
         if vote.role_index >= len(self.electorate.roles) or vote.sender not in self.electorate.electors:
             return False
-        # Round numbers start over in each incarnation. A delayed vote for an earlier incarnation must not
-        # count for the present one.
+        # Round numbers restart in each incarnation, so a delayed vote for an earlier incarnation can have the
+        # number of the running round.
         if vote.incarnation != self.incarnation:
             return False
         candidate = self._candidate_side.candidates[self.electorate.roles[vote.role_index]]
@@ -256,7 +260,7 @@
         return vote.sender not in candidate.granted_by
 
     def count_vote(self, now: int, vote: Vote, *, wall: int) -> list[BallotRequest]:
-        """Count an elector's vote, and return the ballot requests that follow from it."""
+        """Count an elector's vote, and return the ballot requests that it leads to."""
         candidate = self._candidate_side.candidates[self.electorate.roles[vote.role_index]]
         answer = Answer(
             granted=vote.granted,
@@ -270,17 +274,17 @@
     # Orders.
 
     def order_permit(self, now: int, role: str) -> OrderPermit:
-        """Return the permit by which this node may give an order of this role now; lease 0: it may not."""
+        """Return the permit for an order that this node gives now as a role's holder; lease 0: it may not."""
         return self._candidate_side.permit(now, role)
 
     def accepts_order(self, role: str, lease: int) -> bool:
-        """Return whether an order under this lease may be executed here."""
+        """Return whether this node may execute an order that a role's holder gave under this lease."""
         return self._known_holders.accepts_order(role, lease)
 
-    # For the node and its operators.
+    # Events and status for the node and its operators.
 
     def take_events(self) -> list[RoleEvent]:
-        """Return the changes of this node's own roles since the last call."""
+        """Return the events of this node gaining or losing roles since the last call, and clear them."""
         return self._candidate_side.take_events()
 
     def statuses(self, now: int, present: Collection[str]) -> list[RoleStatus]:
--- a/larchlatch/cluster/election/elector.py
+++ b/larchlatch/cluster/election/elector.py
@@ -1,7 +1,7 @@
 """One elector's part in the election of one role (PaxosLease, Trencseni et al. 2009).
 
 An elector promises the role to one candidate for a limited time and stores nothing on disk. Times are whole
-microseconds of the process's own clock, which also advances while the process is stopped.
+microseconds of the process's own clock, which also advances while the process is suspended.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 if TYPE_CHECKING:
     from larchlatch.cluster.election.lease_terms import LeaseTerms
 
-RESERVATION_ROUNDS = 2  # ballot rounds for which a released role is reserved for the successor
+RESERVATION_ROUNDS = 2  # number of ballot rounds for which a released role is reserved for its successor
 
 
 @dataclass(slots=True)
 class Promise:
-    """A promise of the role to one candidate, until `ends_at` by the elector's clock."""
+    """A promise of a lease to one candidate, valid until `ends_at` by the elector's own clock."""
 
     lease: int
     holder: CandidateId
@@ -31,12 +31,12 @@
     """An elector of one role.
 
     Attributes:
-        lease_terms: length of leases and promises.
-        opens_at: time before which no ballot is answered.
-        promise: the last promise, which may have ended.
-        highest_lease: highest number of a promised lease.
-        successor: node for which the role is reserved after its release; empty: none.
-        reserved_until: end of that reservation.
+        lease_terms: lengths of a promise and of a ballot round.
+        opens_at: time before which the elector answers no ballot.
+        promise: the last promise, which may have ended; None: there was none since the start.
+        highest_lease: highest lease number that the elector has promised.
+        successor: name of the node for which a released role is reserved; empty: none.
+        reserved_until: end of the reservation for the successor.
 
     """
 
@@ -49,11 +49,11 @@
 
     @classmethod
     def started(cls, lease_terms: LeaseTerms, now: int) -> Elector:
-        """Return an elector that starts now and answers nothing while promises from before may hold."""
+        """Return a new elector that stays silent while promises from before its start may be valid."""
         return cls(lease_terms, now + lease_terms.startup_silence_us)
 
     def answer(self, now: int, candidate: CandidateId, ballot: Ballot) -> Answer | None:
-        """Return the answer to a ballot; None while starting, and for releases."""
+        """Return the answer to a ballot; None before `opens_at`, and for a release."""
         if now < self.opens_at:
             return None
         renews = self._promised_to(candidate, ballot.lease)
@@ -64,7 +64,7 @@
         blocked_until = self._blocked_until(now, candidate, renews=renews)
         if now < blocked_until:
             return Answer(granted=False, highest_lease=self.highest_lease, blocked_us=blocked_until - now)
-        # The number becomes the fencing token of orders, so it has to exceed all numbers before.
+        # The lease number is the fencing token of orders, so it has to exceed all earlier numbers.
         granted = renews or ballot.lease > self.highest_lease
         if granted and ballot.kind is BallotKind.GRANT:
             self.promise = Promise(ballot.lease, candidate, now + self.lease_terms.promise_us)
@@ -82,7 +82,7 @@
         self.reserved_until = now + RESERVATION_ROUNDS * self.lease_terms.round_us
 
     def _blocked_until(self, now: int, candidate: CandidateId, *, renews: bool) -> int:
-        """Return the end of a promise to, or a reservation for, another node; 0: there is none."""
+        """Return the end of a promise to, or a reservation for, another node; 0: there is neither."""
         if self.promise is not None and not renews and now < self.promise.ends_at:
             return self.promise.ends_at
         if self.successor not in ("", candidate.name):
--- a/larchlatch/cluster/election/elector_side.py
+++ b/larchlatch/cluster/election/elector_side.py
@@ -1,4 +1,4 @@
-"""One node as an elector of all roles."""
+"""One node's part as an elector of all roles."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ElectorSide:
-    """The electors of one node, one for each role if the cluster file names the node among the electors."""
+    """The electors of one node: one for each role, or none if the node is no elector by the cluster file."""
 
     def __init__(self, own_name: str, electorate: Electorate, now: int) -> None:
         self.electorate = electorate
@@ -21,12 +21,12 @@
         self.electors = {role: Elector.started(electorate.lease_terms, now) for role in roles}
 
     def answer(self, now: int, role: str, candidate: CandidateId, ballot: Ballot) -> Answer | None:
-        """Return the answer to a ballot; None if this node is no elector, or its elector does not answer."""
+        """Return the answer to a ballot for a role; None if this node is no elector or gives no answer."""
         elector = self.electors.get(role)
         return elector.answer(now, candidate, ballot) if elector is not None else None
 
     def promises(self, now: int) -> list[Promise]:
-        """Return the promises that have not ended, for the node's record."""
+        """Return the promises of all roles that have not ended, for the node's record."""
         promises = []
         for index, role in enumerate(self.electorate.roles):
             elector = self.electors.get(role)
--- a/larchlatch/cluster/election/electorate.py
+++ b/larchlatch/cluster/election/electorate.py
@@ -1,4 +1,4 @@
-"""The roles and their electors, as the cluster file defines them."""
+"""The elected roles and their electors, as the cluster file defines them."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 
 from larchlatch.cluster.election.lease_terms import LeaseTerms
 
-# Names of the roles in logs; the order of preference and the cluster file's digest depend on them.
-QUOTA_ALLOCATOR = "allotter"  # lends the part of the quotas above all floors
-TOKEN_ISSUER = "pacer"  # issues slow-start tokens
+# Names of the roles in logs. The order of preference of nodes for a role and the cluster file's digest are
+# computed from them.
+QUOTA_ALLOCATOR = "allotter"  # this role's holder lends the part of the quotas that is above all floors
+TOKEN_ISSUER = "pacer"  # this role's holder issues slow-start tokens
 
 
 class Electorate(NamedTuple):
     """The roles and electors of a cluster file; equal on all nodes that have read the same file.
 
     Attributes:
-        electors: names of the nodes that elect.
-        names: names of all members, sorted.
-        roles: roles that are elected, in a fixed order.
-        lease_terms: length of a lease.
-        digest: configuration digest of this part of the file.
+        electors: names of the nodes that vote.
+        names: names of all members of the cluster, sorted.
+        roles: names of the elected roles, in a fixed order; messages refer to a role by its index here.
+        lease_terms: lengths of a lease, a promise and a ballot round.
+        digest: digest of the electorate's part of the cluster file, by which nodes detect different files.
 
     """
 
--- a/larchlatch/cluster/election/fencing.py
+++ b/larchlatch/cluster/election/fencing.py
@@ -1,4 +1,4 @@
-"""Permits for the orders of a role's holder, and the check against orders of a former holder."""
+"""Permits for orders of a role's holder, and the fencing check that rejects a former holder's orders."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class OrderPermit(NamedTuple):
-    """Permission to give an order now.
+    """Permission of a role's holder to give an order at this time.
 
     Attributes:
-        lease: number of the lease, which is the order's fencing token; 0: no order may be given.
+        lease: number of the holder's lease, which is the order's fencing token; 0: no order may be given.
         left_us: time for which the order is valid, in microseconds.
 
     """
@@ -24,18 +24,18 @@
 
 @dataclass(slots=True)
 class FencingGuard:
-    """The highest fencing token (number of a lease) that a receiver of orders has seen for a role."""
+    """Rejects orders of former holders by the highest lease number (fencing token) seen for a role."""
 
     highest_lease: int = 0
 
     def observe(self, lease: int) -> None:
-        """Record that a lease of this number is held."""
+        """Record that some node holds the role under this lease number."""
         self.highest_lease = max(self.highest_lease, lease)
 
     def accepts(self, lease: int) -> bool:
-        """Return whether an order under this lease may be executed, and record the lease's number."""
-        # A holder that is stopped between its check of the clock and its order may send the order when
-        # another node holds the role already.
+        """Return whether an order under this lease may be executed, and record the lease number if so."""
+        # A holder whose process is suspended between its check of the clock and the sending of its order may
+        # send the order when another node already holds the role.
         if lease < self.highest_lease:
             return False
         self.highest_lease = lease
@@ -43,13 +43,14 @@
 
 
 def order_ends_at(asked_at: int, left_us: int) -> int:
-    """Return the end of an order's validity, by the clock of the node that asked for it.
+    """Return the end of an order's validity, by the clock of the node that requested the order.
 
     Args:
-        asked_at: when the order was asked for, by that clock.
-        left_us: remaining validity when the order was given, in microseconds.
+        asked_at: time of the request for the order, by the requesting node's clock.
+        left_us: remaining validity at the time when the holder gave the order, in microseconds.
 
     """
-    # The order was given after it was asked for. So it ends before another node can hold the role, whatever
-    # the delays and clock errors are (calculation in docs/election.md).
+    # The holder gave the order after the request. So a validity counted from the request ends before another
+    # node can hold the role, whatever the message delay, with clocks within their error bounds
+    # (docs/election.md has the calculation).
     return asked_at + left_us
--- a/larchlatch/cluster/election/known_holders.py
+++ b/larchlatch/cluster/election/known_holders.py
@@ -1,4 +1,4 @@
-"""The holders of roles as one node knows them from the electors' records."""
+"""The holders of all roles, as one node infers them from the promises in the electors' records."""
 
 from __future__ import annotations
 
@@ -15,23 +15,23 @@
     from larchlatch.cluster.election.electorate import Electorate
     from larchlatch.cluster.protocol.messages import NodeRecord, Promise
 
-STANDBYS = 3  # nodes at the head of the order of preference that may become candidates for a role
+STANDBYS = 3  # number of nodes, first in the order of preference, that may become candidates for a role
 
 
 class Holder(NamedTuple):
-    """A role's holder, and the number of its lease."""
+    """The name of a role's holder, and the number of its lease."""
 
     name: str
     lease: int
 
 
 class KnownHolders:
-    """The holder of each role, the time of its last change, and the guard against former holders' orders.
+    """The holder of each role, the time of its last change, and the check of orders from holders.
 
     Attributes:
-        holders: the holder of each role; None if no majority of electors reports one.
+        holders: the holder of each role; None: no majority of the electors reports one.
         changed_at: time of the last change of each role's holder, by the process's own clock.
-        guards: the fencing guard of each role.
+        guards: for each role, the guard that rejects orders of former holders.
 
     """
 
@@ -43,14 +43,14 @@
         self.guards = {role: FencingGuard() for role in electorate.roles}
 
     def follow(self, electorate: Electorate, now: int) -> None:
-        """Use a changed electorate; the fencing tokens that were seen are kept."""
+        """Replace the electorate after a change of the cluster file; seen fencing tokens are kept."""
         self.electorate = electorate
         self.holders = dict.fromkeys(electorate.roles)
         self.changed_at = {role: self.changed_at.get(role, now) for role in electorate.roles}
         self.guards = {role: self.guards.get(role, FencingGuard()) for role in electorate.roles}
 
     def update(self, now: int, role: str, holder: Holder | None) -> None:
-        """Record the present holder of a role; None: there is none."""
+        """Record the present holder of a role; None: the role has no holder."""
         if holder != self.holders[role]:
             self.holders[role] = holder
             self.changed_at[role] = now
@@ -58,12 +58,12 @@
             self.guards[role].observe(holder.lease)
 
     def accept_handover(self, now: int, role: str) -> None:
-        """Record that a role is vacant and reserved for this node, so that it may ask at once."""
+        """Record that a role is vacant and reserved for this node, which may become a candidate at once."""
         self.holders[role] = None
         self.changed_at[role] = now - STANDBYS * self.electorate.lease_terms.term_us
 
     def accepts_order(self, role: str, lease: int) -> bool:
-        """Return whether an order under this lease may be executed here."""
+        """Return whether this node may execute an order that a role's holder gave under this lease."""
         return role in self.guards and self.guards[role].accepts(lease)
 
     def majority_holder(
@@ -75,13 +75,13 @@
     ) -> Holder | None:
         """Return the holder of a role that a majority of the electors reports; None: there is none.
 
-        A single faulty elector can't fabricate a holder.
+        As a majority has to agree, a single faulty elector cannot fabricate a holder.
 
         Args:
             role_index: index of the role in the electorate.
             own_promises: this node's own promises as an elector.
             records: newest record of each member that is present.
-            record_ages: ages of the records that report promises, in microseconds.
+            record_ages: age of each member's latest report of promises, in microseconds.
 
         """
         votes: Counter[Holder] = Counter()
@@ -99,7 +99,7 @@
         return None
 
     def _promised_holders(self, role_index: int, promises: Sequence[Promise], age_us: int) -> list[Holder]:
-        """Return the holders in an elector's unexpired promises of a role."""
+        """Return the nodes to which an elector's unexpired promises give a role."""
         names = self.electorate.names
         return [
             Holder(names[promise.holder_index], promise.lease)
@@ -110,23 +110,27 @@
         ]
 
     def ranked(self, role: str, present: Collection[str]) -> list[str]:
-        """Return the present nodes, this one included, in the order of preference for a role.
+        """Return the names of the present nodes, with this one, in their order of preference for a role.
 
-        The order is that of a hash, equal on all nodes that know the same members. Nodes that hold another
-        role come last.
+        Nodes are ordered by a hash of the role and their names, which gives the same order on all nodes that
+        know the same members. Nodes that hold another role come last.
         """
         names = [name for name in (*present, self.own_name) if name in self.electorate.names]
         busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != role}
         return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{role} {name}".encode())))
 
     def is_standby(self, now: int, role: str, present: Collection[str]) -> bool:
-        """Return whether this node should become a candidate: the role is vacant, and it is its turn."""
+        """Return whether this node should become a candidate for a role: it is vacant and this node is next.
+
+        A role is vacant if no majority of electors reports a holder that is present. A node is next when its
+        waiting time has passed, which grows with its rank in the order of preference.
+        """
         holder = self.holders[role]
         if holder is not None and holder.name in present:
             return False
         if self.own_name not in self.electorate.names:
             return False
         rank = self.ranked(role, present).index(self.own_name)
-        # Nodes after the first one wait, so that it can get the role before they ask.
+        # Nodes of lower rank wait longer, so that nodes of higher rank can win the role first.
         wait_us = rank * self.electorate.lease_terms.term_us // 2
         return rank < STANDBYS and now >= self.changed_at[role] + wait_us
--- a/larchlatch/cluster/election/lease_terms.py
+++ b/larchlatch/cluster/election/lease_terms.py
@@ -1,20 +1,20 @@
-"""Length of a lease, and the bounds on clock errors."""
+"""Lengths of leases, promises and ballot rounds, with allowance for clock errors."""
 
 from __future__ import annotations
 
 from math import ceil
 from typing import NamedTuple
 
-ROUNDS = 8  # ballot rounds in a term
+ROUNDS = 8  # number of ballot rounds in a term
 
 
 class LeaseTerms(NamedTuple):
-    """Times of a lease; equal on all nodes that use the same cluster file.
+    """Lengths of a lease and of what follows from it; equal on all nodes with the same cluster file.
 
     Attributes:
-        term_us: length of a lease, in microseconds of its holder's own clock.
-        skew: greatest relative error of a clock.
-        wall_skew_us: greatest difference of two nodes' wall clocks, in microseconds.
+        term_us: length of a lease, in microseconds of the holder's own clock.
+        skew: greatest relative error of a clock's rate.
+        wall_skew_us: greatest difference between two nodes' wall clocks, in microseconds.
         rounds: number of ballot rounds in a term.
 
     """
@@ -26,18 +26,19 @@
 
     @property
     def promise_us(self) -> int:
-        """Return the length of an elector's promise, by its own clock, in microseconds."""
-        # With a fast clock at the elector and a slow one at the holder, the promise still outlasts the term.
+        """Return the length of an elector's promise, in microseconds of the elector's own clock."""
+        # The promise outlasts the term even if the elector's clock is fast and the holder's clock is slow.
         return ceil(self.term_us * (1 + self.skew) / (1 - self.skew))
 
     @property
     def startup_silence_us(self) -> int:
-        """Return the time after its start in which an elector answers nothing, in microseconds."""
-        # Promises from before the start are unknown and may still hold. If all electors were restarted, a
-        # lease number taken from a wall clock exceeds all before only after the clocks' difference.
+        """Return the time after its start during which an elector answers no ballot, in microseconds."""
+        # Promises from before the start are unknown and may still be valid. If all electors have restarted, a
+        # lease number taken from a wall clock is sure to exceed all earlier numbers only after the greatest
+        # difference between the clocks has passed.
         return self.promise_us + 2 * self.wall_skew_us
 
     @property
     def round_us(self) -> int:
-        """Return the length of a ballot round, which is the longest validity of an order, in microseconds."""
+        """Return the length of a ballot round and the longest validity of an order, in microseconds."""
         return self.term_us // self.rounds
--- a/larchlatch/cluster/slow_start/__init__.py
+++ b/larchlatch/cluster/slow_start/__init__.py
@@ -1,6 +1,6 @@
-"""Slow-start tokens, by which one node admits sessions to warming upstreams for all nodes. No I/O.
+"""Slow-start tokens, with which one node admits the sessions of all nodes to warming upstreams. No I/O.
 
-`requester` is the side of every node, and `issuer` the side of the node that holds the role of the token
-issuer; `tokens` combines them. `notices` holds what the balancer receives. docs/election.md describes the
-design.
+Every node requests tokens with `requester`. The node that holds the role of the token issuer also issues them
+with `issuer`. `tokens` combines both for one node, `token_limits` has the limits that both apply, and
+`notices` defines what the balancer is told. docs/election.md describes the design.
 """
--- a/larchlatch/cluster/slow_start/issuer.py
+++ b/larchlatch/cluster/slow_start/issuer.py
@@ -1,8 +1,8 @@
-"""The issuing side of slow-start tokens, at the node that holds the role of the token issuer. No I/O.
+"""Issuing of slow-start tokens, at the node that holds the role of the token issuer. No I/O.
 
-For each warming upstream the issuer counts the tokens that were issued to all nodes in a window. Nodes that
-have not handed their slow-start turns over keep their part of the window. Times are whole microseconds of the
-node's own clock, which also advances while its process is stopped.
+For each warming upstream the issuer limits the tokens that all nodes together receive within an overload
+window. Nodes that have not handed their slow-start turns over to the issuer keep their part of that budget.
+Times are whole microseconds of the node's own clock, which also advances while its process is suspended.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class IssuedToken(NamedTuple):
-    """A token that was issued, and the weight of its session."""
+    """The time at which a token was issued, and the weight of its session in usual sessions."""
 
     issued_at: int
     weight: float
@@ -35,32 +35,32 @@
 
 @dataclass(slots=True)
 class IssuedTokens:
-    """The tokens for one upstream, oldest first."""
+    """The tokens that were issued for one upstream, oldest first."""
 
     tokens: deque[IssuedToken] = field(default_factory=deque)
 
     def used(self, since: int) -> float:
-        """Return the total weight of the tokens that were issued after `since`."""
+        """Return the total weight of the sessions of tokens that were issued after `since`."""
         recent = takewhile(lambda token: token.issued_at > since, reversed(self.tokens))
         return sum(token.weight for token in recent)
 
     def forget(self, until: int) -> None:
-        """Forget tokens that were issued at `until` or before."""
+        """Discard tokens that were issued at `until` or before."""
         while self.tokens and self.tokens[0].issued_at <= until:
             self.tokens.popleft()
 
 
 class TokenIssuer:
-    """Issues tokens while this node holds the role.
+    """Issues slow-start tokens to all nodes while this node holds the role of the token issuer.
 
     Attributes:
         own_name: this node's name.
-        names: names of all members.
-        enabled: whether the cluster file has the role.
+        names: names of all members of the cluster.
+        enabled: whether the cluster file has the role of the token issuer.
         lease: number of the lease under which this node issues tokens; 0: it holds none.
         opens_at: time before which no token is issued.
-        promised_until: earliest time at which each node's hand-over of its turns can end.
-        issued: tokens issued for each upstream, by the hash of its name.
+        promised_until: for each node, the earliest time at which the hand-over of its turns can end.
+        issued: tokens that were issued for each upstream, by the hash of the upstream's name.
 
     """
 
@@ -72,7 +72,7 @@
         self.follow(electorate)
 
     def follow(self, electorate: Electorate) -> None:
-        """Use the electorate of a cluster file, at the start and after a change."""
+        """Apply the electorate of a new or changed cluster file, and discard what was known of tokens."""
         self.enabled = TOKEN_ISSUER in electorate.roles
         self.names = frozenset(electorate.names)
         self._digest = electorate.digest
@@ -84,45 +84,45 @@
         self.issued: dict[int, IssuedTokens] = {}
 
     def update_upstreams(self, upstreams: Iterable[int], *, window_us: int) -> None:
-        """Update the upstreams that are ready, by the hashes of their names, and their overload window."""
+        """Update the hashes of the names of the upstreams that are ready, and the overload window."""
         self._upstreams = frozenset(upstreams)
         self._window_us = window_us
 
     @property
     def counting_span_us(self) -> int:
-        """Return the time for which an issued token counts: until no window can contain its session."""
+        """Return for how many microseconds a token counts: until no overload window can have its session."""
         return ceil((self._window_us + token_hold_us(self._window_us)) * (1 + self._skew))
 
     def hold(self, now: int, lease: int) -> None:
-        """Begin, continue or cease to issue tokens under a lease; 0: this node does not hold the role."""
+        """Begin, continue or cease to issue tokens under a lease; lease 0: the role is not held here."""
         if lease == self.lease:
             self._forget_old(now)
             return
-        # The tokens of the previous issuer are unknown here. They end with its lease, and count for one more
-        # window.
+        # The tokens of the previous issuer are unknown here. They expire with its lease at the latest, but
+        # their sessions still count in the following overload window.
         self.lease = lease
         self.promised_until = {}
         self.issued = {}
         self.opens_at = now + self.counting_span_us
 
     def _forget_old(self, now: int) -> None:
-        """Forget tokens that no longer count, even for the smallest share of nodes that have handed over."""
+        """Discard tokens that no longer count even if only one node has handed over its turns."""
         until = now - self.counting_span_us * max(1, len(self.names))
         for issued in self.issued.values():
             issued.forget(until)
         self.issued = {upstream: issued for upstream, issued in self.issued.items() if issued.tokens}
 
     def is_new(self, request: TokenRequest) -> bool:
-        """Return whether a request is newer than all of its sender, so that it is worth verifying."""
+        """Return whether a request is newer than all earlier ones of its sender and may be answered."""
         return self.enabled and self._replay_guard.is_new(request)
 
     def answer(self, now: int, request: TokenRequest, permit: OrderPermit) -> TokenGrant | None:
-        """Return the answer to a request; None if this node may not issue, or no window has room.
+        """Return the answer to a request; None if this node may not issue tokens or no upstream has room.
 
         Args:
-            now: present time.
-            request: the request.
-            permit: permit of the token issuer, if this node holds that role.
+            now: time by the node's own clock.
+            request: a request with a verified signature.
+            permit: permit for an order of the token issuer; lease 0: this node does not hold that role.
 
         """
         self._replay_guard.record(request)
@@ -133,7 +133,7 @@
         self._record_promise(now, request)
         upstream = self._issue_first(now, request.demands) if now >= self.opens_at else 0
         if request.demands and not upstream:
-            return None  # the requester does not wait long for an answer
+            return None  # a refusal needs no message, as the requester does not wait long for an answer
         return TokenGrant(
             **response_header(self.own_name, request),
             lease=permit.lease,
@@ -143,16 +143,16 @@
         )
 
     def _record_promise(self, now: int, request: TokenRequest) -> None:
-        """Record until when the sender has handed its turns over, if it did so under this node's lease."""
+        """Record until when the sender has handed over its turns, if its promise is for this node's lease."""
         if request.lease != self.lease or not 0 < request.issued_us <= now:
             return
-        # The sender made its promise after it received the answer with this time stamp. So its term began
-        # later, by a clock that may be fast.
+        # The sender made its promise after it received the answer with this timestamp, so the promised term
+        # began later. The sender's clock may be fast, and then the term is shorter by this node's clock.
         until = request.issued_us + int(self._term_us * (1 - self._skew) / (1 + self._skew))
         self.promised_until[request.sender] = max(until, self.promised_until.get(request.sender, 0))
 
     def _issue_first(self, now: int, demands: Sequence[TokenDemand]) -> int:
-        """Issue a token for the first upstream with room; return the hash of its name, or 0 for none."""
+        """Issue a token for the first demanded upstream with room; return its name's hash, or 0 for none."""
         handed_over = sum(now < until for until in self.promised_until.values())
         share = handed_over / len(self.names)
         for demand in demands[:MAX_CANDIDATES]:
@@ -161,15 +161,15 @@
         return 0
 
     def _issue(self, now: int, demand: TokenDemand, share: float) -> bool:
-        """Issue a token if the upstream's window has room; return whether it was issued.
+        """Issue a token for one upstream if its budget allows; return whether it was issued.
 
         Args:
-            now: present time.
-            demand: the upstream, its budget in a window, and the session's weight.
-            share: fraction of all nodes that have handed their turns over.
+            now: time by the node's own clock.
+            demand: the upstream, its budget in an overload window, and the session's weight.
+            share: fraction of all nodes that have handed over their turns.
 
         """
-        # Nodes that have not handed their turns over use their own part of the budget.
+        # Nodes that have not handed over their turns use their own part of the budget without tokens.
         limit = share * demand.budget_milli / MILLI
         span_us = self.counting_span_us
         if limit < 1:
@@ -179,7 +179,7 @@
         issued = self.issued.setdefault(demand.upstream, IssuedTokens())
         weight = max(1, demand.weight_milli) / MILLI
         used = issued.used(now - span_us)
-        # A session that exceeds the budget alone may go to an upstream whose window is empty.
+        # A session whose weight alone exceeds the budget may go to an upstream without other recent sessions.
         if used and used + weight > limit:
             return False
         issued.tokens.append(IssuedToken(now, weight))
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -1,9 +1,9 @@
-"""The requesting side of slow-start tokens, at every node. No I/O.
+"""Requests for slow-start tokens and the hand-over of slow-start turns, at every node. No I/O.
 
-Without a token issuer the nodes send sessions to a warming upstream in turns, by their numbers, and nodes
-with few sessions leave most of their turns unused. With a token issuer they hand their turns over to it for a
-term, and request a token for each session. Times are whole microseconds of the node's own clock, which also
-advances while its process is stopped.
+Without a token issuer the nodes take turns, by their numbers, in sending sessions to a warming upstream, and
+nodes with few sessions leave most of their turns unused. With a token issuer, each node hands over its turns
+to the issuer for a term, and requests a token for each session. Times are whole microseconds of the node's
+own clock, which also advances while its process is suspended.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     from larchlatch.cluster.protocol.headers import RequestOrigin
     from larchlatch.policy.types import TokenCandidate
 
-RENEWALS = 3  # of a hand-over within its term, while an upstream is warming up
-IDLE_RENEWALS = 2  # of a hand-over within its term, while no upstream is warming up
-NOTICE_LAG_US = 300_000  # delay from the balancer's notice of a hand-over to the promise to the issuer
-REQUEST_BURST = 16  # requests for sessions that a node may send at once
-CLUSTER_REQUESTS_PER_S = 1000  # for sessions, of all nodes: the issuer verifies a signature for each
+RENEWALS = 3  # renewals of a hand-over within its term while an upstream is warming up
+IDLE_RENEWALS = 2  # renewals of a hand-over within its term while no upstream is warming up
+NOTICE_LAG_US = 300_000  # longest delay of a notice to the balancer; a promise to the issuer waits for it
+REQUEST_BURST = 16  # token requests that a node may send at once
+CLUSTER_REQUESTS_PER_S = 1000  # token requests of all nodes; the issuer verifies the signature of each
 
 
 class PendingRequest(NamedTuple):
-    """A request whose answer is pending; session -1: it asks for no token."""
+    """A request to the issuer that has no answer yet; session -1: the request is for no token."""
 
     issuer: str
     asked_at: int
@@ -40,75 +40,78 @@
 
 
 class TokenActions(NamedTuple):
-    """What is due with a heartbeat: a request to the issuer, and a notice to the balancer."""
+    """What a node sends at a heartbeat: a request to the issuer and a notice to the balancer."""
 
     request: TokenRequest | None = None
     notice: TokenNotice | None = None
 
 
 class TokenRequester:
-    """Hands this node's slow-start turns over to the issuer, and requests tokens from it.
+    """Hands over this node's slow-start turns to the token issuer, and requests tokens from it.
 
     Attributes:
-        names: names of all members.
+        names: names of all members of the cluster.
         enabled: whether the cluster file has the role of the token issuer.
-        closed: whether another process of this node places sessions.
-        issuer: name of the node that holds the role; empty: none is known.
-        answered_at: time of the request for the issuer's last answer.
-        handed_over_until: end of the hand-over in the last notice to the balancer.
+        closed: whether another process of this node places sessions, so that this one requests no tokens.
+        issuer: name of the node that holds the role of the token issuer; empty: no holder is known.
+        answered_at: time of the last request that the issuer has answered.
+        handed_over_until: end of the hand-over as the last notice to the balancer states it.
 
     """
 
     def __init__(self, electorate: Electorate, now: int) -> None:
         self.closed = False
-        # The hand-over of this node's turns before its start is unknown and may still hold.
+        # A hand-over that this node promised before its start is unknown here and may still be valid.
         self.handed_over_until = now + electorate.lease_terms.promise_us
-        self._known_until = self.handed_over_until  # end of the hand-over in the notice before that
+        self._known_until = self.handed_over_until  # end of the hand-over by the previous notice
         self._last_number = 0
         self._pending: dict[int, PendingRequest] = {}
-        self._slow_start_until = 0  # some upstream may be warming up until then
+        self._slow_start_until = 0  # time until which some upstream may be warming up
         self._window_us = 0
         self.follow(electorate)
 
     def follow(self, electorate: Electorate) -> None:
-        """Use the electorate of a cluster file, at the start and after a change."""
+        """Apply the electorate of a new or changed cluster file, and discard what was known of the issuer."""
         self.enabled = TOKEN_ISSUER in electorate.roles
         self.names = frozenset(electorate.names)
         self._digest = electorate.digest
-        self._term_us = electorate.lease_terms.term_us  # turns are handed over for a term
+        self._term_us = electorate.lease_terms.term_us  # length of a hand-over
         self._promise_us = electorate.lease_terms.promise_us
         self.issuer = ""
-        self._issuer_stamp = 0  # the issuer's clock in its last answer
-        self._issuer_lease = 0  # its lease there
+        self._issuer_stamp = 0  # time of the issuer's last answer, by the issuer's clock
+        self._issuer_lease = 0  # number of the issuer's lease in that answer
         self.answered_at = -self._term_us
-        self._asked_at = -self._term_us  # when a heartbeat last sent a request
+        self._asked_at = -self._term_us  # time of the last request that a heartbeat sent
         self._promising_since: int | None = None
         self._ticked_at = 0
-        self._allowance = float(REQUEST_BURST)  # requests for sessions that may be sent now
+        self._allowance = float(REQUEST_BURST)  # number of token requests that may be sent now
 
     def update_slow_start(self, now: int, *, slow_start_us: int, window_us: int) -> None:
-        """Update the longest remaining slow start of an upstream, and the overload window."""
+        """Update the longest remaining slow start of any upstream, and the length of the overload window."""
         self._slow_start_until = now + slow_start_us
         self._window_us = window_us
 
     def answered_lately(self, now: int) -> bool:
-        """Return whether the issuer has answered within a term."""
+        """Return whether the issuer has answered a request that was sent within the last term."""
         return now < self.answered_at + self._term_us
 
     def promises(self, now: int) -> bool:
-        """Return whether the balancer knows that this node's turns are handed over for a term from now."""
+        """Return whether a request sent now may promise this node's turns to the issuer for a term.
+
+        It may if the balancer surely knows that the turns are handed over until the end of that term.
+        """
         noticed = now >= self._asked_at + NOTICE_LAG_US
         known_until = self.handed_over_until if noticed else self._known_until
         begun = self._promising_since is not None and now >= self._promising_since + NOTICE_LAG_US
         return begun and self.answered_lately(now) and now + self._term_us <= known_until
 
     def tick(self, now: int, origin: RequestOrigin, issuer: str) -> TokenActions:
-        """Return what is due with a heartbeat.
+        """Return the request and the notice that are due at a heartbeat.
 
         Args:
-            now: present time.
-            origin: what each request says of this node.
-            issuer: name of the node that holds the role; empty: none is known.
+            now: time by the node's own clock.
+            origin: this node's name, its incarnation and the Unix time, for the request's header.
+            issuer: name of the node that holds the role of the token issuer; empty: no holder is known.
 
         """
         self._refill_allowance(now)
@@ -126,7 +129,8 @@
             return TokenActions(request=self._request(now, origin))
         if self._promising_since is None:
             self._promising_since = now
-        # Each request until the next renewal promises another term, and notices reach the balancer late.
+        # Each request until the next renewal promises a whole term, and the notice of the renewal can take
+        # NOTICE_LAG_US to reach the balancer.
         self._known_until = self.handed_over_until
         self.handed_over_until = now + self._term_us + self._term_us // IDLE_RENEWALS + NOTICE_LAG_US
         return TokenActions(self._request(now, origin), TokenNotice(self.handed_over_until))
@@ -146,8 +150,8 @@
     ) -> TokenRequest:
         self._last_number += 1
         self._pending[self._last_number] = PendingRequest(self.issuer, now, session)
-        # The balancer receives notices with a delay. Only a hand-over that it knows of is promised: otherwise
-        # a turn that it is just using could be given to another node as well.
+        # The balancer receives notices with a delay. A hand-over that it does not know of is not promised:
+        # otherwise the balancer could use a turn whose budget the issuer grants to another node.
         promises = self.promises(now)
         return TokenRequest(
             **origin.header(request_id=self._last_number, recipient=self.issuer, config_digest=self._digest),
@@ -163,13 +167,13 @@
         session: int,
         candidates: Sequence[tuple[int, TokenCandidate]],
     ) -> TokenRequest | None:
-        """Return the request of a token for a session; None if no request can be sent now.
+        """Return a request for a token for a session; None if no request can be sent now.
 
         Args:
-            now: present time.
-            origin: what each request says of this node.
+            now: time by the node's own clock.
+            origin: this node's name, its incarnation and the Unix time, for the request's header.
             session: the session's number.
-            candidates: warming upstreams that it may be sent to, each with the hash of its name.
+            candidates: warming upstreams that the session may be sent to, each with the hash of its name.
 
         """
         reachable = self.enabled and not self.closed and self.issuer and self.answered_lately(now)
@@ -187,12 +191,12 @@
         return self._request(now, origin, session, demands)
 
     def expects(self, grant: TokenGrant) -> bool:
-        """Return whether a grant answers a pending request, so that its signature is worth verifying."""
+        """Return whether a grant answers a pending request; other grants need no signature check."""
         request = self._pending.get(grant.request_id)
         return request is not None and request.issuer == grant.sender
 
     def accept(self, now: int, grant: TokenGrant) -> TokenNotice | None:
-        """Apply an expected answer of the issuer; return the notice of its token if that can be used."""
+        """Apply the issuer's answer to a pending request; return the notice of its token if usable."""
         request = self._pending.pop(grant.request_id)
         ends_at = order_ends_at(request.asked_at, grant.remaining_us)
         if now >= ends_at:
@@ -206,16 +210,19 @@
         return TokenNotice(self.handed_over_until, grant.upstream, request.session, token_ends_at)
 
     def withdraw(self) -> None:
-        """Withdraw the hand-over until the next heartbeat, as the balancer did not accept a notice."""
+        """Stop promising the hand-over until the next heartbeat, as the balancer did not accept a notice."""
         self._promising_since = None
 
     def close(self) -> None:
-        """Stop handing turns over, as another process of this node places sessions from now on."""
+        """Stop handing over turns, as another process of this node places sessions from now on."""
         self.closed = True
         self._promising_since = None
 
     def open(self, now: int) -> TokenNotice | None:
-        """Begin to place sessions; turns stay handed over until promises of the predecessor have ended."""
+        """Begin to hand over turns and request tokens; return the notice to the balancer.
+
+        The turns count as handed over until all promises of the predecessor process have ended.
+        """
         self.closed = False
         self.handed_over_until = max(self.handed_over_until, now + self._promise_us)
         return TokenNotice(self.handed_over_until) if self.enabled else None
--- a/larchlatch/cluster/slow_start/token_limits.py
+++ b/larchlatch/cluster/slow_start/token_limits.py
@@ -1,13 +1,13 @@
-"""Limits of slow-start tokens that both sides apply."""
+"""Limits of slow-start tokens that the requester and the issuer apply."""
 
 from __future__ import annotations
 
-HOLD_PARTS = 8  # a token is valid for this part of an overload window
-MIN_HOLD_US = 100_000  # least validity of a token: time for a request, its response and the placement
-MAX_CANDIDATES = 4  # upstreams that one request names
-MILLI = 1000  # budgets and weights go over the wire in thousandths of a session
+HOLD_PARTS = 8  # a token is valid for the overload window divided by this
+MIN_HOLD_US = 100_000  # least validity of a token, which covers a request, its response and the placement
+MAX_CANDIDATES = 4  # most upstreams that one request names
+MILLI = 1000  # messages state budgets and weights in thousandths of a usual session
 
 
 def token_hold_us(window_us: int) -> int:
-    """Return the validity of a token from its request on, for this overload window; in microseconds."""
+    """Return how long a token is valid after its request, in microseconds, for a given overload window."""
     return max(MIN_HOLD_US, window_us // HOLD_PARTS)
--- a/larchlatch/cluster/slow_start/tokens.py
+++ b/larchlatch/cluster/slow_start/tokens.py
@@ -1,4 +1,4 @@
-"""Both sides of slow-start tokens at one node. No I/O."""
+"""The requester and the issuer of slow-start tokens at one node. No I/O."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class SlowStartTokens:
-    """A node's requesting side, and its issuing side for when it holds the role of the token issuer.
+    """One node's requester of slow-start tokens, and its issuer for the time that it holds that role.
 
     Attributes:
-        requester: requests tokens, and hands this node's slow-start turns over to the issuer.
-        issuer: answers requests while this node holds the role.
+        requester: requests tokens, and hands over this node's slow-start turns to the token issuer.
+        issuer: answers token requests while this node holds the role of the token issuer.
 
     """
 
@@ -32,20 +32,20 @@
         return self.requester.enabled
 
     def follow(self, electorate: Electorate) -> None:
-        """Use the electorate of a changed cluster file."""
+        """Apply the electorate of a changed cluster file to the requester and the issuer."""
         self.requester.follow(electorate)
         self.issuer.follow(electorate)
 
     def update_upstreams(
         self, now: int, upstreams: Collection[int], *, slow_start_us: int, window_us: int
     ) -> None:
-        """Update the upstreams that are ready.
+        """Update the upstreams that are ready, their slow start and the overload window.
 
         Args:
-            now: present time.
-            upstreams: hashes of their names.
-            slow_start_us: longest remaining slow start of an upstream.
-            window_us: overload window in which the budget of a warming upstream is counted.
+            now: time by the node's own clock.
+            upstreams: hashes of the names of the upstreams that are ready.
+            slow_start_us: longest remaining slow start of any upstream, in microseconds.
+            window_us: overload window for which the budget of a warming upstream is set, in microseconds.
 
         """
         self.requester.update_slow_start(now, slow_start_us=slow_start_us, window_us=window_us)
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -1,4 +1,4 @@
-"""Duties that one node holds at a time: leases, fences, hand-over."""
+"""Election of the holder of each role: leases, lost ballots, hand-over and the fencing of orders."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class ElectionHarness:
-    """Electors and candidates whose messages are delivered by hand."""
+    """Three electors and two candidates that exchange ballots and answers without a network."""
 
     def __init__(self) -> None:
         self.now = START
@@ -51,7 +51,7 @@
         return Candidate(NAMES, LEASE_TERMS, random.Random(seed).uniform)
 
     def ask(self, name: str, ballots: list[Ballot]) -> None:
-        """Deliver ballots to all electors that are not cut off, and their answers, without delay."""
+        """Deliver ballots to all reachable electors, and their answers to the candidate, without delay."""
         while ballots:
             ballot = ballots.pop(0)
             for elector, one in self.electors.items():
@@ -75,9 +75,12 @@
 
 
 def test_a_holder_renews_and_one_that_is_stopped_over_its_term_holds_no_longer() -> None:
+    """A holder whose process was suspended beyond its term would act next to its successor."""
     harness = ElectionHarness()
     assert harness.step("x") and not harness.step("y")
-    assert harness.run("x", 60 * SECOND) and harness.candidates["x"].lease < WALL + 2 * START, "by one token"
+    assert harness.run("x", 60 * SECOND) and harness.candidates["x"].lease < WALL + 2 * START, (
+        "renewals keep the lease number"
+    )
     lease = harness.candidates["x"].lease
     harness.now += LEASE_TERMS.term_us
     assert (
@@ -86,10 +89,11 @@
     )
     harness.now += LEASE_TERMS.promise_us - LEASE_TERMS.term_us
     assert harness.run("y", SECOND) and harness.candidates["y"].lease > lease
-    assert not harness.step("x"), "on resuming it finds that its lease ended"
+    assert not harness.step("x"), "a holder that resumes after its term finds that its lease has ended"
 
 
 def test_with_a_majority_of_electors_gone_nobody_holds_and_with_one_gone_somebody_does() -> None:
+    """Two sides of a partition could each elect a holder if fewer than a majority of electors sufficed."""
     harness = ElectionHarness()
     harness.cut = {"a", "b"}
     assert not harness.run("x", 20 * SECOND)
@@ -100,7 +104,11 @@
 
 
 def test_two_candidates_in_step_do_not_block_each_other_for_long() -> None:
-    """Each ballot reaches another elector first, and the third too late, again and again."""
+    """Two candidates that ask at the same time could split the votes in every round.
+
+    In each round, each candidate's ballot reaches only one elector, a different one, so that neither gets a
+    majority. The random pauses after a failed round have to end this within about a term.
+    """
     durations = []
     for round in range(30):
         harness = ElectionHarness()
@@ -127,6 +135,7 @@
 
 
 def test_planned_handover_leaves_the_role_vacant_for_one_round_trip() -> None:
+    """If a holder did not release its lease, the role would be vacant until the promises expire."""
     harness = ElectionHarness()
     assert harness.step("x")
     harness.candidates["x"].resign(harness.now, "y")
@@ -136,30 +145,38 @@
     harness.now = end
     assert not harness.step("x", eligible=False) and harness.candidates["x"].state is CandidateState.IDLE
     harness.candidates["y"].accept_handover(harness.now)
-    assert harness.step("y"), "at the same instant"
+    assert harness.step("y"), "the successor holds the role at the time of the release"
     harness.candidates["y"].resign(harness.now, "")
     harness.now = harness.candidates["y"].lease_ends_at
     harness.step("y", eligible=False)
-    assert harness.step("x"), "without a named successor any candidate may hold it"
+    assert harness.step("x"), "without a named successor any candidate may get the role"
 
 
 def test_a_released_role_is_reserved_for_its_successor_for_a_moment_alone() -> None:
+    """A reservation without an end would keep the role vacant if the named successor has failed."""
     harness = ElectionHarness()
     assert harness.step("x")
     harness.candidates["x"].resign(harness.now, "z")
     harness.now = harness.candidates["x"].lease_ends_at
     harness.step("x", eligible=False)
     harness.candidates["y"].accept_handover(harness.now)
-    assert not harness.step("y"), "reserved for the named successor"
-    assert harness.run("y", 2 * SECOND), "the successor did not claim it in time"
+    assert not harness.step("y"), "the role is still reserved for the named successor"
+    assert harness.run("y", 2 * SECOND), "the reservation ends if the successor does not ask for the role"
 
 
 def test_numbers_go_up_through_a_wall_clock_that_steps_and_electors_that_all_forget() -> None:
+    """With a lease number below an earlier one, the orders of the new holder would be rejected.
+
+    A number can be too low if the candidate's wall clock is behind, or if all electors have restarted and no
+    longer know the highest number.
+    """
     harness = ElectionHarness()
     assert harness.step("x", wall=WALL)
     first = harness.candidates["x"].lease
     harness.now += LEASE_TERMS.promise_us
-    assert harness.step("y", wall=WALL - 3600 * SECOND), "once told the higher token, it uses one above"
+    assert harness.step("y", wall=WALL - 3600 * SECOND), (
+        "a candidate that learns of a higher number uses the next one"
+    )
     assert harness.candidates["y"].lease > first
     harness.electors = {name: Elector.started(LEASE_TERMS, harness.now) for name in NAMES}
     harness.incarnations["x"] = 2
@@ -171,7 +188,8 @@
     assert harness.candidates["x"].lease > first
 
 
-RATES = st.sampled_from([(1, 1), (1, -1), (-1, 1), (-1, -1)])  # of the holder's clock, and the other's
+# Signs of the rate errors of the holder's clock and of the clock of the node that receives the order.
+RATES = st.sampled_from([(1, 1), (1, -1), (-1, 1), (-1, -1)])
 
 
 @settings(max_examples=200, deadline=None)
@@ -195,14 +213,18 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 50, 131, 190])
 def test_with_random_faults_no_two_nodes_hold_a_role(seed: int) -> None:
-    """On the last three nobody held one for 12 to 23 s while lost ballots were not sent again."""
+    """Crashes, partitions and message loss must neither give a role two holders nor leave it vacant for long.
+
+    While lost ballots were not sent again, a role stayed vacant for 12 to 23 s with the last three seeds.
+    """
     row = Simulation(with_random_faults(read_scenario_file(DUTIES, {"seed": seed}), 12)).run()
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
-    assert row["orders"] > 20 and row["duty_changes"] >= 2, "the roles are used, and change holder"
+    assert row["orders"] > 20 and row["duty_changes"] >= 2, "the holders give orders, and roles change holder"
     assert row["unheld_s"] < 9.0 and row["cold_over"] == 0 and not any(row["broken"].values())
 
 
 def test_a_ballot_without_an_answer_is_sent_again_and_so_is_a_release() -> None:
+    """A lost ballot would fail its round, and a lost release would block other candidates for a term."""
     electorate = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), LEASE_TERMS, 1)
     one = Election("x", electorate, 200_000, START, random.Random(1))
     now = START + LEASE_TERMS.startup_silence_us
@@ -227,6 +249,8 @@
 
 
 def test_quota_allocator_lends_the_share_of_dead_nodes_to_the_others() -> None:
+    """Without an allocator, the quota of nodes that have failed stays unused."""
+
     def used(with_allocator: bool) -> float:
         simulation = Simulation(
             parse_scenario(
@@ -255,23 +279,32 @@
 
 
 def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
+    """After a change of the electors, a majority of the new ones could elect a second holder.
+
+    That happens if they promise the role while promises of the previous electors are still valid.
+    """
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
     now = START + electorate.lease_terms.startup_silence_us
     request = BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, 0, 7, BallotKind.GRANT.value, "")
-    assert election.answer_ballot(now - 1, request) is None, "it has just started"
+    assert election.answer_ballot(now - 1, request) is None, (
+        "an elector that has just started does not answer"
+    )
     vote = election.answer_ballot(now, request)
     assert vote is not None and vote.granted
     other = cluster_with_electors("n0", "n1", "n3").electorate
     election.follow(other, now)
-    assert election.answer_ballot(now + SECOND, request) is None, "the request is of another file"
+    assert election.answer_ballot(now + SECOND, request) is None, (
+        "the request was sent under the previous cluster file"
+    )
     ask = msgspec.structs.replace(request, config_digest=other.digest)
     assert election.answer_ballot(now + SECOND, ask) is None
     assert election.answer_ballot(now + electorate.lease_terms.startup_silence_us, ask) is not None
 
 
 def test_holder_with_repeatedly_late_heartbeats_resigns() -> None:
+    """An overloaded holder that is just fast enough to renew its leases would serve its role badly."""
     electorate = cluster_with_electors("n0", "n1", "n2").electorate._replace(electors=("n0",))
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     election.open(START)
@@ -282,19 +315,22 @@
     for _ in range(20):
         now += 200_000
         election.tick(now, origin("n0"), {}, {})
-    assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "with heartbeats in time it keeps the role"
+    assert election.order_permit(now, QUOTA_ALLOCATOR)[0], "a holder with timely heartbeats keeps the role"
     for _ in range(3):
         now += 700_000
         election.tick(now, origin("n0"), {}, {})
     for _ in range(25):
         now += 200_000
         election.tick(now, origin("n0"), {}, {})
-    assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], "it does not stand again for a while"
+    assert not election.order_permit(now, QUOTA_ALLOCATOR)[0], (
+        "after its resignation a slow node is no candidate for some terms"
+    )
     reasons = [(event.change, event.reason) for event in election.take_events()]
     assert reasons == [("held", "nobody held the role"), ("ended", "this node is too slow")]
 
 
 def test_handover_is_the_logged_reason_on_both_sides() -> None:
+    """A planned hand-over that was logged like a failure of the holder would mislead operators."""
     electorate = cluster_with_electors("n0", "n1", "n2").electorate._replace(electors=("n0",))
     one, successor = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
     there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
@@ -318,7 +354,9 @@
             if request.recipient == "n0" and (vote := one.answer_ballot(now, request)) is not None
         ]
         asks = [request for vote in votes for request in successor.count_vote(now, vote, wall=WALL)]
-    assert successor.order_permit(now, QUOTA_ALLOCATOR)[0], "in the same instant"
+    assert successor.order_permit(now, QUOTA_ALLOCATOR)[0], (
+        "the successor holds the role at the time of the release"
+    )
     assert [(event.change, event.reason) for event in successor.take_events()] == [
         ("held", "the previous holder handed the role over")
     ]
@@ -326,6 +364,8 @@
 
 
 def test_single_faulty_elector_fabricates_no_holder() -> None:
+    """Only unexpired promises of a majority of electors make a holder, not those of other nodes."""
+
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
 
@@ -339,10 +379,13 @@
     assert holder(n0=record("n0", promise), n4=record("n4", promise), n3=record("n3", promise)) is None
     assert holder(n0=record("n0", promise), n1=record("n1", promise)) == Holder("n4", 9)
     old = Promise(0, 9, 4, 100)
-    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, "that promise has ended by now"
+    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, (
+        "the second elector's promise has expired"
+    )
 
 
 def test_unknown_ballots_are_ignored() -> None:
+    """An unknown ballot kind or role index, as a newer version may send, would raise an exception."""
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
     for role, what in ((0, 7), (9, 0), (9, 2)):
@@ -357,7 +400,11 @@
 
 
 def test_vote_for_an_earlier_incarnation_is_not_counted() -> None:
-    # Its round has the same number in this incarnation, to which no elector has promised anything.
+    """A delayed vote would count as a promise that no elector has made to the present incarnation.
+
+    Round numbers restart in each incarnation, so a vote for the earlier one can have the number of the
+    running round.
+    """
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n5", electorate, 200_000, START, random.Random(1))
     now = START
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -1,4 +1,4 @@
-"""Slow-start tokens: who sends the next session to a warming upstream, whatever is lost or late."""
+"""Slow-start tokens: budgets of warming upstreams hold although messages are lost, doubled or late."""
 
 from __future__ import annotations
 
@@ -46,8 +46,11 @@
 
 
 def test_without_faults_nearly_the_whole_budget_is_used_by_tokens() -> None:
+    """An issuer that refuses too much would leave the capacity of warming upstreams unused."""
     played = Played(1, 0.0, 0.0, 0.0, False).run(30)
-    assert played.sound and len(played.by_leave) > 0.7 * BUDGET * 22, "8 s pass until a start has its turns"
+    assert played.sound and len(played.by_leave) > 0.7 * BUDGET * 22, (
+        "8 of the 30 s are allowed for the hand-over of turns after the start"
+    )
 
 
 def forgetful(one: TokenRequester, now: int) -> None:
@@ -73,8 +76,12 @@
 
 @pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
 def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A start that forgets turns handed over before, a promise that the balancer has not received,
-    an issuer that issues before the previous tokens have run out, windows counted too short."""
+    """The invariants could hold in the other tests only because the harness does not detect violations.
+
+    The injected faults are a restart that forgets the hand-over of turns, a promise that the balancer does
+    not know of, an issuer that issues before the tokens of its predecessor have expired, and a counting span
+    that is too short.
+    """
     monkeypatch.setattr(*fault)
     networks = ((0.1, 0.2, 0.1, True, False), (0.0, 0.0, 0.0, False, True))
     assert not all(Played(seed, *network).run(25).sound for seed in range(20) for network in networks)
@@ -95,6 +102,7 @@
 
 
 def test_session_counts_by_its_weight_and_any_weight_fits_an_empty_window() -> None:
+    """A heavy session counted as one would cause overload; one above the budget would never be sent."""
     one, order = ready_issuer(), OrderPermit(5, 300_000)
     assert one.answer(START, token_request(1, weight=9.0), order) is not None
     assert one.answer(START, token_request(2, weight=0.1), order) is None
@@ -105,35 +113,48 @@
 
 
 def test_nodes_that_use_turns_keep_their_part_of_the_budget() -> None:
+    """Tokens for the whole budget, beside nodes that still use their turns, would overload an upstream."""
     one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {"a": START + TERM, "b": START + TERM}
     granted = [one.answer(START, token_request(number), order) is not None for number in range(1, 6)]
-    assert granted == [True, True, False, False, False], "half of five, for two of four"
+    assert granted == [True, True, False, False, False], (
+        "with the turns of two of four nodes, half of the budget of five gives two tokens"
+    )
     one.promised_until = {}
     assert one.answer(START + 5 * SECOND, token_request(9), order) is None
 
 
 def test_promise_counts_from_the_answer_that_it_echoes() -> None:
-    # The age of a message is unknown. Counted from its arrival, a late one would be a promise that ended
-    # long ago.
+    """A late request would carry a promise that has ended already, if the promise counted from its arrival.
+
+    The issuer does not know the age of a request. It counts the promise from its own answer, whose timestamp
+    the request echoes.
+    """
     one, order = ready_issuer(), OrderPermit(5, 300_000)
     one.promised_until = {}
     one.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), order)
     assert START + TERM * 0.97 < one.promised_until["b"] < START + TERM * 0.99
     one.answer(START + 2 * SECOND, token_request(2, lease=4, issued_us=START + SECOND), order)
-    assert one.promised_until["b"] < START + TERM, "by another lease's clock"
+    assert one.promised_until["b"] < START + TERM, (
+        "an answer under another lease has another clock and does not count"
+    )
     one.answer(START, token_request(3, lease=5, issued_us=START + 9 * SECOND), order)
-    assert one.promised_until["b"] < START + TERM, "an answer that has not been given yet"
+    assert one.promised_until["b"] < START + TERM, "a timestamp in the future does not count"
 
 
 def test_no_token_without_the_role_or_with_another_file() -> None:
+    """A node that issued tokens beside the holder, or by another cluster file, would exceed the budget."""
     one = ready_issuer()
     assert one.answer(START, token_request(1), NO_PERMIT) is None
-    assert one.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, "a lease that has only begun"
+    assert one.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, (
+        "the issuer does not know this new lease yet"
+    )
     assert one.answer(START, token_request(3, config_digest=8), OrderPermit(5, 300_000)) is None
     assert one.answer(START, token_request(4, sender="x"), OrderPermit(5, 300_000)) is None
     stranger = msgspec.structs.replace(token_request(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
-    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, "an upstream that is not on the list"
+    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, (
+        "the upstream is not among those that are ready"
+    )
     one.hold(START, 6)
     assert one.answer(START + SECOND, token_request(5), OrderPermit(6, 300_000)) is None, (
         "tokens of the previous issuer are still valid"
@@ -141,6 +162,7 @@
 
 
 def test_request_rate_of_the_cluster_is_bounded() -> None:
+    """Many waiting sessions in a large cluster would overload the issuer, which verifies each signature."""
     one, now, request_count = TokenRequester(ELECTORATE, START), START, 0
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     one.names = frozenset(map(str, range(200)))
@@ -157,6 +179,7 @@
 
 
 def test_what_was_given_long_ago_is_forgotten() -> None:
+    """The issuer's memory use would grow without bound if it kept tokens that no longer count."""
     one = ready_issuer()
     assert one.answer(START, token_request(1), OrderPermit(5, 300_000)) is not None
     one.hold(START + 2 * one.counting_span_us, 5)
@@ -166,13 +189,15 @@
 
 
 def test_token_is_for_its_session_alone_and_expires() -> None:
-    # Otherwise a heavy session that was refused would take the token of a light one.
+    """A heavy session that got no token would use the token of a light one, and exceed the budget."""
     harness = BalancerHarness(upstreams=0, nodes=40, probes=False)
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
     balancer, now = harness.balancer, harness.now
     balancer.record_token(now, now + 10 * SECOND)
     one, other = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
-    assert not harness.attempt_upstreams, "all upstreams are warming up, and turns are handed over"
+    assert not harness.attempt_upstreams, (
+        "both sessions wait, as all upstreams are warming up and turns are handed over"
+    )
     requested = {
         want.upstream
         for answer in [balancer.place(now, session) for session in (one, other)]
@@ -183,12 +208,12 @@
     balancer.record_token(now, now + 10 * SECOND, Token(1, one.number, now + 100_000))
     assert isinstance(balancer.place(now, other), Hold)
     late = balancer.place(now + 200_000, one)
-    assert isinstance(late, Hold), "it has run out"
+    assert isinstance(late, Hold), "the token has expired"
     balancer.record_token(now + 200_000, now + 10 * SECOND, Token(1, one.number, now + 300_000))
     assert forwarded_to(balancer.place(now + 210_000, one)) == 1
     again = harness.arrive(key=3)
     assert again.number in harness.held_until and not harness.balancer.fleet.upstreams[1].tokens, (
-        "it was used"
+        "a token serves one session"
     )
 
 
@@ -202,6 +227,7 @@
 
 
 def test_with_tokens_new_upstreams_reach_their_share_sooner_without_overload() -> None:
+    """With turns alone, nodes with few sessions leave much of the capacity of new upstreams unused."""
     turns, by_leave = (Simulation(small_scenario(with_issuer)).run() for with_issuer in (False, True))
     assert by_leave["cold_over"] == 0 and by_leave["two_holders"] == 0 and by_leave["orders"] > 200
     assert by_leave["cold_used"] > 1.2 * turns["cold_used"] and by_leave["served"] > turns["served"]
@@ -209,7 +235,7 @@
 
 
 def test_without_a_token_issuer_turns_are_unchanged() -> None:
-    """A role that nobody can hold, as most electors are gone, changes nothing."""
+    """A role without a holder could still stop nodes from using their turns; most electors are down here."""
     with_it, without = (
         Simulation(small_scenario(with_issuer, **{"cluster.electors": 3})) for with_issuer in (True, False)
     )
@@ -222,8 +248,12 @@
 
 
 def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
-    # It resumes just before the issuer's last answer expires, and a session asks before the next
-    # heartbeat finds that it has. Turns would be promised for a term more, and used again sooner.
+    """A suspended node would promise its turns for longer than its balancer leaves them unused.
+
+    The node resumes just before the issuer's last answer expires. A session then requests a token before the
+    next heartbeat renews the hand-over. That request would promise a whole term, but the balancer would use
+    the turns again before the term has ended.
+    """
     one, now = TokenRequester(ELECTORATE, START), START
     one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
