--- a/larchlatch/cluster/election/candidate_side.py
+++ b/larchlatch/cluster/election/candidate_side.py
@@ -15,8 +15,8 @@
     from larchlatch.cluster.election.ballots import Ballot
     from larchlatch.cluster.election.electorate import Electorate
 
-LATE_HEARTBEATS = 3  # a heartbeat more than this many intervals after the previous one is late
-MAX_LATE_HEARTBEATS = 3  # number of late heartbeats within one term at which a node resigns its roles
+LATE_AFTER_INTERVALS = 3  # a heartbeat more than this many intervals after the previous one is late
+LATE_HEARTBEATS_TO_RESIGN = 3  # number of late heartbeats within one term at which a node resigns its roles
 PAUSE_TERMS = 10  # number of terms for which a node that was too slow is no candidate
 
 
@@ -61,7 +61,7 @@
         self.shutting_down = False
         self.paused_until = 0
         self._last_heartbeat_at = now
-        self._late_heartbeats: deque[int] = deque(maxlen=MAX_LATE_HEARTBEATS)
+        self._late_heartbeats: deque[int] = deque(maxlen=LATE_HEARTBEATS_TO_RESIGN)
         self._events: list[RoleEvent] = []
         self.reset(electorate)
 
@@ -76,21 +76,22 @@
         self._released: dict[str, Ballot] = {}  # release ballots to repeat at the next heartbeat
         self._handed_over: set[str] = set()  # roles whose holder named this node as successor
 
-    def watch_lateness(self, now: int, heartbeat_us: int) -> None:
+    def record_heartbeat(self, now: int, heartbeat_us: int) -> None:
         """Record a heartbeat, and resign all roles if too many heartbeats within a term were late."""
-        if now - self._last_heartbeat_at > LATE_HEARTBEATS * heartbeat_us:
+        if now - self._last_heartbeat_at > LATE_AFTER_INTERVALS * heartbeat_us:
             self._late_heartbeats.append(now)
         self._last_heartbeat_at = now
         term_us = self.electorate.lease_terms.term_us
         often_late = (
-            len(self._late_heartbeats) == MAX_LATE_HEARTBEATS and self._late_heartbeats[0] > now - term_us
+            len(self._late_heartbeats) == LATE_HEARTBEATS_TO_RESIGN
+            and self._late_heartbeats[0] > now - term_us
         )
         if often_late and now >= self.paused_until:
             self.paused_until = now + PAUSE_TERMS * term_us
             for candidate in self.candidates.values():
                 candidate.resign(now)
 
-    def may_stand(self, now: int) -> bool:
+    def may_be_candidate(self, now: int) -> bool:
         """Return whether this node may be a candidate: it is neither shutting down nor paused."""
         return not self.shutting_down and now >= self.paused_until
 
--- a/larchlatch/cluster/election/election.py
+++ b/larchlatch/cluster/election/election.py
@@ -122,7 +122,7 @@
             The ballot requests to send.
 
         """
-        self._candidate_side.watch_lateness(now, self.heartbeat_us)
+        self._candidate_side.record_heartbeat(now, self.heartbeat_us)
         self.incarnation = origin.incarnation
         requests: list[BallotRequest] = []
         for index, role in enumerate(self.electorate.roles):
@@ -137,7 +137,9 @@
         self, now: int, origin: RequestOrigin, role_index: int, present: Collection[str]
     ) -> list[BallotRequest]:
         role = self.electorate.roles[role_index]
-        eligible = self._candidate_side.may_stand(now) and self._known_holders.is_standby(now, role, present)
+        eligible = self._candidate_side.may_be_candidate(now) and self._known_holders.should_be_candidate(
+            now, role, present
+        )
         ballots = self._candidate_side.candidates[role].step(now, origin.created_us, eligible=eligible)
         repeated = [] if ballots else self._repeated_requests(now, origin, role_index)
         return repeated + self._submit(now, origin, role_index, ballots)
--- a/larchlatch/cluster/election/known_holders.py
+++ b/larchlatch/cluster/election/known_holders.py
@@ -119,7 +119,7 @@
         busy = {holder.name for other, holder in self.holders.items() if holder is not None and other != role}
         return sorted(names, key=lambda name: (name in busy, xxh3_64_intdigest(f"{role} {name}".encode())))
 
-    def is_standby(self, now: int, role: str, present: Collection[str]) -> bool:
+    def should_be_candidate(self, now: int, role: str, present: Collection[str]) -> bool:
         """Return whether this node should become a candidate for a role: it is vacant and this node is next.
 
         A role is vacant if no majority of electors reports a holder that is present. A node is next when its
@@ -131,6 +131,6 @@
         if self.own_name not in self.electorate.names:
             return False
         rank = self.ranked(role, present).index(self.own_name)
-        # Nodes of lower rank wait longer, so that nodes of higher rank can win the role first.
+        # Less preferred nodes wait longer, so that more preferred ones can win the role first.
         wait_us = rank * self.electorate.lease_terms.term_us // 2
         return rank < STANDBYS and now >= self.changed_at[role] + wait_us
--- a/larchlatch/cluster/election/lease_terms.py
+++ b/larchlatch/cluster/election/lease_terms.py
@@ -5,7 +5,7 @@
 from math import ceil
 from typing import NamedTuple
 
-ROUNDS = 8  # number of ballot rounds in a term
+ROUNDS_PER_TERM = 8  # number of ballot rounds in a term
 
 
 class LeaseTerms(NamedTuple):
@@ -22,7 +22,7 @@
     term_us: int
     skew: float
     wall_skew_us: int = 0
-    rounds: int = ROUNDS
+    rounds: int = ROUNDS_PER_TERM
 
     @property
     def promise_us(self) -> int:
--- a/larchlatch/cluster/slow_start/issuer.py
+++ b/larchlatch/cluster/slow_start/issuer.py
@@ -17,7 +17,7 @@
 from larchlatch.cluster.protocol.headers import response_header
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.replay_guard import ReplayGuard
-from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
+from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_validity_us
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
@@ -39,7 +39,7 @@
 
     tokens: deque[IssuedToken] = field(default_factory=deque)
 
-    def used(self, since: int) -> float:
+    def weight_since(self, since: int) -> float:
         """Return the total weight of the sessions of tokens that were issued after `since`."""
         recent = takewhile(lambda token: token.issued_at > since, reversed(self.tokens))
         return sum(token.weight for token in recent)
@@ -90,8 +90,8 @@
 
     @property
     def counting_span_us(self) -> int:
-        """Return for how many microseconds a token counts: until no overload window can have its session."""
-        return ceil((self._window_us + token_hold_us(self._window_us)) * (1 + self._skew))
+        """Return for how many microseconds a token counts: until no overload window can contain it."""
+        return ceil((self._window_us + token_validity_us(self._window_us)) * (1 + self._skew))
 
     def hold(self, now: int, lease: int) -> None:
         """Begin, continue or cease to issue tokens under a lease; lease 0: the role is not held here."""
@@ -178,7 +178,7 @@
             limit, span_us = 1.0, int(span_us / share)
         issued = self.issued.setdefault(demand.upstream, IssuedTokens())
         weight = max(1, demand.weight_milli) / MILLI
-        used = issued.used(now - span_us)
+        used = issued.weight_since(now - span_us)
         # A session whose weight alone exceeds the budget may go to an upstream without other recent sessions.
         if used and used + weight > limit:
             return False
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -15,7 +15,7 @@
 from larchlatch.cluster.election.fencing import order_ends_at
 from larchlatch.cluster.protocol.messages import TokenDemand, TokenGrant, TokenRequest
 from larchlatch.cluster.slow_start.notices import TokenNotice
-from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_hold_us
+from larchlatch.cluster.slow_start.token_limits import MAX_CANDIDATES, MILLI, token_validity_us
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -24,8 +24,8 @@
     from larchlatch.cluster.protocol.headers import RequestOrigin
     from larchlatch.policy.types import TokenCandidate
 
-RENEWALS = 3  # renewals of a hand-over within its term while an upstream is warming up
-IDLE_RENEWALS = 2  # renewals of a hand-over within its term while no upstream is warming up
+WARMING_RENEWALS_PER_TERM = 3  # renewals of a hand-over within its term while an upstream is warming up
+IDLE_RENEWALS_PER_TERM = 2  # renewals of a hand-over within its term while no upstream is warming up
 NOTICE_LAG_US = 300_000  # longest delay of a notice to the balancer; a promise to the issuer waits for it
 REQUEST_BURST = 16  # token requests that a node may send at once
 CLUSTER_REQUESTS_PER_S = 1000  # token requests of all nodes; the issuer verifies the signature of each
@@ -63,7 +63,9 @@
         self.closed = False
         # A hand-over that this node promised before its start is unknown here and may still be valid.
         self.handed_over_until = now + electorate.lease_terms.promise_us
-        self._known_until = self.handed_over_until  # end of the hand-over by the previous notice
+        self._previous_notice_until = (
+            self.handed_over_until
+        )  # end of the hand-over in the notice before the last
         self._last_number = 0
         self._pending: dict[int, PendingRequest] = {}
         self._slow_start_until = 0  # time until which some upstream may be warming up
@@ -78,12 +80,12 @@
         self._term_us = electorate.lease_terms.term_us  # length of a hand-over
         self._promise_us = electorate.lease_terms.promise_us
         self.issuer = ""
-        self._issuer_stamp = 0  # time of the issuer's last answer, by the issuer's clock
+        self._issuer_timestamp = 0  # time of the issuer's last answer, by the issuer's clock
         self._issuer_lease = 0  # number of the issuer's lease in that answer
         self.answered_at = -self._term_us
         self._asked_at = -self._term_us  # time of the last request that a heartbeat sent
         self._promising_since: int | None = None
-        self._ticked_at = 0
+        self._last_tick_at = 0
         self._allowance = float(REQUEST_BURST)  # number of token requests that may be sent now
 
     def update_slow_start(self, now: int, *, slow_start_us: int, window_us: int) -> None:
@@ -101,7 +103,7 @@
         It may if the balancer surely knows that the turns are handed over until the end of that term.
         """
         noticed = now >= self._asked_at + NOTICE_LAG_US
-        known_until = self.handed_over_until if noticed else self._known_until
+        known_until = self.handed_over_until if noticed else self._previous_notice_until
         begun = self._promising_since is not None and now >= self._promising_since + NOTICE_LAG_US
         return begun and self.answered_lately(now) and now + self._term_us <= known_until
 
@@ -131,18 +133,18 @@
             self._promising_since = now
         # Each request until the next renewal promises a whole term, and the notice of the renewal can take
         # NOTICE_LAG_US to reach the balancer.
-        self._known_until = self.handed_over_until
-        self.handed_over_until = now + self._term_us + self._term_us // IDLE_RENEWALS + NOTICE_LAG_US
+        self._previous_notice_until = self.handed_over_until
+        self.handed_over_until = now + self._term_us + self._term_us // IDLE_RENEWALS_PER_TERM + NOTICE_LAG_US
         return TokenActions(self._request(now, origin), TokenNotice(self.handed_over_until))
 
     def _refill_allowance(self, now: int) -> None:
-        passed_s = max(0, now - self._ticked_at) / 1e6 if self._ticked_at else 0.0
-        refill = passed_s * CLUSTER_REQUESTS_PER_S / max(1, len(self.names))
+        elapsed_s = max(0, now - self._last_tick_at) / 1e6 if self._last_tick_at else 0.0
+        refill = elapsed_s * CLUSTER_REQUESTS_PER_S / max(1, len(self.names))
         self._allowance = min(REQUEST_BURST, self._allowance + refill)
-        self._ticked_at = now
+        self._last_tick_at = now
 
     def _renewal_due(self, now: int) -> bool:
-        renewals = RENEWALS if now < self._slow_start_until else IDLE_RENEWALS
+        renewals = WARMING_RENEWALS_PER_TERM if now < self._slow_start_until else IDLE_RENEWALS_PER_TERM
         return not self.promises(now) or now >= self._asked_at + self._term_us // renewals
 
     def _request(
@@ -156,7 +158,7 @@
         return TokenRequest(
             **origin.header(request_id=self._last_number, recipient=self.issuer, config_digest=self._digest),
             lease=self._issuer_lease if promises else 0,
-            issued_us=self._issuer_stamp if promises else 0,
+            issued_us=self._issuer_timestamp if promises else 0,
             demands=list(demands),
         )
 
@@ -176,8 +178,8 @@
             candidates: warming upstreams that the session may be sent to, each with the hash of its name.
 
         """
-        reachable = self.enabled and not self.closed and self.issuer and self.answered_lately(now)
-        if not reachable or self._allowance < 1:
+        can_request = self.enabled and not self.closed and self.issuer and self.answered_lately(now)
+        if not can_request or self._allowance < 1:
             return None
         self._allowance -= 1
         demands = [
@@ -201,10 +203,10 @@
         ends_at = order_ends_at(request.asked_at, grant.remaining_us)
         if now >= ends_at:
             return None
-        self._issuer_stamp = grant.issued_us
+        self._issuer_timestamp = grant.issued_us
         self._issuer_lease = grant.lease
         self.answered_at = request.asked_at
-        token_ends_at = min(ends_at, request.asked_at + token_hold_us(self._window_us))
+        token_ends_at = min(ends_at, request.asked_at + token_validity_us(self._window_us))
         if not grant.upstream or self._promising_since is None or now >= token_ends_at:
             return None
         return TokenNotice(self.handed_over_until, grant.upstream, request.session, token_ends_at)
--- a/tests/cluster/test_election.py
+++ b/tests/cluster/test_election.py
@@ -42,28 +42,30 @@
     def __init__(self) -> None:
         self.now = START
         self.electors = {name: Elector(LEASE_TERMS, START) for name in NAMES}
-        self.candidates = {name: self.candidate(name) for name in ("x", "y")}
+        self.candidates = {name: self.make_candidate(name) for name in ("x", "y")}
         self.incarnations = {"x": 1, "y": 1}
-        self.cut: set[str] = set()
+        self.unreachable: set[str] = set()
 
     @staticmethod
-    def candidate(seed: str) -> Candidate:
+    def make_candidate(seed: str) -> Candidate:
         return Candidate(NAMES, LEASE_TERMS, random.Random(seed).uniform)
 
-    def ask(self, name: str, ballots: list[Ballot]) -> None:
+    def deliver(self, candidate_name: str, ballots: list[Ballot]) -> None:
         """Deliver ballots to all reachable electors, and their answers to the candidate, without delay."""
         while ballots:
             ballot = ballots.pop(0)
-            for elector, one in self.electors.items():
-                if elector not in self.cut:
-                    answer = one.answer(self.now, CandidateId(name, self.incarnations[name]), ballot)
+            for elector_name, elector in self.electors.items():
+                if elector_name not in self.unreachable:
+                    answer = elector.answer(
+                        self.now, CandidateId(candidate_name, self.incarnations[candidate_name]), ballot
+                    )
                     if answer is not None:
-                        ballots += self.candidates[name].count_answer(
-                            self.now, elector, ballot.round_number, answer
+                        ballots += self.candidates[candidate_name].count_answer(
+                            self.now, elector_name, ballot.round_number, answer
                         )
 
     def step(self, name: str, eligible: bool = True, wall: int = 0) -> bool:
-        self.ask(name, self.candidates[name].step(self.now, wall or WALL + self.now, eligible=eligible))
+        self.deliver(name, self.candidates[name].step(self.now, wall or WALL + self.now, eligible=eligible))
         return self.candidates[name].holds(self.now)
 
     def run(self, name: str, span_us: int, eligible: bool = True) -> bool:
@@ -74,7 +76,7 @@
         return self.candidates[name].holds(self.now)
 
 
-def test_a_holder_renews_and_one_that_is_stopped_over_its_term_holds_no_longer() -> None:
+def test_holder_renews_its_lease_and_loses_it_if_suspended_beyond_its_term() -> None:
     """A holder whose process was suspended beyond its term would act next to its successor."""
     harness = ElectionHarness()
     assert harness.step("x") and not harness.step("y")
@@ -92,43 +94,47 @@
     assert not harness.step("x"), "a holder that resumes after its term finds that its lease has ended"
 
 
-def test_with_a_majority_of_electors_gone_nobody_holds_and_with_one_gone_somebody_does() -> None:
+def test_role_is_held_only_while_a_majority_of_electors_is_reachable() -> None:
     """Two sides of a partition could each elect a holder if fewer than a majority of electors sufficed."""
     harness = ElectionHarness()
-    harness.cut = {"a", "b"}
+    harness.unreachable = {"a", "b"}
     assert not harness.run("x", 20 * SECOND)
-    harness.cut = {"a"}
+    harness.unreachable = {"a"}
     assert harness.run("x", 10 * SECOND)
-    harness.cut = {"b", "c"}
+    harness.unreachable = {"b", "c"}
     assert not harness.run("x", 2 * LEASE_TERMS.term_us)
 
 
-def test_two_candidates_in_step_do_not_block_each_other_for_long() -> None:
+def test_simultaneous_candidates_do_not_block_each_other_for_long() -> None:
     """Two candidates that ask at the same time could split the votes in every round.
 
     In each round, each candidate's ballot reaches only one elector, a different one, so that neither gets a
     majority. The random pauses after a failed round have to end this within about a term.
     """
     durations = []
-    for round in range(30):
+    for run in range(30):
         harness = ElectionHarness()
-        harness.candidates = {name: harness.candidate(f"{name} {round}") for name in ("x", "y")}
-        while not any(one.holds(harness.now) for one in harness.candidates.values()):
+        harness.candidates = {name: harness.make_candidate(f"{name} {run}") for name in ("x", "y")}
+        while not any(candidate.holds(harness.now) for candidate in harness.candidates.values()):
             harness.now += 50_000
             ballots_of = {
-                name: one.step(harness.now, WALL + harness.now, eligible=True)
-                for name, one in harness.candidates.items()
+                name: candidate.step(harness.now, WALL + harness.now, eligible=True)
+                for name, candidate in harness.candidates.items()
             }
-            if all(one.state is CandidateState.PRE_VOTING for one in harness.candidates.values()):
-                for name, one in harness.candidates.items():
-                    round_number, yes = one.round_number, Answer(True, 0, 0)
-                    grants = [b for n in NAMES for b in one.count_answer(harness.now, n, round_number, yes)]
-                    harness.cut = {"b", "c"} if name == "x" else {"a", "c"}
-                    harness.ask(name, grants)
-                harness.cut = set()
+            if all(candidate.state is CandidateState.PRE_VOTING for candidate in harness.candidates.values()):
+                for name, candidate in harness.candidates.items():
+                    round_number, grant = candidate.round_number, Answer(True, 0, 0)
+                    grant_ballots = [
+                        ballot
+                        for elector in NAMES
+                        for ballot in candidate.count_answer(harness.now, elector, round_number, grant)
+                    ]
+                    harness.unreachable = {"b", "c"} if name == "x" else {"a", "c"}
+                    harness.deliver(name, grant_ballots)
+                harness.unreachable = set()
             else:
                 for name, ballots in ballots_of.items():
-                    harness.ask(name, ballots)
+                    harness.deliver(name, ballots)
             assert harness.now < START + 20 * LEASE_TERMS.term_us
         durations.append(harness.now - START)
     assert LEASE_TERMS.round_us <= sorted(durations)[15] <= LEASE_TERMS.term_us
@@ -140,9 +146,9 @@
     assert harness.step("x")
     harness.candidates["x"].resign(harness.now, "y")
     assert harness.candidates["x"].holds(harness.now) and not harness.step("y")
-    end = harness.candidates["x"].lease_ends_at
-    assert end <= harness.now + LEASE_TERMS.round_us
-    harness.now = end
+    lease_end = harness.candidates["x"].lease_ends_at
+    assert lease_end <= harness.now + LEASE_TERMS.round_us
+    harness.now = lease_end
     assert not harness.step("x", eligible=False) and harness.candidates["x"].state is CandidateState.IDLE
     harness.candidates["y"].accept_handover(harness.now)
     assert harness.step("y"), "the successor holds the role at the time of the release"
@@ -152,7 +158,7 @@
     assert harness.step("x"), "without a named successor any candidate may get the role"
 
 
-def test_a_released_role_is_reserved_for_its_successor_for_a_moment_alone() -> None:
+def test_released_role_is_reserved_for_its_successor_only_briefly() -> None:
     """A reservation without an end would keep the role vacant if the named successor has failed."""
     harness = ElectionHarness()
     assert harness.step("x")
@@ -164,7 +170,7 @@
     assert harness.run("y", 2 * SECOND), "the reservation ends if the successor does not ask for the role"
 
 
-def test_numbers_go_up_through_a_wall_clock_that_steps_and_electors_that_all_forget() -> None:
+def test_lease_numbers_increase_despite_slow_wall_clocks_and_restarts_of_all_electors() -> None:
     """With a lease number below an earlier one, the orders of the new holder would be rejected.
 
     A number can be too low if the candidate's wall clock is behind, or if all electors have restarted and no
@@ -172,20 +178,20 @@
     """
     harness = ElectionHarness()
     assert harness.step("x", wall=WALL)
-    first = harness.candidates["x"].lease
+    first_lease = harness.candidates["x"].lease
     harness.now += LEASE_TERMS.promise_us
     assert harness.step("y", wall=WALL - 3600 * SECOND), (
         "a candidate that learns of a higher number uses the next one"
     )
-    assert harness.candidates["y"].lease > first
+    assert harness.candidates["y"].lease > first_lease
     harness.electors = {name: Elector.started(LEASE_TERMS, harness.now) for name in NAMES}
     harness.incarnations["x"] = 2
-    harness.candidates["x"] = harness.candidate("x")
+    harness.candidates["x"] = harness.make_candidate("x")
     assert not harness.step("x", wall=WALL + SECOND), "electors that have just started do not answer"
     harness.now += LEASE_TERMS.startup_silence_us
     harness.candidates["x"].accept_handover(harness.now)
     assert harness.step("x", wall=WALL + LEASE_TERMS.startup_silence_us)
-    assert harness.candidates["x"].lease > first
+    assert harness.candidates["x"].lease > first_lease
 
 
 # Signs of the rate errors of the holder's clock and of the clock of the node that receives the order.
@@ -208,7 +214,7 @@
     assert look + ends <= promised + 2
 
 
-DUTIES = Path(__file__).parents[2] / "scenarios" / "duties.toml"
+SCENARIO = Path(__file__).parents[2] / "scenarios" / "duties.toml"
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 50, 131, 190])
@@ -217,41 +223,41 @@
 
     While lost ballots were not sent again, a role stayed vacant for 12 to 23 s with the last three seeds.
     """
-    row = Simulation(with_random_faults(read_scenario_file(DUTIES, {"seed": seed}), 12)).run()
+    row = Simulation(with_random_faults(read_scenario_file(SCENARIO, {"seed": seed}), 12)).run()
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
     assert row["orders"] > 20 and row["duty_changes"] >= 2, "the holders give orders, and roles change holder"
     assert row["unheld_s"] < 9.0 and row["cold_over"] == 0 and not any(row["broken"].values())
 
 
-def test_a_ballot_without_an_answer_is_sent_again_and_so_is_a_release() -> None:
+def test_unanswered_ballots_and_releases_are_sent_again() -> None:
     """A lost ballot would fail its round, and a lost release would block other candidates for a term."""
     electorate = Electorate(NAMES, (*NAMES, "x"), (QUOTA_ALLOCATOR,), LEASE_TERMS, 1)
-    one = Election("x", electorate, 200_000, START, random.Random(1))
+    election = Election("x", electorate, 200_000, START, random.Random(1))
     now = START + LEASE_TERMS.startup_silence_us
-    first = one.tick(now, origin("x"), {}, {})
-    assert [request.recipient for request in first] == list(NAMES)
-    vote = Vote("b", "x", 1, first[0].request_id, 0, True, 0, 0)
-    assert one.expects_vote(vote) and not one.count_vote(now, vote, wall=WALL)
-    again = one.tick(now + 200_000, origin("x"), {}, {})
-    assert [request.recipient for request in again] == ["a", "c"] and again[0].request_id == first[
+    pre_votes = election.tick(now, origin("x"), {}, {})
+    assert [request.recipient for request in pre_votes] == list(NAMES)
+    vote = Vote("b", "x", 1, pre_votes[0].request_id, 0, True, 0, 0)
+    assert election.expects_vote(vote) and not election.count_vote(now, vote, wall=WALL)
+    repeated = election.tick(now + 200_000, origin("x"), {}, {})
+    assert [request.recipient for request in repeated] == ["a", "c"] and repeated[0].request_id == pre_votes[
         0
     ].request_id
-    one.count_vote(now + 250_000, Vote("c", "x", 1, first[0].request_id, 0, True, 0, 0), wall=WALL)
-    asks = one.tick(now + 260_000, origin("x"), {}, {})
-    assert {request.kind for request in asks} == {BallotKind.GRANT.value}
-    over = now + 250_000 + LEASE_TERMS.round_us
-    released = one.tick(over, origin("x"), {}, {})
+    election.count_vote(now + 250_000, Vote("c", "x", 1, pre_votes[0].request_id, 0, True, 0, 0), wall=WALL)
+    grant_requests = election.tick(now + 260_000, origin("x"), {}, {})
+    assert {request.kind for request in grant_requests} == {BallotKind.GRANT.value}
+    round_end = now + 250_000 + LEASE_TERMS.round_us
+    released = election.tick(round_end, origin("x"), {}, {})
     assert {request.kind for request in released} == {BallotKind.RELEASE.value}
-    assert [request.lease for request in one.tick(over + 1, origin("x"), {}, {})] == [
+    assert [request.lease for request in election.tick(round_end + 1, origin("x"), {}, {})] == [
         request.lease for request in released
     ]
-    assert not one.tick(over + 2, origin("x"), {}, {})
+    assert not election.tick(round_end + 2, origin("x"), {}, {})
 
 
 def test_quota_allocator_lends_the_share_of_dead_nodes_to_the_others() -> None:
     """Without an allocator, the quota of nodes that have failed stays unused."""
 
-    def used(with_allocator: bool) -> float:
+    def used_quota_share(with_allocator: bool) -> float:
         simulation = Simulation(
             parse_scenario(
                 {
@@ -270,15 +276,17 @@
         assert row["over_budget"] == 0 and simulation.cluster is not None
         checker = simulation.cluster.checkers.quota
         assert checker is not None
-        late = simulation.context.end - 16 * SECOND
-        checker.requests = [at for at in checker.requests if at >= late]
-        checker.admissions = [each for each in checker.admissions if each.requested_at >= late]
+        settled_at = simulation.context.end - 16 * SECOND
+        checker.requests = [requested_at for requested_at in checker.requests if requested_at >= settled_at]
+        checker.admissions = [
+            admission for admission in checker.admissions if admission.requested_at >= settled_at
+        ]
         return checker.used_share()
 
-    assert used(True) > used(False) + 0.08
+    assert used_quota_share(True) > used_quota_share(False) + 0.08
 
 
-def test_a_new_set_of_electors_promises_nothing_until_old_promises_are_over() -> None:
+def test_new_electors_promise_nothing_until_old_promises_have_expired() -> None:
     """After a change of the electors, a majority of the new ones could elect a second holder.
 
     That happens if they promise the role while promises of the previous electors are still valid.
@@ -293,14 +301,16 @@
     )
     vote = election.answer_ballot(now, request)
     assert vote is not None and vote.granted
-    other = cluster_with_electors("n0", "n1", "n3").electorate
-    election.follow(other, now)
+    changed_electorate = cluster_with_electors("n0", "n1", "n3").electorate
+    election.follow(changed_electorate, now)
     assert election.answer_ballot(now + SECOND, request) is None, (
         "the request was sent under the previous cluster file"
     )
-    ask = msgspec.structs.replace(request, config_digest=other.digest)
-    assert election.answer_ballot(now + SECOND, ask) is None
-    assert election.answer_ballot(now + electorate.lease_terms.startup_silence_us, ask) is not None
+    changed_request = msgspec.structs.replace(request, config_digest=changed_electorate.digest)
+    assert election.answer_ballot(now + SECOND, changed_request) is None
+    assert (
+        election.answer_ballot(now + electorate.lease_terms.startup_silence_us, changed_request) is not None
+    )
 
 
 def test_holder_with_repeatedly_late_heartbeats_resigns() -> None:
@@ -332,35 +342,39 @@
 def test_handover_is_the_logged_reason_on_both_sides() -> None:
     """A planned hand-over that was logged like a failure of the holder would mislead operators."""
     electorate = cluster_with_electors("n0", "n1", "n2").electorate._replace(electors=("n0",))
-    one, successor = (Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1"))
-    there = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
+    predecessor, successor = (
+        Election(name, electorate, 200_000, START, random.Random(1)) for name in ("n0", "n1")
+    )
+    records = {"n1": NodeRecord("n1", 1, 1, WALL, False, b"")}
     now = START + electorate.lease_terms.startup_silence_us
-    while not one.order_permit(now, QUOTA_ALLOCATOR)[0]:
+    while not predecessor.order_permit(now, QUOTA_ALLOCATOR)[0]:
         now += 200_000
-        one.tick(now, origin("n0"), {}, {})
-    one.begin_handover()
+        predecessor.tick(now, origin("n0"), {}, {})
+    predecessor.begin_handover()
     released: list[BallotRequest] = []
     while not released:
         now += 200_000
         released = [
-            request for request in one.tick(now, origin("n0"), there, {}) if request.recipient == "n1"
+            request
+            for request in predecessor.tick(now, origin("n0"), records, {})
+            if request.recipient == "n1"
         ]
     successor.answer_ballot(now, released[0])
-    asks = successor.tick(now, origin("n1"), {}, {})
-    while asks:
+    requests = successor.tick(now, origin("n1"), {}, {})
+    while requests:
         votes = [
             vote
-            for request in asks
-            if request.recipient == "n0" and (vote := one.answer_ballot(now, request)) is not None
+            for request in requests
+            if request.recipient == "n0" and (vote := predecessor.answer_ballot(now, request)) is not None
         ]
-        asks = [request for vote in votes for request in successor.count_vote(now, vote, wall=WALL)]
+        requests = [request for vote in votes for request in successor.count_vote(now, vote, wall=WALL)]
     assert successor.order_permit(now, QUOTA_ALLOCATOR)[0], (
         "the successor holds the role at the time of the release"
     )
     assert [(event.change, event.reason) for event in successor.take_events()] == [
         ("held", "the previous holder handed the role over")
     ]
-    assert one.take_events()[-1].reason == "this node is shutting down"
+    assert predecessor.take_events()[-1].reason == "this node is shutting down"
 
 
 def test_single_faulty_elector_fabricates_no_holder() -> None:
@@ -378,8 +392,8 @@
     promise = Promise(0, 9, 4, SECOND)
     assert holder(n0=record("n0", promise), n4=record("n4", promise), n3=record("n3", promise)) is None
     assert holder(n0=record("n0", promise), n1=record("n1", promise)) == Holder("n4", 9)
-    old = Promise(0, 9, 4, 100)
-    assert holder(n0=record("n0", promise), n1=record("n1", old)) is None, (
+    expired = Promise(0, 9, 4, 100)
+    assert holder(n0=record("n0", promise), n1=record("n1", expired)) is None, (
         "the second elector's promise has expired"
     )
 
@@ -388,10 +402,10 @@
     """An unknown ballot kind or role index, as a newer version may send, would raise an exception."""
     electorate = cluster_with_electors("n0", "n1", "n2").electorate
     election = Election("n0", electorate, 200_000, START, random.Random(1))
-    for role, what in ((0, 7), (9, 0), (9, 2)):
+    for role_index, kind in ((0, 7), (9, 0), (9, 2)):
         assert (
             election.answer_ballot(
-                START, BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, role, 7, what, "n0")
+                START, BallotRequest("n5", 1, 1, WALL, "n0", electorate.digest, role_index, 7, kind, "n0")
             )
             is None
         )
@@ -416,6 +430,6 @@
         Vote(request.recipient, "n5", request.incarnation, request.request_id, 0, True, 0, 0)
         for request in requests
     ]
-    early = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
+    outdated_votes = [msgspec.structs.replace(vote, incarnation=1) for vote in votes]
     assert all(election.expects_vote(vote) for vote in votes)
-    assert not any(election.expects_vote(vote) for vote in early)
+    assert not any(election.expects_vote(vote) for vote in outdated_votes)
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -53,29 +53,31 @@
     )
 
 
-def forgetful(one: TokenRequester, now: int) -> None:
-    one.handed_over_until = 0
+def open_without_handover(requester: TokenRequester, now: int) -> None:
+    requester.handed_over_until = 0
 
 
-def hasty(one: TokenRequester, now: int) -> bool:
-    return one.answered_lately(now)
+def promise_before_notice(requester: TokenRequester, now: int) -> bool:
+    return requester.answered_lately(now)
 
 
-def at_once(one: TokenIssuer, now: int, lease: int) -> None:
-    if lease != one.lease:
-        one.lease, one.promised_until, one.issued, one.opens_at = lease, {}, {}, now
+def hold_without_wait(issuer: TokenIssuer, now: int, lease: int) -> None:
+    if lease != issuer.lease:
+        issuer.lease, issuer.promised_until, issuer.issued, issuer.opens_at = lease, {}, {}, now
 
 
-PLANTED_FAULTS: list[tuple[object, str, Any]] = [
-    (TokenRequester, "open", forgetful),
-    (TokenRequester, "promises", hasty),
-    (TokenIssuer, "hold", at_once),
-    (TokenIssuer, "counting_span_us", property(lambda one: WINDOW // 2)),
+INJECTED_FAULTS: list[tuple[object, str, Any]] = [
+    (TokenRequester, "open", open_without_handover),
+    (TokenRequester, "promises", promise_before_notice),
+    (TokenIssuer, "hold", hold_without_wait),
+    (TokenIssuer, "counting_span_us", property(lambda issuer: WINDOW // 2)),
 ]
 
 
-@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
-def test_what_is_planted_is_caught(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("fault", INJECTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_harness_detects_injected_faults(
+    fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch
+) -> None:
     """The invariants could hold in the other tests only because the harness does not detect violations.
 
     The injected faults are a restart that forgets the hand-over of turns, a promise that the balancer does
@@ -89,39 +91,39 @@
 
 def ready_issuer(now: int = START, lease: int = 5) -> TokenIssuer:
     """Return a token issuer to which all nodes have handed their turns over."""
-    one = TokenIssuer("a", ELECTORATE)
-    one.update_upstreams([UPSTREAM], window_us=WINDOW)
-    one.hold(now - TERM, lease)
-    one.promised_until = dict.fromkeys(NAMES, now + TERM)
-    return one
+    issuer = TokenIssuer("a", ELECTORATE)
+    issuer.update_upstreams([UPSTREAM], window_us=WINDOW)
+    issuer.hold(now - TERM, lease)
+    issuer.promised_until = dict.fromkeys(NAMES, now + TERM)
+    return issuer
 
 
 def token_request(number: int, budget: float = BUDGET, weight: float = 1.0, **changes: Any) -> TokenRequest:
-    want = TokenDemand(UPSTREAM, int(budget * 1000), int(weight * 1000))
-    return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [want]), **changes)
+    demand = TokenDemand(UPSTREAM, int(budget * 1000), int(weight * 1000))
+    return msgspec.structs.replace(TokenRequest("b", 1, number, WALL, "a", 7, 0, 0, [demand]), **changes)
 
 
 def test_session_counts_by_its_weight_and_any_weight_fits_an_empty_window() -> None:
     """A heavy session counted as one would cause overload; one above the budget would never be sent."""
-    one, order = ready_issuer(), OrderPermit(5, 300_000)
-    assert one.answer(START, token_request(1, weight=9.0), order) is not None
-    assert one.answer(START, token_request(2, weight=0.1), order) is None
-    later = START + one.counting_span_us + 1
-    assert one.answer(later, token_request(3, weight=4.5), order) is not None
-    assert one.answer(later, token_request(4, weight=1.0), order) is None
-    assert one.answer(later, token_request(5, weight=0.5), order) is not None
+    issuer, permit = ready_issuer(), OrderPermit(5, 300_000)
+    assert issuer.answer(START, token_request(1, weight=9.0), permit) is not None
+    assert issuer.answer(START, token_request(2, weight=0.1), permit) is None
+    later = START + issuer.counting_span_us + 1
+    assert issuer.answer(later, token_request(3, weight=4.5), permit) is not None
+    assert issuer.answer(later, token_request(4, weight=1.0), permit) is None
+    assert issuer.answer(later, token_request(5, weight=0.5), permit) is not None
 
 
 def test_nodes_that_use_turns_keep_their_part_of_the_budget() -> None:
     """Tokens for the whole budget, beside nodes that still use their turns, would overload an upstream."""
-    one, order = ready_issuer(), OrderPermit(5, 300_000)
-    one.promised_until = {"a": START + TERM, "b": START + TERM}
-    granted = [one.answer(START, token_request(number), order) is not None for number in range(1, 6)]
+    issuer, permit = ready_issuer(), OrderPermit(5, 300_000)
+    issuer.promised_until = {"a": START + TERM, "b": START + TERM}
+    granted = [issuer.answer(START, token_request(number), permit) is not None for number in range(1, 6)]
     assert granted == [True, True, False, False, False], (
         "with the turns of two of four nodes, half of the budget of five gives two tokens"
     )
-    one.promised_until = {}
-    assert one.answer(START + 5 * SECOND, token_request(9), order) is None
+    issuer.promised_until = {}
+    assert issuer.answer(START + 5 * SECOND, token_request(9), permit) is None
 
 
 def test_promise_counts_from_the_answer_that_it_echoes() -> None:
@@ -130,62 +132,66 @@
     The issuer does not know the age of a request. It counts the promise from its own answer, whose timestamp
     the request echoes.
     """
-    one, order = ready_issuer(), OrderPermit(5, 300_000)
-    one.promised_until = {}
-    one.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), order)
-    assert START + TERM * 0.97 < one.promised_until["b"] < START + TERM * 0.99
-    one.answer(START + 2 * SECOND, token_request(2, lease=4, issued_us=START + SECOND), order)
-    assert one.promised_until["b"] < START + TERM, (
+    issuer, permit = ready_issuer(), OrderPermit(5, 300_000)
+    issuer.promised_until = {}
+    issuer.answer(START + 2 * SECOND, token_request(1, lease=5, issued_us=START), permit)
+    assert START + TERM * 0.97 < issuer.promised_until["b"] < START + TERM * 0.99
+    issuer.answer(START + 2 * SECOND, token_request(2, lease=4, issued_us=START + SECOND), permit)
+    assert issuer.promised_until["b"] < START + TERM, (
         "an answer under another lease has another clock and does not count"
     )
-    one.answer(START, token_request(3, lease=5, issued_us=START + 9 * SECOND), order)
-    assert one.promised_until["b"] < START + TERM, "a timestamp in the future does not count"
+    issuer.answer(START, token_request(3, lease=5, issued_us=START + 9 * SECOND), permit)
+    assert issuer.promised_until["b"] < START + TERM, "a timestamp in the future does not count"
 
 
-def test_no_token_without_the_role_or_with_another_file() -> None:
+def test_no_token_without_the_role_or_with_another_cluster_file() -> None:
     """A node that issued tokens beside the holder, or by another cluster file, would exceed the budget."""
-    one = ready_issuer()
-    assert one.answer(START, token_request(1), NO_PERMIT) is None
-    assert one.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, (
+    issuer = ready_issuer()
+    assert issuer.answer(START, token_request(1), NO_PERMIT) is None
+    assert issuer.answer(START, token_request(2), OrderPermit(6, 300_000)) is None, (
         "the issuer does not know this new lease yet"
     )
-    assert one.answer(START, token_request(3, config_digest=8), OrderPermit(5, 300_000)) is None
-    assert one.answer(START, token_request(4, sender="x"), OrderPermit(5, 300_000)) is None
-    stranger = msgspec.structs.replace(token_request(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)])
-    assert one.answer(START, stranger, OrderPermit(5, 300_000)) is None, (
+    assert issuer.answer(START, token_request(3, config_digest=8), OrderPermit(5, 300_000)) is None
+    assert issuer.answer(START, token_request(4, sender="x"), OrderPermit(5, 300_000)) is None
+    unknown_upstream_request = msgspec.structs.replace(
+        token_request(6), demands=[TokenDemand(UPSTREAM + 1, 9000, 1)]
+    )
+    assert issuer.answer(START, unknown_upstream_request, OrderPermit(5, 300_000)) is None, (
         "the upstream is not among those that are ready"
     )
-    one.hold(START, 6)
-    assert one.answer(START + SECOND, token_request(5), OrderPermit(6, 300_000)) is None, (
+    issuer.hold(START, 6)
+    assert issuer.answer(START + SECOND, token_request(5), OrderPermit(6, 300_000)) is None, (
         "tokens of the previous issuer are still valid"
     )
 
 
 def test_request_rate_of_the_cluster_is_bounded() -> None:
     """Many waiting sessions in a large cluster would overload the issuer, which verifies each signature."""
-    one, now, request_count = TokenRequester(ELECTORATE, START), START, 0
-    one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
-    one.names = frozenset(map(str, range(200)))
-    one.issuer, one.answered_at = "b", START + 10**9
+    requester, now, request_count = TokenRequester(ELECTORATE, START), START, 0
+    requester.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
+    requester.names = frozenset(map(str, range(200)))
+    requester.issuer, requester.answered_at = "b", START + 10**9
     for heartbeat in range(50):
-        one.tick(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), "b")
+        requester.tick(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), "b")
         for _ in range(20):
-            want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
+            candidates = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
             request_count += (
-                one.request_token(now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), 7, want)
+                requester.request_token(
+                    now + heartbeat * HEARTBEAT_US, RequestOrigin("a", 1, WALL), 7, candidates
+                )
                 is not None
             )
     assert 1000 * 10 / 200 - 5 <= request_count <= 1000 * 10 / 200 + 16
 
 
-def test_what_was_given_long_ago_is_forgotten() -> None:
+def test_issuer_discards_tokens_that_no_longer_count() -> None:
     """The issuer's memory use would grow without bound if it kept tokens that no longer count."""
-    one = ready_issuer()
-    assert one.answer(START, token_request(1), OrderPermit(5, 300_000)) is not None
-    one.hold(START + 2 * one.counting_span_us, 5)
-    assert one.issued
-    one.hold(START + 5 * one.counting_span_us, 5)
-    assert not one.issued
+    issuer = ready_issuer()
+    assert issuer.answer(START, token_request(1), OrderPermit(5, 300_000)) is not None
+    issuer.hold(START + 2 * issuer.counting_span_us, 5)
+    assert issuer.issued
+    issuer.hold(START + 5 * issuer.counting_span_us, 5)
+    assert not issuer.issued
 
 
 def test_token_is_for_its_session_alone_and_expires() -> None:
@@ -194,25 +200,27 @@
     harness.update_endpoints(endpoint(0, started_at=harness.now), endpoint(1, started_at=harness.now))
     balancer, now = harness.balancer, harness.now
     balancer.record_token(now, now + 10 * SECOND)
-    one, other = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
+    session_with_token, other_session = (harness.arrive(key=key, deadline=2 * SECOND) for key in (1, 2))
     assert not harness.attempt_upstreams, (
         "both sessions wait, as all upstreams are warming up and turns are handed over"
     )
-    requested = {
-        want.upstream
-        for answer in [balancer.place(now, session) for session in (one, other)]
+    requested_upstreams = {
+        candidate.upstream
+        for answer in [balancer.place(now, session) for session in (session_with_token, other_session)]
         if isinstance(answer, Hold)
-        for want in answer.token_candidates
+        for candidate in answer.token_candidates
     }
-    assert requested <= {0, 1}
-    balancer.record_token(now, now + 10 * SECOND, Token(1, one.number, now + 100_000))
-    assert isinstance(balancer.place(now, other), Hold)
-    late = balancer.place(now + 200_000, one)
-    assert isinstance(late, Hold), "the token has expired"
-    balancer.record_token(now + 200_000, now + 10 * SECOND, Token(1, one.number, now + 300_000))
-    assert forwarded_to(balancer.place(now + 210_000, one)) == 1
-    again = harness.arrive(key=3)
-    assert again.number in harness.held_until and not harness.balancer.fleet.upstreams[1].tokens, (
+    assert requested_upstreams <= {0, 1}
+    balancer.record_token(now, now + 10 * SECOND, Token(1, session_with_token.number, now + 100_000))
+    assert isinstance(balancer.place(now, other_session), Hold)
+    after_expiry = balancer.place(now + 200_000, session_with_token)
+    assert isinstance(after_expiry, Hold), "the token has expired"
+    balancer.record_token(
+        now + 200_000, now + 10 * SECOND, Token(1, session_with_token.number, now + 300_000)
+    )
+    assert forwarded_to(balancer.place(now + 210_000, session_with_token)) == 1
+    later_session = harness.arrive(key=3)
+    assert later_session.number in harness.held_until and not harness.balancer.fleet.upstreams[1].tokens, (
         "a token serves one session"
     )
 
@@ -228,42 +236,51 @@
 
 def test_with_tokens_new_upstreams_reach_their_share_sooner_without_overload() -> None:
     """With turns alone, nodes with few sessions leave much of the capacity of new upstreams unused."""
-    turns, by_leave = (Simulation(small_scenario(with_issuer)).run() for with_issuer in (False, True))
-    assert by_leave["cold_over"] == 0 and by_leave["two_holders"] == 0 and by_leave["orders"] > 200
-    assert by_leave["cold_used"] > 1.2 * turns["cold_used"] and by_leave["served"] > turns["served"]
-    assert not any(by_leave["broken"].values())
+    without_tokens, with_tokens = (
+        Simulation(small_scenario(with_issuer)).run() for with_issuer in (False, True)
+    )
+    assert with_tokens["cold_over"] == 0 and with_tokens["two_holders"] == 0 and with_tokens["orders"] > 200
+    assert (
+        with_tokens["cold_used"] > 1.2 * without_tokens["cold_used"]
+        and with_tokens["served"] > without_tokens["served"]
+    )
+    assert not any(with_tokens["broken"].values())
 
 
 def test_without_a_token_issuer_turns_are_unchanged() -> None:
     """A role without a holder could still stop nodes from using their turns; most electors are down here."""
-    with_it, without = (
+    with_issuer_role, without_issuer_role = (
         Simulation(small_scenario(with_issuer, **{"cluster.electors": 3})) for with_issuer in (True, False)
     )
-    for simulation in (with_it, without):
+    for simulation in (with_issuer_role, without_issuer_role):
         assert simulation.cluster is not None
         for number in (0, 1):
             simulation.cluster.members[number].is_alive = False
-    rows = [simulation.run() for simulation in (with_it, without)]
+    rows = [simulation.run() for simulation in (with_issuer_role, without_issuer_role)]
     assert rows[0]["orders"] == 0 and abs(rows[0]["cold_used"] - rows[1]["cold_used"]) < 0.06
 
 
-def test_a_node_that_was_stopped_promises_no_longer_than_its_decisions_know() -> None:
+def test_resumed_node_promises_no_longer_than_its_balancer_knows() -> None:
     """A suspended node would promise its turns for longer than its balancer leaves them unused.
 
     The node resumes just before the issuer's last answer expires. A session then requests a token before the
     next heartbeat renews the hand-over. That request would promise a whole term, but the balancer would use
     the turns again before the term has ended.
     """
-    one, now = TokenRequester(ELECTORATE, START), START
-    one.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
+    requester, now = TokenRequester(ELECTORATE, START), START
+    requester.update_slow_start(now, slow_start_us=100 * SECOND, window_us=WINDOW)
     for _ in range(10):
-        request, _ = one.tick(now, RequestOrigin("b", 1, WALL), "a")
+        request, _ = requester.tick(now, RequestOrigin("b", 1, WALL), "a")
         if request is not None:
-            one.accept(now, TokenGrant("a", "b", 1, request.request_id, 5, 300_000, now, 0))
+            requester.accept(now, TokenGrant("a", "b", 1, request.request_id, 5, 300_000, now, 0))
         now += HEARTBEAT_US
-    want = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
-    soon = one.request_token(now, RequestOrigin("b", 1, WALL), 7, want)
-    assert soon is not None and soon.lease == 5 and one.handed_over_until >= now + TERM
-    late = one.answered_at + TERM - 50_000
-    late_request = one.request_token(late, RequestOrigin("b", 1, WALL), 8, want)
-    assert late_request is not None and (not late_request.lease or one.handed_over_until >= late + TERM)
+    candidates = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
+    timely_request = requester.request_token(now, RequestOrigin("b", 1, WALL), 7, candidates)
+    assert (
+        timely_request is not None and timely_request.lease == 5 and requester.handed_over_until >= now + TERM
+    )
+    late_at = requester.answered_at + TERM - 50_000
+    late_request = requester.request_token(late_at, RequestOrigin("b", 1, WALL), 8, candidates)
+    assert late_request is not None and (
+        not late_request.lease or requester.handed_over_until >= late_at + TERM
+    )
