--- a/larchlatch/cluster/election/candidate.py
+++ b/larchlatch/cluster/election/candidate.py
@@ -141,7 +141,7 @@
         return Ballot(self.lease, kind, self.round_number)
 
     def repeated_ballot(self, now: int) -> Ballot | None:
-        """Return the ballot of the running round, to send it again; None if no round is running."""
+        """Return the ballot of a running round to send again; None: no ballot is to be repeated."""
         # A ballot that has no answer by the next heartbeat was probably lost. While one of three electors is
         # unreachable, a round without repetition fails if any message to or from the other two is lost.
         if now >= self.asked_at + self.lease_terms.round_us:
