--- a/larchlatch/__main__.py
+++ b/larchlatch/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of `python -m larchlatch`."""
+"""Runs the command line interface for `python -m larchlatch`."""
 
 from __future__ import annotations
 
--- a/larchlatch/broker/__init__.py
+++ b/larchlatch/broker/__init__.py
@@ -1,1 +1,4 @@
-"""Contracts of many teams, and admission within their nested quotas. No I/O; time is an argument."""
+"""Reads the contracts of teams and admits their sessions and messages within nested quotas.
+
+The decisions do no I/O and read no clock: callers pass in the time.
+"""
--- a/larchlatch/broker/broker.py
+++ b/larchlatch/broker/broker.py
@@ -1,4 +1,4 @@
-"""The decisions of the broker: which sessions and messages are admitted."""
+"""Decides which sessions and messages of the teams are admitted."""
 
 from __future__ import annotations
 
@@ -11,20 +11,32 @@
 if TYPE_CHECKING:
     from larchlatch.broker.contracts import Contracts, Part, Pool
 
-MAX_DEPTH = 3  # levels below a team: bank, branch, desk
-MAX_UNNAMED = 10_000  # children of one level that no contract names, at one time
+MAX_DEPTH = 3  # levels below a team, such as bank, branch and desk
+MAX_UNNAMED = 10_000  # children of one node that the contract does not name, at one time
 
 
 @dataclass(frozen=True, slots=True)
 class NoContract:
-    """A rejection because no contract covers the request."""
+    """A rejection because no contract covers the request.
+
+    Attributes:
+        reason: The part of the request that no contract covers, as a text for people.
+
+    """
 
     reason: str
 
 
 @dataclass(slots=True)
 class AdmittedSession:
-    """A session that was admitted, to be released when it ends."""
+    """An admitted session, which the caller has to release when it ends.
+
+    Attributes:
+        pool: The name of its pool.
+        leaf: The lowest node of the quota tree that counts it.
+        open: Whether it has not been released yet.
+
+    """
 
     pool: str
     leaf: QuotaNode
@@ -32,9 +44,9 @@
 
 
 class Broker:
-    """Admits sessions and messages of many teams by their contracts, at one node of the installation.
+    """Admits sessions and messages of teams within their contracts, at one node of the installation.
 
-    Times are whole microseconds of a clock that the caller passes in.
+    Times are whole microseconds of the caller's clock.
     """
 
     def __init__(self, contracts: Contracts, nodes: int, now: int) -> None:
@@ -42,7 +54,9 @@
         self.contracts = contracts
         self.window_us = round(contracts.window_s * 1_000_000)
         self.trees: dict[str, QuotaTree] = {}
-        self.services: dict[str, tuple[str, QuotaNode]] = {}  # pool's name and team's node by service
+        self.services: dict[
+            str, tuple[str, QuotaNode]
+        ] = {}  # name of the pool and node of the team, by service
         self.without_contract = 0
         for pool in contracts.pools:
             self.trees[pool.name] = QuotaTree(self._build_root(pool), self.window_us, now)
@@ -74,15 +88,15 @@
         """Admit a new session for a service.
 
         Args:
-            now: present time.
-            service: the service, which belongs to one team.
-            path: names of the bank, branch and desk within the team, as far as they are known.
+            now: The current time.
+            service: The service, which belongs to one team.
+            path: The names of the parts within the team, such as bank, branch and desk, as far as known.
 
         """
         found = self.services.get(service)
         if found is None:
             self.without_contract += 1
-            return NoContract(f"no service {service!r}")
+            return NoContract(f"no contract covers the service {service!r}")
         pool, team = found
         tree = self.trees[pool]
         leaf = self._leaf(now, tree, team, path)
@@ -95,9 +109,12 @@
     def _leaf(
         self, now: int, tree: QuotaTree, team: QuotaNode, path: tuple[str, ...]
     ) -> QuotaNode | NoContract:
-        """Return the requester's node; one that no contract names is created if its parent allows it."""
+        """Return the quota node at the end of a path below a team.
+
+        A node that the contract does not name is created if its parent allows such children.
+        """
         if len(path) > MAX_DEPTH:
-            return NoContract(f"{team.address}: more than {MAX_DEPTH} levels below a team")
+            return NoContract(f"{team.address}: the request names more than {MAX_DEPTH} levels below a team")
         node = team
         for name in path:
             child = node.children.get(name) or self._unnamed_child(now, tree, node, name)
@@ -109,9 +126,9 @@
     @staticmethod
     def _unnamed_child(now: int, tree: QuotaTree, parent: QuotaNode, name: str) -> QuotaNode | NoContract:
         if parent.unnamed_share <= 0:
-            return NoContract(f"{parent.address}: no part {name!r}")
+            return NoContract(f"{parent.address}: the contract has no part {name!r}")
         if sum(not child.from_contract for child in parent.children.values()) >= MAX_UNNAMED:
-            return NoContract(f"{parent.address}: too many parts that no contract names")
+            return NoContract(f"{parent.address}: too many parts that the contract does not name")
         return tree.child(now, parent, name, part_limits(parent.limits.share, parent.unnamed_share, 1.0))
 
     def admit_message(self, now: int, session: AdmittedSession, number: int = 1) -> Rejection | None:
@@ -124,10 +141,13 @@
             session.open = False
             self.trees[session.pool].release(now, session.leaf)
 
-    # New contracts while sessions are established.
+    # Change of the contracts while sessions are established.
 
     def set_contracts(self, now: int, contracts: Contracts) -> None:
-        """Apply new contracts: established sessions continue, services without a contract get no new ones."""
+        """Apply new contracts.
+
+        Established sessions continue. A service without a contract gets no new sessions.
+        """
         replacement = Broker(contracts, self.nodes, now)
         for name, new_tree in replacement.trees.items():
             tree = self.trees.get(name)
@@ -146,7 +166,7 @@
         }
 
     def _merge(self, now: int, tree: QuotaTree, old: QuotaNode, new: QuotaNode) -> None:
-        """Apply the limits and children of the new node to the old one, which keeps its use."""
+        """Apply the limits and children of a new node to the old one, whose usage counts are kept."""
         tree.set_limits(now, old, new.limits)
         old.unnamed_share, old.from_contract = new.unnamed_share, new.from_contract
         for name, child in new.children.items():
@@ -157,8 +177,8 @@
                 old.children[name] = child
         for name, child in old.children.items():
             if name not in new.children:
-                child.from_contract = False  # removed when it has no established sessions
+                child.from_contract = False  # removed once it is idle and holds no sessions
 
     def usage(self, now: int) -> list[QuotaUsage]:
-        """Return a row for each node of each pool's tree and each dimension."""
+        """Return the usage of each node of each pool's tree, with one row for each dimension."""
         return [row for tree in self.trees.values() for row in tree.usage(now)]
--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -1,4 +1,4 @@
-"""The contracts of teams: an operator's TOML file, read and checked."""
+"""Reads and validates the contracts of teams, which an operator writes in a TOML file."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FILE = "contracts"  # name of the file in error messages
-ROUNDING = 1e-9  # tolerance of sums of decimal fractions
+FILE = "contracts"  # how error messages refer to the file
+ROUNDING = 1e-9  # tolerance for rounding errors in sums of decimal fractions
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -22,7 +22,7 @@
 
 
 class Figures(Strict, frozen=True):
-    """An amount in each dimension, for the whole installation."""
+    """An amount in each dimension, for all nodes of the installation together."""
 
     sessions_per_s: Amount
     messages_per_s: Amount
@@ -38,7 +38,7 @@
         return amounts[dimension]
 
 
-# The key of each dimension in the file.
+# The key of each dimension in the contracts file.
 FIGURE_KEYS = {
     Dimension.NEW_SESSIONS: "links_per_s",
     Dimension.MESSAGES: "messages_per_s",
@@ -47,37 +47,37 @@
 
 
 class Pool(Strict, frozen=True):
-    """A group of upstreams, and the capacity of all of them together."""
+    """A group of upstreams, and their total capacity (`able`)."""
 
     name: Name
     able: Figures
 
 
 class Part(Strict, frozen=True):
-    """A bank, a branch or a desk, with its share of the level above."""
+    """A part of a team, such as a bank, a branch or a desk, with its share of the level above."""
 
     name: Name
     share: Share
-    most: Share = 1.0  # upper bound with what it borrows, of the level above
+    most: Share = 1.0  # largest share of the level above, including what it borrows
     parts: list[Part] = field(default_factory=list)
-    unnamed: Share = 0.0  # share of each part that is not named; 0: those are rejected
+    unnamed: Share = 0.0  # share of each part that the contract does not name; 0 if such parts are rejected
 
 
 class Team(Strict, frozen=True):
-    """A team's contract: its service, its pool, and the amounts that it is promised."""
+    """The contract of a team: its service, its pool, and the amounts that the team is promised."""
 
     name: Name
     service: Name
     pool: Name
-    setup_ms: Annotated[float, Meta(gt=0, le=600_000)]  # setup time that the team promises its clients
+    setup_ms: Annotated[float, Meta(gt=0, le=600_000)]  # session setup time that the team promises clients
     promised: Figures
-    most: Figures | None = None  # None: it may borrow whatever the pool has left
+    most: Figures | None = None  # limit including what it borrows; None for the capacity of its pool
     parts: list[Part] = field(default_factory=list)
     unnamed: Share = 0.0
 
 
 class Contracts(Strict, frozen=True, kw_only=True):
-    """The whole file."""
+    """The content of a contracts file."""
 
     window_s: Annotated[float, Meta(ge=0.1, le=3600)] = 1.0
     pools: Annotated[list[Pool], Meta(min_length=1)]
@@ -88,7 +88,7 @@
     """Return the contracts in a file.
 
     Raises:
-        ConfigurationError: the file can't be read or is wrong; the message names the key.
+        ConfigurationError: The file can't be read or is invalid; the message names the key.
 
     """
     return parse_contracts(read_toml(path, FILE))
@@ -98,7 +98,7 @@
     """Return the contracts in the content of a file.
 
     Raises:
-        ConfigurationError: the content is wrong; the message names the key.
+        ConfigurationError: The content is invalid; the message names the key.
 
     """
     contracts = convert_table(raw, Contracts, FILE)
@@ -116,7 +116,7 @@
 def _check_unique(names: list[str], where: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ConfigurationError(FILE, f"{where}: {name!r} stands twice")
+            raise ConfigurationError(FILE, f"{where}: {name!r} appears twice")
 
 
 def _check_team(team: Team, where: str, pool_names: set[str]) -> None:
@@ -124,12 +124,12 @@
         raise ConfigurationError(FILE, f"{where}.pool: there is no pool {team.pool!r}")
     for dimension, key in FIGURE_KEYS.items():
         if team.most is not None and team.most.amount(dimension) < team.promised.amount(dimension):
-            raise ConfigurationError(FILE, f"{where}.most.{key}: less than is promised")
+            raise ConfigurationError(FILE, f"{where}.most.{key}: less than the promised amount")
     _check_parts(team.parts, where)
 
 
 def _check_promises(pool: Pool, teams: list[Team]) -> None:
-    """Check that the promises to all teams of a pool don't exceed its capacity."""
+    """Check that the amounts promised to the teams of a pool don't exceed its capacity in sum."""
     for dimension, key in FIGURE_KEYS.items():
         able, promised = pool.able.amount(dimension), 0.0
         for place, team in enumerate(teams):
@@ -138,8 +138,8 @@
                 names = f"{teams[0].name!r} and {team.name!r}" if place else f"{team.name!r}"
                 raise ConfigurationError(
                     FILE,
-                    f"teams {names} can't both be met: {key}: {promised:g} is promised of pool "
-                    f"{pool.name!r}, which can do {able:g}: {promised - able:g} too many",
+                    f"teams {names} are promised more than their pool has: {key}: {promised:g} is promised "
+                    f"from pool {pool.name!r}, whose capacity is {able:g}: {promised - able:g} too many",
                 )
 
 
@@ -148,9 +148,9 @@
     total = sum(part.share for part in parts)
     if total > 1 + ROUNDING:
         raise ConfigurationError(
-            FILE, f"{where}.parts: their shares sum to {total:g}, {total - 1:g} too many"
+            FILE, f"{where}.parts: the shares add up to {total:g}, {total - 1:g} more than 1"
         )
     for place, part in enumerate(parts):
         if part.most < part.share:
-            raise ConfigurationError(FILE, f"{where}.parts[{place}].most: less than its share")
+            raise ConfigurationError(FILE, f"{where}.parts[{place}].most: less than the share of the part")
         _check_parts(part.parts, f"{where}.parts[{place}]")
--- a/larchlatch/broker/quota_tree.py
+++ b/larchlatch/broker/quota_tree.py
@@ -1,4 +1,7 @@
-"""Nested quotas: a tree whose nodes are limited in several dimensions. All nodes of a path admit, or none."""
+"""Enforces nested quotas: a tree of nodes, each of which has limits in several dimensions.
+
+A request is counted at all nodes from its leaf up to the root, and admitted only if it fits at all of them.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,16 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-NEVER = -2 * SLOTS  # a slot before any window
-SWEEPS_PER_WINDOW = 4  # searches for idle nodes in a window
+NEVER = -2 * SLOTS  # a slot that lies before every window
+SWEEPS_PER_WINDOW = 4  # how often idle nodes are searched for in a window
 
 
 class Dimension(IntEnum):
     """A limited quantity."""
 
-    NEW_SESSIONS = 0  # per window
-    MESSAGES = 1  # per window
-    HELD_SESSIONS = 2  # established at one time
+    NEW_SESSIONS = 0  # counted per window
+    MESSAGES = 1  # counted per window
+    HELD_SESSIONS = 2  # established at the same time
 
 
 WINDOWED = (Dimension.NEW_SESSIONS, Dimension.MESSAGES)
@@ -30,8 +33,8 @@
 class QuotaLimits:
     """The limits of a node of the tree, by dimension."""
 
-    share: tuple[int, int, int]  # its own
-    maximum: tuple[int, int, int]  # with what it borrows
+    share: tuple[int, int, int]  # without borrowing
+    maximum: tuple[int, int, int]  # including what the node borrows
 
 
 def _new_counters() -> tuple[SlidingWindowCounter, SlidingWindowCounter]:
@@ -44,7 +47,7 @@
 
 @dataclass(slots=True)
 class QuotaNode:
-    """A node of the tree: a team, a bank, a branch or a desk, or the pool at the root."""
+    """A node of the quota tree: the pool at the root, a team, or a part of a team."""
 
     name: str
     limits: QuotaLimits
@@ -55,14 +58,14 @@
     requested_at: list[int] = field(default_factory=_never_requested)  # slot of the last request
     exceeded_at: list[int] = field(
         default_factory=_never_requested
-    )  # slot of the last request beyond its share
+    )  # slot of the last request that exceeded the share
     admitted: int = 0
     rejected: int = 0
-    unnamed_share: float = 0.0  # share of a child that no contract names; 0: there is none
-    from_contract: bool = True  # others are created on their first request, and removed when idle
+    unnamed_share: float = 0.0  # share of each child that the contract does not name; 0 if it may have none
+    from_contract: bool = True  # other nodes are created on their first request and removed when idle
 
     def used(self, dimension: Dimension, slot: int) -> int:
-        """Return the use: sessions held now, or the amount used in the window that ends at `slot`."""
+        """Return the sessions held now, or the amount used in the window that ends at `slot`."""
         if dimension is Dimension.HELD_SESSIONS:
             return self.held
         return self.counters[dimension].advance(slot)
@@ -72,11 +75,11 @@
         return slot - self.requested_at[dimension] <= SLOTS
 
     def exceeded_lately(self, dimension: Dimension, slot: int) -> bool:
-        """Return whether a request within the last window exceeded its share."""
+        """Return whether a request within the last window exceeded the node's share."""
         return slot - self.exceeded_at[dimension] <= SLOTS
 
     def path_to_root(self) -> Iterator[QuotaNode]:
-        """Yield this node and all nodes above it; the pool comes last."""
+        """Yield this node and all nodes above it, up to the pool."""
         node: QuotaNode | None = self
         while node is not None:
             yield node
@@ -90,7 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The node of the tree that rejected a request, the dimension, and the time after which to try again."""
+    """A rejection because a node of the tree has reached a limit.
+
+    Attributes:
+        address: The address of that node.
+        dimension: The dimension of the limit.
+        retry_after_us: The wait after which a retry may be admitted, in microseconds.
+
+    """
 
     address: str
     dimension: Dimension
@@ -99,21 +109,24 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaUsage:
-    """The limits and the use of a node of the tree, for operators."""
+    """The limits and the usage of a node of the tree in one dimension, for operators."""
 
     address: str
     dimension: Dimension
     share: int
     maximum: int
     used: int
-    borrowed: int  # in use beyond its own share
-    lent: int  # of its own share, in use by siblings
+    borrowed: int  # in use beyond its share
+    lent: int  # part of its share that siblings use
     admitted: int
     rejected: int
 
 
 class QuotaTree:
-    """The tree of one pool. Times are whole microseconds; a time before the latest one counts as that."""
+    """The quota tree of one pool.
+
+    Times are whole microseconds. A time before the latest time seen is replaced by the latter.
+    """
 
     def __init__(self, root: QuotaNode, window_us: int, now: int) -> None:
         self.root = root
@@ -121,8 +134,8 @@
         self.set_window(window_us)
 
     def set_window(self, window_us: int) -> None:
-        """Count in windows of this length from now on, as after a start."""
-        # The counts are dropped, as slots of another length have other numbers.
+        """Set the length of the window and restart all counters, as after the start of the process."""
+        # Counts can't be kept, because slots of another length have other numbers.
         self.window_us = window_us
         self.slot_us = max(1, window_us // SLOTS)
         self.swept_at = self._slot()
@@ -133,7 +146,8 @@
             self._count_last_window_as_used(node)
 
     def _count_last_window_as_used(self, node: QuotaNode) -> None:
-        # A process that starts does not know what its predecessor admitted in the last window.
+        # A process that starts does not know what its predecessor admitted in the last window. It
+        # assumes that each share, and the capacity of the pool, was used up evenly over the slots.
         slot = self._slot()
         for dimension in WINDOWED:
             limits = node.limits.maximum if node is self.root else node.limits.share
@@ -145,7 +159,7 @@
         return self.now // self.slot_us
 
     def _advance(self, now: int) -> int:
-        """Advance the clock, remove idle nodes if it is time, and return the present slot."""
+        """Advance the clock, remove idle nodes if a search is due, and return the current slot."""
         self.now = max(self.now, now)
         slot = self._slot()
         if slot >= self.swept_at + SLOTS // SWEEPS_PER_WINDOW:
@@ -156,7 +170,10 @@
     # Admission.
 
     def admit(self, now: int, leaf: QuotaNode, amounts: dict[Dimension, int]) -> Rejection | None:
-        """Use `amounts` at all nodes from `leaf` up to the pool; or at none, and return the rejection."""
+        """Admit a request, or return its rejection.
+
+        An admitted request uses `amounts` at all nodes from `leaf` up to the pool, a rejected one nothing.
+        """
         slot = self._advance(now)
         path = list(leaf.path_to_root())
         self._record_request(path, amounts, slot)
@@ -172,7 +189,8 @@
 
     @staticmethod
     def _record_request(path: list[QuotaNode], amounts: dict[Dimension, int], slot: int) -> None:
-        # Recorded at every node, also below one that rejects: a returning lender is protected from now on.
+        # All nodes record the request, even if one above them rejects it: siblings may no longer borrow the
+        # share of a node that has started to request again.
         for node in path:
             for dimension, amount in amounts.items():
                 node.requested_at[dimension] = slot
@@ -182,7 +200,7 @@
     def _first_rejection(
         self, path: list[QuotaNode], amounts: dict[Dimension, int], slot: int
     ) -> Rejection | None:
-        # From the pool down, so that the rejection names the highest node that is exhausted.
+        # The search goes from the pool down, so that the rejection names the highest exhausted node.
         for node in reversed(path):
             for dimension, amount in amounts.items():
                 excess = node.used(dimension, slot) + amount - self._allowance(node, dimension, slot)
@@ -201,13 +219,13 @@
                 node.counters[dimension].add(slot, amount)
 
     def release(self, now: int, leaf: QuotaNode, number: int = 1) -> None:
-        """Release held sessions that have ended."""
+        """Release `number` held sessions that have ended, at all nodes from `leaf` up to the pool."""
         self._advance(now)
         for node in leaf.path_to_root():
             node.held -= number
 
     def _allowance(self, node: QuotaNode, dimension: Dimension, slot: int) -> int:
-        """Return the permitted use of a node: its share, and its part of what its siblings leave."""
+        """Return how much a node may use: its share, plus its part of what its siblings leave unused."""
         share, maximum = node.limits.share[dimension], node.limits.maximum[dimension]
         parent = node.parent
         if parent is None or maximum <= share:
@@ -220,7 +238,7 @@
 
     @staticmethod
     def _spare_of(parent: QuotaNode, dimension: Dimension, slot: int) -> tuple[int, int]:
-        """Return the amount that the children leave, and the sum of the shares of those that borrow."""
+        """Return the amount that the children leave unused, and the sum of the borrowers' shares."""
         limits = parent.limits.maximum if parent.parent is None else parent.limits.share
         spare, borrowing_shares = limits[dimension], 0
         for child in parent.children.values():
@@ -235,15 +253,15 @@
         return spare, borrowing_shares
 
     def _retry_after_us(self, node: QuotaNode, dimension: Dimension, slot: int, excess: int) -> int:
-        # The end of held sessions is not known: a window is an arbitrary wait.
+        # Nobody knows when held sessions will end, so an arbitrary wait of one window is advised.
         if dimension is Dimension.HELD_SESSIONS:
             return self.window_us
         return node.counters[dimension].slots_until_free(slot, excess) * self.slot_us
 
-    # Nodes that no contract names.
+    # Nodes that the contract does not name.
 
     def child(self, now: int, parent: QuotaNode, name: str, limits: QuotaLimits) -> QuotaNode:
-        """Return a child that no contract names, such as a desk; it is created on its first request."""
+        """Return a child that the contract does not name, such as a desk; the first request creates it."""
         self._advance(now)
         found = parent.children.get(name)
         if found is None:
@@ -251,8 +269,8 @@
         return found
 
     def remove_idle(self, node: QuotaNode, slot: int) -> None:
-        """Remove nodes below this one that no contract names and that are unused for a window."""
-        # After a window without use such a node would have its whole share again anyway.
+        """Remove the nodes below this one that no contract names and that were not used for a window."""
+        # Removal renews no share: a node that was not used for a window has its whole share again anyway.
         for name, child in list(node.children.items()):
             self.remove_idle(child, slot)
             idle = not child.children and not child.from_contract and not child.held
@@ -260,11 +278,11 @@
                 del node.children[name]
 
     def set_limits(self, now: int, node: QuotaNode, limits: QuotaLimits) -> None:
-        """Change the limits of a node; established sessions continue, new requests have to fit."""
+        """Change the limits of a node; they apply to new requests, and established sessions continue."""
         self._advance(now)
         node.limits = limits
 
-    # Reports.
+    # Usage reports.
 
     def usage(self, now: int) -> list[QuotaUsage]:
         """Return a row for each node and dimension."""
@@ -281,7 +299,7 @@
         borrowed_by_all = sum(max(0, -balance) for balance in balances)
         left_by_all = sum(max(0, balance) for balance in balances)
         left_here = max(0, share - used) if siblings else 0
-        # Loans come from all siblings with unused shares, in proportion to what each leaves unused.
+        # All siblings with unused shares lend in proportion to what each leaves unused.
         lent = min(left_here, borrowed_by_all * left_here // left_by_all) if left_by_all else 0
         return QuotaUsage(
             node.address,
--- a/larchlatch/broker/sliding_window.py
+++ b/larchlatch/broker/sliding_window.py
@@ -1,22 +1,22 @@
-"""A counter over a sliding window, which is divided into slots of equal length."""
+"""Counts use over a sliding window that is divided into slots of equal length."""
 
 from __future__ import annotations
 
-# Slots of a window. One more is counted, so that a limit also holds for windows that begin within a slot;
-# this costs 1/65 of the rate.
+# The number of slots in a window. The counter covers one slot more, so that a limit also holds for windows
+# that begin within a slot; this lowers the admitted rate by 1/65.
 SLOTS = 64
 
 
 class SlidingWindowCounter:
     """Counts the use in the last window.
 
-    The caller numbers the slots by its own clock; a number below the newest one counts as the newest.
+    The caller numbers the slots by its clock. A slot before the newest one is replaced by the newest.
     """
 
     __slots__ = ("newest", "slots", "total")
 
     def __init__(self) -> None:
-        self.slots = [0] * (SLOTS + 1)  # the oldest is still leaving the window
+        self.slots = [0] * (SLOTS + 1)  # the oldest slot lies only partly in the window
         self.newest = 0
         self.total = 0
 
@@ -34,13 +34,13 @@
         self.slots[index] = 0
 
     def add(self, slot: int, amount: int) -> None:
-        """Count `amount` as used in `slot`."""
+        """Add `amount` to the use in `slot`."""
         self.advance(slot)
         self.slots[self.newest % (SLOTS + 1)] += amount
         self.total += amount
 
     def slots_until_free(self, slot: int, amount: int) -> int:
-        """Return the number of slots until `amount` has left the window."""
+        """Return the number of slots after which at least `amount` of the use has left the window."""
         self.advance(slot)
         expiring = 0
         for ahead in range(1, SLOTS + 2):
--- a/larchlatch/config/__init__.py
+++ b/larchlatch/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration: reading, checking and defaults. Errors name the file, the key and what was expected."""
+"""Reads and validates configuration files and fills in defaults. Errors name file, key and problem."""
--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -1,6 +1,6 @@
-"""The deployment settings: the object `settings` of a configuration, which the simulator sends as well.
+"""Reads the deployment settings: the object `settings` of a configuration file.
 
-This is the one module that knows the keys of that object.
+The simulator sends the same object. No other module depends on its keys.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import DedupScope, DeploymentSettings, Idempotency, TrafficClass
 
-# Words of the key `effect` of a traffic class.
+# Meaning of the values of the key `effect` of a traffic class.
 IDEMPOTENCY_BY_EFFECT = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
-# Words of the key `group` of a traffic class.
+# Meaning of the values of the key `group` of a traffic class.
 DEDUP_SCOPE_BY_GROUP = {scope.value: scope for scope in DedupScope}
 DEFAULT_GROUP = DedupScope.ALL.value
 
-STABLE_SIZES = ("nominal", "rough")  # words of the key `weights`
-POLLED_DISCOVERY = "on_request"  # word of the key `discovery`
-PASS_THROUGH_MODE = "pass"  # word of the key `mode` of the domain
-NO_TELEMETRY = "none"  # word of the key `via` of the telemetry
-LOAD_FIELD = "x0"  # name of the utilization among the fields of the telemetry
+STABLE_SIZES = ("nominal", "rough")  # values of the key `weights` that promise stable sizes
+POLLED_DISCOVERY = "on_request"  # value of the key `discovery`
+PASS_THROUGH_MODE = "pass"  # value of the key `mode` of the object `domain`
+NO_TELEMETRY = "none"  # value of the key `via` of the object `telemetry`
+LOAD_FIELD = "x0"  # name of the utilization in the key `fields` of the object `telemetry`
 
 DEFAULT_CONNECT_TIMEOUT_US = 250_000
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What the operators agreed for a deployment, as a node on sockets needs it.
+    """The settings of a deployment that a node needs to serve clients over sockets.
 
     Attributes:
-        settings: What decisions depend on.
-        traffic_class_names: In the order of the settings' traffic classes.
-        tenants: Names of the clients' owners.
-        zones: Names of the zones; their positions are the numbers that decisions know.
-        connect_timeout_us: The time for establishing a connection to an upstream.
+        settings: The settings on which the balancer's decisions depend.
+        traffic_class_names: Names of the traffic classes, in the order of `settings.traffic_classes`.
+        tenants: Names of the tenants that clients belong to.
+        zones: Names of the zones; the position of a name is the number by which the balancer knows the zone.
+        connect_timeout_us: The time allowed for establishing a connection to an upstream.
         passes_through: Whether packets of established sessions bypass the node's process.
-        max_deadline_us: The longest deadline of any traffic class; 0 without traffic classes.
+        max_deadline_us: The longest deadline of any traffic class; 0 if there are no traffic classes.
 
     """
 
@@ -56,7 +56,7 @@
 
 
 class _Sections(NamedTuple):
-    """The objects within the settings."""
+    """The JSON objects nested in the deployment settings."""
 
     capabilities: dict[str, Any]
     rules: dict[str, Any]
@@ -65,11 +65,11 @@
 
 
 def read_deployment(raw: dict[str, Any], where: str) -> Deployment:
-    """Return the settings of a node on sockets, checked and with their defaults.
+    """Return the settings of a node that serves clients over sockets, validated and with defaults.
 
     Args:
         raw: The JSON object that holds the settings.
-        where: The place of that object, for the messages.
+        where: The location of that object, for error messages.
 
     Raises:
         ConfigurationError: A value is missing or wrong.
@@ -89,11 +89,11 @@
 
 
 def read_deployment_settings(raw: dict[str, Any], where: str) -> DeploymentSettings:
-    """Return the settings that decisions depend on, checked and with their defaults.
+    """Return the settings on which the balancer's decisions depend, validated and with defaults.
 
     Args:
         raw: The JSON object that holds the settings.
-        where: The place of that object, for the messages.
+        where: The location of that object, for error messages.
 
     Raises:
         ConfigurationError: A value is missing or wrong.
@@ -124,7 +124,7 @@
 
 
 def traffic_class_numbers(raw: dict[str, Any], where: str) -> dict[str, int]:
-    """Return the numbers of the traffic classes by their names, from settings that were read before.
+    """Return the number of each traffic class by its name, from settings that have been validated.
 
     Raises:
         ConfigurationError: A traffic class has no name.
@@ -137,7 +137,7 @@
 
 
 def zone_numbers(raw: dict[str, Any]) -> dict[str, int]:
-    """Return the numbers of the zones by their names, from settings that were read before."""
+    """Return the number of each zone by its name, from settings that have been validated."""
     return {name: number for number, name in enumerate(raw["areas"])}
 
 
@@ -153,7 +153,7 @@
 def _read_traffic_classes(
     raw: dict[str, Any], domain: dict[str, Any], where: str
 ) -> tuple[TrafficClass, ...]:
-    """Return the traffic classes in the order of the key `tariffs`."""
+    """Return the traffic classes in the order in which the key `tariffs` lists them."""
     objectives = optional(domain, "message_aim_us", list, f"{where}.domain", [])
     traffic_classes = []
     for index, entry in enumerate(required(raw, "tariffs", list, where)):
@@ -165,7 +165,7 @@
 
 
 def _message_objective_us(objectives: list[Any], index: int, where: str) -> int:
-    """Return the message objective of a traffic class; 0 if none is stated."""
+    """Return the message objective of the traffic class at `index`; 0 if the settings have none for it."""
     objective = objectives[index] if index < len(objectives) else 0
     if not isinstance(objective, NUMBER):
         problem = f"message_aim_us[{index}] has the wrong type ({type(objective).__name__})"
@@ -174,7 +174,7 @@
 
 
 def _read_traffic_class(entry: dict[str, Any], message_objective_us: int, where: str) -> TrafficClass:
-    """Return one traffic class; its message objective stands apart from its entry."""
+    """Return one traffic class; its message objective is not in its entry but in the object `domain`."""
     latency_objective_us = non_negative_int(entry, "expected_time_us", where)
     effect = required(entry, "effect", str, where)
     idempotency = one_of(effect, IDEMPOTENCY_BY_EFFECT, f"{where}.effect")
@@ -189,19 +189,19 @@
 
 
 def _reports_load(telemetry: dict[str, Any], where: str) -> bool:
-    """Return whether the answers to probes carry the load of their upstream."""
+    """Return whether an upstream reports its load in its answers to probes."""
     fields = optional(telemetry, "fields", list, where, [])
     return telemetry.get("via") != NO_TELEMETRY and LOAD_FIELD in fields
 
 
 def _read_max_retry_after_us(capabilities: dict[str, Any], where: str) -> int:
-    """Return the longest advice that clients follow; 0 if they follow none."""
+    """Return the longest advised wait that clients follow; 0 if they follow no advice."""
     max_retry_after_us = non_negative_int(capabilities, "max_retry_after_us", where, 0)
     return max_retry_after_us if capabilities.get("retry_after") else 0
 
 
 def _read_connect_timeout_us(capabilities: dict[str, Any], where: str) -> int:
-    """Return the time for establishing a connection; 0 in the file stands for the default."""
+    """Return the time allowed for establishing a connection; 0 in the file selects the default."""
     timeout_us = non_negative_int(capabilities, "dial_timeout_us", where, DEFAULT_CONNECT_TIMEOUT_US)
     return timeout_us or DEFAULT_CONNECT_TIMEOUT_US
 
--- a/larchlatch/config/endpoints.py
+++ b/larchlatch/config/endpoints.py
@@ -1,6 +1,6 @@
-"""The JSON form of the endpoint list, as discovery sends it and the configuration holds it. No I/O.
+"""Parses and serializes the JSON form of the endpoint list. No I/O.
 
-This is the one module that knows its keys.
+Discovery sends this form, and configuration files contain it. No other module depends on its keys.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 }
 PHASE_BY_STATE = {state: phase for phase, state in STATE_BY_PHASE.items()}
 
-MAX_SIZE = 1e6  # sizes are summed: one beyond all reason would outweigh all other upstreams together
+MAX_SIZE = 1e6  # sizes are summed: an absurdly large one would outweigh all other upstreams together
 DEFAULT_SIZE = 1.0
 NO_CELL = -1
 
@@ -28,7 +28,7 @@
 
 MAX_PORT = 65535
 MICROSECONDS_PER_MS = 1000
-MAX_QUOTED_CHARACTERS = 60  # of a wrong address in a message
+MAX_QUOTED_CHARACTERS = 60  # an error message quotes at most this much of an invalid address
 
 
 class EndpointEntry(NamedTuple):
@@ -39,9 +39,9 @@
         address: Its host and port.
         zone: The name of its zone; empty if the list names none.
         cell: The number of its cell; `NO_CELL` if the list names none.
-        state: Whether it takes sessions.
+        state: Whether it accepts sessions.
         size: Its capacity relative to other upstreams.
-        started_at: When it started, in microseconds of Unix time; 0 for long ago.
+        started_at: When it started, in microseconds of Unix time; 0 if that was long ago.
 
     """
 
@@ -55,13 +55,13 @@
 
 
 class EndpointList(NamedTuple):
-    """An endpoint list, or the changes to one.
+    """A complete endpoint list, or a set of changes to one.
 
     Attributes:
-        revision: The revision of the list, or the one that the changes lead to.
-        complete: Whether it is the complete list, so that an upstream that it lacks is gone.
-        endpoints: The entries.
-        unreadable: Names of upstreams whose entries are wrong. What was known of them stays valid.
+        revision: The revision of the list, or the revision that results from the changes.
+        complete: Whether it is the complete list, so that an upstream without an entry is gone.
+        endpoints: The valid entries.
+        unreadable: Names of upstreams whose entries are invalid. Their previous entries stay in force.
 
     """
 
@@ -72,11 +72,11 @@
 
 
 class DecodedEndpointList(NamedTuple):
-    """An endpoint list as far as it could be read.
+    """The valid part of an endpoint list, and the errors in the rest.
 
     Attributes:
-        endpoint_list: The list without its wrong entries.
-        faults: A message for each wrong entry.
+        endpoint_list: The list without its invalid entries.
+        faults: An error message for each invalid entry.
 
     """
 
@@ -85,24 +85,24 @@
 
 
 def parse_address(text: str, where: str, *, error: type[InvalidInputError] = ConfigurationError) -> Address:
-    """Return host and port of `HOST:PORT`; an IPv6 address may stand in brackets.
+    """Return the host and port of `HOST:PORT`; an IPv6 address may be enclosed in brackets.
 
     Raises:
-        InvalidInputError: The text is no such address. `error` names the type.
+        InvalidInputError: The text is not such an address. `error` is the type that is raised.
 
     """
     host, _, port = text.rpartition(":")
-    # isdigit() alone accepts digits of other scripts.
+    # isdigit() alone would also accept digits of other scripts.
     if not host or not (port.isascii() and port.isdigit()) or int(port) > MAX_PORT:
-        raise error(where, f"not an address with a port ({text[:MAX_QUOTED_CHARACTERS]!r})")
+        raise error(where, f"not an address of the form HOST:PORT ({text[:MAX_QUOTED_CHARACTERS]!r})")
     return host.strip("[]"), int(port)
 
 
 def parse_endpoint(raw: Any, where: str) -> EndpointEntry:
-    """Return one entry of the list.
+    """Return one entry of an endpoint list.
 
     Raises:
-        ProtocolError: The entry is wrong.
+        ProtocolError: The entry is invalid.
 
     """
     if not isinstance(raw, dict):
@@ -126,7 +126,7 @@
 
 
 def _parse_size(raw: dict[str, Any], where: str) -> float:
-    """Return the size of an entry; the default if it has none above 0."""
+    """Return the size in an entry; the default if the entry has no size above 0."""
     size = raw.get("size")
     if not isinstance(size, NUMBER):
         return DEFAULT_SIZE
@@ -136,10 +136,10 @@
 
 
 def parse_endpoint_list(raw: Any, where: str) -> EndpointList:
-    """Return a list of which every entry must be right.
+    """Return an endpoint list; a single invalid entry makes the whole list invalid.
 
     Raises:
-        ProtocolError: The list or an entry is wrong.
+        ProtocolError: The list or one of its entries is invalid.
 
     """
     if not isinstance(raw, dict):
@@ -153,12 +153,12 @@
 
 
 def parse_readable_endpoints(raw: Any, where: str) -> DecodedEndpointList:
-    """Return a list without the entries that can't be read.
+    """Return the valid entries of an endpoint list, and an error message for each of the others.
 
-    A wrong entry must not hide what the list says of other upstreams.
+    An invalid entry must not keep the node from learning about the other upstreams.
 
     Raises:
-        ProtocolError: The list itself is wrong.
+        ProtocolError: The list itself is invalid.
 
     """
     if not isinstance(raw, dict):
@@ -176,20 +176,21 @@
             if name is not None:
                 unreadable.append(name)
             else:
-                # Any upstream may be meant: a complete list without the entry would declare that one gone.
+                # The entry may belong to any upstream. A complete list without it would declare that upstream
+                # gone.
                 complete = False
     revision = required(raw, "revision", int, where, error=ProtocolError)
     return DecodedEndpointList(EndpointList(revision, complete, endpoints, tuple(unreadable)), faults)
 
 
 def _name_of_unreadable(entry: Any) -> str | None:
-    """Return the name in an entry that is otherwise wrong; None if it has none."""
+    """Return the name in an entry that is otherwise invalid; None if the entry has no name."""
     name = entry.get("id") if isinstance(entry, dict) else None
     return name if isinstance(name, str) else None
 
 
 def endpoint_list_to_json(endpoint_list: EndpointList) -> dict[str, Any]:
-    """Return a list in the form that `parse_endpoint_list` reads."""
+    """Return an endpoint list in the JSON form that `parse_endpoint_list` reads."""
     return {
         "revision": endpoint_list.revision,
         "complete": endpoint_list.complete,
@@ -211,14 +212,14 @@
 
 
 def decode_endpoint_list(text: bytes) -> DecodedEndpointList:
-    """Return what can be read of a list that discovery has sent.
+    """Return the valid part of an endpoint list that discovery has sent.
 
     Raises:
-        ProtocolError: The text is no JSON, or the list itself is wrong.
+        ProtocolError: The text is not valid JSON, or the list itself is invalid.
 
     """
     try:
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise ProtocolError("list", f"no JSON ({error})") from None
+        raise ProtocolError("list", f"not valid JSON ({error})") from None
     return parse_readable_endpoints(raw, "list")
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -1,7 +1,7 @@
-"""The node's configuration: its JSON file, read, checked and completed with defaults.
+"""Reads and validates a node's JSON configuration file, and fills in defaults.
 
-This is the one module that knows the keys of that file, except those of the object `settings` and of the
-endpoint list.
+No other module depends on the keys of that file, apart from `deployment`, which reads the object `settings`,
+and `endpoints`, which reads the endpoint list.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
     from larchlatch.policy.types import DeploymentSettings
 
-WHERE = "configuration"  # what messages call the file
+WHERE = "configuration"  # how error messages refer to the file
 ADMIN_ADDRESS_VARIABLE = "EDGE_CONTROL"
 
-# The key of the file that each attribute of `NodeConfiguration` is read from. Attributes that are derived
-# from several keys of an object have the key of that object.
+# The key of the file from which each attribute of `NodeConfiguration` is read. For an attribute that depends
+# on several keys of an object, this is the key of the object.
 FILE_KEYS = {
     "name": "name",
     "listen_address": "listen",
@@ -48,7 +48,7 @@
 
 DEFAULT_DESCRIPTOR_LIMIT = 1024  # the usual limit of a process
 
-MAX_QUOTED_CHARACTERS = 40  # of a wrong seed in a message
+MAX_QUOTED_CHARACTERS = 40  # an error message quotes at most this much of an invalid seed
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,20 +57,21 @@
 
     Attributes:
         name: The node's name, unique in its cluster.
-        listen_address: Where clients are accepted.
-        discovery_address: Where the endpoint list is fetched.
-        admin_address: Where the admin API listens; None for no admin API.
-        seed: The seed of the node's random draws.
-        descriptor_limit: How many file descriptors the node may hold.
-        known_endpoints: The endpoint list to begin with.
+        listen_address: The address on which the node accepts clients.
+        discovery_address: The address from which the node fetches the endpoint list.
+        admin_address: The address of the admin API; None if the node has no admin API.
+        seed: The seed of the node's random number generator.
+        descriptor_limit: The largest number of file descriptors that the node may have open.
+        known_endpoints: The endpoint list that the node uses until discovery sends one.
         settings: The deployment settings.
-        traffic_class_names: In the order of the settings' traffic classes.
-        tenants: Names of the clients' owners.
-        zones: Names of the zones; their positions are the numbers that decisions know.
-        upstream_settings: How upstreams are connected to and watched.
-        discovery_pushes_changes: Whether changes of the list are followed from the start, and not only once
-            the balancer polls it.
-        passes_through: Whether packets of established sessions bypass this process, so that they outlive it.
+        traffic_class_names: Names of the traffic classes, in the order of `settings.traffic_classes`.
+        tenants: Names of the tenants that clients belong to.
+        zones: Names of the zones; the position of a name is the number by which the balancer knows the zone.
+        upstream_settings: The settings for connecting to upstreams and monitoring them.
+        discovery_pushes_changes: Whether discovery pushes changes of the endpoint list from the start, rather
+            than only after the balancer has polled the list.
+        passes_through: Whether packets of established sessions bypass this process, so that the sessions
+            outlive it.
         max_deadline_us: The longest deadline of any traffic class, from the arrival of a client's request.
 
     """
@@ -93,10 +94,12 @@
 
 
 def read_node_configuration(path: Path) -> NodeConfiguration:
-    """Return the configuration of a file; the environment may name the address of the admin API.
+    """Return the configuration in a file.
+
+    If the file names no address for the admin API, it is taken from the environment variable EDGE_CONTROL.
 
     Raises:
-        InvalidInputError: The file can't be read, or something in it is missing or wrong.
+        InvalidInputError: The file can't be read, or a value in it is missing or invalid.
 
     """
     try:
@@ -104,7 +107,7 @@
     except OSError as error:
         raise ConfigurationError(WHERE, f"can't be read ({error.strerror}: {path})") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError(WHERE, f"no JSON ({error})") from None
+        raise ConfigurationError(WHERE, f"not valid JSON ({error})") from None
     if not isinstance(raw, dict):
         raise ConfigurationError(WHERE, "not an object")
     return parse_node_configuration(raw, os.environ.get(ADMIN_ADDRESS_VARIABLE))
@@ -117,10 +120,10 @@
 
     Args:
         raw: The content of the file.
-        default_admin_address: Where the admin API listens if the object does not say.
+        default_admin_address: The address of the admin API if the object names none.
 
     Raises:
-        InvalidInputError: Something is missing or wrong.
+        InvalidInputError: A value is missing or invalid.
 
     """
     listen_address = _read_address(raw, "listen")
@@ -134,7 +137,8 @@
         seed=_read_seed(raw),
         descriptor_limit=_read_descriptor_limit(raw),
         known_endpoints=_read_known_endpoints(raw),
-        # On sockets an overloaded upstream answers messages at once: their latency does not show its load.
+        # Over sockets even an overloaded upstream answers messages at once, so that their latency does not
+        # show its load.
         settings=replace(settings, reports_delay=False),
         traffic_class_names=deployment.traffic_class_names,
         tenants=deployment.tenants,
@@ -151,7 +155,7 @@
 
 
 def _read_seed(raw: dict[str, Any]) -> int:
-    """Return the seed, which is a number or a string of hexadecimal digits."""
+    """Return the seed, which the file gives as a number or as a string of hexadecimal digits."""
     seed = required(raw, "seed", (str, int), WHERE)
     if isinstance(seed, int):
         return seed
@@ -160,11 +164,11 @@
         return int(digits, 16)
     except ValueError:
         quoted = repr(digits[:MAX_QUOTED_CHARACTERS])
-        raise ConfigurationError(WHERE, f"seed is no hexadecimal number ({quoted})") from None
+        raise ConfigurationError(WHERE, f"seed is not a hexadecimal number ({quoted})") from None
 
 
 def _read_admin_address(raw: dict[str, Any], default: str | None, listen_address: Address) -> Address | None:
-    """Return the address of the admin API; None where neither the file nor the environment names one."""
+    """Return the address of the admin API; None if neither the file nor `default` names one."""
     if raw.get("control") is not None:
         text, where = required(raw, "control", str, WHERE), f"{WHERE}: control"
     elif default:
@@ -172,7 +176,7 @@
     else:
         return None
     address = parse_address(text, where)
-    # With port 0 the system chooses the ports, which then differ.
+    # For port 0 the operating system chooses a free port, so that the two ports differ.
     if address == listen_address and address[1]:
         raise ConfigurationError(where, f"the address where clients are taken ({text})")
     return address
@@ -186,7 +190,7 @@
 
 
 def _read_known_endpoints(raw: dict[str, Any]) -> EndpointList:
-    """Return the list to begin with; an empty one of revision 0 if the file has none."""
+    """Return the initial endpoint list; an empty list of revision 0 if the file has none."""
     known = raw.get("known")
     if known is None:
         return EndpointList(revision=0, complete=True, endpoints=[])
--- a/larchlatch/config/reading.py
+++ b/larchlatch/config/reading.py
@@ -1,8 +1,8 @@
-"""Checked reading of JSON objects.
+"""Reads values from JSON objects and validates their types.
 
-Each function takes the object, the key, and the place of the object for error messages. A missing or wrong
-value raises one error that names the place, the key and what is wrong. Callers that read messages of other
-processes instead of files pass `error=ProtocolError`.
+The functions that read a key take the object, the key, and the location of the object for error messages. A
+missing or invalid value raises an error that names the location, the key and the problem. Callers that read
+messages of other processes instead of files pass `error=ProtocolError`.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
     Args:
         holder: The JSON object.
         key: The key to read.
-        kind: The type or types that the value may have. A boolean is no `int` here.
-        where: The place of the object, for the message.
-        error: The exception to raise.
+        kind: The type or types that the value may have. A boolean does not count as an `int`.
+        where: The location of the object, for error messages.
+        error: The type of the exception to raise.
 
     Raises:
         InvalidInputError: The key is missing, or its value is of another type.
@@ -47,7 +47,7 @@
     if key not in holder:
         raise error(where, f"{key} is missing")
     value = holder[key]
-    # bool is a subclass of int, but `true` where a number is expected is a mistake.
+    # bool is a subclass of int, but `true` in place of a number is an error.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise error(where, f"{key} has the wrong type ({type(value).__name__})")
     return value
@@ -62,7 +62,7 @@
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> Value | Default:
-    """Return the value of a key, or the default where the key is missing or null.
+    """Return the value of a key, or the default if the key is missing or its value is null.
 
     Raises:
         InvalidInputError: The value is of another type.
@@ -81,12 +81,12 @@
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> int:
-    """Return a count or a length of time; a fraction is cut off.
+    """Return the value of a key that holds a count or a duration; a fraction is truncated.
 
-    Without a default the key must be present; with one, a missing key and null give the default.
+    Without a default the key must be present. With a default, it replaces a missing key and null.
 
     Raises:
-        InvalidInputError: The value is missing, no number, negative, or too large to be exact in JSON.
+        InvalidInputError: The value is missing, not a number, negative, or too large to be exact in JSON.
 
     """
     value: float
@@ -106,10 +106,16 @@
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> Choice:
-    """Return the choice that a word of the file or the wire stands for.
+    """Return the choice that a string in a file or a message stands for.
+
+    Args:
+        value: The string.
+        choices: The choice for each permitted string.
+        where: The location of the string, for error messages.
+        error: The type of the exception to raise.
 
     Raises:
-        InvalidInputError: The word is none of the choices.
+        InvalidInputError: The string is not among the choices.
 
     """
     if value not in choices:
--- a/larchlatch/config/toml_file.py
+++ b/larchlatch/config/toml_file.py
@@ -1,6 +1,6 @@
-"""Strict reading of the operators' TOML files.
+"""Reads operators' TOML files and validates them against typed tables.
 
-A file is checked against types. The error for a wrong file is one line that names the file and the key.
+The error for an invalid file is a single line that names the kind of the file, the key and the problem.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 Table = TypeVar("Table")
 
-# Keys of operators' files that differ from the names of their attributes.
+# The key in operators' files for each attribute that has another name in the code.
 FILE_KEYS = {
     "overload_multiple": "tip_multiple",
     "sessions": "links",
@@ -28,7 +28,7 @@
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True, rename=FILE_KEYS):
-    """Base of the tables of operators' files: an unknown key is an error."""
+    """Base class of the tables in operators' files; an unknown key in a table is an error."""
 
 
 def read_toml(path: Path, file_kind: str) -> dict[str, Any]:
@@ -36,10 +36,10 @@
 
     Args:
         path: The file.
-        file_kind: What messages call the file, such as `cluster`.
+        file_kind: How error messages refer to the file, such as `cluster`.
 
     Raises:
-        ConfigurationError: The file can't be read, or is no TOML.
+        ConfigurationError: The file can't be read, or is not valid TOML.
 
     """
     try:
@@ -51,16 +51,16 @@
 
 
 def convert_table(raw: Any, kind: type[Table], file_kind: str) -> Table:
-    """Return the content of a file as the given type.
+    """Return the content of a file, converted to the given type.
 
     Raises:
-        ConfigurationError: A key is missing, unknown, or has a value that its type excludes.
+        ConfigurationError: A key is missing, unknown, or has a value of another type or outside its range.
 
     """
     try:
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
-        # msgspec appends the place to its message, as a path behind a dollar sign.
+        # msgspec appends the location of the problem to its message, as a path that begins with a dollar.
         problem, _, place = str(error).partition(" - at `$")
-        key = place.strip("`.") or "the whole"
+        key = place.strip("`.") or "top level"
         raise ConfigurationError(file_kind, f"{key}: {problem}") from None
--- a/larchlatch/config/upstream.py
+++ b/larchlatch/config/upstream.py
@@ -1,4 +1,4 @@
-"""The part of the configuration that an upstream actor works by."""
+"""The settings of a node for connecting to upstreams and monitoring them."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class UpstreamSettings(NamedTuple):
-    """How upstreams are connected to and watched.
+    """The settings for connecting to upstreams and monitoring them.
 
     Attributes:
-        connect_timeout_us: The time for establishing a connection.
-        probes_report_load: Whether the answer to a probe carries the load of the upstream.
-        reports_delay: Whether the delay of messages is to be reported to the balancer.
-        strictest_message_objective_us: The shortest time within which a traffic class wants its messages
-            answered; 0 where none states one.
+        connect_timeout_us: The time allowed for establishing a connection.
+        probes_report_load: Whether an upstream reports its load in its answers to probes.
+        reports_delay: Whether the delay of messages is reported to the balancer.
+        strictest_message_objective_us: The shortest message objective of any traffic class, which is the time
+            within which its messages should be answered; 0 if no traffic class has one.
 
     """
 
--- a/larchlatch/errors.py
+++ b/larchlatch/errors.py
@@ -1,22 +1,23 @@
-"""Exceptions of larchlatch.
+"""Defines the exceptions of larchlatch.
 
-Outcomes that a caller has to expect, such as a rejected session, are return values. Exceptions are for faults
-that stop a reader, a connection or the start of a process. They are caught by type, never by their message.
+Outcomes that a caller has to expect, such as a rejected session, are return values. Exceptions are for errors
+that stop the parsing of an input, a connection or the start of a process. Callers tell exceptions apart by
+type, never by message.
 """
 
 from __future__ import annotations
 
 
 class LarchlatchError(Exception):
-    """Base of all exceptions that larchlatch raises itself."""
+    """Base class of all exceptions that larchlatch defines."""
 
 
 class InvalidInputError(LarchlatchError):
     """Input is not in the form that its documentation requires.
 
     Attributes:
-        where: The file, message or key, as its author would look for it.
-        problem: What is wrong there, and what was expected.
+        where: The file, message or key that is invalid, named as its author would look for it.
+        problem: The error found there.
 
     """
 
@@ -28,8 +29,8 @@
 
 
 class ConfigurationError(InvalidInputError):
-    """A file of the operators, an environment variable or the value of a command's option is wrong."""
+    """A file of the operators, an environment variable or the value of a command line option is invalid."""
 
 
 class ProtocolError(InvalidInputError):
-    """A message from another process is wrong: a node, an upstream, discovery or the simulator."""
+    """A message from another process (a node, an upstream, discovery or the simulator) is invalid."""
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -1,4 +1,4 @@
-"""The broker's decisions: windows that hold wherever they begin, all or nothing, borrowing, and contracts."""
+"""Tests of the broker: limits per window, nested quotas with borrowing, and validation of contracts."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 SECOND = 1_000_000
 START = 1_000 * SECOND
-LATER = START + 2 * SECOND  # the window before the start has passed
+LATER = START + 2 * SECOND  # the window that counts as used up at the start has expired
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "contracts.example.toml"
 ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
@@ -30,7 +30,7 @@
 
 
 def raw(**teams: float) -> dict[str, Any]:
-    """Teams of one pool of 100 sessions a second, each with its promise."""
+    """Return contracts by the sessions per second promised to each team, in a pool with 100 per second."""
     return {
         "pools": [{"name": "p", "able": figures(100)}],
         "teams": [
@@ -72,6 +72,7 @@
 
 
 def test_in_the_long_run_a_level_gets_its_limit_within_two_in_a_hundred() -> None:
+    """Counting one slot more than the window lowers the admitted rate, but must not lower it by over 2%."""
     quotas, teams = tree(200, a=200)
     admitted = sum(quotas.admit(LATER + n * 1000, teams["a"], ONE_SESSION) is None for n in range(60_000))
     assert 0.98 * 200 * 60 <= admitted <= 200 * 61
@@ -88,10 +89,11 @@
         counter.slots_until_free(10**9 + 3, 1) == SLOTS - 2
         and counter.slots_until_free(10**9 + 3, 4) == SLOTS + 1
     )
-    assert counter.advance(5) == 4, "a clock that runs back frees nothing"
+    assert counter.advance(5) == 4, "a clock that goes back must not free anything"
 
 
 def test_retry_at_the_reported_time_is_admitted() -> None:
+    """Advice that is too short would make clients retry in vain."""
     quotas, teams = tree(10, a=10)
     now = LATER
     for _ in range(10):
@@ -102,6 +104,7 @@
 
 
 def test_starting_node_does_not_admit_a_full_window_at_once() -> None:
+    """Before a restart the process may have used up the window, so a second one at once would be too much."""
     quotas, teams = tree(100, a=100)
     at_once = sum(quotas.admit(START, teams["a"], ONE_SESSION) is None for _ in range(200))
     in_a_second = sum(quotas.admit(START + n * 5000, teams["a"], ONE_SESSION) is None for n in range(200))
@@ -177,7 +180,10 @@
 
 
 def test_a_flood_takes_nothing_from_teams_that_keep_to_their_promise() -> None:
-    """Ten times its budget for a minute; each of the others as alone."""
+    """A team that sends ten times its promised rate must not reduce what the other teams are admitted.
+
+    The other teams send within their promises for a minute, once alone and once beside the flood.
+    """
     got: dict[bool, dict[str, int]] = {}
     for flood in (False, True):
         broker = Broker(parse_contracts(raw(a=30, b=30, c=20)), 1, START)
@@ -198,16 +204,17 @@
 
 
 def test_what_nobody_uses_is_borrowed_and_paid_back_within_a_window() -> None:
+    """A lender that requests again must get its whole share once the borrower's use has expired."""
     quotas, teams = tree(100, a=50, b=50)
     now = LATER
     for n in range(3000):
         now = LATER + n * 1000
         quotas.admit(now, teams["a"], ONE_SESSION)
     slot = now // quotas.slot_us
-    assert teams["a"].used(Dimension.NEW_SESSIONS, slot) >= 97, "all that the other leaves"
+    assert teams["a"].used(Dimension.NEW_SESSIONS, slot) >= 97, "a borrows all that b leaves unused"
     rows = {row.address: row for row in quotas.usage(now) if row.dimension is Dimension.NEW_SESSIONS}
     assert rows["pool/a"].borrowed == rows["pool/b"].lent > 40
-    # Both ask from now on, in the same instants; the one that is back first in each.
+    # From now on both teams request at the same times, and the returning lender requests first each time.
     admitted = {"a": 0, "b": 0}
     late = {"a": 0, "b": 0}
     for n in range(3000):
@@ -225,11 +232,12 @@
     for n in range(20_000):
         for name in counts:
             counts[name] += quotas.admit(LATER + n * 1000, teams[name], ONE_SESSION) is None
-    # c is idle: its 60 go as 20 to 40.
+    # c is idle, so that its 60 sessions per second are divided between a and b in the ratio 20 to 40.
     assert abs(counts["a"] / (40 * 20) - 1) < 0.05 and abs(counts["b"] / (80 * 20) - 1) < 0.05, counts
 
 
 def test_a_parent_out_of_share_refuses_though_a_child_has_some_and_is_named() -> None:
+    """The rejection must name the exhausted parent, and the child must not be charged for the request."""
     root = QuotaNode("pool", QuotaLimits((10,) * 3, (10,) * 3))
     team = root.children["t"] = QuotaNode("t", QuotaLimits((10,) * 3, (10,) * 3), root)
     bank = team.children["b"] = QuotaNode("b", QuotaLimits((8,) * 3, (10,) * 3), team)
@@ -247,17 +255,19 @@
 
 
 def test_held_sessions_are_never_ended_and_count_until_they_end() -> None:
+    """A borrower that replaced its ended sessions would keep the lender from its share for ever."""
     contracts = raw(a=50, b=50)
     contracts["pools"][0]["able"]["held"] = 20
     for team in contracts["teams"]:
         team["promised"]["held"] = 10
     broker = Broker(parse_contracts(contracts), 1, START)
     held = [broker.admit_session(LATER + n, "s-a") for n in range(20)]
-    assert all(isinstance(came, AdmittedSession) for came in held), "b is idle: its part is lent"
+    assert all(isinstance(came, AdmittedSession) for came in held), "b is idle, so its share is lent to a"
     rejection = broker.admit_session(LATER + 30, "s-b")
     assert isinstance(rejection, Rejection) and rejection.dimension is Dimension.HELD_SESSIONS
     ends = iter(held)
-    # The lender is back: what ends goes to it, and the borrower takes nothing while over its own part.
+    # The lender b requests again: it gets each session that ends, and the borrower a gets none while it holds
+    # more than its share.
     for n in range(10):
         ticket = next(ends)
         assert isinstance(ticket, AdmittedSession)
@@ -267,6 +277,7 @@
 
 
 def test_new_contracts_below_what_is_held_cut_nothing_off() -> None:
+    """Established sessions survive a reduction; new ones are rejected until enough sessions have ended."""
     contracts = raw(a=50)
     broker = Broker(parse_contracts(contracts), 1, START)
     tickets = [broker.admit_session(LATER + n * 20_000, "s-a") for n in range(40)]
@@ -296,18 +307,20 @@
 
 @pytest.mark.parametrize("window_s", [0.2, 10.0])
 def test_new_contracts_with_another_window_go_on_by_that(window_s: float) -> None:
+    """A changed window length must neither admit a window's limit at once nor keep the former length."""
     broker = Broker(parse_contracts(raw(a=50)), 1, START)
     assert isinstance(broker.admit_session(LATER, "s-a"), AdmittedSession)
     broker.set_contracts(LATER, parse_contracts({**raw(a=50), "window_s": window_s}))
     window = round(window_s * SECOND)
     at_once = sum(isinstance(broker.admit_session(LATER + 1, "s-a"), AdmittedSession) for _ in range(2000))
-    assert at_once <= 100 * window_s * 0.1 + 1, "no fresh window: the one before counts as used"
+    assert at_once <= 100 * window_s * 0.1 + 1, "the previous window must count as used up"
     later = LATER + 3 * window
     admitted = sum(isinstance(broker.admit_session(later, "s-a"), AdmittedSession) for _ in range(2000))
-    assert admitted == 100 * window_s, "all of a whole window, for nobody else asks"
+    assert admitted == 100 * window_s, "without other requests, the limit of a whole window"
 
 
 def test_thousands_of_desks_come_and_go_without_a_renewed_share() -> None:
+    """Nodes of unnamed parts would fill the memory if kept, and renew their share if removed too early."""
     contracts = raw(a=100)
     contracts["teams"][0]["parts"] = [{"name": "bank", "share": 1.0, "unnamed": 0.01}]
     broker = Broker(parse_contracts(contracts), 1, START)
@@ -318,12 +331,12 @@
         assert isinstance(came, AdmittedSession)
         broker.release(LATER + n * 20_000, came)
         seen.add(len(bank.children))
-    assert max(seen) <= 50 * 2, "those idle for a window are forgotten"
+    assert max(seen) <= 50 * 2, "nodes that were idle for a window must be removed"
     now = LATER + 200 * SECOND
     first = broker.admit_session(now, "s-a", ("bank", "desk"))
     assert isinstance(first, AdmittedSession)
     broker.trees["p"].remove_idle(broker.trees["p"].root, now // broker.trees["p"].slot_us)
-    assert bank.children["desk"] is first.leaf, "it holds a session, and has used a part of its window"
+    assert bank.children["desk"] is first.leaf, "a node in use must not be removed"
     assert isinstance(broker.admit_session(now, "s-a", ("elsewhere",)), NoContract)
     assert isinstance(broker.admit_session(now, "s-a", ("bank", "b", "d", "x")), NoContract)
     assert isinstance(broker.admit_session(now, "s-none"), NoContract) and broker.without_contract == 3
@@ -331,6 +344,7 @@
 
 @pytest.mark.parametrize("nodes", [1, 3, 7])
 def test_all_nodes_together_promise_no_more_than_the_contract(nodes: int) -> None:
+    """Limits that are rounded up at each node would add up to more than the capacity of the pool."""
     brokers = [Broker(parse_contracts(raw(a=50, b=50)), nodes, START) for _ in range(nodes)]
     admitted = 0
     for n in range(2000):
@@ -338,7 +352,7 @@
             came = broker.admit_session(LATER + n * 500, "s-a")
             if isinstance(came, AdmittedSession):
                 admitted += 1
-    assert admitted <= 100 * 1 + nodes, "a second of the whole pool, for the other team is idle"
+    assert admitted <= 100 * 1 + nodes, "the pool's limit for a second, as the other team is idle"
     assert admitted >= 100 - 2 * nodes
 
 
@@ -358,7 +372,7 @@
         (changed(teams=[]), ["teams"]),
         (changed(window_s=0.0), ["window_s"]),
         (changed(windw_s=1.0), ["windw_s"]),
-        ({**raw(a=1), "teams": [*raw(a=1)["teams"], *raw(a=1)["teams"]]}, ["teams", "'a' stands twice"]),
+        ({**raw(a=1), "teams": [*raw(a=1)["teams"], *raw(a=1)["teams"]]}, ["teams", "'a' appears twice"]),
         ({**raw(a=1), "teams": [{**raw(a=1)["teams"][0], "pool": "q"}]}, ["teams[0].pool", "'q'"]),
         ({**raw(a=9), "teams": [{**raw(a=9)["teams"][0], "most": figures(8)}]}, ["teams[0].most.links"]),
         ({**raw(a=1), "teams": [{**raw(a=1)["teams"][0], "setup_ms": 0.0}]}, ["teams[0].setup_ms"]),
@@ -369,7 +383,7 @@
                     {**raw(a=1)["teams"][0], "parts": [{"name": n, "share": 0.6} for n in ("x", "y")]},
                 ],
             },
-            ["teams[0].parts", "0.2 too many"],
+            ["teams[0].parts", "0.2 more than 1"],
         ),
         (
             {
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -1,4 +1,8 @@
-"""Configuration: each fault is reported in one line that names the key; a reload follows what it can."""
+"""Tests of reading and reloading configuration files.
+
+Each error must be a single line that names the key, or operators would have to search the whole file for the
+fault. A reload that fails must leave the node with its current configuration.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +37,7 @@
 
 
 def paths(value: Any, so_far: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
-    """Yield the path to each item, however deep."""
+    """Yield the path to each item of a nested JSON value, at all depths."""
     rows = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for item, inner in rows:
         yield (*so_far, item)
@@ -44,7 +48,7 @@
 
 
 def with_fault(path: tuple[Any, ...], wrong: Any, missing: bool) -> dict[str, Any]:
-    """Return the good configuration with one item missing or wrong."""
+    """Return the valid configuration with one item missing or replaced by an invalid value."""
     raw = copy.deepcopy(GOOD)
     holder: Any = raw
     for item in path[:-1]:
@@ -70,7 +74,7 @@
 
 
 def discovery_client(current: NodeConfiguration) -> DiscoveryClient:
-    """Return a client that accepts a new address and makes no call."""
+    """Return a discovery client that accepts a new address and makes no calls."""
 
     async def post(message: object) -> None: ...
 
@@ -86,6 +90,7 @@
 
 @pytest.mark.parametrize("key", ["settings", "listen", "discovery", "name", "seed"])
 def test_a_faulty_configuration_is_rejected_at_reload(key: str, tmp_path: Path) -> None:
+    """A faulty file must not stop a running node or change its settings; a corrected file takes effect."""
     current = parse_node_configuration(GOOD)
     discovery = discovery_client(current)
     counters = Counters()
@@ -116,6 +121,7 @@
 def test_changes_that_need_a_restart_are_named_and_not_followed(
     changes: dict[str, Any], keys: list[str] | None, tmp_path: Path
 ) -> None:
+    """A change that silently has no effect would leave operators with a node that ignores its file."""
     current = parse_node_configuration(GOOD)
     discovery = discovery_client(current)
     path = tmp_path / "node.json"
@@ -128,6 +134,7 @@
 
 
 def test_each_attribute_of_the_configuration_has_its_key_of_the_file() -> None:
+    """Reload compares the attributes in `FILE_KEYS`: it would miss a change to one without a key."""
     assert list(FILE_KEYS) == [field.name for field in fields(NodeConfiguration)]
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Tests that fail for a fault that is known and open: listed in KNOWN-RED.txt, expected to fail, and printed.
+"""Marks the tests listed in KNOWN-RED.txt, which fail because of known open faults, as expected failures.
 
-A line there is `file::test | cause | issue`. One that passes has to leave the list: its run fails until then.
+Each line of the list has the form `file::test | cause | issue`. The entries are printed at the end of a run.
+A run fails if a listed test passes, until its line is removed from the list.
 """
 
 from __future__ import annotations
@@ -16,13 +17,17 @@
 
 
 class Red(NamedTuple):
-    test: str  # file and name, as pytest names it
+    test: str  # file and name in the form of pytest's node IDs
     cause: str
     issue: str
 
 
 def known_red(path: Path) -> list[Red]:
-    """Return the entries of the list; a malformed one raises `UsageError`."""
+    """Return the entries of the list.
+
+    Raises:
+        UsageError: An entry is malformed, or there are too many entries.
+    """
     reds = []
     for number, line in enumerate(path.read_text().splitlines() if path.exists() else (), 1):
         if not line.strip():
@@ -41,7 +46,8 @@
         listed = [item for item in items if red.test in (item.nodeid, item.nodeid.partition("[")[0])]
         for item in listed:
             item.add_marker(pytest.mark.xfail(reason=f"{red.cause} ({red.issue})", strict=True))
-        # A run of some files alone says nothing of the others, but a file that is not there is never run.
+        # A run of selected files shows nothing about tests in others, but a test whose file does not exist
+        # is an error in every run.
         file = red.test.partition("::")[0]
         there = (config.rootpath / file).exists()
         if not listed and (not there or any(item.nodeid.startswith(f"{file}::") for item in items)):
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -1,7 +1,8 @@
-"""Forms that other versions, users' files and stored results depend on: compared with recorded ones.
+"""Compatibility tests: compares packets, datagrams, file keys and results with recorded ones.
 
-The fixture was written by the version before the names of this program were changed. It is never written anew
-to make a test pass: a difference here is a break of compatibility.
+Other versions, users' files and stored results depend on these formats. The fixture was recorded by the
+version before the identifiers of this program were renamed. It must not be recorded anew to make a test pass,
+since a difference is a break of compatibility.
 """
 
 from __future__ import annotations
@@ -58,7 +59,7 @@
 NODES = ("a", "b", "c")
 KEYS = {name: Signer(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
 SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6), ("hosts", 7))
-# Figures of a run that hang on the machine's speed.
+# Keys of result rows whose values depend on the speed of the machine.
 MEASURED = {"cluster_cpu"}
 
 
@@ -67,7 +68,7 @@
     return forms
 
 
-# Packets of a hot restart.
+# Hot restart packets.
 
 
 def packets() -> list[hot_restart.Packet]:
@@ -96,11 +97,14 @@
     return [frame(packet, number % 3).hex() for number, packet in enumerate(packets())]
 
 
-# State that the balancer exports.
+# Exported state of the balancer.
 
 
 def used_balancer(observed: bool) -> Balancer:
-    """A balancer of two upstreams; where it has observed, each exported value differs from its default."""
+    """Return a balancer of two upstreams.
+
+    With `observed`, it has recorded outcomes, so that each exported value differs from its default.
+    """
     balancer = Balancer(SETTINGS, random.Random(1))
     rows = [
         Endpoint(number, f"host-{number}", 0, 0, EndpointState.READY, 1.0, 7 * number) for number in range(2)
@@ -139,7 +143,7 @@
 
 
 def exchange(name: str, started: int, with_allocator: bool) -> Exchange:
-    """One node's part, with its own key, as it starts; it knows of no other node."""
+    """Return the exchange of a node that has just started and has heard of no other node."""
     sites = dict.fromkeys(NODES, "")
     members = Membership(
         name, sites, heartbeat_us=200_000, wall_us=WALL, now_us=started, rng=random.Random(2)
@@ -197,13 +201,16 @@
 
 
 def answers_to(data: bytes, name: str) -> list[list[str]]:
-    """What a node sends back after a datagram, an hour after its start: it may promise and lend by then."""
+    """Return what a node sends in reply to a datagram an hour after its start, when it may vote and lend."""
     taken = exchange(name, NOW - 3600 * SECOND, with_allocator=False).receive(data, now=NOW, wall=WALL)
     return [[to, answer.hex()] for to, answer in taken.datagrams]
 
 
 def heartbeat_bytes() -> list[list[str]]:
-    """All that a lone node sends in three heartbeats: its records, ballots for both roles, and a request."""
+    """Return all that a single node sends in three heartbeats and one token request.
+
+    This covers its records and its ballot requests for both roles.
+    """
     node = exchange("a", NOW - 3600 * SECOND, with_allocator=True)
     sent = []
     for elapsed_us in (0, 200_000, 8 * SECOND):
@@ -215,17 +222,17 @@
     return [[to, data.hex()] for to, data in sent]
 
 
-# Files of operators, rows of results.
+# Operators' files and result rows.
 
 
 def keys_of(kind: Any, prefix: str = "") -> list[str]:
-    """The keys of an operator's file, with dots between, tags of faults included."""
+    """Return the keys of an operator's file as dotted paths, including the tags of faults."""
     info = inspect.type_info(kind) if not isinstance(kind, inspect.Type) else kind
     if isinstance(info, inspect.StructType):
         own = [f"{prefix}<{info.tag_field}={info.tag}>"] if info.tag is not None else []
         for each in info.fields:
             own += [f"{prefix}{each.encode_name}"]
-            if prefix.count(f".{each.encode_name}.") == 0:  # parts nest in parts
+            if prefix.count(f".{each.encode_name}.") == 0:  # a part may contain parts
                 own += keys_of(each.type, f"{prefix}{each.encode_name}.")
         return own
     if isinstance(info, inspect.ListType):
@@ -252,7 +259,7 @@
 
 
 def cluster_digests() -> list[int]:
-    """The digests by which nodes tell whether they go by the same cluster file."""
+    """Return the digests by which nodes detect that their cluster files differ."""
     clusters = [
         read_cluster_file(ROOT / "deploy" / "cluster.example.toml"),
         parse_cluster(CLUSTER, "cluster"),
@@ -265,7 +272,7 @@
 
 
 def stored_values() -> dict[str, list[Any]]:
-    """Values of enumerations and constants that stand in files, packets, datagrams and traces."""
+    """Return the enumeration values and constants that appear in files, packets, datagrams and traces."""
     return {
         "idempotency": [each.value for each in Idempotency],
         "dedup_scope": [each.value for each in DedupScope],
@@ -283,7 +290,7 @@
 
 
 def current() -> dict[str, Any]:
-    """Every form as this version writes it."""
+    """Return everything that the fixture records, as this version writes it."""
     datagrams = datagram_bytes()
     return {
         "packets": packet_bytes(),
@@ -327,7 +334,7 @@
 def test_recorded_datagrams_are_read_and_answered_as_before() -> None:
     for data, answers in zip(recorded()["datagrams"], recorded()["answers"], strict=True):
         assert answers_to(bytes.fromhex(data), "b") == answers
-    assert sum(map(len, recorded()["answers"])) == 2, "a grant and a vote"
+    assert sum(map(len, recorded()["answers"])) == 2, "one loan grant and one vote"
     read = [codec.decode_datagram(bytes.fromhex(data)) for data in recorded()["datagrams"]]
     assert all(isinstance(each, messages.Datagram) for each in read)
     bodies = [signed.body for each in read if isinstance(each, messages.Datagram) for signed in each.records]
@@ -362,5 +369,5 @@
 def test_a_small_day_has_the_recorded_row_and_trace_digest(name: str, seed: int) -> None:
     expected = recorded()["emulated"][f"{name} {seed}"]
     actual = msgspec.json.decode(msgspec.json.encode(emulated(name, seed)))
-    assert list(actual) == list(expected), "the keys of a row, in their order"
+    assert list(actual) == list(expected), "the keys of the row, in their recorded order"
     assert actual == expected
--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -1,4 +1,4 @@
-"""The layers of docs/architecture.md hold, and an import against them is found."""
+"""Tests that the imports follow the layers of docs/architecture.md, and that the check finds violations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def contract_holds(root: Path) -> subprocess.CompletedProcess[str]:
-    """Check the import contract of the project that lies in this folder."""
+    """Check the import contract of the project in this folder."""
     return subprocess.run([LINT, "--no-cache"], cwd=root, capture_output=True, text=True)
 
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,8 @@
-"""The list of known failures: only these tests may fail, each is printed, one that passes must leave it."""
+"""Tests of the list of known failures in KNOWN-RED.txt, which `conftest.py` enforces.
+
+Only listed tests may fail, each is printed, and a listed test that passes fails the run: otherwise a stale
+entry could hide a new failure.
+"""
 
 from __future__ import annotations
 
