--- a/larchlatch/broker/broker.py
+++ b/larchlatch/broker/broker.py
@@ -12,7 +12,7 @@
     from larchlatch.broker.contracts import Contracts, Part, Pool
 
 MAX_DEPTH = 3  # levels below a team, such as bank, branch and desk
-MAX_UNNAMED = 10_000  # children of one node that the contract does not name, at one time
+MAX_UNNAMED_CHILDREN = 10_000  # children of one node that the contract does not name, at one time
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,9 +54,8 @@
         self.contracts = contracts
         self.window_us = round(contracts.window_s * 1_000_000)
         self.trees: dict[str, QuotaTree] = {}
-        self.services: dict[
-            str, tuple[str, QuotaNode]
-        ] = {}  # name of the pool and node of the team, by service
+        # Name of the pool and node of the team, by service.
+        self.teams_by_service: dict[str, tuple[str, QuotaNode]] = {}
         self.without_contract = 0
         for pool in contracts.pools:
             self.trees[pool.name] = QuotaTree(self._build_root(pool), self.window_us, now)
@@ -69,7 +68,7 @@
                 continue
             node = QuotaNode(team.name, team_limits(team, pool, window_s, self.nodes), root)
             root.children[team.name] = node
-            self.services[team.service] = (pool.name, node)
+            self.teams_by_service[team.service] = (pool.name, node)
             self._add_parts(node, team.parts, team.unnamed)
         return root
 
@@ -93,20 +92,20 @@
             path: The names of the parts within the team, such as bank, branch and desk, as far as known.
 
         """
-        found = self.services.get(service)
+        found = self.teams_by_service.get(service)
         if found is None:
             self.without_contract += 1
             return NoContract(f"no contract covers the service {service!r}")
         pool, team = found
         tree = self.trees[pool]
-        leaf = self._leaf(now, tree, team, path)
+        leaf = self._find_leaf(now, tree, team, path)
         if isinstance(leaf, NoContract):
             self.without_contract += 1
             return leaf
         amounts = {Dimension.NEW_SESSIONS: 1, Dimension.HELD_SESSIONS: 1}
         return tree.admit(now, leaf, amounts) or AdmittedSession(pool, leaf)
 
-    def _leaf(
+    def _find_leaf(
         self, now: int, tree: QuotaTree, team: QuotaNode, path: tuple[str, ...]
     ) -> QuotaNode | NoContract:
         """Return the quota node at the end of a path below a team.
@@ -127,9 +126,11 @@
     def _unnamed_child(now: int, tree: QuotaTree, parent: QuotaNode, name: str) -> QuotaNode | NoContract:
         if parent.unnamed_share <= 0:
             return NoContract(f"{parent.address}: the contract has no part {name!r}")
-        if sum(not child.from_contract for child in parent.children.values()) >= MAX_UNNAMED:
+        if sum(not child.from_contract for child in parent.children.values()) >= MAX_UNNAMED_CHILDREN:
             return NoContract(f"{parent.address}: too many parts that the contract does not name")
-        return tree.child(now, parent, name, part_limits(parent.limits.share, parent.unnamed_share, 1.0))
+        return tree.get_or_create_child(
+            now, parent, name, part_limits(parent.limits.share, parent.unnamed_share, 1.0)
+        )
 
     def admit_message(self, now: int, session: AdmittedSession, number: int = 1) -> Rejection | None:
         """Admit messages on a session; return None if they are admitted."""
@@ -160,7 +161,7 @@
         in_use = {name: tree for name, tree in self.trees.items() if tree.root.held}
         self.trees = {**in_use, **replacement.trees}
         self.contracts, self.window_us = contracts, replacement.window_us
-        self.services = {
+        self.teams_by_service = {
             team.service: (team.pool, self.trees[team.pool].root.children[team.name])
             for team in contracts.teams
         }
--- a/larchlatch/broker/contracts.py
+++ b/larchlatch/broker/contracts.py
@@ -13,15 +13,15 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FILE = "contracts"  # how error messages refer to the file
-ROUNDING = 1e-9  # tolerance for rounding errors in sums of decimal fractions
+FILE_KIND = "contracts"  # how error messages refer to the file
+ROUNDING_TOLERANCE = 1e-9  # tolerance for rounding errors in sums of decimal fractions
 
 Amount = Annotated[float, Meta(ge=0, le=1e9)]
 Share = Annotated[float, Meta(ge=0, le=1)]
 Name = Annotated[str, Meta(pattern=r"^[A-Za-z0-9_.-]{1,64}$")]
 
 
-class Figures(Strict, frozen=True):
+class InstallationAmounts(Strict, frozen=True):
     """An amount in each dimension, for all nodes of the installation together."""
 
     sessions_per_s: Amount
@@ -39,7 +39,7 @@
 
 
 # The key of each dimension in the contracts file.
-FIGURE_KEYS = {
+AMOUNT_KEYS = {
     Dimension.NEW_SESSIONS: "links_per_s",
     Dimension.MESSAGES: "messages_per_s",
     Dimension.HELD_SESSIONS: "held",
@@ -50,7 +50,7 @@
     """A group of upstreams, and their total capacity (`able`)."""
 
     name: Name
-    able: Figures
+    able: InstallationAmounts
 
 
 class Part(Strict, frozen=True):
@@ -70,8 +70,10 @@
     service: Name
     pool: Name
     setup_ms: Annotated[float, Meta(gt=0, le=600_000)]  # session setup time that the team promises clients
-    promised: Figures
-    most: Figures | None = None  # limit including what it borrows; None for the capacity of its pool
+    promised: InstallationAmounts
+    most: InstallationAmounts | None = (
+        None  # limit including what it borrows; None for the capacity of its pool
+    )
     parts: list[Part] = field(default_factory=list)
     unnamed: Share = 0.0
 
@@ -91,7 +93,7 @@
         ConfigurationError: The file can't be read or is invalid; the message names the key.
 
     """
-    return parse_contracts(read_toml(path, FILE))
+    return parse_contracts(read_toml(path, FILE_KIND))
 
 
 def parse_contracts(raw: Any) -> Contracts:
@@ -101,13 +103,13 @@
         ConfigurationError: The content is invalid; the message names the key.
 
     """
-    contracts = convert_table(raw, Contracts, FILE)
+    contracts = convert_table(raw, Contracts, FILE_KIND)
     _check_unique([pool.name for pool in contracts.pools], "pools")
     _check_unique([team.name for team in contracts.teams], "teams")
     _check_unique([team.service for team in contracts.teams], "teams: service")
     pool_names = {pool.name for pool in contracts.pools}
-    for place, team in enumerate(contracts.teams):
-        _check_team(team, f"teams[{place}]", pool_names)
+    for index, team in enumerate(contracts.teams):
+        _check_team(team, f"teams[{index}]", pool_names)
     for pool in contracts.pools:
         _check_promises(pool, [team for team in contracts.teams if team.pool == pool.name])
     return contracts
@@ -116,41 +118,43 @@
 def _check_unique(names: list[str], where: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise ConfigurationError(FILE, f"{where}: {name!r} appears twice")
+            raise ConfigurationError(FILE_KIND, f"{where}: {name!r} appears twice")
 
 
 def _check_team(team: Team, where: str, pool_names: set[str]) -> None:
     if team.pool not in pool_names:
-        raise ConfigurationError(FILE, f"{where}.pool: there is no pool {team.pool!r}")
-    for dimension, key in FIGURE_KEYS.items():
+        raise ConfigurationError(FILE_KIND, f"{where}.pool: there is no pool {team.pool!r}")
+    for dimension, key in AMOUNT_KEYS.items():
         if team.most is not None and team.most.amount(dimension) < team.promised.amount(dimension):
-            raise ConfigurationError(FILE, f"{where}.most.{key}: less than the promised amount")
+            raise ConfigurationError(FILE_KIND, f"{where}.most.{key}: less than the promised amount")
     _check_parts(team.parts, where)
 
 
 def _check_promises(pool: Pool, teams: list[Team]) -> None:
     """Check that the amounts promised to the teams of a pool don't exceed its capacity in sum."""
-    for dimension, key in FIGURE_KEYS.items():
-        able, promised = pool.able.amount(dimension), 0.0
-        for place, team in enumerate(teams):
+    for dimension, key in AMOUNT_KEYS.items():
+        capacity, promised = pool.able.amount(dimension), 0.0
+        for index, team in enumerate(teams):
             promised += team.promised.amount(dimension)
-            if promised > able * (1 + ROUNDING):
-                names = f"{teams[0].name!r} and {team.name!r}" if place else f"{team.name!r}"
+            if promised > capacity * (1 + ROUNDING_TOLERANCE):
+                names = f"{teams[0].name!r} and {team.name!r}" if index else f"{team.name!r}"
                 raise ConfigurationError(
-                    FILE,
+                    FILE_KIND,
                     f"teams {names} are promised more than their pool has: {key}: {promised:g} is promised "
-                    f"from pool {pool.name!r}, whose capacity is {able:g}: {promised - able:g} too many",
+                    f"from pool {pool.name!r} of capacity {capacity:g}: {promised - capacity:g} too many",
                 )
 
 
 def _check_parts(parts: list[Part], where: str) -> None:
     _check_unique([part.name for part in parts], f"{where}.parts")
     total = sum(part.share for part in parts)
-    if total > 1 + ROUNDING:
+    if total > 1 + ROUNDING_TOLERANCE:
         raise ConfigurationError(
-            FILE, f"{where}.parts: the shares add up to {total:g}, {total - 1:g} more than 1"
+            FILE_KIND, f"{where}.parts: the shares add up to {total:g}, {total - 1:g} more than 1"
         )
-    for place, part in enumerate(parts):
+    for index, part in enumerate(parts):
         if part.most < part.share:
-            raise ConfigurationError(FILE, f"{where}.parts[{place}].most: less than the share of the part")
-        _check_parts(part.parts, f"{where}.parts[{place}]")
+            raise ConfigurationError(
+                FILE_KIND, f"{where}.parts[{index}].most: less than the share of the part"
+            )
+        _check_parts(part.parts, f"{where}.parts[{index}]")
--- a/larchlatch/broker/limits.py
+++ b/larchlatch/broker/limits.py
@@ -4,33 +4,33 @@
 
 from typing import TYPE_CHECKING
 
-from larchlatch.broker.contracts import ROUNDING
+from larchlatch.broker.contracts import ROUNDING_TOLERANCE
 from larchlatch.broker.quota_tree import QuotaLimits, QuotaNode
 
 if TYPE_CHECKING:
-    from larchlatch.broker.contracts import Figures, Pool, Team
+    from larchlatch.broker.contracts import InstallationAmounts, Pool, Team
 
 Amounts = tuple[int, int, int]  # by `Dimension`
 
 
-def _at_least_one(amount: float) -> int:
+def _whole_amount(amount: float) -> int:
     # Rounded down to 0, a limit would keep this node from admitting anything under the contract.
-    return 0 if amount <= 0 else max(1, int(amount + ROUNDING))
+    return 0 if amount <= 0 else max(1, int(amount + ROUNDING_TOLERANCE))
 
 
-def node_amounts(figures: Figures, window_s: float, nodes: int) -> Amounts:
+def node_amounts(amounts: InstallationAmounts, window_s: float, nodes: int) -> Amounts:
     """Return the part of the installation's amounts that falls to one of its nodes, per window."""
     return (
-        _at_least_one(figures.sessions_per_s * window_s / nodes),
-        _at_least_one(figures.messages_per_s * window_s / nodes),
-        _at_least_one(figures.held / nodes),
+        _whole_amount(amounts.sessions_per_s * window_s / nodes),
+        _whole_amount(amounts.messages_per_s * window_s / nodes),
+        _whole_amount(amounts.held / nodes),
     )
 
 
 def share_of(amounts: Amounts, share: float) -> Amounts:
     """Return a share of the given amounts."""
     sessions, messages, held = amounts
-    return _at_least_one(sessions * share), _at_least_one(messages * share), _at_least_one(held * share)
+    return _whole_amount(sessions * share), _whole_amount(messages * share), _whole_amount(held * share)
 
 
 def part_limits(parent: Amounts, share: float, maximum: float) -> QuotaLimits:
@@ -47,8 +47,8 @@
 
 def pool_root(pool: Pool, window_s: float, nodes: int) -> QuotaNode:
     """Return the root of a pool's quota tree."""
-    able = node_amounts(pool.able, window_s, nodes)
-    return QuotaNode(pool.name, QuotaLimits(able, able))
+    capacity = node_amounts(pool.able, window_s, nodes)
+    return QuotaNode(pool.name, QuotaLimits(capacity, capacity))
 
 
 def team_limits(team: Team, pool: Pool, window_s: float, nodes: int) -> QuotaLimits:
--- a/larchlatch/broker/quota_tree.py
+++ b/larchlatch/broker/quota_tree.py
@@ -70,11 +70,11 @@
             return self.held
         return self.counters[dimension].advance(slot)
 
-    def requested_lately(self, dimension: Dimension, slot: int) -> bool:
+    def requested_recently(self, dimension: Dimension, slot: int) -> bool:
         """Return whether there was a request within the last window."""
         return slot - self.requested_at[dimension] <= SLOTS
 
-    def exceeded_lately(self, dimension: Dimension, slot: int) -> bool:
+    def exceeded_recently(self, dimension: Dimension, slot: int) -> bool:
         """Return whether a request within the last window exceeded the node's share."""
         return slot - self.exceeded_at[dimension] <= SLOTS
 
@@ -151,9 +151,9 @@
         slot = self._slot()
         for dimension in WINDOWED:
             limits = node.limits.maximum if node is self.root else node.limits.share
-            for place in range(SLOTS):
-                amount = limits[dimension] * (place + 1) // SLOTS - limits[dimension] * place // SLOTS
-                node.counters[dimension].add(slot - SLOTS + 1 + place, amount)
+            for offset in range(SLOTS):
+                amount = limits[dimension] * (offset + 1) // SLOTS - limits[dimension] * offset // SLOTS
+                node.counters[dimension].add(slot - SLOTS + 1 + offset, amount)
 
     def _slot(self) -> int:
         return self.now // self.slot_us
@@ -184,7 +184,7 @@
             return rejection
         for node in path:
             node.admitted += 1
-            self._take(node, amounts, slot)
+            self._record_use(node, amounts, slot)
         return None
 
     @staticmethod
@@ -211,7 +211,7 @@
         return None
 
     @staticmethod
-    def _take(node: QuotaNode, amounts: dict[Dimension, int], slot: int) -> None:
+    def _record_use(node: QuotaNode, amounts: dict[Dimension, int], slot: int) -> None:
         for dimension, amount in amounts.items():
             if dimension is Dimension.HELD_SESSIONS:
                 node.held += amount
@@ -243,10 +243,10 @@
         spare, borrowing_shares = limits[dimension], 0
         for child in parent.children.values():
             share = child.limits.share[dimension]
-            if child.exceeded_lately(dimension, slot):
+            if child.exceeded_recently(dimension, slot):
                 spare -= share
                 borrowing_shares += max(1, share)
-            elif child.requested_lately(dimension, slot):
+            elif child.requested_recently(dimension, slot):
                 spare -= max(share, child.used(dimension, slot))
             else:
                 spare -= child.used(dimension, slot)
@@ -260,7 +260,7 @@
 
     # Nodes that the contract does not name.
 
-    def child(self, now: int, parent: QuotaNode, name: str, limits: QuotaLimits) -> QuotaNode:
+    def get_or_create_child(self, now: int, parent: QuotaNode, name: str, limits: QuotaLimits) -> QuotaNode:
         """Return a child that the contract does not name, such as a desk; the first request creates it."""
         self._advance(now)
         found = parent.children.get(name)
@@ -297,10 +297,10 @@
         siblings = list(node.parent.children.values()) if node.parent is not None else []
         balances = [s.limits.share[dimension] - s.used(dimension, slot) for s in siblings]
         borrowed_by_all = sum(max(0, -balance) for balance in balances)
-        left_by_all = sum(max(0, balance) for balance in balances)
-        left_here = max(0, share - used) if siblings else 0
+        unused_by_all = sum(max(0, balance) for balance in balances)
+        unused_here = max(0, share - used) if siblings else 0
         # All siblings with unused shares lend in proportion to what each leaves unused.
-        lent = min(left_here, borrowed_by_all * left_here // left_by_all) if left_by_all else 0
+        lent = min(unused_here, borrowed_by_all * unused_here // unused_by_all) if unused_by_all else 0
         return QuotaUsage(
             node.address,
             dimension,
--- a/larchlatch/config/deployment.py
+++ b/larchlatch/config/deployment.py
@@ -1,6 +1,6 @@
 """Reads the deployment settings: the object `settings` of a configuration file.
 
-The simulator sends the same object. No other module depends on its keys.
+The simulator sends the same object. No other module reads its keys.
 """
 
 from __future__ import annotations
--- a/larchlatch/config/endpoints.py
+++ b/larchlatch/config/endpoints.py
@@ -1,6 +1,6 @@
 """Parses and serializes the JSON form of the endpoint list. No I/O.
 
-Discovery sends this form, and configuration files contain it. No other module depends on its keys.
+Discovery sends this form, and configuration files contain it. No other module reads its keys.
 """
 
 from __future__ import annotations
@@ -152,7 +152,7 @@
     )
 
 
-def parse_readable_endpoints(raw: Any, where: str) -> DecodedEndpointList:
+def parse_valid_entries(raw: Any, where: str) -> DecodedEndpointList:
     """Return the valid entries of an endpoint list, and an error message for each of the others.
 
     An invalid entry must not keep the node from learning about the other upstreams.
@@ -172,7 +172,7 @@
             endpoints.append(parse_endpoint(entry, f"{where}.members[{index}]"))
         except InvalidInputError as error:
             faults.append(str(error))
-            name = _name_of_unreadable(entry)
+            name = _name_of_invalid_entry(entry)
             if name is not None:
                 unreadable.append(name)
             else:
@@ -183,7 +183,7 @@
     return DecodedEndpointList(EndpointList(revision, complete, endpoints, tuple(unreadable)), faults)
 
 
-def _name_of_unreadable(entry: Any) -> str | None:
+def _name_of_invalid_entry(entry: Any) -> str | None:
     """Return the name in an entry that is otherwise invalid; None if the entry has no name."""
     name = entry.get("id") if isinstance(entry, dict) else None
     return name if isinstance(name, str) else None
@@ -222,4 +222,4 @@
         raw = orjson.loads(text)
     except orjson.JSONDecodeError as error:
         raise ProtocolError("list", f"not valid JSON ({error})") from None
-    return parse_readable_endpoints(raw, "list")
+    return parse_valid_entries(raw, "list")
--- a/larchlatch/config/node.py
+++ b/larchlatch/config/node.py
@@ -1,6 +1,6 @@
 """Reads and validates a node's JSON configuration file, and fills in defaults.
 
-No other module depends on the keys of that file, apart from `deployment`, which reads the object `settings`,
+No other module reads the keys of that file, apart from `deployment`, which reads the object `settings`,
 and `endpoints`, which reads the endpoint list.
 """
 
@@ -62,7 +62,7 @@
         admin_address: The address of the admin API; None if the node has no admin API.
         seed: The seed of the node's random number generator.
         descriptor_limit: The largest number of file descriptors that the node may have open.
-        known_endpoints: The endpoint list that the node uses until discovery sends one.
+        known_endpoints: The endpoint list that the node starts with.
         settings: The deployment settings.
         traffic_class_names: Names of the traffic classes, in the order of `settings.traffic_classes`.
         tenants: Names of the tenants that clients belong to.
--- a/larchlatch/config/reading.py
+++ b/larchlatch/config/reading.py
@@ -24,7 +24,7 @@
 
 
 def required(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     kind: type[Value] | tuple[type[Value], ...],
     where: str,
@@ -34,7 +34,7 @@
     """Return the value of a key that must be present.
 
     Args:
-        holder: The JSON object.
+        json_object: The JSON object to read from.
         key: The key to read.
         kind: The type or types that the value may have. A boolean does not count as an `int`.
         where: The location of the object, for error messages.
@@ -44,9 +44,9 @@
         InvalidInputError: The key is missing, or its value is of another type.
 
     """
-    if key not in holder:
+    if key not in json_object:
         raise error(where, f"{key} is missing")
-    value = holder[key]
+    value = json_object[key]
     # bool is a subclass of int, but `true` in place of a number is an error.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise error(where, f"{key} has the wrong type ({type(value).__name__})")
@@ -54,7 +54,7 @@
 
 
 def optional(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     kind: type[Value] | tuple[type[Value], ...],
     where: str,
@@ -68,13 +68,13 @@
         InvalidInputError: The value is of another type.
 
     """
-    if holder.get(key) is None:
+    if json_object.get(key) is None:
         return default
-    return required(holder, key, kind, where, error=error)
+    return required(json_object, key, kind, where, error=error)
 
 
 def non_negative_int(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     where: str,
     default: int | None = None,
@@ -91,9 +91,9 @@
     """
     value: float
     if default is None:
-        value = required(holder, key, NUMBER, where, error=error)
+        value = required(json_object, key, NUMBER, where, error=error)
     else:
-        value = optional(holder, key, NUMBER, where, default, error=error)
+        value = optional(json_object, key, NUMBER, where, default, error=error)
     if not 0 <= value < EXACT_INTEGER_LIMIT:
         raise error(where, f"{key} is out of range ({value})")
     return int(value)
--- a/larchlatch/config/toml_file.py
+++ b/larchlatch/config/toml_file.py
@@ -61,6 +61,6 @@
         return msgspec.convert(raw, kind)
     except msgspec.ValidationError as error:
         # msgspec appends the location of the problem to its message, as a path that begins with a dollar.
-        problem, _, place = str(error).partition(" - at `$")
-        key = place.strip("`.") or "top level"
+        problem, _, location = str(error).partition(" - at `$")
+        key = location.strip("`.") or "top level"
         raise ConfigurationError(file_kind, f"{key}: {problem}") from None
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -25,21 +25,21 @@
 ONE_SESSION = {Dimension.NEW_SESSIONS: 1}
 
 
-def figures(sessions_per_s: float, held: float = 100_000) -> dict[str, float]:
+def amounts(sessions_per_s: float, held: float = 100_000) -> dict[str, float]:
     return {"links_per_s": sessions_per_s, "messages_per_s": 10 * sessions_per_s, "held": held}
 
 
-def raw(**teams: float) -> dict[str, Any]:
+def contracts_of(**teams: float) -> dict[str, Any]:
     """Return contracts by the sessions per second promised to each team, in a pool with 100 per second."""
     return {
-        "pools": [{"name": "p", "able": figures(100)}],
+        "pools": [{"name": "p", "able": amounts(100)}],
         "teams": [
             {
                 "name": name,
                 "service": f"s-{name}",
                 "pool": "p",
                 "setup_ms": 500.0,
-                "promised": figures(rate, 20_000),
+                "promised": amounts(rate, 20_000),
             }
             for name, rate in teams.items()
         ],
@@ -71,7 +71,7 @@
         assert sum(number for at, number in taken if first <= at < first + SECOND) <= limit
 
 
-def test_in_the_long_run_a_level_gets_its_limit_within_two_in_a_hundred() -> None:
+def test_the_long_run_rate_is_within_two_percent_of_the_limit() -> None:
     """Counting one slot more than the window lowers the admitted rate, but must not lower it by over 2%."""
     quotas, teams = tree(200, a=200)
     admitted = sum(quotas.admit(LATER + n * 1000, teams["a"], ONE_SESSION) is None for n in range(60_000))
@@ -122,7 +122,7 @@
 
 
 def nested(rate: float) -> dict[str, Any]:
-    contracts = raw(a=rate, b=30, c=20)
+    contracts = contracts_of(a=rate, b=30, c=20)
     for team in contracts["teams"]:
         team["parts"] = [
             {"name": "x", "share": 0.5, "parts": [{"name": "x", "share": 0.3, "unnamed": 0.2}]},
@@ -179,31 +179,33 @@
     assert all(node.held == 0 for node in iterate(root))
 
 
-def test_a_flood_takes_nothing_from_teams_that_keep_to_their_promise() -> None:
+def test_a_team_over_its_promise_takes_nothing_from_teams_within_theirs() -> None:
     """A team that sends ten times its promised rate must not reduce what the other teams are admitted.
 
     The other teams send within their promises for a minute, once alone and once beside the flood.
     """
-    got: dict[bool, dict[str, int]] = {}
+    admitted: dict[bool, dict[str, int]] = {}
     for flood in (False, True):
-        broker = Broker(parse_contracts(raw(a=30, b=30, c=20)), 1, START)
-        chance, counts = random.Random(4), dict.fromkeys("abc", 0)
-        due = [(LATER + round(chance.random() * 60 * SECOND), team) for team in "bc" for _ in range(28 * 60)]
-        due = [(at, team) for at, team in due if team == "b" or chance.random() < 0.65]
+        broker = Broker(parse_contracts(contracts_of(a=30, b=30, c=20)), 1, START)
+        rng, counts = random.Random(4), dict.fromkeys("abc", 0)
+        arrivals = [
+            (LATER + round(rng.random() * 60 * SECOND), team) for team in "bc" for _ in range(28 * 60)
+        ]
+        arrivals = [(at, team) for at, team in arrivals if team == "b" or rng.random() < 0.65]
         if flood:
-            due += [(LATER + n * 60 * SECOND // 18_000, "a") for n in range(18_000)]
-        for at, team in sorted(due):
-            came = broker.admit_session(at, f"s-{team}")
-            if isinstance(came, AdmittedSession):
+            arrivals += [(LATER + n * 60 * SECOND // 18_000, "a") for n in range(18_000)]
+        for at, team in sorted(arrivals):
+            decision = broker.admit_session(at, f"s-{team}")
+            if isinstance(decision, AdmittedSession):
                 counts[team] += 1
-                broker.release(at, came)
-        got[flood] = counts
+                broker.release(at, decision)
+        admitted[flood] = counts
     for team in "bc":
-        assert got[True][team] >= 0.97 * got[False][team], got
-    assert 30 * 60 * 0.97 <= got[True]["a"] <= 100 * 62 - got[True]["b"] - got[True]["c"]
+        assert admitted[True][team] >= 0.97 * admitted[False][team], admitted
+    assert 30 * 60 * 0.97 <= admitted[True]["a"] <= 100 * 62 - admitted[True]["b"] - admitted[True]["c"]
 
 
-def test_what_nobody_uses_is_borrowed_and_paid_back_within_a_window() -> None:
+def test_unused_share_is_borrowed_and_returned_within_a_window() -> None:
     """A lender that requests again must get its whole share once the borrower's use has expired."""
     quotas, teams = tree(100, a=50, b=50)
     now = LATER
@@ -216,17 +218,20 @@
     assert rows["pool/a"].borrowed == rows["pool/b"].lent > 40
     # From now on both teams request at the same times, and the returning lender requests first each time.
     admitted = {"a": 0, "b": 0}
-    late = {"a": 0, "b": 0}
+    admitted_later = {"a": 0, "b": 0}
     for n in range(3000):
         at = now + n * 1000
         for name in ("b", "a"):
-            took = quotas.admit(at, teams[name], ONE_SESSION) is None
-            admitted[name] += took
-            late[name] += took and at >= now + SECOND * (SLOTS + 1) // SLOTS
-    assert late["b"] >= 0.95 * 50 * 2 and abs(late["a"] - late["b"]) <= 6, (admitted, late)
+            is_admitted = quotas.admit(at, teams[name], ONE_SESSION) is None
+            admitted[name] += is_admitted
+            admitted_later[name] += is_admitted and at >= now + SECOND * (SLOTS + 1) // SLOTS
+    assert admitted_later["b"] >= 0.95 * 50 * 2 and abs(admitted_later["a"] - admitted_later["b"]) <= 6, (
+        admitted,
+        admitted_later,
+    )
 
 
-def test_spare_share_is_parted_by_the_contracts_among_those_who_want_more() -> None:
+def test_unused_share_is_divided_among_borrowers_in_proportion_to_their_shares() -> None:
     quotas, teams = tree(120, a=20, b=40, c=60)
     counts = dict.fromkeys("ab", 0)
     for n in range(20_000):
@@ -236,7 +241,7 @@
     assert abs(counts["a"] / (40 * 20) - 1) < 0.05 and abs(counts["b"] / (80 * 20) - 1) < 0.05, counts
 
 
-def test_a_parent_out_of_share_refuses_though_a_child_has_some_and_is_named() -> None:
+def test_an_exhausted_ancestor_rejects_and_is_named_though_the_child_has_share_left() -> None:
     """The rejection must name the exhausted parent, and the child must not be charged for the request."""
     root = QuotaNode("pool", QuotaLimits((10,) * 3, (10,) * 3))
     team = root.children["t"] = QuotaNode("t", QuotaLimits((10,) * 3, (10,) * 3), root)
@@ -254,47 +259,49 @@
     assert other.used(Dimension.NEW_SESSIONS, LATER // quotas.slot_us) == 0 and root.admitted == 10
 
 
-def test_held_sessions_are_never_ended_and_count_until_they_end() -> None:
+def test_held_sessions_are_not_terminated_and_count_until_they_end() -> None:
     """A borrower that replaced its ended sessions would keep the lender from its share for ever."""
-    contracts = raw(a=50, b=50)
+    contracts = contracts_of(a=50, b=50)
     contracts["pools"][0]["able"]["held"] = 20
     for team in contracts["teams"]:
         team["promised"]["held"] = 10
     broker = Broker(parse_contracts(contracts), 1, START)
     held = [broker.admit_session(LATER + n, "s-a") for n in range(20)]
-    assert all(isinstance(came, AdmittedSession) for came in held), "b is idle, so its share is lent to a"
+    assert all(isinstance(decision, AdmittedSession) for decision in held), (
+        "b is idle, so its share is lent to a"
+    )
     rejection = broker.admit_session(LATER + 30, "s-b")
     assert isinstance(rejection, Rejection) and rejection.dimension is Dimension.HELD_SESSIONS
-    ends = iter(held)
+    sessions = iter(held)
     # The lender b requests again: it gets each session that ends, and the borrower a gets none while it holds
     # more than its share.
     for n in range(10):
-        ticket = next(ends)
-        assert isinstance(ticket, AdmittedSession)
-        broker.release(LATER + 10 * SECOND + n, ticket)
+        session = next(sessions)
+        assert isinstance(session, AdmittedSession)
+        broker.release(LATER + 10 * SECOND + n, session)
         assert isinstance(broker.admit_session(LATER + 10 * SECOND + n, "s-b"), AdmittedSession)
         assert isinstance(broker.admit_session(LATER + 10 * SECOND + n, "s-a"), Rejection)
 
 
-def test_new_contracts_below_what_is_held_cut_nothing_off() -> None:
+def test_contracts_below_the_number_of_held_sessions_terminate_none() -> None:
     """Established sessions survive a reduction; new ones are rejected until enough sessions have ended."""
-    contracts = raw(a=50)
+    contracts = contracts_of(a=50)
     broker = Broker(parse_contracts(contracts), 1, START)
-    tickets = [broker.admit_session(LATER + n * 20_000, "s-a") for n in range(40)]
-    assert all(isinstance(ticket, AdmittedSession) for ticket in tickets)
+    sessions = [broker.admit_session(LATER + n * 20_000, "s-a") for n in range(40)]
+    assert all(isinstance(session, AdmittedSession) for session in sessions)
     contracts["pools"][0]["able"]["held"] = contracts["teams"][0]["promised"]["held"] = 30
     contracts["teams"].append({**contracts["teams"][0], "name": "b", "service": "s-b"})
-    contracts["teams"][0]["promised"] = figures(50, 20)
-    contracts["teams"][1]["promised"] = figures(50, 10)
+    contracts["teams"][0]["promised"] = amounts(50, 20)
+    contracts["teams"][1]["promised"] = amounts(50, 10)
     broker.set_contracts(LATER + SECOND, parse_contracts(contracts))
     later = LATER + 3 * SECOND
     assert broker.trees["p"].root.held == 40
     assert isinstance(broker.admit_session(later, "s-a"), Rejection) and isinstance(
         broker.admit_session(later, "s-b"), Rejection
     )
-    for ticket in tickets[:25]:
-        assert isinstance(ticket, AdmittedSession)
-        broker.release(later, ticket)
+    for session in sessions[:25]:
+        assert isinstance(session, AdmittedSession)
+        broker.release(later, session)
     assert isinstance(broker.admit_session(later, "s-a"), AdmittedSession) and isinstance(
         broker.admit_session(later, "s-b"), AdmittedSession
     )
@@ -306,11 +313,11 @@
 
 
 @pytest.mark.parametrize("window_s", [0.2, 10.0])
-def test_new_contracts_with_another_window_go_on_by_that(window_s: float) -> None:
+def test_contracts_with_another_window_length_take_effect(window_s: float) -> None:
     """A changed window length must neither admit a window's limit at once nor keep the former length."""
-    broker = Broker(parse_contracts(raw(a=50)), 1, START)
+    broker = Broker(parse_contracts(contracts_of(a=50)), 1, START)
     assert isinstance(broker.admit_session(LATER, "s-a"), AdmittedSession)
-    broker.set_contracts(LATER, parse_contracts({**raw(a=50), "window_s": window_s}))
+    broker.set_contracts(LATER, parse_contracts({**contracts_of(a=50), "window_s": window_s}))
     window = round(window_s * SECOND)
     at_once = sum(isinstance(broker.admit_session(LATER + 1, "s-a"), AdmittedSession) for _ in range(2000))
     assert at_once <= 100 * window_s * 0.1 + 1, "the previous window must count as used up"
@@ -319,17 +326,17 @@
     assert admitted == 100 * window_s, "without other requests, the limit of a whole window"
 
 
-def test_thousands_of_desks_come_and_go_without_a_renewed_share() -> None:
+def test_idle_unnamed_parts_are_removed_without_renewing_their_share() -> None:
     """Nodes of unnamed parts would fill the memory if kept, and renew their share if removed too early."""
-    contracts = raw(a=100)
+    contracts = contracts_of(a=100)
     contracts["teams"][0]["parts"] = [{"name": "bank", "share": 1.0, "unnamed": 0.01}]
     broker = Broker(parse_contracts(contracts), 1, START)
     bank = broker.trees["p"].root.children["a"].children["bank"]
     seen = set()
     for n in range(5000):
-        came = broker.admit_session(LATER + n * 20_000, "s-a", ("bank", f"branch-{n}"))
-        assert isinstance(came, AdmittedSession)
-        broker.release(LATER + n * 20_000, came)
+        decision = broker.admit_session(LATER + n * 20_000, "s-a", ("bank", f"branch-{n}"))
+        assert isinstance(decision, AdmittedSession)
+        broker.release(LATER + n * 20_000, decision)
         seen.add(len(bank.children))
     assert max(seen) <= 50 * 2, "nodes that were idle for a window must be removed"
     now = LATER + 200 * SECOND
@@ -343,14 +350,14 @@
 
 
 @pytest.mark.parametrize("nodes", [1, 3, 7])
-def test_all_nodes_together_promise_no_more_than_the_contract(nodes: int) -> None:
+def test_all_nodes_together_admit_no_more_than_the_contract(nodes: int) -> None:
     """Limits that are rounded up at each node would add up to more than the capacity of the pool."""
-    brokers = [Broker(parse_contracts(raw(a=50, b=50)), nodes, START) for _ in range(nodes)]
+    brokers = [Broker(parse_contracts(contracts_of(a=50, b=50)), nodes, START) for _ in range(nodes)]
     admitted = 0
     for n in range(2000):
         for broker in brokers:
-            came = broker.admit_session(LATER + n * 500, "s-a")
-            if isinstance(came, AdmittedSession):
+            decision = broker.admit_session(LATER + n * 500, "s-a")
+            if isinstance(decision, AdmittedSession):
                 admitted += 1
     assert admitted <= 100 * 1 + nodes, "the pool's limit for a second, as the other team is idle"
     assert admitted >= 100 - 2 * nodes
@@ -359,53 +366,72 @@
 # Contracts.
 
 
-def changed(**more: Any) -> dict[str, Any]:
-    return {**raw(a=50, b=50), **more}
+def contracts_with(**more: Any) -> dict[str, Any]:
+    return {**contracts_of(a=50, b=50), **more}
 
 
 @pytest.mark.parametrize(
     ("contracts", "expected"),
     [
-        (raw(a=60, b=50), ["'a' and 'b'", "links_per_s", "10 too many"]),
-        (raw(a=160), ["'a'", "links_per_s", "60 too many"]),
-        (changed(pools=[]), ["pools"]),
-        (changed(teams=[]), ["teams"]),
-        (changed(window_s=0.0), ["window_s"]),
-        (changed(windw_s=1.0), ["windw_s"]),
-        ({**raw(a=1), "teams": [*raw(a=1)["teams"], *raw(a=1)["teams"]]}, ["teams", "'a' appears twice"]),
-        ({**raw(a=1), "teams": [{**raw(a=1)["teams"][0], "pool": "q"}]}, ["teams[0].pool", "'q'"]),
-        ({**raw(a=9), "teams": [{**raw(a=9)["teams"][0], "most": figures(8)}]}, ["teams[0].most.links"]),
-        ({**raw(a=1), "teams": [{**raw(a=1)["teams"][0], "setup_ms": 0.0}]}, ["teams[0].setup_ms"]),
+        (contracts_of(a=60, b=50), ["'a' and 'b'", "links_per_s", "10 too many"]),
+        (contracts_of(a=160), ["'a'", "links_per_s", "60 too many"]),
+        (contracts_with(pools=[]), ["pools"]),
+        (contracts_with(teams=[]), ["teams"]),
+        (contracts_with(window_s=0.0), ["window_s"]),
+        (contracts_with(windw_s=1.0), ["windw_s"]),
+        (
+            {**contracts_of(a=1), "teams": [*contracts_of(a=1)["teams"], *contracts_of(a=1)["teams"]]},
+            ["teams", "'a' appears twice"],
+        ),
+        (
+            {**contracts_of(a=1), "teams": [{**contracts_of(a=1)["teams"][0], "pool": "q"}]},
+            ["teams[0].pool", "'q'"],
+        ),
+        (
+            {**contracts_of(a=9), "teams": [{**contracts_of(a=9)["teams"][0], "most": amounts(8)}]},
+            ["teams[0].most.links"],
+        ),
+        (
+            {**contracts_of(a=1), "teams": [{**contracts_of(a=1)["teams"][0], "setup_ms": 0.0}]},
+            ["teams[0].setup_ms"],
+        ),
         (
             {
-                **raw(a=1),
+                **contracts_of(a=1),
                 "teams": [
-                    {**raw(a=1)["teams"][0], "parts": [{"name": n, "share": 0.6} for n in ("x", "y")]},
+                    {
+                        **contracts_of(a=1)["teams"][0],
+                        "parts": [{"name": n, "share": 0.6} for n in ("x", "y")],
+                    },
                 ],
             },
             ["teams[0].parts", "0.2 more than 1"],
         ),
         (
             {
-                **raw(a=1),
-                "teams": [{**raw(a=1)["teams"][0], "parts": [{"name": "x", "share": 0.6, "most": 0.5}]}],
+                **contracts_of(a=1),
+                "teams": [
+                    {**contracts_of(a=1)["teams"][0], "parts": [{"name": "x", "share": 0.6, "most": 0.5}]}
+                ],
             },
             ["teams[0].parts[0].most"],
         ),
     ],
 )
-def test_contracts_that_are_wrong_are_refused_by_name(contracts: dict[str, Any], expected: list[str]) -> None:
-    with pytest.raises(InvalidInputError) as refused:
+def test_invalid_contracts_are_rejected_and_the_key_is_named(
+    contracts: dict[str, Any], expected: list[str]
+) -> None:
+    with pytest.raises(InvalidInputError) as caught:
         parse_contracts(contracts)
-    assert all(text in str(refused.value) for text in expected), str(refused.value)
+    assert all(text in str(caught.value) for text in expected), str(caught.value)
 
 
 def test_the_command_checks_contracts(tmp_path: Path) -> None:
     result = CliRunner().invoke(cli, ["check", "--contracts", str(EXAMPLE)])
     assert result.exit_code == 0 and "2 teams" in result.stdout
-    bad = tmp_path / "contracts.toml"
-    bad.write_text(EXAMPLE.read_text().replace("links_per_s = 200", "links_per_s = 100"))
-    result = CliRunner().invoke(cli, ["check", "--contracts", str(bad)])
+    invalid = tmp_path / "contracts.toml"
+    invalid.write_text(EXAMPLE.read_text().replace("links_per_s = 200", "links_per_s = 100"))
+    result = CliRunner().invoke(cli, ["check", "--contracts", str(invalid)])
     assert result.exit_code == 2 and result.stderr.count("\n") == 1 and "40 too many" in result.stderr
     result = CliRunner().invoke(cli, ["check", "--contracts", str(tmp_path / "none")])
     assert result.exit_code == 2 and "can't be read" in result.stderr
--- a/tests/config/test_configuration.py
+++ b/tests/config/test_configuration.py
@@ -32,31 +32,31 @@
 from larchlatch.node.reload import reload_configuration
 from tests.support.configuration import node_configuration
 
-GOOD = node_configuration(["127.0.0.1:1"], 1)
+VALID = node_configuration(["127.0.0.1:1"], 1)
 WRONG: tuple[Any, ...] = (None, True, -1, 1.5, 1e300, 2**70, "word", "", [], [1], [None], {}, {"a": 1})
 
 
-def paths(value: Any, so_far: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
+def paths(value: Any, prefix: tuple[Any, ...] = ()) -> Iterator[tuple[Any, ...]]:
     """Yield the path to each item of a nested JSON value, at all depths."""
     rows = value.items() if isinstance(value, dict) else enumerate(value) if isinstance(value, list) else ()
     for item, inner in rows:
-        yield (*so_far, item)
-        yield from paths(inner, (*so_far, item))
+        yield (*prefix, item)
+        yield from paths(inner, (*prefix, item))
 
 
-PATHS = list(paths(GOOD))
+PATHS = list(paths(VALID))
 
 
 def with_fault(path: tuple[Any, ...], wrong: Any, missing: bool) -> dict[str, Any]:
     """Return the valid configuration with one item missing or replaced by an invalid value."""
-    raw = copy.deepcopy(GOOD)
-    holder: Any = raw
+    raw = copy.deepcopy(VALID)
+    container: Any = raw
     for item in path[:-1]:
-        holder = holder[item]
+        container = container[item]
     if missing:
-        del holder[path[-1]]
+        del container[path[-1]]
     else:
-        holder[path[-1]] = wrong
+        container[path[-1]] = wrong
     return raw
 
 
@@ -91,15 +91,15 @@
 @pytest.mark.parametrize("key", ["settings", "listen", "discovery", "name", "seed"])
 def test_a_faulty_configuration_is_rejected_at_reload(key: str, tmp_path: Path) -> None:
     """A faulty file must not stop a running node or change its settings; a corrected file takes effect."""
-    current = parse_node_configuration(GOOD)
+    current = parse_node_configuration(VALID)
     discovery = discovery_client(current)
     counters = Counters()
     path = tmp_path / "node.json"
-    path.write_bytes(orjson.dumps({name: value for name, value in GOOD.items() if name != key}))
+    path.write_bytes(orjson.dumps({name: value for name, value in VALID.items() if name != key}))
     assert reload_configuration(current, path, discovery, counters) is current
     path.write_bytes(orjson.dumps(with_fault(("settings", "domain"), ["no object"], False)))
     assert reload_configuration(current, path, discovery, counters) is current
-    path.write_bytes(orjson.dumps({**GOOD, "discovery": "127.0.0.1:2", "unread": 1}))
+    path.write_bytes(orjson.dumps({**VALID, "discovery": "127.0.0.1:2", "unread": 1}))
     new = reload_configuration(current, path, discovery, counters)
     assert new == replace(read_node_configuration(path)) and discovery.source.address == ("127.0.0.1", 2)
     assert counters.snapshot() == {"configuration_reloaded": 1, "configuration_rejected": 2}
@@ -113,27 +113,27 @@
         ({"name": "other", "listen": "127.0.0.1:9"}, ["name", "listen"]),
         ({"limits": {"sockets": 9}}, ["limits.sockets"]),
         ({"control": "127.0.0.1:8"}, ["control"]),
-        ({"settings": {**GOOD["settings"], "me": 7}}, ["settings"]),
-        ({"settings": {**GOOD["settings"], "areas": ["x"]}}, ["settings.areas"]),
-        ({"settings": {**GOOD["settings"], "tenants": [{"name": "x"}]}}, ["settings.tenants"]),
+        ({"settings": {**VALID["settings"], "me": 7}}, ["settings"]),
+        ({"settings": {**VALID["settings"], "areas": ["x"]}}, ["settings.areas"]),
+        ({"settings": {**VALID["settings"], "tenants": [{"name": "x"}]}}, ["settings.tenants"]),
     ],
 )
-def test_changes_that_need_a_restart_are_named_and_not_followed(
+def test_changes_that_need_a_restart_are_logged_and_not_applied(
     changes: dict[str, Any], keys: list[str] | None, tmp_path: Path
 ) -> None:
     """A change that silently has no effect would leave operators with a node that ignores its file."""
-    current = parse_node_configuration(GOOD)
+    current = parse_node_configuration(VALID)
     discovery = discovery_client(current)
     path = tmp_path / "node.json"
-    path.write_bytes(orjson.dumps({**GOOD, **changes}))
+    path.write_bytes(orjson.dumps({**VALID, **changes}))
     with structlog.testing.capture_logs() as events:
         new = reload_configuration(current, path, discovery, Counters())
-    named = [event["keys"] for event in events if event["event"] == "configuration_needs_restart"]
-    assert named == ([] if keys is None else [keys])
+    logged_keys = [event["keys"] for event in events if event["event"] == "configuration_needs_restart"]
+    assert logged_keys == ([] if keys is None else [keys])
     assert replace(new, discovery_address=current.discovery_address) == current
 
 
-def test_each_attribute_of_the_configuration_has_its_key_of_the_file() -> None:
+def test_each_attribute_of_the_configuration_has_a_file_key() -> None:
     """Reload compares the attributes in `FILE_KEYS`: it would miss a change to one without a key."""
     assert list(FILE_KEYS) == [field.name for field in fields(NodeConfiguration)]
 
@@ -155,7 +155,7 @@
         required({"key": value}, "key", kind, "message", error=ProtocolError)
 
 
-def test_a_key_that_may_be_missing_has_its_default_also_for_null() -> None:
+def test_an_optional_key_that_is_missing_or_null_has_its_default() -> None:
     assert optional({}, "key", int, "file", 3) == optional({"key": None}, "key", int, "file", 3) == 3
     assert optional({"key": 0}, "key", int, "file", 3) == 0
     with pytest.raises(ConfigurationError, match=r"^file: key has the wrong type"):
@@ -180,7 +180,7 @@
 
 def test_errors_in_files_and_in_messages_have_different_types() -> None:
     with pytest.raises(ConfigurationError, match=r"^configuration: listen: not an address"):
-        parse_node_configuration({**GOOD, "listen": "here"})
+        parse_node_configuration({**VALID, "listen": "here"})
     with pytest.raises(ProtocolError, match=r"^list: members is missing$"):
         decode_endpoint_list(b'{"complete": true, "revision": 1}')
     assert parse_address("[::1]:3000", "file") == ("::1", 3000)
--- a/tests/test_compatibility.py
+++ b/tests/test_compatibility.py
@@ -53,19 +53,19 @@
 
 ROOT = Path(__file__).parents[1]
 FIXTURE = Path(__file__).parent / "fixtures" / "compatibility.json"
-SECOND = 1_000_000
-WALL = 1_800_000_000 * SECOND
-NOW = 5_000 * SECOND
+SECOND_US = 1_000_000
+WALL_US = 1_800_000_000 * SECOND_US
+NOW_US = 5_000 * SECOND_US
 NODES = ("a", "b", "c")
-KEYS = {name: Signer(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
-SMALL_DAYS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6), ("hosts", 7))
+SIGNERS = {name: Signer(bytes([place]) * 32) for place, name in enumerate(NODES, 1)}
+SMALL_SCENARIOS = (("calm", 3), ("eight", 4), ("half", 5), ("duties", 6), ("hosts", 7))
 # Keys of result rows whose values depend on the speed of the machine.
-MEASURED = {"cluster_cpu"}
+MACHINE_DEPENDENT_KEYS = {"cluster_cpu"}
 
 
 def recorded() -> dict[str, Any]:
-    forms: dict[str, Any] = json.loads(FIXTURE.read_text())
-    return forms
+    formats: dict[str, Any] = json.loads(FIXTURE.read_text())
+    return formats
 
 
 # Hot restart packets.
@@ -73,7 +73,7 @@
 
 def packets() -> list[hot_restart.Packet]:
     entry = EndpointEntry(
-        "s-1", ("127.0.0.1", 3000), "a", 2, EndpointState.DRAINING, 1.5, 1_700_000_000 * SECOND
+        "s-1", ("127.0.0.1", 3000), "a", 2, EndpointState.DRAINING, 1.5, 1_700_000_000 * SECOND_US
     )
     return [
         hot_restart.Hello("n1", "127.0.0.1:3000"),
@@ -109,17 +109,17 @@
     rows = [
         Endpoint(number, f"host-{number}", 0, 0, EndpointState.READY, 1.0, 7 * number) for number in range(2)
     ]
-    balancer.update_endpoints(NOW, rows, whole=True, from_discovery=True)
+    balancer.update_endpoints(NOW_US, rows, whole=True, from_discovery=True)
     if observed:
-        session = Session(1, 0, 5, 5, NOW + 2 * SECOND, load=100.0)
-        answer = balancer.place(NOW, session)
+        session = Session(1, 0, 5, 5, NOW_US + 2 * SECOND_US, load=100.0)
+        answer = balancer.place(NOW_US, session)
         assert isinstance(answer, Forward)
-        balancer.record_probe(NOW, answer.upstream, ProbeResult(True, 0.5, 10.0))
-        balancer.record_load(NOW, session, 2000.0)
-        balancer.outcome(NOW + 1000, session, Outcome.RESET, answered=True)
-        balancer.record_unresponsive(NOW + 2000, answer.upstream)
-        balancer.record_probe(NOW + 3000, 1 - answer.upstream, ProbeResult(False))
-        balancer.record_probe(NOW + 4000, 1 - answer.upstream, ProbeResult(False))
+        balancer.record_probe(NOW_US, answer.upstream, ProbeResult(True, 0.5, 10.0))
+        balancer.record_load(NOW_US, session, 2000.0)
+        balancer.outcome(NOW_US + 1000, session, Outcome.RESET, answered=True)
+        balancer.record_unresponsive(NOW_US + 2000, answer.upstream)
+        balancer.record_probe(NOW_US + 3000, 1 - answer.upstream, ProbeResult(False))
+        balancer.record_probe(NOW_US + 4000, 1 - answer.upstream, ProbeResult(False))
     return balancer
 
 
@@ -132,13 +132,13 @@
 
 def quota_settings(with_allocator: bool) -> QuotaSettings:
     return QuotaSettings(
-        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND, 3 * SECOND, 0.01), 77, with_allocator
+        (Quota("all", 30, ("t",)),), NODES, 0.5, LoanTerms(SECOND_US, 3 * SECOND_US, 0.01), 77, with_allocator
     )
 
 
 def electorate() -> Electorate:
     return Electorate(
-        NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND, 0.01, 200_000), 88
+        NODES, NODES, (QUOTA_ALLOCATOR, TOKEN_ISSUER), LeaseTerms(3 * SECOND_US, 0.01, 200_000), 88
     )
 
 
@@ -146,7 +146,7 @@
     """Return the exchange of a node that has just started and has heard of no other node."""
     sites = dict.fromkeys(NODES, "")
     members = Membership(
-        name, sites, heartbeat_us=200_000, wall_us=WALL, now_us=started, rng=random.Random(2)
+        name, sites, heartbeat_us=200_000, wall_us=WALL_US, now_us=started, rng=random.Random(2)
     )
     shared = SharedState.create(
         name,
@@ -158,43 +158,45 @@
         random=random.Random(2),
     )
     shared.open(started)
-    keys = {other: key.public_key for other, key in KEYS.items()}
-    return Exchange(members, shared, sites, keys, KEYS[name], Verifier(), lambda kind: None)
+    keys = {other: key.public_key for other, key in SIGNERS.items()}
+    return Exchange(members, shared, sites, keys, SIGNERS[name], Verifier(), lambda kind: None)
 
 
 def records() -> list[messages.NodeRecord]:
     return [
         messages.NodeRecord(
             "a",
-            WALL,
+            WALL_US,
             7,
-            WALL + 1,
+            WALL_US + 1,
             False,
             b"\x05",
             77,
             [messages.QuotaReport(3, 4)],
             [messages.HealthObservation(2**63 + 1, 2, 500)],
-            [messages.Suspicion(2, WALL, 9)],
+            [messages.Suspicion(2, WALL_US, 9)],
             [messages.Promise(0, 11, 1, 900)],
         ),
-        messages.NodeRecord("b", WALL, 1, WALL, True, b""),
+        messages.NodeRecord("b", WALL_US, 1, WALL_US, True, b""),
     ]
 
 
 def direct_messages() -> list[messages.DirectMessage]:
     return [
-        messages.LoanRequest("a", WALL, 1, WALL, "b", 77, "all", 5, 0),
-        messages.LoanGrant("b", "a", WALL, 1, "all", 5, 12, 400),
-        messages.BallotRequest("a", WALL, 1, WALL, "b", 88, 0, WALL + 3, 0, "c"),
-        messages.Vote("b", "a", WALL, 1, 0, True, 0, 300),
-        messages.TokenRequest("a", WALL, 1, WALL, "b", 88, 0, 0, [messages.TokenDemand(99, 5000, 1000)]),
-        messages.TokenGrant("b", "a", WALL, 1, 13, 400, 50, 99),
+        messages.LoanRequest("a", WALL_US, 1, WALL_US, "b", 77, "all", 5, 0),
+        messages.LoanGrant("b", "a", WALL_US, 1, "all", 5, 12, 400),
+        messages.BallotRequest("a", WALL_US, 1, WALL_US, "b", 88, 0, WALL_US + 3, 0, "c"),
+        messages.Vote("b", "a", WALL_US, 1, 0, True, 0, 300),
+        messages.TokenRequest(
+            "a", WALL_US, 1, WALL_US, "b", 88, 0, 0, [messages.TokenDemand(99, 5000, 1000)]
+        ),
+        messages.TokenGrant("b", "a", WALL_US, 1, 13, 400, 50, 99),
     ]
 
 
 def datagram_bytes() -> list[str]:
     bodies = [codec.encode_body(message) for message in (*records(), *direct_messages())]
-    signed = [messages.SignedMessage(body, KEYS["a"].sign(body)) for body in bodies]
+    signed = [messages.SignedMessage(body, SIGNERS["a"].sign(body)) for body in bodies]
     written = [codec.encode_datagram(signed[:2])]
     written += [codec.encode_datagram([], [each]) for each in signed[2:]]
     return [data.hex() for data in written]
@@ -202,8 +204,10 @@
 
 def answers_to(data: bytes, name: str) -> list[list[str]]:
     """Return what a node sends in reply to a datagram an hour after its start, when it may vote and lend."""
-    taken = exchange(name, NOW - 3600 * SECOND, with_allocator=False).receive(data, now=NOW, wall=WALL)
-    return [[to, answer.hex()] for to, answer in taken.datagrams]
+    result = exchange(name, NOW_US - 3600 * SECOND_US, with_allocator=False).receive(
+        data, now=NOW_US, wall=WALL_US
+    )
+    return [[to, answer.hex()] for to, answer in result.datagrams]
 
 
 def heartbeat_bytes() -> list[list[str]]:
@@ -211,14 +215,14 @@
 
     This covers its records and its ballot requests for both roles.
     """
-    node = exchange("a", NOW - 3600 * SECOND, with_allocator=True)
+    node = exchange("a", NOW_US - 3600 * SECOND_US, with_allocator=True)
     sent = []
-    for elapsed_us in (0, 200_000, 8 * SECOND):
-        sent += node.heartbeat(now=NOW + elapsed_us, wall=WALL + elapsed_us).datagrams
+    for elapsed_us in (0, 200_000, 8 * SECOND_US):
+        sent += node.heartbeat(now=NOW_US + elapsed_us, wall=WALL_US + elapsed_us).datagrams
     node.state.tokens.requester.issuer = "b"
-    node.state.tokens.requester.answered_at = NOW + 8 * SECOND
+    node.state.tokens.requester.answered_at = NOW_US + 8 * SECOND_US
     candidates = [(99, TokenCandidate(1, 5.0, 1.0))]
-    sent += node.request_token(4, candidates, now=NOW + 8 * SECOND, wall=WALL).datagrams
+    sent += node.request_token(4, candidates, now=NOW_US + 8 * SECOND_US, wall=WALL_US).datagrams
     return [[to, data.hex()] for to, data in sent]
 
 
@@ -251,7 +255,7 @@
 CLUSTER = {
     "nodes": [
         {"name": name, "address": f"127.0.0.1:{9000 + place}", "key": key.public_key.hex(), "site": "x"}
-        for place, (name, key) in enumerate(KEYS.items())
+        for place, (name, key) in enumerate(SIGNERS.items())
     ],
     "budgets": [{"name": "all", "links_per_s": 12.5, "tariffs": ["t", "u"]}],
     "duties": {"electors": ["c", "a", "b"], "allot": True, "pace": True},
@@ -286,10 +290,10 @@
 
 def emulated(name: str, seed: int) -> dict[str, Any]:
     row = Simulation(read_scenario_file(ROOT / "scenarios" / f"{name}.toml", {"seed": seed})).run()
-    return {key: value for key, value in row.items() if key not in MEASURED}
+    return {key: value for key, value in row.items() if key not in MACHINE_DEPENDENT_KEYS}
 
 
-def current() -> dict[str, Any]:
+def current_formats() -> dict[str, Any]:
     """Return everything that the fixture records, as this version writes it."""
     datagrams = datagram_bytes()
     return {
@@ -301,7 +305,7 @@
         "file_keys": file_keys(),
         "cluster_marks": cluster_digests(),
         "values": stored_values(),
-        "emulated": {f"{name} {seed}": emulated(name, seed) for name, seed in SMALL_DAYS},
+        "emulated": {f"{name} {seed}": emulated(name, seed) for name, seed in SMALL_SCENARIOS},
     }
 
 
@@ -309,7 +313,7 @@
     assert packet_bytes() == recorded()["packets"]
 
 
-def test_recorded_packets_are_read_and_written_again_the_same() -> None:
+def test_recorded_packets_decode_and_encode_to_the_same_bytes() -> None:
     for data, packet in zip(recorded()["packets"], packets(), strict=True):
         body = bytes.fromhex(data)[HEADER.size :]
         read = hot_restart.decode_packet(body)
@@ -343,7 +347,7 @@
     assert [codec.decode_message(body) for body in bodies] == direct_messages()
 
 
-def test_a_lone_node_sends_the_same_bytes_as_before() -> None:
+def test_a_single_node_sends_the_same_bytes_as_before() -> None:
     assert heartbeat_bytes() == recorded()["beats"]
 
 
@@ -365,8 +369,8 @@
     assert read_contracts(ROOT / "deploy" / "contracts.example.toml").teams
 
 
-@pytest.mark.parametrize(("name", "seed"), SMALL_DAYS)
-def test_a_small_day_has_the_recorded_row_and_trace_digest(name: str, seed: int) -> None:
+@pytest.mark.parametrize(("name", "seed"), SMALL_SCENARIOS)
+def test_a_small_scenario_has_the_recorded_row_and_trace_digest(name: str, seed: int) -> None:
     expected = recorded()["emulated"][f"{name} {seed}"]
     actual = msgspec.json.decode(msgspec.json.encode(emulated(name, seed)))
     assert list(actual) == list(expected), "the keys of the row, in their recorded order"
--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -13,14 +13,14 @@
 LINT = Path(sys.executable).parent / "lint-imports"
 
 
-def contract_holds(root: Path) -> subprocess.CompletedProcess[str]:
+def run_lint_imports(root: Path) -> subprocess.CompletedProcess[str]:
     """Check the import contract of the project in this folder."""
     return subprocess.run([LINT, "--no-cache"], cwd=root, capture_output=True, text=True)
 
 
-def test_the_layers_hold() -> None:
-    done = contract_holds(ROOT)
-    assert done.returncode == 0, done.stdout
+def test_imports_follow_the_layers() -> None:
+    result = run_lint_imports(ROOT)
+    assert result.returncode == 0, result.stdout
 
 
 @pytest.mark.parametrize(
@@ -38,13 +38,13 @@
         ("simulator_adapter/protocol.py", "larchlatch.node.clock"),
     ],
 )
-def test_a_planted_import_against_the_layers_is_found(module: str, imported: str, tmp_path: Path) -> None:
+def test_an_import_that_violates_the_layers_is_found(module: str, imported: str, tmp_path: Path) -> None:
     shutil.copytree(
         ROOT / "larchlatch", tmp_path / "larchlatch", ignore=shutil.ignore_patterns("__pycache__")
     )
     shutil.copy(ROOT / "pyproject.toml", tmp_path)
     path = tmp_path / "larchlatch" / module
     path.write_text(path.read_text() + f"\nimport {imported}\n")
-    done = contract_holds(tmp_path)
-    assert done.returncode == 1, done.stdout
-    assert imported in done.stdout
+    result = run_lint_imports(tmp_path)
+    assert result.returncode == 1, result.stdout
+    assert imported in result.stdout
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -58,9 +58,7 @@
         (["test_some.py::test_wrong"], "KNOWN-RED.txt:1: not 'file::test | cause | issue'"),
     ],
 )
-def test_a_list_that_is_wrong_fails_the_run(
-    pytester: pytest.Pytester, lines: list[str], message: str
-) -> None:
+def test_an_invalid_list_fails_the_run(pytester: pytest.Pytester, lines: list[str], message: str) -> None:
     result = run_with_list(pytester, *lines)
     assert result.ret not in (0, 1)
     assert message in result.stdout.str() + result.stderr.str()
