--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts to establish sessions at one upstream."""
+"""Makes the attempts to establish sessions at one upstream: connects, sends the request, reads the answer."""
 
 from __future__ import annotations
 
@@ -23,17 +23,21 @@
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-TRANSIT_US = 20_000  # upper bound of the time that a line takes to an upstream in another zone
-DESCRIPTOR_RETRY_S = 0.005  # pause before the next look for a descriptor while none is free
+TRANSIT_US = 20_000  # longest transit time of a request line to an upstream in another zone
+DESCRIPTOR_RETRY_S = 0.005  # pause between two tries to reserve a file descriptor while none is free
 
-# Outcomes with which the connection has passed to the client's side.
+# Outcomes after which the receiver of the session's final answer owns the connection.
 CONNECTION_DELIVERED = frozenset({Outcome.ESTABLISHED, Outcome.COMPLETED})
 
 log = structlog.get_logger()
 
 
 class AttemptCounter(StrEnum):
-    """Names of the counters of attempts: one for each outcome, and one for each reason not to send one."""
+    """Names of the counters of attempts.
+
+    There is one for each outcome, `FAILED` for attempts that raised an unexpected exception, and one for each
+    reason why an attempt was not sent.
+    """
 
     ESTABLISHED = "attempt_established"
     COMPLETED = "attempt_completed"
@@ -67,11 +71,11 @@
 class Attempts:
     """Runs the attempts at one upstream.
 
-    It owns the socket and the descriptor of each attempt until the outcome is one of CONNECTION_DELIVERED.
-    From then on they belong to whoever takes the session's final answer.
+    It owns the socket and the reserved descriptor of each attempt until the outcome is one of
+    CONNECTION_DELIVERED. From then on the receiver of the session's final answer owns them.
 
     Attributes:
-        in_flight: how many attempts are under way.
+        in_flight: the number of attempts in flight.
 
     """
 
@@ -106,6 +110,10 @@
         await self._report(record, outcome)
 
     async def _report(self, record: SessionRecord, outcome: Outcome) -> None:
+        """Report an outcome to the balancer actor.
+
+        A session that was established before is not placed again: if its attempt fails, so does the session.
+        """
         if record.opening.established_upstream is None:
             done = record.final_answer is not None
             await self._post(AttemptFinished(record, outcome, done))
@@ -115,7 +123,7 @@
             record.set_final_answer(Failed())
 
     async def _attempt_cancellable(self, record: SessionRecord, give_up_at: int) -> Outcome:
-        """Make one attempt that can be cancelled by the record's scope."""
+        """Make one attempt, which `record.attempt_scope` can cancel; an unexpected exception means ERROR."""
         outcome = Outcome.CANCELLED
         self.in_flight += 1
         with anyio.CancelScope() as scope:
@@ -125,13 +133,13 @@
             ) as barrier:
                 outcome = await self._attempt(record, give_up_at)
             if barrier.caught:
-                outcome = Outcome.ERROR  # it is not known how far the attempt had come: it may have run
+                outcome = Outcome.ERROR  # the request may have been sent, so it may have run
         record.attempt_scope = None
         self.in_flight -= 1
         return outcome
 
     async def _attempt(self, record: SessionRecord, give_up_at: int) -> Outcome:
-        # Without a descriptor nothing has been sent: another attempt may follow in any traffic class.
+        # Without a descriptor nothing is sent, so another attempt may follow in any traffic class.
         if not await self._take_descriptor(self._connect_s(give_up_at)):
             return Outcome.NOT_SENT
         delivered = False
@@ -148,10 +156,10 @@
 
     async def _take_descriptor(self, within_s: float) -> bool:
         """Reserve a descriptor for one more connection; return whether one became free in time."""
-        # An evicted connection takes a moment to close: giving up at once would spend all attempts of a
-        # session within that moment.
+        # If no descriptor is free, an idle connection is evicted, whose descriptor is released only once its
+        # task has closed it. Without this wait a session would use up all its attempts in the meantime.
         with anyio.move_on_after(within_s):
-            # The descriptor budget has no event for a descriptor that is released, so it is polled.
+            # The descriptor budget does not signal when a descriptor is released, so it is polled.
             while not self._descriptors.reserve(anyio.current_time()):  # noqa: ASYNC110
                 await anyio.sleep(DESCRIPTOR_RETRY_S)
             return True
@@ -169,7 +177,7 @@
 
     async def _request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> Outcome:
         """Send the session's request over a new connection and read the answer to it."""
-        # What held at the decision may have changed while the connection was being established.
+        # The conditions for sending may have changed while the connection was being established.
         if not self._may_send(record, give_up_at):
             sock.close()
             return Outcome.NOT_SENT
@@ -181,12 +189,12 @@
             outcome = await self._read_answer(record, connection)
             return outcome
         finally:
-            # A later answer must never reach the client, so the connection is closed.
+            # An answer after this outcome must never reach the client, so the connection is closed.
             if outcome not in CONNECTION_DELIVERED:
                 await connection.close()
 
     def _may_send(self, record: SessionRecord, give_up_at: int) -> bool:
-        """Return whether an attempt that was decided on may still be sent; count it if not."""
+        """Return whether the attempt may still be sent; if not, count the reason."""
         obstacle = self._obstacle(record, give_up_at)
         if obstacle is not None:
             self._counters.add(obstacle)
@@ -201,13 +209,13 @@
             return AttemptCounter.NOT_BEGUN_UPSTREAM_DRAINING
         if now >= give_up_at:
             return AttemptCounter.NOT_BEGUN_TOO_LATE
-        # When it arrives, the upstream would no longer recognise it as a repeat.
+        # When the line arrives, the upstream might no longer recognise it as a repeat, and run it again.
         if now + TRANSIT_US >= record.session.repeat_until:
             return AttemptCounter.NOT_BEGUN_DEDUP_WINDOW_OVER
         return None
 
     async def _send_request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> bool:
-        """Write the request line; return whether all of it was written. Otherwise it can't have run."""
+        """Write the request line; return whether all of it was written. If not, it can't have run."""
         whole = False
         try:
             whole = await send_all(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
@@ -217,7 +225,7 @@
         return whole
 
     async def _read_answer(self, record: SessionRecord, connection: Lines) -> Outcome:
-        """Read lines until one determines the outcome of the request."""
+        """Read lines until one determines the outcome; post the load reports that come before it."""
         while True:
             line = await connection.line()
             if line is Ending.TOO_LONG:
@@ -231,7 +239,7 @@
 
     @staticmethod
     def _outcome_of(answer: wire.UpstreamLine, record: SessionRecord, delivered: Delivered) -> Outcome:
-        """Return the outcome that an answer means; an answer for the client becomes its final answer."""
+        """Return the outcome that an answer means; UP and BYE become the session's final answer."""
         match answer:
             case wire.Busy():
                 return Outcome.REJECTED
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -1,8 +1,8 @@
-"""The balancer actor: the one task of a node that calls the balancer.
+"""The balancer actor: the only part of a node that calls the balancer.
 
 Other tasks put messages into its mailbox. Each message is handled completely before the next one, so the
-balancer needs no locks. Nothing here waits for an upstream or a client: decisions are carried out by
-`DecisionExecutor`, which only hands them on.
+balancer needs no locks. The actor never waits for an upstream or a client: it passes each decision to a
+`DecisionExecutor`, which carries it out without waiting.
 """
 
 from __future__ import annotations
@@ -39,9 +39,9 @@
     from larchlatch.node.upstream_registry import UpstreamRegistry
     from larchlatch.policy.balancer import Balancer
 
-MIN_TIMER_US = 4_000  # shorter timers would wake the event loop for each of hundreds of held sessions
-RETRY_AFTER_FAULT_US = 100_000  # pause before the balancer is asked again after it has raised an exception
-UNKNOWN_UPSTREAM = -1  # for the balancer: an upstream that the endpoint list never named
+MIN_TIMER_US = 4_000  # with shorter waits, hundreds of held sessions would wake the event loop one by one
+RETRY_AFTER_FAULT_US = 100_000  # pause before the balancer is called again after it has raised an exception
+UNKNOWN_UPSTREAM = -1  # passed to the balancer for an upstream that the endpoint list has never named
 
 log = structlog.get_logger()
 
@@ -54,15 +54,15 @@
 
 
 class BalancerActor:
-    """Translates messages into calls of the balancer, and has its decisions carried out.
+    """Translates messages into calls to the balancer, and has its decisions carried out.
 
     Attributes:
-        balancer: the deciding part; nothing else in a node calls it.
-        mailbox: where other tasks put messages.
-        upstreams: the upstreams known here, with their actors.
+        balancer: decides where sessions are placed; nothing else in a node calls it.
+        mailbox: the queue of messages from other tasks.
+        upstreams: the upstreams that this node knows, with their actors.
         records: the sessions in flight or established at this node, by number.
-        shed_waiting_over_us: a request that has waited unread for longer than this, and has less time left,
-            is shed without being read; 0 while no request has to be.
+        shed_waiting_over_us: how long it takes to establish a session, in microseconds; 0 if unknown. A
+            request is shed unread if it has waited for longer and has no more than this left.
 
     """
 
@@ -80,13 +80,13 @@
         """Prepare the actor; `run` starts it.
 
         Args:
-            balancer: the deciding part.
+            balancer: decides where sessions are placed.
             traffic_classes: names of the traffic classes, in the order of the deployment settings.
-            mailbox: where messages come from.
-            upstreams: the upstreams, whose actors take orders.
+            mailbox: the queue of messages from other tasks.
+            upstreams: the upstreams that this node knows, whose actors make attempts and probes.
             counters: where events are counted.
-            discovery: called when the balancer wants the endpoint list polled; None for a list that is fixed.
-            cluster: the other nodes; None for a node that knows no others.
+            discovery: polls the endpoint list when the balancer requests it; None if the list is fixed.
+            cluster: this node's part in its cluster; None for a node without a cluster.
 
         """
         self.balancer = balancer
@@ -113,18 +113,18 @@
                 wake_at = self._run_timers()
 
     def handle(self, now: int, message: messages.Message) -> None:
-        """Handle one message; an exception of the balancer is raised."""
+        """Handle one message; exceptions of the balancer propagate to the caller."""
         if isinstance(message, messages.SessionMessage):
             self._handle_session_message(now, message)
         else:
             self._handle_environment_message(now, message)
 
     def upstream_rows(self) -> list[UpstreamRow]:
-        """Return one row for each upstream, for operators."""
+        """Return one status row for each upstream, for operators."""
         return upstream_rows(upstream_statuses(self.balancer, now_us()), self.upstreams.actors)
 
     def _handle_safely(self, message: messages.Message) -> None:
-        """Handle one message; if that fails, a session that waits for an answer is given one."""
+        """Handle one message; if that raises an exception, a session that waits for the decision fails."""
         with self._fault_barrier(type(message).__name__) as barrier:
             self.handle(now_us(), message)
         if barrier.caught and isinstance(message, messages.DecisionWanted):
@@ -136,7 +136,7 @@
             self._counters, counter=BalancerCounter.DECISIONS_FAILED, event="decision_failed", message=message
         )
 
-    # Messages of sessions.
+    # Messages about sessions.
 
     def _handle_session_message(self, now: int, message: messages.SessionMessage) -> None:
         match message:
@@ -145,7 +145,7 @@
             case messages.HoldExpired(record):
                 self._place(now, record)
             case messages.AttemptFinished(record, outcome, done):
-                # A client that has left wants no further attempt either.
+                # A client that has left needs no further attempt either.
                 self._finish_attempt(now, record, outcome, done=done or record.client_gone)
             case messages.SessionAdopted(record, upstream):
                 self.records[record.session.number] = record
@@ -165,7 +165,7 @@
                 self.balancer.record_delay(now, record.session, delay_us)
 
     def _admit(self, now: int, record: SessionRecord) -> None:
-        """Place a new session, unless its client has left or it exceeds what all nodes together may admit."""
+        """Place a new session, or shed it if it exceeds a cluster quota; ignore it if its client has left."""
         if record.check_finished():
             return
         retry_after_us = self._cluster.charge_quota(record.session)
@@ -197,7 +197,7 @@
 
         self._executor.carry_out(record, answer, decide_unsent)
 
-    # Messages of upstreams, discovery and the cluster.
+    # Messages from upstream actors, discovery and the cluster.
 
     def _handle_environment_message(self, now: int, message: messages.EnvironmentMessage) -> None:
         match message:
@@ -225,7 +225,7 @@
             actor = self.upstreams.actor_named(name)
             if actor is not None:
                 actor.offer(StartProbe())
-        # Each other node's failed probe counts like one of this node, whose probes continue.
+        # Each other node that reports a failure counts as one failed probe; this node's probes continue.
         for name, witness_count in advice.unreachable:
             number = self.upstreams.number_of(name)
             if number is None:
@@ -236,7 +236,7 @@
     # Timers.
 
     def _run_timers(self) -> int:
-        """Carry out what has fallen due; return when to look again."""
+        """Carry out all actions that are due; return when to check again, by the node's clock."""
         now = now_us()
         self._place_held(now)
         wake_at = now + RETRY_AFTER_FAULT_US
@@ -267,26 +267,26 @@
     # Hot restart.
 
     def endpoint_list(self) -> EndpointList:
-        """Return the endpoint list as it is known here, for the successor."""
+        """Return the endpoint list as this node knows it, for the successor."""
         revision = self._discovery.revision if self._discovery is not None else 0
         return self.upstreams.endpoint_list(revision)
 
     def hand_over(self) -> BalancerState:
-        """Stop placing new sessions, as the successor does so from now on; return the state that it needs."""
+        """Leave slow-start budget and quotas to the successor; return the state that it continues from."""
         self.balancer.release_slow_start_budget(released=True)
         return BalancerState(export_state(self.balancer), self._cluster.hand_over())
 
     def resume(self) -> None:
-        """Place new sessions again, as the successor has ended."""
+        """Use slow-start budget and quotas again, as the successor has ended."""
         self.balancer.release_slow_start_budget(released=False)
         self._cluster.resume()
 
     def restore(self, state: BalancerState, clock_shift_us: int) -> None:
-        """Go on from the predecessor's state; without what can't be read, the balancer learns it anew.
+        """Continue from the predecessor's state; what its balancer learned is dropped if it is unreadable.
 
         Args:
-            state: what its `hand_over` returned.
-            clock_shift_us: this process's clock less the predecessor's, in microseconds.
+            state: what the predecessor's `hand_over` returned.
+            clock_shift_us: this process's clock minus the predecessor's, in microseconds.
 
         """
         try:
--- a/larchlatch/node/clock.py
+++ b/larchlatch/node/clock.py
@@ -4,7 +4,7 @@
 
 import time
 
-# Unix time minus the monotonic clock. It is read once: setting the wall clock must not move a timeout.
+# Unix time minus the monotonic clock. Read only once, so that setting the wall clock does not move timeouts.
 UNIX_OFFSET_US = (time.time_ns() - time.monotonic_ns()) // 1000
 
 
--- a/larchlatch/node/components.py
+++ b/larchlatch/node/components.py
@@ -1,4 +1,4 @@
-"""The parts of a node that live as long as it does."""
+"""The components of a node, which exist as long as its process."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeComponents:
-    """The parts of a node, as `runtime.build_components` makes them.
+    """The components of a node, which `runtime.build_components` creates.
 
     Attributes:
-        counters: counts of what the node has done, by kind.
-        lag_monitor: measures how late the event loop runs.
-        descriptors: the file descriptors that the node may have open.
+        counters: the numbers of events in the node, by counter name.
+        lag_monitor: measures how late the event loop runs its timers.
+        descriptors: the budget of file descriptors that the node may have open.
         lifecycle: whether the node is ready, draining or stopping.
         ready: set once the node can serve.
         discovery: follows the endpoint list.
-        cluster: this node's part in its cluster; None for a node that knows no others.
-        balancer_actor: places sessions.
-        connections: the clients' connections.
-        drainer: makes established sessions leave.
+        cluster: this node's part in its cluster; None for a node without a cluster.
+        balancer_actor: places sessions on upstreams.
+        connections: serves the clients' connections.
+        drainer: makes established sessions leave this node for a drain or a stop.
 
     """
 
@@ -49,5 +49,5 @@
     drainer: SessionDrainer
 
     def figures(self) -> dict[str, int]:
-        """Return all counters, and the worst event loop lag since the last call in milliseconds."""
+        """Return all counters, and the longest lag of the event loop since the last call in milliseconds."""
         return {**self.counters.snapshot(), "lag_ms": self.lag_monitor.take_worst_ms()}
--- a/larchlatch/node/decision_executor.py
+++ b/larchlatch/node/decision_executor.py
@@ -1,4 +1,4 @@
-"""Carries out what the balancer decides: attempts, holds, final answers, probes and migrations."""
+"""Carries out the decisions of the balancer: attempts, holds, final answers, probes and migrations."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class DecisionExecutor:
-    """Turns decisions into orders for upstream actors and into final answers. It never waits for either."""
+    """Turns decisions into orders to upstream actors and into final answers, and waits for neither."""
 
     def __init__(
         self,
@@ -45,10 +45,10 @@
         """Prepare to carry decisions out.
 
         Args:
-            records: the sessions in flight or established, by number; one that is answered is removed.
-            held: where sessions without an upstream are put.
-            upstreams: the upstreams, whose actors take orders.
-            cluster: where slow-start tokens are requested.
+            records: the sessions in flight or established, by number; one that is shed or fails is removed.
+            held: the queue of sessions that wait to be placed again.
+            upstreams: the upstreams that this node knows, whose actors receive orders.
+            cluster: the cluster, from which slow-start tokens are requested.
             counters: where decisions are counted.
 
         """
@@ -61,12 +61,12 @@
     def carry_out(
         self, record: SessionRecord, answer: types.Answer, decide_unsent: Callable[[], types.Answer]
     ) -> None:
-        """Carry out what the balancer has decided on a session.
+        """Carry out the balancer's decision on a session.
 
         Args:
             record: the session.
             answer: the balancer's decision.
-            decide_unsent: tells the balancer that no attempt was sent, and returns what it decides then.
+            decide_unsent: tells the balancer that the attempt was not sent, and returns its next decision.
 
         """
         while isinstance(answer, types.Forward) and not self._offer_attempt(record, answer):
@@ -83,12 +83,12 @@
                 self._finish(record, Failed())
 
     def start_probes(self, upstreams: Iterable[int]) -> list[int]:
-        """Order a probe of each upstream; return those whose actors have no room for another order."""
+        """Order a probe of each upstream; return the upstreams whose actors' mailboxes are full."""
         actors = self._upstreams.actors
         return [upstream for upstream in upstreams if not actors[upstream].offer(StartProbe())]
 
     def migrate(self, numbers: Iterable[int]) -> None:
-        """Request that established sessions leave their upstreams."""
+        """Request the migration of established sessions, by their numbers."""
         for number in numbers:
             self._counters.add(DecisionCounter.MIGRATIONS_DUE)
             record = self._records.get(number)
@@ -97,7 +97,7 @@
                 record.migration_requested.set()
 
     def cancel_superseded(self, numbers: Iterable[int]) -> None:
-        """Cancel the attempts of sessions that later attempts have overtaken."""
+        """Cancel the attempts of these sessions, as attempts sent much later have been established."""
         for number in numbers:
             record = self._records.get(number)
             if record is not None and record.attempt_scope is not None:
--- a/larchlatch/node/event_loop_lag.py
+++ b/larchlatch/node/event_loop_lag.py
@@ -1,4 +1,4 @@
-"""Measures how late the event loop runs its timers. Answers to clients are delayed as much."""
+"""Measures how late the event loop runs its timers. Answers to clients are delayed by as much."""
 
 from __future__ import annotations
 
--- a/larchlatch/node/fault_barrier.py
+++ b/larchlatch/node/fault_barrier.py
@@ -1,7 +1,7 @@
-"""The one place where an unexpected exception is logged and counted, and the node goes on.
+"""Logs and counts unexpected exceptions, and lets the node continue to run.
 
-A node holds many sessions, so a fault in the code that serves one of them must not end the process. Outcomes
-that are expected are handled by type where they occur; a barrier is for programming errors alone.
+A node holds many sessions, so a fault in the code that serves one of them must not end the process. Expected
+failures are handled by type where they occur; a barrier is only for programming errors.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 class FaultBarrier:
     """Context manager that stops an unexpected exception, logs its traceback and counts it.
 
-    Cancellation and the end of the interpreter pass through, as they are no subclasses of `Exception`.
+    Cancellation and the exceptions that end the process propagate, as they don't derive from `Exception`.
 
     Attributes:
-        caught: whether the block was left by an exception that was stopped here.
+        caught: whether the block raised an exception that was stopped here.
 
     """
 
@@ -35,7 +35,7 @@
 
         Args:
             counters: where the fault is counted.
-            counter: the name that it is counted under.
+            counter: the name of the counter.
             event: the name of the log event.
             fields: further fields of the log event.
 
--- a/larchlatch/node/mailbox.py
+++ b/larchlatch/node/mailbox.py
@@ -1,4 +1,4 @@
-"""The balancer actor's mailbox, into which other tasks put messages."""
+"""The mailbox of the balancer actor: a bounded queue into which other tasks put messages."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from larchlatch.node.metrics import Counters
 
-CAPACITY = 1024  # messages; while the mailbox is full, tasks that read from sockets wait
+CAPACITY = 1024  # messages; tasks that read from sockets wait while the mailbox is full
 
 
 class MailboxCounter(StrEnum):
@@ -22,15 +22,15 @@
 
 
 class Mailbox:
-    """A bounded queue of messages with one receiver. The cluster sends its events to it as well."""
+    """A bounded queue of messages with one receiver. As `ClusterEvents` it also receives from the cluster."""
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
         self._sender, self._receiver = anyio.create_memory_object_stream[messages.Message](CAPACITY)
 
     async def post(self, message: messages.Message) -> None:
-        """Send a message, waiting for room even if the caller is cancelled."""
-        # Without the outcome of its attempt a session would never get a final answer.
+        """Send a message, and wait until there is room for it even if the caller is cancelled."""
+        # If the outcome of its attempt were lost, a session would never get a final answer.
         with anyio.CancelScope(shield=True):
             await self._sender.send(message)
 
@@ -43,11 +43,11 @@
         return True
 
     async def submit(self, message: messages.SessionArrived) -> None:
-        """Send a new session, waiting for room; nothing is sent if the caller is cancelled meanwhile."""
+        """Send a new session, and wait until there is room; nothing is sent if the caller is cancelled."""
         await self._sender.send(message)
 
     def advise_ejection(self, advice: messages.EjectionAdvised) -> None:
-        """Send advice of the cluster; without room it is dropped, as the cluster repeats it."""
+        """Send ejection advice if there is room; otherwise drop it, as the cluster repeats it."""
         self._offer_counted(advice)
 
     def receive_tokens(self, tokens: messages.SlowStartTokens) -> bool:
@@ -61,7 +61,7 @@
         return accepted
 
     async def receive(self) -> messages.Message:
-        """Wait for the next message."""
+        """Wait for the next message and return it."""
         return await self._receiver.receive()
 
     def receive_buffered(self) -> messages.Message | None:
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -22,7 +22,7 @@
 
 
 class HoldExpired(NamedTuple):
-    """The time is over for which a session was held: it is placed again."""
+    """The time for which a session was held is over, so it is placed again."""
 
     record: SessionRecord
 
@@ -35,12 +35,12 @@
 
 
 class AttemptFinished(NamedTuple):
-    """An attempt has its outcome, or the session that it established has ended.
+    """An attempt has finished, or an established session has ended.
 
     Attributes:
         record: the session.
-        outcome: the outcome.
-        done: the client needs no further answer, so no further attempt may follow.
+        outcome: the outcome of the attempt or of the session.
+        done: whether the client needs no further answer, so that no attempt may follow.
 
     """
 
@@ -56,21 +56,21 @@
 
 
 class LoadReported(NamedTuple):
-    """An upstream has reported the load of one session, in microseconds of work a second."""
+    """An upstream has reported the load of one session, in microseconds of work per second."""
 
     record: SessionRecord
     load: float
 
 
 class DelayObserved(NamedTuple):
-    """The delay of messages at a session's upstream was observed, in microseconds."""
+    """The delay of messages at a session's upstream was measured, in microseconds."""
 
     record: SessionRecord
     delay_us: int
 
 
 class UpstreamUnresponsive(NamedTuple):
-    """An upstream has not answered on any of the sessions on which messages wait."""
+    """An upstream has answered on none of its sessions for too long, though messages wait for answers."""
 
     upstream: int
 
@@ -81,8 +81,8 @@
     Attributes:
         upstream: the probed upstream.
         answered: whether an answer came.
-        utilization: its load over its capacity, if reported.
-        session_count: the number of its sessions, if reported.
+        utilization: the upstream's load divided by its capacity, if reported.
+        session_count: the number of the upstream's sessions, if reported.
 
     """
 
@@ -93,11 +93,11 @@
 
 
 class EndpointsChanged(NamedTuple):
-    """The endpoint list was received, or has changed.
+    """An endpoint list, or changes to it, have been received.
 
     Attributes:
         endpoints: the complete list, or the changes to it.
-        from_discovery: whether discovery has sent it; False for the list that the node started with.
+        from_discovery: whether discovery sent them; False for the list that the node started with.
 
     """
 
@@ -106,11 +106,11 @@
 
 
 class DiscoveryFailed(NamedTuple):
-    """The watch on the endpoint list has broken off, or a call for it has failed."""
+    """The watch on the endpoint list was interrupted, or a call for the list has failed."""
 
 
 class UnreachableUpstream(NamedTuple):
-    """An upstream to which other nodes can't connect, and how many nodes report so."""
+    """An upstream to which other nodes can't connect, and how many nodes report that."""
 
     name: str
     witness_count: int
@@ -130,10 +130,11 @@
 
 
 class SlowStartTokens(NamedTuple):
-    """The token issuer decides on sessions to warming upstreams for a while, and may have issued a token.
+    """Says how long a token issuer decides which sessions go to warming upstreams, and may carry a token.
 
     Attributes:
-        issuer_until: until when the issuer decides, and nodes send no sessions by their own turns.
+        issuer_until: until when the issuer decides; until then a session goes to a warming upstream only
+            with a token, and the turns that nodes take without an issuer don't apply.
         upstream: name of the upstream that the token is for; empty if there is no token.
         session: number of the session that the token is for.
         expires_at: until when the token is valid.
@@ -164,5 +165,5 @@
     | SlowStartTokens
 )
 Message = SessionMessage | EnvironmentMessage
-DecisionWanted = SessionArrived | HoldExpired | AttemptFinished  # a session waits for the decision
+DecisionWanted = SessionArrived | HoldExpired | AttemptFinished  # after these a session waits for a decision
 Post = Callable[[Message], Awaitable[None]]
--- a/larchlatch/node/metrics.py
+++ b/larchlatch/node/metrics.py
@@ -1,6 +1,7 @@
 """Counters of what the node has received, sent and answered.
 
-The names stand in an enumeration of the module that counts; operators' alert rules refer to them.
+Each module that counts events defines the counters' names in an enumeration. Operators' alert rules refer to
+these names.
 """
 
 from __future__ import annotations
--- a/larchlatch/node/other_nodes.py
+++ b/larchlatch/node/other_nodes.py
@@ -1,6 +1,6 @@
-"""What the balancer actor asks of the cluster and reports to it; without a cluster every call does nothing.
+"""Passes the balancer actor's requests and reports to the cluster; without a cluster every call does nothing.
 
-The balancer knows upstreams and traffic classes by number, the cluster by name: this module translates.
+The balancer identifies upstreams and traffic classes by number, the cluster by name: this module translates.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ClusterAdapter:
-    """Passes calls to the cluster on, by names in place of numbers."""
+    """Forwards calls to the cluster, with names in place of numbers."""
 
     def __init__(
         self,
@@ -28,11 +28,11 @@
         traffic_classes: Sequence[str],
         settings: DeploymentSettings,
     ) -> None:
-        """Connect the balancer actor with a cluster.
+        """Prepare to forward calls.
 
         Args:
-            cluster: the cluster; None for a node that knows no others.
-            upstreams: the upstreams by number and name.
+            cluster: this node's part in its cluster; None for a node without a cluster.
+            upstreams: the upstreams that this node knows, by number and name.
             traffic_classes: names of the traffic classes, by number.
             settings: the deployment settings.
 
@@ -46,18 +46,18 @@
         """Charge a new session to the quota of its traffic class.
 
         Returns:
-            None if it fits; otherwise after how many microseconds its client is advised to try again, or 0
-            for no advice.
+            None if the session fits; otherwise after how many microseconds its client is advised to try
+            again, or 0 for no advice.
 
         """
-        # A session in mid-flow is not new: it was charged where it was first requested.
+        # A session in mid-flow is not new: it was charged at the node where it was first requested.
         if self._cluster is None or session.mid_flow:
             return None
         retry_after_us = self._cluster.admit(self._traffic_classes[session.traffic_class])
         return min(retry_after_us, self._settings.max_retry_after_us) if retry_after_us else None
 
     def request_token(self, session_number: int, candidates: TokenCandidates) -> None:
-        """Ask for a slow-start token that lets a session go to one of these warming upstreams."""
+        """Request a slow-start token that permits a session to go to one of these warming upstreams."""
         if self._cluster is None or not candidates:
             return
         actors = self._upstreams.actors
@@ -65,13 +65,13 @@
         self._cluster.request_token(session_number, requests)
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Report whether an upstream could be connected to; None if sessions there broke off or stall."""
+        """Report whether an upstream was reached; None if sessions there were reset or get no answers."""
         actor = self._upstreams.actors.get(upstream)
         if self._cluster is not None and actor is not None:
             self._cluster.observe_reachability(actor.name, reached=reached)
 
     def update_endpoints(self, now: int) -> None:
-        """Report which upstreams are ready, and for how long at most one of them is still warming up."""
+        """Report which upstreams are ready, and how long it takes until none of them is in slow start."""
         if self._cluster is None:
             return
         ready = self._upstreams.ready_entries()
@@ -82,10 +82,10 @@
         )
 
     def hand_over(self) -> dict[str, int] | None:
-        """Stop admitting sessions, as the successor does from now on.
+        """Stop admitting sessions, as the successor admits them from now on.
 
         Returns:
-            What this process has spent of each quota in the last window; None without a cluster.
+            How much of each quota this process has used in the last window; None without a cluster.
 
         """
         return None if self._cluster is None else self._cluster.hand_over()
@@ -99,7 +99,7 @@
         """Admit sessions in place of the predecessor.
 
         Args:
-            quota_usage: what it has spent of each quota in the last window; None if it had no cluster.
+            quota_usage: how much of each quota it has used in the last window; None if it had no cluster.
 
         """
         if self._cluster is not None and quota_usage is not None:
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-ANSWER_TIMEOUT_S = 0.4  # for an answer, which takes a round trip; shorter than the time between two probes
+ANSWER_TIMEOUT_S = 0.4  # an answer takes one round trip; this is shorter than the time between two probes
 
 log = structlog.get_logger()
 
@@ -31,7 +31,7 @@
 
 
 class Prober:
-    """Probes one upstream. It owns the connection, which it keeps from probe to probe."""
+    """Probes one upstream over a connection that it owns and keeps open between probes."""
 
     def __init__(self, target: UpstreamTarget, context: UpstreamContext) -> None:
         self._target = target
@@ -43,9 +43,9 @@
         self._connection: Lines | None = None
 
     async def run(self) -> None:
-        """Probe once and report the result; do nothing while a probe is under way."""
-        # Two probes at once would read from the same connection, which raises an exception. A probe of an
-        # upstream that does not answer may last until the next one is ordered: its result serves both.
+        """Probe once and report the result; do nothing if a probe is in progress."""
+        # Two concurrent probes would read from the same connection, which raises an exception. A probe of an
+        # upstream that does not answer may last until the next one is ordered: its result counts for both.
         if self._running:
             self._counters.add(ProbeCounter.ALREADY_RUNNING)
             return
@@ -72,11 +72,11 @@
         await self._post(ProbeFinished(self._target.number, answered, utilization, session_count))
 
     async def query(self) -> wire.Pong | None:
-        """Send one probe, after connecting if necessary; return the answer, or None if there is none."""
+        """Send one probe, after connecting if necessary; return the answer, or None if none came in time."""
         if self._connection is not None:
             answer = await self._exchange(self._connection)
-            # That a connection from an earlier probe has broken says nothing about the upstream now, so a
-            # new connection is tried.
+            # The connection of an earlier probe may have ended at any time since, which says nothing about
+            # the upstream's present state. So the probe is repeated over a new connection.
             if not isinstance(answer, Ending):
                 return answer
         connection = await self._connect()
@@ -90,15 +90,15 @@
         if isinstance(connection, Unconnected):
             return None
         self._connection = connection
-        # Charged to the budget: the connections of many upstreams would exceed its headroom.
+        # Taken from the budget, as connections to many upstreams would exceed the headroom outside of it.
         self._descriptors.lend(1)
         return connection
 
     async def _exchange(self, connection: Lines) -> wire.Pong | Ending | None:
-        """Probe over a connection, and close it if the answer is not a report.
+        """Probe over a connection, and close it unless a valid answer comes in time.
 
         Returns:
-            The report; how the connection ended, if it did; None if the answer is late or not understood.
+            The answer; how the connection ended, if it did; None if the answer is late or invalid.
 
         """
         answer = await self._send_and_receive(connection)
--- a/larchlatch/node/upstream_actor.py
+++ b/larchlatch/node/upstream_actor.py
@@ -1,4 +1,4 @@
-"""The actor of one upstream: it makes attempts and probes as ordered, and watches the sessions there."""
+"""The actor of one upstream: makes attempts and probes on order, and watches the established sessions."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-MAILBOX_CAPACITY = 4096  # orders: all clients of a node may be placed on one upstream at once
+MAILBOX_CAPACITY = 4096  # orders; all clients of a node may be placed on one upstream at once
 
 
 class StartAttempt(NamedTuple):
@@ -43,10 +43,10 @@
     """Carries out orders for one upstream, each in a separate task.
 
     Attributes:
-        target: the upstream's name and address.
+        target: the upstream's name, address and readiness.
         attempts: makes the attempts, and owns their sockets.
-        prober: makes the probes, and owns their connection.
-        session_watch: watches the established sessions, whose relays own the sockets.
+        prober: makes the probes, and owns the connection that they use.
+        session_watch: watches the established sessions, whose sockets belong to their relays.
         post: sends a message to the balancer actor.
 
     """
@@ -65,12 +65,12 @@
         return self.target.name
 
     def follow(self, address: tuple[str, int], *, accepts_sessions: bool) -> None:
-        """Use the address and the state that the endpoint list now gives for the upstream."""
+        """Take over the upstream's address and readiness from the endpoint list."""
         self.target.address = address
         self.target.accepts_sessions = accepts_sessions
 
     def refuse_sessions(self) -> None:
-        """Begin no new attempts, as the endpoint list no longer has the upstream."""
+        """Start no more attempts for new sessions, as the upstream is no longer in the endpoint list."""
         self.target.accepts_sessions = False
 
     def offer(self, order: Order) -> bool:
@@ -82,7 +82,7 @@
         return True
 
     async def run(self) -> None:
-        """Watch the sessions and carry out orders until cancelled."""
+        """Watch the established sessions and carry out orders, until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.session_watch.run)
             async for order in self._orders:
--- a/larchlatch/node/upstream_context.py
+++ b/larchlatch/node/upstream_context.py
@@ -1,4 +1,4 @@
-"""What the parts of an upstream's actor share: the upstream's address, and what they need of the node."""
+"""What the components of an upstream's actor share: the upstream's address, and resources of the node."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(slots=True)
 class UpstreamTarget:
-    """An upstream as attempts and probes reach it. Its actor alone changes it, as the endpoint list does.
+    """Where to reach an upstream. Only the upstream's actor changes this, when the endpoint list changes.
 
     Attributes:
-        number: its number in the node's registry.
-        name: its name in the endpoint list.
+        number: the upstream's number in the node's registry.
+        name: the upstream's name in the endpoint list.
         address: host and port to connect to.
-        accepts_sessions: whether the list last said that it is ready for new sessions.
+        accepts_sessions: whether the endpoint list has it as ready for new sessions.
 
     """
 
@@ -32,11 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamContext:
-    """What all upstream actors of a node need of it.
+    """Settings and resources of a node that all its upstream actors use.
 
     Attributes:
         settings: how upstreams are connected to and watched.
-        descriptors: the file descriptors that the node may have open.
+        descriptors: the budget of file descriptors that the node may have open.
         counters: where events are counted.
         post: sends a message to the balancer actor.
 
--- a/larchlatch/node/upstream_registry.py
+++ b/larchlatch/node/upstream_registry.py
@@ -21,15 +21,15 @@
     from larchlatch.node.messages import Post
     from larchlatch.node.metrics import Counters
 
-UNKNOWN_ZONE = -1  # for the balancer: a zone that the configuration does not name
+UNKNOWN_ZONE = -1  # passed to the balancer for a zone that the configuration does not name
 
 log = structlog.get_logger()
 
 
 class UpstreamRegistry:
-    """Follows the endpoint list, and keeps an actor for each upstream that the list ever named.
+    """Keeps the last endpoint entry and the actor of each upstream that the endpoint list has ever named.
 
-    An upstream that is gone keeps its number and its actor, as sessions may still be established there.
+    An upstream that has left the list keeps its number and its actor, as it may still have sessions.
 
     Attributes:
         actors: the upstreams' actors by number.
@@ -49,25 +49,25 @@
         self._context = UpstreamContext(settings, descriptors, counters, post)
         self._numbers: dict[str, int] = {}
         self._entries: dict[str, EndpointEntry] = {}  # the last entry of each upstream
-        self._tasks: TaskGroup | None = None  # where actors run; None until `start`
+        self._tasks: TaskGroup | None = None  # the task group in which actors run; None until `start`
 
     def start(self, tasks: TaskGroup) -> None:
-        """Run the actors in a task group: those that exist now, and those that are made later."""
+        """Run the actors in a task group: those that exist now, and each that is created later."""
         self._tasks = tasks
         for actor in self.actors.values():
             tasks.start_soon(actor.run)
 
     def number_of(self, name: str) -> int | None:
-        """Return the number of the upstream of this name, or None if the list never named it."""
+        """Return the number of the upstream of this name, or None if the endpoint list has never named it."""
         return self._numbers.get(name)
 
     def actor_named(self, name: str) -> UpstreamActor | None:
-        """Return the actor of the upstream of this name, or None if the list never named it."""
+        """Return the actor of the upstream of this name, or None if the endpoint list has never named it."""
         number = self.number_of(name)
         return None if number is None else self.actors[number]
 
     def endpoint_list(self, revision: int) -> EndpointList:
-        """Return the whole list as it is known here, upstreams that are gone included."""
+        """Return the complete endpoint list as this node knows it, including upstreams that are gone."""
         return EndpointList(revision, True, list(self._entries.values()))
 
     def ready_entries(self) -> list[EndpointEntry]:
@@ -75,8 +75,8 @@
         return [entry for entry in self._entries.values() if entry.state is EndpointState.READY]
 
     def update(self, endpoints: EndpointList) -> list[Endpoint]:
-        """Follow a complete list, or changes to it; return the endpoints that the balancer is to follow."""
-        # Without the known entry of an upstream whose new entry is unreadable, it would count as gone.
+        """Apply a complete endpoint list, or changes to it; return the updates for the balancer."""
+        # An upstream whose new entry is unreadable keeps its known entry; otherwise it would count as gone.
         kept = [self._entries[name] for name in endpoints.unreadable if name in self._entries]
         entries = [*endpoints.endpoints, *kept]
         for entry in entries:
@@ -126,6 +126,6 @@
 
 
 def slow_start_left_us(entries: Sequence[EndpointEntry], *, slow_start_us: int, now: int) -> int:
-    """Return for how long at most one of these upstreams is still warming up, in microseconds."""
+    """Return how long it takes until none of these upstreams is in slow start, in microseconds."""
     ends = [entry.started_at + slow_start_us for entry in entries if entry.started_at]
     return max(0, max(ends, default=now) - now)
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the tests of a node."""
+"""Fixtures for the tests of a node."""
 
 from __future__ import annotations
 
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Races of an attempt: it ends, or its conditions change, during another event. Each race is forced."""
+"""Races of an attempt with events that end it or change its conditions. Each test forces its race."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 from tests.support.stand_ins import UpstreamStubs
 
-# An attempt between the decision and its sending.
+# Events between the decision on an attempt and the sending of its request.
 
 
 def drain_upstream(harness: ActorHarness, record: SessionRecord) -> None:
@@ -59,6 +59,8 @@
 def test_nothing_is_sent_if_a_condition_fails_while_connecting(
     change: Callable[[ActorHarness, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A check before connecting alone would miss that the attempt must not be sent any more."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness, record = ActorHarness(upstreams.addresses[0]), make_record()
@@ -78,6 +80,8 @@
 def test_nothing_is_sent_on_a_connection_established_after_the_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An attempt sent after its timeout could run although the balancer has given it up."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness = ActorHarness(upstreams.addresses[0])
@@ -96,7 +100,11 @@
 
 
 def test_a_request_line_not_written_completely_is_a_failed_connection() -> None:
-    """Reset before its last byte, an attempt may be repeated in any traffic class; later it may have run."""
+    """Only a request that was written completely may have run.
+
+    If the upstream resets the connection before the last byte, the attempt may be repeated in any traffic
+    class. A reset after the last byte must not count as a failed connection, or the request could run twice.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -124,13 +132,13 @@
 
 
 def open_descriptor_count() -> int:
-    gc.collect()  # objects that other tests have left
+    gc.collect()  # closes sockets of objects that other tests have left unreferenced
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_connecting_leaves_no_descriptor_open(cancelled: bool) -> None:
-    """Ended by timeout and by cancellation, while it connects and just as it has connected."""
+    """Guards against a leaked socket if connecting times out, or is cancelled during or right after it."""
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as server:
@@ -160,7 +168,7 @@
 def test_an_established_connection_is_used_although_the_event_loop_lagged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timeout is over when the event loop runs again, but the upstream had accepted the connection."""
+    """The upstream has accepted in time, but the event loop runs again only after the timeout: no failure."""
 
     async def never(sock: socket.socket) -> None:
         await anyio.sleep_forever()
@@ -177,6 +185,8 @@
 
 
 def test_an_unknown_name_and_a_refusal_give_no_connection() -> None:
+    """Guards against an exception of the system that leaves `dial` in place of CONNECT_FAILED."""
+
     async def body(tasks: TaskGroup) -> None:
         assert await dialing.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
         assert await dialing.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
@@ -184,7 +194,7 @@
     run_on_loopback(body)
 
 
-# Answers that arrive as the attempt ends.
+# Answers that arrive while the attempt ends.
 
 
 @pytest.mark.parametrize(
@@ -199,6 +209,8 @@
     ],
 )
 def test_an_attempt_has_one_outcome_whatever_lines_follow(chunks: list[bytes], expected: Outcome) -> None:
+    """Guards against a second outcome or an open connection if more lines follow or a line comes in parts."""
+
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
             for chunk in chunks:
@@ -224,7 +236,7 @@
 
 @pytest.mark.parametrize("remaining", [b"1\r\n", None])
 def test_an_answer_completed_after_the_deadline_does_not_count(remaining: bytes | None) -> None:
-    """The first piece arrives in time, the second too late or never: the client gets neither."""
+    """The first part of the line arrives in time, the rest too late or never: the client gets neither."""
 
     async def body(tasks: TaskGroup) -> None:
         timed_out = anyio.Event()
@@ -249,7 +261,7 @@
 def test_an_answer_during_cancellation_is_delivered_or_leaves_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer was read when the attempt is cancelled: there is one outcome, and nothing stays open."""
+    """The attempt is cancelled just after it has read its answer: one outcome, and no descriptor leaks."""
 
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
@@ -280,6 +292,8 @@
 def test_a_second_line_cancels_the_attempt_and_none_follows(
     client_connections: list[ClientConnections],
 ) -> None:
+    """A client that sends a second line before its answer is rejected; its attempt must not continue."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent", "UP r1").start(tasks, 3)
         port = await start_node_with(tasks, upstreams)
--- a/tests/node/test_fault_barrier.py
+++ b/tests/node/test_fault_barrier.py
@@ -1,4 +1,4 @@
-"""An unexpected exception is logged with its traceback, counted and stopped; cancellation is not."""
+"""Tests of FaultBarrier: which exceptions it stops, logs and counts, and which propagate."""
 
 from __future__ import annotations
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -1,4 +1,4 @@
-"""Sessions of a real node between stand-ins on loopback: the rules, and what each failure must not do."""
+"""Tests of a complete node between clients and stub upstreams on loopback: answers, attempts and failures."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
 
 
 def test_a_late_answer_never_reaches_the_client() -> None:
-    """The attempt has timed out: its upstream finds the connection closed, and the client gets one answer."""
+    """The upstream answers after the attempt has timed out and the session is shed: one answer, not two."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -79,7 +79,7 @@
 
 
 def test_a_request_that_waited_unread_is_answered_in_its_clients_time() -> None:
-    """While the event loop is busy, the client's time counts from the arrival of its line."""
+    """A busy event loop reads the request late: the client's wait counts from the arrival of its line."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
@@ -98,6 +98,8 @@
 
 
 def test_lines_and_ends_are_passed_on_in_both_directions() -> None:
+    """Guards against changed lines, connection ends that are not passed on, and a wrong remaining wait."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         client = await open_session(await start_node_with(tasks, upstreams), ident="echo")
@@ -117,7 +119,10 @@
 def test_a_session_on_a_silent_upstream_migrates_between_two_lines(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A vanished upstream resets nothing, and half a line of it must not precede the node's own line."""
+    """The session must not stay on an upstream that has vanished without a reset.
+
+    The upstream has sent half a line, which must not reach the client before the node's MOVE.
+    """
     monkeypatch.setattr(session_watch, "SILENCE_LIMIT_US", 300_000)
 
     async def body(tasks: TaskGroup) -> None:
@@ -135,7 +140,11 @@
 def test_an_unresponsive_upstream_is_reported_before_its_sessions_migrate(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Only the balancer migrates all its sessions; an upstream that answers on any of them is responsive."""
+    """An upstream that answers on any of its sessions must not be reported as unresponsive.
+
+    The balancer migrates all sessions of an upstream that is reported, so the report has to come before the
+    time after which each silent session migrates by itself.
+    """
     reported: list[int] = []
     monkeypatch.setattr(
         Balancer, "record_unresponsive", lambda balancer, now, upstream: reported.append(upstream)
@@ -163,7 +172,7 @@
 
 
 def test_many_silent_clients_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A client that only connects, or sends half a line, uses a descriptor that a session needs."""
+    """Clients that only connect, or send half a line, must not use up the descriptors that sessions need."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.6)
 
     async def body(tasks: TaskGroup) -> None:
@@ -187,12 +196,12 @@
 
 
 def test_a_fault_in_the_balancer_fails_one_session_only(monkeypatch: pytest.MonkeyPatch) -> None:
-    """If the node ended by it, all established sessions would end as well."""
+    """An exception in one decision must not end the node, which would end all established sessions."""
     place = Balancer.place
 
     def faulty(balancer: Balancer, now: int, session: Session) -> Answer:
         if session.traffic_class == 2:
-            raise ValueError("made up")
+            raise ValueError("injected fault")
         return place(balancer, now, session)
 
     monkeypatch.setattr(Balancer, "place", faulty)
@@ -207,6 +216,8 @@
 
 
 def test_many_sessions_leave_no_descriptor_open_or_reserved() -> None:
+    """Guards against descriptors that leak, or stay reserved, when sessions fail, end or are reset."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo", "BUSY", "ERR", "reset", "UP echo").start(tasks, 2)
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
@@ -234,7 +245,7 @@
 
 
 def test_sessions_are_answered_when_descriptors_run_out() -> None:
-    """An attempt that can't connect has not run: its session is shed at once in any traffic class."""
+    """An attempt without a descriptor has not run, so its session is shed and does not fail in any class."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -257,7 +268,7 @@
 
 
 def test_a_failed_connection_is_distinguished_from_an_attempt_that_may_have_run() -> None:
-    """Nobody listens there, so nothing has run: even a non-idempotent session is placed elsewhere."""
+    """An attempt that was refused has not run: even a non-idempotent session must be placed elsewhere."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
