--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -23,7 +23,7 @@
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
 
-TRANSIT_US = 20_000  # longest transit time of a request line to an upstream in another zone
+MAX_TRANSIT_US = 20_000  # longest transit time of a request line to an upstream in another zone
 DESCRIPTOR_RETRY_S = 0.005  # pause between two tries to reserve a file descriptor while none is free
 
 # Outcomes after which the receiver of the session's final answer owns the connection.
@@ -140,7 +140,7 @@
 
     async def _attempt(self, record: SessionRecord, give_up_at: int) -> Outcome:
         # Without a descriptor nothing is sent, so another attempt may follow in any traffic class.
-        if not await self._take_descriptor(self._connect_s(give_up_at)):
+        if not await self._reserve_descriptor(self._connect_timeout_s(give_up_at)):
             return Outcome.NOT_SENT
         delivered = False
         try:
@@ -151,10 +151,10 @@
             if not delivered:
                 self._descriptors.release()
 
-    def _connect_s(self, give_up_at: int) -> float:
+    def _connect_timeout_s(self, give_up_at: int) -> float:
         return min(self._settings.connect_timeout_us / 1e6, seconds_until(give_up_at))
 
-    async def _take_descriptor(self, within_s: float) -> bool:
+    async def _reserve_descriptor(self, within_s: float) -> bool:
         """Reserve a descriptor for one more connection; return whether one became free in time."""
         # If no descriptor is free, an idle connection is evicted, whose descriptor is released only once its
         # task has closed it. Without this wait a session would use up all its attempts in the meantime.
@@ -166,7 +166,7 @@
         return False
 
     async def _connect_and_request(self, record: SessionRecord, give_up_at: int) -> Outcome:
-        sock = await dial(self._target.address, self._connect_s(give_up_at))
+        sock = await dial(self._target.address, self._connect_timeout_s(give_up_at))
         if sock is Unconnected.NO_DESCRIPTOR:
             return Outcome.NOT_SENT
         if isinstance(sock, Unconnected):
@@ -195,12 +195,12 @@
 
     def _may_send(self, record: SessionRecord, give_up_at: int) -> bool:
         """Return whether the attempt may still be sent; if not, count the reason."""
-        obstacle = self._obstacle(record, give_up_at)
-        if obstacle is not None:
-            self._counters.add(obstacle)
-        return obstacle is None
+        reason = self._reason_not_to_send(record, give_up_at)
+        if reason is not None:
+            self._counters.add(reason)
+        return reason is None
 
-    def _obstacle(self, record: SessionRecord, give_up_at: int) -> AttemptCounter | None:
+    def _reason_not_to_send(self, record: SessionRecord, give_up_at: int) -> AttemptCounter | None:
         """Return the counter of the reason why an attempt must not be sent now, or None."""
         now = now_us()
         if record.check_finished():
@@ -210,19 +210,19 @@
         if now >= give_up_at:
             return AttemptCounter.NOT_BEGUN_TOO_LATE
         # When the line arrives, the upstream might no longer recognise it as a repeat, and run it again.
-        if now + TRANSIT_US >= record.session.repeat_until:
+        if now + MAX_TRANSIT_US >= record.session.repeat_until:
             return AttemptCounter.NOT_BEGUN_DEDUP_WINDOW_OVER
         return None
 
     async def _send_request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> bool:
         """Write the request line; return whether all of it was written. If not, it can't have run."""
-        whole = False
+        written = False
         try:
-            whole = await send_all(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
+            written = await send_all(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
         finally:
-            if not whole:
+            if not written:
                 sock.close()
-        return whole
+        return written
 
     async def _read_answer(self, record: SessionRecord, connection: Lines) -> Outcome:
         """Read lines until one determines the outcome; post the load reports that come before it."""
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -192,10 +192,10 @@
             self._carry_out(record, answer)
 
     def _carry_out(self, record: SessionRecord, answer: types.Answer) -> None:
-        def decide_unsent() -> types.Answer:
+        def report_not_sent() -> types.Answer:
             return self.balancer.outcome(now_us(), record.session, Outcome.NOT_SENT)
 
-        self._executor.carry_out(record, answer, decide_unsent)
+        self._executor.carry_out(record, answer, report_not_sent)
 
     # Messages from upstream actors, discovery and the cluster.
 
@@ -226,11 +226,11 @@
             if actor is not None:
                 actor.offer(StartProbe())
         # Each other node that reports a failure counts as one failed probe; this node's probes continue.
-        for name, witness_count in advice.unreachable:
+        for name, reporter_count in advice.unreachable:
             number = self.upstreams.number_of(name)
             if number is None:
                 continue
-            for _ in range(witness_count):
+            for _ in range(reporter_count):
                 self.balancer.record_probe(now, number, ProbeResult(False))
 
     # Timers.
--- a/larchlatch/node/decision_executor.py
+++ b/larchlatch/node/decision_executor.py
@@ -59,18 +59,18 @@
         self._counters = counters
 
     def carry_out(
-        self, record: SessionRecord, answer: types.Answer, decide_unsent: Callable[[], types.Answer]
+        self, record: SessionRecord, answer: types.Answer, report_not_sent: Callable[[], types.Answer]
     ) -> None:
         """Carry out the balancer's decision on a session.
 
         Args:
             record: the session.
             answer: the balancer's decision.
-            decide_unsent: tells the balancer that the attempt was not sent, and returns its next decision.
+            report_not_sent: tells the balancer that the attempt was not sent, and returns its next decision.
 
         """
         while isinstance(answer, types.Forward) and not self._offer_attempt(record, answer):
-            answer = decide_unsent()
+            answer = report_not_sent()
         match answer:
             case types.Forward():
                 self._counters.add(DecisionCounter.ATTEMPTS_SENT)
@@ -87,18 +87,18 @@
         actors = self._upstreams.actors
         return [upstream for upstream in upstreams if not actors[upstream].offer(StartProbe())]
 
-    def migrate(self, numbers: Iterable[int]) -> None:
+    def migrate(self, session_numbers: Iterable[int]) -> None:
         """Request the migration of established sessions, by their numbers."""
-        for number in numbers:
+        for number in session_numbers:
             self._counters.add(DecisionCounter.MIGRATIONS_DUE)
             record = self._records.get(number)
             if record is not None:
                 log.debug("migration_requested", key=record.opening.key)
                 record.migration_requested.set()
 
-    def cancel_superseded(self, numbers: Iterable[int]) -> None:
+    def cancel_superseded(self, session_numbers: Iterable[int]) -> None:
         """Cancel the attempts of these sessions, as attempts sent much later have been established."""
-        for number in numbers:
+        for number in session_numbers:
             record = self._records.get(number)
             if record is not None and record.attempt_scope is not None:
                 self._counters.add(DecisionCounter.SUPERSEDED_ATTEMPTS_CANCELLED)
--- a/larchlatch/node/fault_barrier.py
+++ b/larchlatch/node/fault_barrier.py
@@ -51,7 +51,7 @@
 
     def __exit__(
         self,
-        kind: type[BaseException] | None,
+        exception_type: type[BaseException] | None,
         error: BaseException | None,
         traceback: TracebackType | None,
     ) -> bool:
--- a/larchlatch/node/messages.py
+++ b/larchlatch/node/messages.py
@@ -113,7 +113,7 @@
     """An upstream to which other nodes can't connect, and how many nodes report that."""
 
     name: str
-    witness_count: int
+    reporter_count: int
 
 
 class EjectionAdvised(NamedTuple):
--- a/larchlatch/node/upstream_actor.py
+++ b/larchlatch/node/upstream_actor.py
@@ -64,7 +64,7 @@
         """The upstream's name in the endpoint list."""
         return self.target.name
 
-    def follow(self, address: tuple[str, int], *, accepts_sessions: bool) -> None:
+    def update_target(self, address: tuple[str, int], *, accepts_sessions: bool) -> None:
         """Take over the upstream's address and readiness from the endpoint list."""
         self.target.address = address
         self.target.accepts_sessions = accepts_sessions
--- a/larchlatch/node/upstream_registry.py
+++ b/larchlatch/node/upstream_registry.py
@@ -98,7 +98,7 @@
         actor = self.actors.get(number)
         if actor is None:
             actor = self._create_actor(number, entry)
-        actor.follow(entry.address, accepts_sessions=entry.state is EndpointState.READY)
+        actor.update_target(entry.address, accepts_sessions=entry.state is EndpointState.READY)
 
     def _create_actor(self, number: int, entry: EndpointEntry) -> UpstreamActor:
         actor = UpstreamActor(UpstreamTarget(number, entry.name, entry.address), self._context)
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -7,19 +7,19 @@
 
 import pytest
 
-from larchlatch.node import runtime as node_run
+from larchlatch.node import runtime as node_runtime
 from larchlatch.node.clients.connections import ClientConnections
 
 
 @pytest.fixture
 def client_connections(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[ClientConnections]]:
     """Collect the client connections of the nodes that a test starts in this process."""
-    made: list[ClientConnections] = []
+    instances: list[ClientConnections] = []
 
-    class Kept(ClientConnections):
-        def __init__(self, *given: Any) -> None:
-            super().__init__(*given)
-            made.append(self)
+    class RecordedConnections(ClientConnections):
+        def __init__(self, *args: Any) -> None:
+            super().__init__(*args)
+            instances.append(self)
 
-    monkeypatch.setattr(node_run, "ClientConnections", Kept)
-    yield made
+    monkeypatch.setattr(node_runtime, "ClientConnections", RecordedConnections)
+    yield instances
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -65,12 +65,12 @@
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness, record = ActorHarness(upstreams.addresses[0]), make_record()
 
-        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+        async def dial_and_change(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             connection = await dialing.dial(address, within_s)
             change(harness, record)
             return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        monkeypatch.setattr(node_attempts, "dial", dial_and_change)
         assert await harness.attempt(record) is Outcome.NOT_SENT
         assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
@@ -85,14 +85,14 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness = ActorHarness(upstreams.addresses[0])
-        late = now_us() + 30_000
+        timed_out_at = now_us() + 30_000
 
-        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+        async def dial_too_late(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             connection = await dialing.dial(address, within_s)
-            await wait_until(lambda: now_us() > late)
+            await wait_until(lambda: now_us() > timed_out_at)
             return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        monkeypatch.setattr(node_attempts, "dial", dial_too_late)
         assert await harness.attempt(make_record(), 20_000) is Outcome.NOT_SENT
         assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
@@ -113,18 +113,18 @@
             upstream, _ = server.accept()
         with connection, upstream:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            ended: list[bool] = []
+            results: list[bool] = []
 
             async def write() -> None:
-                ended.append(await dialing.send_all(connection, b"x" * 10_000_000))
+                results.append(await dialing.send_all(connection, b"x" * 10_000_000))
 
             tasks.start_soon(write)
             await anyio.wait_readable(upstream)
-            assert not ended
+            assert not results
             upstream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             upstream.close()
-            await wait_until(lambda: bool(ended))
-            assert ended == [False]
+            await wait_until(lambda: bool(results))
+            assert results == [False]
         upstreams = await UpstreamStubs("reset").start(tasks)
         assert await ActorHarness(upstreams.addresses[0]).attempt(make_record()) is Outcome.RESET
 
@@ -143,8 +143,8 @@
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as server:
             address = server.getsockname()[:2]
-            filler = [socket.socket() for _ in range(4)]
-            for sock in filler:
+            backlog_fillers = [socket.socket() for _ in range(4)]
+            for sock in backlog_fillers:
                 sock.setblocking(False)
                 sock.connect_ex(address)
             before = open_descriptor_count()
@@ -154,7 +154,7 @@
             else:
                 assert await dialing.dial(address, 0.05) is Unconnected.CONNECT_FAILED
             assert open_descriptor_count() == before
-            for sock in filler:
+            for sock in backlog_fillers:
                 sock.close()
         with socket.create_server(("127.0.0.1", 0)) as server, anyio.CancelScope() as scope:
             before = open_descriptor_count()
@@ -170,10 +170,10 @@
 ) -> None:
     """The upstream has accepted in time, but the event loop runs again only after the timeout: no failure."""
 
-    async def never(sock: socket.socket) -> None:
+    async def never_writable(sock: socket.socket) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(anyio, "wait_writable", never)
+    monkeypatch.setattr(anyio, "wait_writable", never_writable)
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -258,7 +258,7 @@
     run_on_loopback(body)
 
 
-def test_an_answer_during_cancellation_is_delivered_or_leaves_nothing(
+def test_an_answer_during_cancellation_is_delivered_or_its_connection_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The attempt is cancelled just after it has read its answer: one outcome, and no descriptor leaks."""
@@ -269,15 +269,15 @@
 
         upstream = await ScriptedUpstream().start(tasks, answer)
         harness, record = ActorHarness(upstream.named), make_record("rerun")
-        real = stream.Lines.line
+        original_line = stream.Lines.line
 
-        async def line(lines: stream.Lines) -> Any:
-            got = await real(lines)
+        async def line_then_cancel(lines: stream.Lines) -> Any:
+            result = await original_line(lines)
             assert record.attempt_scope is not None
             record.attempt_scope.cancel()
-            return got
+            return result
 
-        monkeypatch.setattr(stream.Lines, "line", line)
+        monkeypatch.setattr(stream.Lines, "line", line_then_cancel)
         outcome = await harness.attempt(record)
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
         if isinstance(record.final_answer, Delivered):
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -86,13 +86,13 @@
         port = await start_node_with(tasks, upstreams)
         with socket.create_connection(("127.0.0.1", port)) as client:
             client.sendall(b"OPEN id1 k1 c=once,t=acme,d=1000\r\n")
-            sent = time.monotonic()
+            sent_at = time.monotonic()
             time.sleep(0.8)
             client.setblocking(False)
             await anyio.to_thread.run_sync(select.select, [client], [], [], 5)
             answer = client.recv(99)
         assert answer.startswith((b"ERR", b"BUSY"))
-        assert time.monotonic() - sent < 1.5
+        assert time.monotonic() - sent_at < 1.5
 
     run_on_loopback(body)
 
@@ -158,14 +158,14 @@
         for answer in (b"UP half\r\n", b"UP echo\r\n", b"UP half\r\n"):
             clients.append(await open_session(port))
             assert await clients[-1].line() == answer
-        mute, sound, late = clients
-        await mute.send(b"hello\r\n")
+        silent, responsive, silent_later = clients
+        await silent.send(b"hello\r\n")
         for _ in range(10):
             await anyio.sleep(0.1)
-            await sound.send(b"hello\r\n")
-            assert await sound.line() == b"hello\r\n"
+            await responsive.send(b"hello\r\n")
+            assert await responsive.line() == b"hello\r\n"
         assert not reported
-        await late.send(b"hello\r\n")
+        await silent_later.send(b"hello\r\n")
         await wait_until(lambda: 0 in reported)
 
     run_on_loopback(body)
@@ -184,27 +184,27 @@
         silent_clients = [await connect(port) for _ in range(100)]
         for client in silent_clients[::2]:
             await client.send(b"OPEN ")
-        sound = [await open_session(port, ident=f"id{number}") for number in range(5)]
-        for client in sound:
+        active_clients = [await open_session(port, ident=f"id{number}") for number in range(5)]
+        for client in active_clients:
             assert await client.line() == b"UP echo\r\n"
         for client in silent_clients:
             assert await read_to_end(client) in ([b"ERR\r\n"], [])
-        await sound[0].send(b"still there\r\n")
-        assert await sound[0].line() == b"still there\r\n"
+        await active_clients[0].send(b"still there\r\n")
+        assert await active_clients[0].line() == b"still there\r\n"
 
     run_on_loopback(body)
 
 
 def test_a_fault_in_the_balancer_fails_one_session_only(monkeypatch: pytest.MonkeyPatch) -> None:
     """An exception in one decision must not end the node, which would end all established sessions."""
-    place = Balancer.place
+    original_place = Balancer.place
 
-    def faulty(balancer: Balancer, now: int, session: Session) -> Answer:
+    def faulty_place(balancer: Balancer, now: int, session: Session) -> Answer:
         if session.traffic_class == 2:
             raise ValueError("injected fault")
-        return place(balancer, now, session)
+        return original_place(balancer, now, session)
 
-    monkeypatch.setattr(Balancer, "place", faulty)
+    monkeypatch.setattr(Balancer, "place", faulty_place)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -226,7 +226,7 @@
         port = await start_node(tasks, raw)
         before = len(os.listdir("/proc/self/fd"))
 
-        async def visit(number: int) -> None:
+        async def run_session(number: int) -> None:
             client = await open_session(port, wait_ms=1000, key=f"k{number}")
             line = await client.line()
             assert isinstance(line, bytes) and (number < 100 or line == b"UP echo\r\n")
@@ -236,9 +236,9 @@
                 await client.close(reset=True)
 
         for batch in range(4):
-            async with anyio.create_task_group() as visits:
+            async with anyio.create_task_group() as sessions:
                 for number in range(30):
-                    visits.start_soon(visit, 100 * batch + number)
+                    sessions.start_soon(run_session, 100 * batch + number)
         await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
 
     run_on_loopback(body)
