--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -17,7 +17,7 @@
 from tests.support.node import start_node_with
 from tests.support.stand_ins import UpstreamStubs
 
-BAD = [
+INVALID_REQUESTS = [
     b"",
     b"HELLO\r\n",
     b"OPEN id1 k1\r\n",
@@ -39,13 +39,15 @@
 
 
 def test_invalid_requests_fail_and_affect_nothing_else() -> None:
+    """An invalid request must not reach an upstream, disturb other sessions or leave a descriptor open."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         port = await start_node_with(tasks, upstreams)
         established = await open_session(port, ident="mine")
         assert await established.line() == b"UP echo\r\n"
-        before = len(os.listdir("/proc/self/fd"))
-        for line in BAD:
+        open_before = len(os.listdir("/proc/self/fd"))
+        for line in INVALID_REQUESTS:
             client = await connect(port)
             if line:
                 await client.send(line)
@@ -55,13 +57,16 @@
         await established.send(b"still there\r\n")
         assert await established.line() == b"still there\r\n"
         # No descriptor may stay open.
-        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= open_before)
 
     run_on_loopback(body)
 
 
 def test_the_id_of_an_open_session_is_rejected() -> None:
-    """Upstreams answer it with an error: a few such clients would have all known upstreams ejected."""
+    """Upstreams answer the second use of an id with an error, which counts as their failure.
+
+    A few clients that reuse ids would have all known upstreams ejected.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -78,7 +83,7 @@
 
 
 def test_a_second_line_before_the_answer_is_an_error() -> None:
-    """The second line would be relayed, and no upstream could read it."""
+    """Without this rejection, the node would relay a line that no upstream can parse."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Upstreams in slow start: turns, budgets and the chance beside them."""
+"""Tests of slow start: the turns of nodes, their budgets, and random admission without a turn."""
 
 from __future__ import annotations
 
@@ -36,9 +36,11 @@
 def test_warming_upstream_is_filled_but_not_overloaded_if_nodes_see_few_sessions(
     nodes: int, sessions: int, least: int, calm: bool
 ) -> None:
-    """By turns alone it would stay empty beside full ones. If only the own sessions of each node counted, a
-    crowd at all nodes at once would overload it."""
-    full, sends = 100.0, []
+    """With turns alone, the upstream would stay almost empty beside full ones, as few sessions meet a turn.
+
+    If each node counted only its own sessions, bursts at all nodes at once would overload the upstream.
+    """
+    warm_capacity, sends = 100.0, []
     for me in range(nodes):
         harness = BalancerHarness(
             nodes=nodes, me=me, seed=me, upstreams=4, probes=True, probes_report_load=True
@@ -49,7 +51,9 @@
         for number in range(sessions):
             for upstream in harness.endpoints:
                 harness.balancer.record_probe(
-                    harness.now, upstream, ProbeResult(True, 0.05 if upstream == 9 else 0.5, full / 2)
+                    harness.now,
+                    upstream,
+                    ProbeResult(True, 0.05 if upstream == 9 else 0.5, warm_capacity / 2),
                 )
             session = harness.arrive(key=1 + 1000 * me + number)
             harness.advance(SECOND_US // 100)  # its candidates are probed
@@ -58,9 +62,11 @@
                 harness.finish_attempt(session, Outcome.ESTABLISHED)
         sends += [at - start for at, upstream in harness.slow_start_sends if upstream == 9]
     deployment_settings = harness.settings
-    # What an upstream may be sent in a second, as it warms evenly: the stated multiple of what fills it
-    # meanwhile.
-    rate = deployment_settings.overload_multiple * full * SECOND_US / deployment_settings.slow_start_us
+    # The sessions per second that a warm upstream may be sent: the configured multiple of the sessions that
+    # fill it, divided by the duration of slow start.
+    rate = (
+        deployment_settings.overload_multiple * warm_capacity * SECOND_US / deployment_settings.slow_start_us
+    )
 
     def allowed(at: int) -> float:
         return rate * (
@@ -69,34 +75,39 @@
         )
 
     assert all(sum(at <= other < at + SECOND_US for other in sends) <= allowed(at) for at in sends)
-    # Ten seconds hold ten turns, most of them of nodes that have no session then.
+    # Ten seconds have ten turns, and most of them belong to nodes without a session at that time.
     assert not calm or len(sends) >= least
 
 
 def test_returning_client_gets_the_same_draw_for_a_warming_upstream() -> None:
-    """Held sessions are placed many times a second, and a shed client comes to the next node. If each time
-    were a new chance, all sessions that wait would get in."""
-    rows = []
+    """If each placement made a new random draw, all waiting sessions would be admitted sooner or later.
+
+    Held sessions are placed many times a second, and a shed client retries at another node.
+    """
+    admitted = []
     for key in range(1, 21):
-        taken = []
-        # The fifth node has its turn; with the others about half of all sessions are admitted by chance.
+        node_draws = []
+        # Node 0 has its turn; the other nodes admit about half of all sessions by the draw.
         for me in range(1, 5):
             harness = BalancerHarness(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
             harness.balancer.record_probe(harness.now, 0, ProbeResult(True, 0.5, 50))
             harness.update_endpoints(endpoint(9, started_at=harness.now - 10 * SECOND_US))
             session = harness.arrive(key=key)
             upstream = harness.balancer.fleet.upstreams[9]
-            taken.append(
+            node_draws.append(
                 [harness.balancer.slow_start.may_take(harness.now, upstream, session) for _ in range(100)]
             )
-        assert len({tuple(row) for row in taken}) == 1 and len(set(taken[0])) == 1
-        rows.append(taken[0][0])
-    assert 4 <= sum(rows) <= 16
+        assert len({tuple(row) for row in node_draws}) == 1 and len(set(node_draws[0])) == 1
+        admitted.append(node_draws[0][0])
+    assert 4 <= sum(admitted) <= 16
 
 
 def test_budget_follows_probes_of_an_upstream_that_warms_faster_than_stated() -> None:
-    """The stated slow start is the slowest. An upstream is never taken to do more than a warm one of its
-    size, nor what it could do before a new start."""
+    """The configured slow start is the slowest possible one, so it would leave a faster upstream unused.
+
+    A probe must not raise the budget above that of a warm upstream of the same size, and a probe before a
+    restart must not raise it at all.
+    """
     harness = BalancerHarness(nodes=40, upstreams=4, probes=True, probes_report_load=True)
     balancer, start = harness.balancer, harness.now
     for number in range(4):
@@ -107,20 +118,20 @@
     def budget(now: int) -> float:
         return balancer.slow_start.turn_budget(now, upstream, balancer.slow_start.reported_capacity(upstream))
 
-    stated = budget(start)
-    # The utilization is too low to derive a capacity.
+    configured_budget = budget(start)
+    # The reported utilization is too low to derive a capacity from it.
     balancer.record_probe(start, 9, ProbeResult(True, 0.05, 40))
-    assert budget(start) == stated
+    assert budget(start) == configured_budget
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 20))
-    assert budget(start) == pytest.approx(2 * stated)
+    assert budget(start) == pytest.approx(2 * configured_budget)
     balancer.record_probe(start, 9, ProbeResult(True, 0.5, 500))
-    assert budget(start) == pytest.approx(5 * stated)
+    assert budget(start) == pytest.approx(5 * configured_budget)
     harness.update_endpoints(endpoint(9, started_at=start + SECOND_US))
-    assert budget(start + SECOND_US) == stated
+    assert budget(start + SECOND_US) == configured_budget
 
 
 def test_sessions_do_not_migrate_towards_a_warming_upstream_without_budget() -> None:
-    """They would come back to the upstream that they left, at the cost of a setup each time."""
+    """Such sessions would return to the upstream that they left, at the cost of a setup each time."""
     harness = BalancerHarness(upstreams=1, nodes=2, me=0)
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
@@ -131,15 +142,14 @@
     )
     for _ in range(4):  # half of these seconds are the other node's turn at the upstream in slow start
         harness.balancer.record_delay(harness.now, sessions[0], 400_000)
-        moves = harness.balancer.wait(harness.now).migrations
+        migrations = harness.balancer.due_actions(harness.now).migrations
         in_turn = (harness.now - harness.endpoints[9].started_at) // SECOND_US % 2 == 0
-        assert bool(moves) == in_turn
+        assert bool(migrations) == in_turn
         harness.now += SECOND_US
 
 
 def test_arrivals_of_earlier_windows_are_forgotten() -> None:
-    """On a fleet without an upstream in slow start the count would otherwise grow for as long as the node
-    runs."""
+    """Without upstreams in slow start, the list of arrivals would grow for as long as the node runs."""
     harness = BalancerHarness()
     for number in range(200):
         harness.finish_attempt(harness.arrive(key=number), Outcome.COMPLETED)
