--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -61,8 +61,8 @@
         mailbox: the queue of messages from other tasks.
         upstreams: the upstreams that this node knows, with their actors.
         records: the sessions in flight or established at this node, by number.
-        shed_waiting_over_us: how long it takes to establish a session, in microseconds; 0 if unknown. A
-            request is shed unread if it has waited for longer and has no more than this left.
+        mean_setup_us: how long it takes to establish a session, in microseconds; 0 if unknown. A request
+            that has waited unread for longer is shed if no more than this is left until its deadline.
 
     """
 
@@ -93,7 +93,7 @@
         self.mailbox = mailbox
         self.upstreams = upstreams
         self.records: dict[int, SessionRecord] = {}
-        self.shed_waiting_over_us = 0
+        self.mean_setup_us = 0
         self._counters = counters
         self._discovery = discovery
         self._cluster = ClusterAdapter(cluster, upstreams, traffic_classes, balancer.settings)
@@ -258,7 +258,7 @@
                 self._handle_safely(messages.HoldExpired(record))
 
     def _carry_out_due(self, now: int, due: types.DueActions) -> None:
-        self.shed_waiting_over_us = due.setup_us
+        self.mean_setup_us = due.setup_us
         for upstream in self._executor.start_probes(due.probes):
             self.balancer.record_probe(now, upstream, ProbeResult(False))
         self._executor.migrate(due.migrations)
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -91,7 +91,7 @@
 
         """
         waited_us = us_since_received(sock)
-        if not admission.is_overdue(waited_us=waited_us, setup_us=self._balancer_actor.shed_waiting_over_us):
+        if not admission.is_overdue(waited_us=waited_us, setup_us=self._balancer_actor.mean_setup_us):
             return None
         data = receive_available(sock)
         opening = lines.parse_opening(data) if _is_one_request(data) else None
@@ -105,7 +105,7 @@
         if self.requests.rejection_reason(opening) is not None:
             return False
         deadline = self.requests.deadline(opening, request.received_us)
-        setup_us = self._balancer_actor.shed_waiting_over_us
+        setup_us = self._balancer_actor.mean_setup_us
         if not admission.is_too_late(now_us(), deadline=deadline, setup_us=setup_us):
             return False
         self.counters.add(ConnectionCounter.SHED_UNREAD)
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -53,7 +53,7 @@
         entry = EndpointEntry("s-0", ("127.0.0.1", 1), "a", 3, endpoint(0).state, 1.0, 9000)
         upstreams.update(EndpointList(1, True, [entry]))
         mailbox = SimpleNamespace(post=post)
-        balancer_actor: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, shed_waiting_over_us=0)
+        balancer_actor: Any = SimpleNamespace(mailbox=mailbox, upstreams=upstreams, mean_setup_us=0)
         lifecycle = LifecycleState(5.0, sessions_outlive_node=False)
         requests = RequestChecker(
             traffic_classes=["once"], tenants=[], max_deadline_us=3_000_000, lifecycle=lifecycle
