--- a/larchlatch/cluster/__init__.py
+++ b/larchlatch/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Nodes that know of each other; loaded only where a cluster file is given."""
+"""Lets several nodes share quotas, roles and observations; imported only if a cluster file is given."""
--- a/larchlatch/cluster/balancer_notifier.py
+++ b/larchlatch/cluster/balancer_notifier.py
@@ -1,4 +1,4 @@
-"""Notices from the cluster to the node's balancer, which refers to upstreams by name."""
+"""Sends notices from the cluster to the node's balancer, with names of upstreams in place of hashes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     """Sends slow-start tokens and ejection advice to the balancer.
 
     Attributes:
-        upstreams: name of each upstream on the endpoint list, by the hash that stands for it in datagrams.
+        upstreams: name of each upstream on the endpoint list, by the hash that identifies it in datagrams.
 
     """
 
@@ -43,17 +43,25 @@
         self._counters = node_counters
 
     def update_upstreams(self, names: Iterable[str]) -> None:
-        """Set the upstreams on the endpoint list."""
+        """Set the upstreams that are on the endpoint list, by their names."""
         self.upstreams = {upstream_hash(name): name for name in names}
 
     def open_tokens(self, now: int) -> None:
-        """Let this process place sessions on warming upstreams."""
+        """Allow this process to place sessions on warming upstreams, and to request tokens for them."""
         notice = self._requester.open(now)
         self.send_tokens([notice] if notice is not None else [], now)
 
     def send_tokens(self, notices: list[TokenNotice], now: int) -> None:
-        """Send notices about slow-start tokens, whose times are by the clock that shows `now`."""
-        ahead_us = now_us() - now  # the balancer uses another clock than leases do
+        """Send notices about slow-start tokens to the balancer.
+
+        If the balancer does not accept a notice, the hand-over of this node's slow-start turns is withdrawn.
+
+        Args:
+            notices: notices whose times are by the clock that leases are measured by.
+            now: present time by that clock.
+
+        """
+        ahead_us = now_us() - now  # the balancer's clock differs from that of leases
         for notice in notices:
             tokens = SlowStartTokens(
                 notice.handed_over_until + ahead_us,
@@ -65,7 +73,7 @@
                 self._requester.withdraw()
 
     def send_advice(self, advice: EjectionAdvice) -> None:
-        """Log ejection advice, and send it if there is anything to probe or to eject."""
+        """Log ejection advice, and send it to the balancer if it names upstreams to probe or to eject."""
         probes = [self.upstreams[upstream] for upstream in advice.probes]
         ejections = [
             UnreachableUpstream(self.upstreams[upstream], reporters)
@@ -79,5 +87,5 @@
 
 
 def upstream_hash(name: str) -> int:
-    """Return the hash that stands for an upstream in datagrams, as names may be long."""
+    """Return the hash that identifies an upstream in datagrams; names may be too long for them."""
     return xxh3_64_intdigest(name.encode())
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -1,4 +1,4 @@
-"""The operators' cluster file (TOML): the nodes with their keys, the quotas and the roles.
+"""Reads and checks the operators' cluster file (TOML): the nodes with their keys, the quotas and the roles.
 
 The `*Table` types hold the content of the file; they alone map its keys to the terms of the code. The checked
 content is a `ClusterConfiguration`.
@@ -24,14 +24,14 @@
     from collections.abc import Iterable
     from pathlib import Path
 
-MAX_NAME_BYTES = 32  # each record holds its origin's name
+MAX_NAME_BYTES = 32  # each record contains the name of its origin
 MAX_ADDRESS_CHARACTERS = 64
 MAX_NODES = 1000
-MAX_QUOTAS = 8  # each takes space in every record
+MAX_QUOTAS = 8  # every record contains a report on each quota
 MIN_ELECTORS = 3
-MAX_ELECTORS = 7  # a candidate asks all of them
-MIN_HEARTBEATS_PER_TERM = 8  # renewal at half a term leaves time for a request, its response and a retry
-DIGEST_MASK = 0x7FFFFFFF  # 31 bits, which take four bytes less in each record than the whole hash
+MAX_ELECTORS = 7  # a candidate sends each ballot to all electors
+MIN_HEARTBEATS_PER_TERM = 8  # renewal begins at half a term, so that a request can be retried
+DIGEST_MASK = 0x7FFFFFFF  # 31 bits take four bytes less in each record than the 64 bits of the hash
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Address = Annotated[str, Meta(min_length=1, max_length=MAX_ADDRESS_CHARACTERS)]
@@ -39,7 +39,7 @@
 
 
 class NodeTable(Strict, frozen=True):
-    """`[[nodes]]`: the address, public key and site of a node."""
+    """An entry of `[[nodes]]`: the address, public key and site of a node."""
 
     name: Name
     address: Address
@@ -48,7 +48,7 @@
 
 
 class QuotaTable(Strict, frozen=True):
-    """`[[budgets]]`: a quota of new sessions of these traffic classes, for the whole installation."""
+    """An entry of `[[budgets]]`: a quota of new sessions of some traffic classes, for the whole cluster."""
 
     name: Name
     sessions_per_s: Annotated[float, Meta(gt=0, le=1e6)]
@@ -56,7 +56,7 @@
 
 
 class RolesTable(Strict, frozen=True):
-    """`[duties]`: the roles, and the electors of their holders."""
+    """The table `[duties]`: which roles the cluster has, and the electors that choose their holders."""
 
     electors: Annotated[list[Name], Meta(min_length=MIN_ELECTORS, max_length=MAX_ELECTORS)]
     term_ms: TermMs = 3000
@@ -65,7 +65,7 @@
 
 
 class ClusterTable(Strict, frozen=True):
-    """The whole file."""
+    """The whole cluster file, in the units of the file."""
 
     nodes: Annotated[list[NodeTable], Meta(min_length=1, max_length=MAX_NODES)]
     heartbeat_ms: Annotated[int, Meta(ge=20, le=10_000)] = field(name="beat_ms", default=200)
@@ -81,13 +81,13 @@
 
 
 class ClusterNode(Strict, frozen=True):
-    """One node of the cluster, checked.
+    """The checked entry of one node in the cluster file.
 
     Attributes:
         name: the node's name.
         address: host and UDP port.
         site: the node's site.
-        key: its public key.
+        key: the node's public key.
 
     """
 
@@ -98,14 +98,14 @@
 
 
 class ClusterConfiguration(Strict, frozen=True):
-    """A cluster file, read and checked.
+    """The checked content of a cluster file.
 
     Attributes:
-        nodes: all nodes by their names, in the order of the file.
-        heartbeat_us: time between two heartbeats.
-        quota_settings: how the quotas are divided.
+        nodes: all nodes by name, in the order of the file.
+        heartbeat_us: interval between two heartbeats.
+        quota_settings: the quotas, and how they are divided among the nodes.
         electorate: the roles and their electors.
-        max_clock_difference_us: greatest difference of two nodes' wall clocks.
+        max_clock_difference_us: greatest difference between the wall clocks of two nodes.
 
     """
 
@@ -130,7 +130,7 @@
     """Read and check a cluster file.
 
     Raises:
-        ConfigurationError: the file can't be read or is wrong; the message names the key.
+        ConfigurationError: the file can't be read or is invalid; the message names the key.
 
     """
     return parse_cluster(read_toml(path, "cluster"), "cluster")
@@ -141,10 +141,10 @@
 
     Args:
         raw: the content as TOML tables and values.
-        top: name of the file in error messages.
+        top: what error messages call the file.
 
     Raises:
-        ConfigurationError: the content is wrong; the message names the key.
+        ConfigurationError: the content is invalid; the message names the key.
 
     """
     table = convert_table(raw, ClusterTable, top)
@@ -160,7 +160,7 @@
 
 
 def _parse_nodes(tables: list[NodeTable], top: str) -> dict[str, ClusterNode]:
-    """Return the nodes by name; no two may share a name, an address or a key."""
+    """Return the nodes by name; check that no two have the same name, address or public key."""
     nodes: dict[str, ClusterNode] = {}
     for index, table in enumerate(tables):
         node = _parse_node(table, nodes, f"{top}: nodes[{index}]")
@@ -170,32 +170,36 @@
 
 def _parse_node(table: NodeTable, before: dict[str, ClusterNode], where: str) -> ClusterNode:
     if table.name in before:
-        raise ConfigurationError(f"{where}.name", f"there are two of this name ({table.name})")
+        raise ConfigurationError(f"{where}.name", f"another node has the same name ({table.name})")
     if len(table.name.encode()) > MAX_NAME_BYTES:
-        raise ConfigurationError(f"{where}.name", f"longer than {MAX_NAME_BYTES} bytes")
+        raise ConfigurationError(f"{where}.name", f"the name is longer than {MAX_NAME_BYTES} bytes in UTF-8")
     address = parse_address(table.address, f"{where}.address")
     if not address[1]:
-        raise ConfigurationError(f"{where}.address", f"the others have to know its port ({table.address})")
+        raise ConfigurationError(
+            f"{where}.address", f"other nodes send to this port, so it must not be 0 ({table.address})"
+        )
     for other in before.values():
         if other.address == address:
-            raise ConfigurationError(f"{where}.address", f"{other.name} has it as well ({table.address})")
+            raise ConfigurationError(
+                f"{where}.address", f"{other.name} has the same address ({table.address})"
+            )
     key = parse_key(table.key)
     if key is None:
-        raise ConfigurationError(f"{where}.key", f"not {KEY_BYTES} bytes as hexadecimal digits")
+        raise ConfigurationError(f"{where}.key", f"a public key is {KEY_BYTES} bytes in hexadecimal digits")
     if any(key == other.key for other in before.values()):
-        raise ConfigurationError(f"{where}.key", "another node has it as well")
+        raise ConfigurationError(f"{where}.key", "another node has the same public key")
     return ClusterNode(name=table.name, address=address, site=table.site, key=key)
 
 
 def _parse_quotas(table: ClusterTable, top: str) -> QuotaSettings:
-    """Return how the quotas are divided among the nodes."""
+    """Return the quotas, and how they are divided among the nodes."""
     periods = LoanTerms(table.window_ms * 1000, table.term_ms * 1000, table.skew)
     limits: list[Quota] = []
     for index, quota in enumerate(table.quotas):
         limits.append(_parse_quota(quota, limits, table.window_ms, f"{top}: budgets[{index}]"))
     if limits and table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > table.term_ms:
         raise ConfigurationError(
-            top, f"term_ms: fewer than {MIN_HEARTBEATS_PER_TERM} beats ({table.term_ms})"
+            top, f"term_ms: a term must be at least {MIN_HEARTBEATS_PER_TERM} times beat_ms ({table.term_ms})"
         )
     names = tuple(sorted(node.name for node in table.nodes))
     allocated = table.roles is not None and table.roles.allocates_quotas
@@ -205,18 +209,19 @@
 
 def _parse_quota(table: QuotaTable, before: list[Quota], window_ms: int, where: str) -> Quota:
     if any(table.name == limit.name for limit in before):
-        raise ConfigurationError(f"{where}.name", f"there are two of this name ({table.name})")
+        raise ConfigurationError(f"{where}.name", f"another quota has the same name ({table.name})")
     taken = {traffic_class: limit.name for limit in before for traffic_class in limit.traffic_classes}
     for traffic_class in table.traffic_classes:
         if traffic_class in taken:
             raise ConfigurationError(
-                f"{where}.tariffs", f"{traffic_class} is in {taken[traffic_class]} as well"
+                f"{where}.tariffs",
+                f"{traffic_class} belongs to the quota {taken[traffic_class]} already",
             )
         taken[traffic_class] = table.name
     sessions = int(table.sessions_per_s * window_ms / 1000)
     if sessions < 1:
         raise ConfigurationError(
-            f"{where}.links_per_s", f"less than one link in a window ({table.sessions_per_s})"
+            f"{where}.links_per_s", f"less than one session per quota window ({table.sessions_per_s})"
         )
     return Quota(table.name, sessions, tuple(table.traffic_classes))
 
@@ -230,13 +235,14 @@
     _check_electors(roles.electors, quota_settings.names, f"{where}.electors")
     if table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > roles.term_ms:
         raise ConfigurationError(
-            f"{where}.term_ms", f"less than {MIN_HEARTBEATS_PER_TERM} beats ({roles.term_ms})"
+            f"{where}.term_ms",
+            f"a term must be at least {MIN_HEARTBEATS_PER_TERM} times beat_ms ({roles.term_ms})",
         )
     if roles.allocates_quotas and not quota_settings.quotas:
-        raise ConfigurationError(f"{where}.allot", "there are no budgets to deal out")
+        raise ConfigurationError(f"{where}.allot", "there are no quotas in [[budgets]] to allocate")
     lease_terms = LeaseTerms(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
     names = (QUOTA_ALLOCATOR,) * roles.allocates_quotas + (TOKEN_ISSUER,) * roles.issues_tokens
-    # Nodes of different versions compare the digest: the text for a file must not change.
+    # Nodes of different versions compare the digest, so the text for a given file must not change.
     text = repr((quota_settings.digest, roles.electors, roles.term_ms, names))
     return Electorate(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
 
@@ -244,7 +250,7 @@
 def _check_electors(electors: list[str], names: tuple[str, ...], where: str) -> None:
     if len(electors) % 2 == 0:
         raise ConfigurationError(
-            where, "an odd number of them, or half could promise one thing, half another"
+            where, "the number of electors must be odd, so that their votes can't be split evenly"
         )
     for index, name in enumerate(electors):
         if name not in names:
@@ -258,8 +264,8 @@
 ) -> str:
     """Return the text whose digest identifies the quotas of a cluster file.
 
-    Nodes of different versions compare the digest, so the text for a file must not change; it keeps the names
-    of the first version.
+    Nodes of different versions compare the digest, so the text for a given file must not change; it keeps the
+    names of the first version.
     """
     rows = [
         f"Limit(name={limit.name!r}, links={limit.sessions!r}, tariffs={limit.traffic_classes!r})"
@@ -269,15 +275,15 @@
 
 
 def digest(text: str) -> int:
-    """Return a digest of 31 bits; it is never 0, which stands for no file."""
+    """Return a 31-bit digest of a text; it is never 0, which means that there is no cluster file."""
     return xxh3_64_intdigest(text.encode()) & DIGEST_MASK or 1
 
 
 def check_traffic_classes(configuration: ClusterConfiguration, traffic_classes: Iterable[str]) -> None:
-    """Check that the node has all traffic classes of the quotas.
+    """Check that a node's configuration has all traffic classes that the quotas name.
 
     Raises:
-        ConfigurationError: a quota names a traffic class that the node does not have.
+        ConfigurationError: a quota names a traffic class that the node's configuration does not have.
 
     """
     known = frozenset(traffic_classes)
@@ -285,33 +291,33 @@
         for traffic_class in limit.traffic_classes:
             if traffic_class not in known:
                 raise ConfigurationError(
-                    "cluster", f"budgets: {limit.name}: this node has no such tariff ({traffic_class})"
+                    "cluster", f"budgets: {limit.name}: this node has no such traffic class ({traffic_class})"
                 )
 
 
 def check_transition(after: ClusterConfiguration, *, before: ClusterConfiguration) -> None:
     """Check that a running node can change from one cluster file to another.
 
-    Majorities of two electorates that differ by more than one node may have no elector in common, so that two
-    nodes could hold one role.
+    If two electorates differ by more than one node, a majority of one and a majority of the other may have no
+    elector in common, and two nodes could hold the same role.
 
     Raises:
-        ConfigurationError: more than one elector is exchanged.
+        ConfigurationError: more than one elector is replaced.
 
     """
     old, new = set(before.electorate.electors), set(after.electorate.electors)
     if old and new and (len(new - old) > 1 or len(old - new) > 1):
         names = ", ".join(sorted(old ^ new))
         raise ConfigurationError(
-            "cluster", f"duties.electors: more than one is exchanged at a time ({names})"
+            "cluster", f"duties.electors: only one elector can be replaced at a time ({names})"
         )
 
 
 def own_node(configuration: ClusterConfiguration, name: str) -> ClusterNode:
-    """Return the entry of this node.
+    """Return the entry of the node with this name.
 
     Raises:
-        ConfigurationError: the file has none.
+        ConfigurationError: the file has no entry for this node.
 
     """
     if name not in configuration.nodes:
--- a/larchlatch/cluster/counters.py
+++ b/larchlatch/cluster/counters.py
@@ -1,4 +1,4 @@
-"""Names of the cluster's counters; docs/operating-cluster.md explains them to operators."""
+"""Defines the names of the cluster's counters; docs/operating-cluster.md explains them to operators."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClusterCounter(StrEnum):
-    """Counters of a node's part in the cluster; the values are the printed names."""
+    """Counters of a node's cluster service; the values are the names that operators see."""
 
     DATAGRAMS_RECEIVED = "cluster_datagrams_received"
     DATAGRAMS_SENT = "cluster_datagrams_sent"
@@ -42,10 +42,10 @@
 
 
 def drop_counter(reason: DropReason) -> str:
-    """Return the name of the counter of datagrams and messages that were dropped for this reason."""
+    """Return the name of the counter of datagrams and messages dropped for this reason."""
     return f"cluster_dropped_{reason.value}"
 
 
 def member_state_counter(state: MemberState) -> str:
-    """Return the name of the counter of members that have entered this state."""
+    """Return the name of the counter of changes of a member's state to this one."""
     return f"cluster_member_{state.value}"
--- a/larchlatch/cluster/datagram_socket.py
+++ b/larchlatch/cluster/datagram_socket.py
@@ -1,4 +1,4 @@
-"""The UDP socket of a node's cluster service."""
+"""Sends and receives datagrams on the UDP socket of a node's cluster service."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
     from larchlatch.node.metrics import Counters
 
-RECEIVE_BUFFER_BYTES = 1 << 20  # holds what is received while the process is stopped for a while
-MAX_DATAGRAMS_PER_TURN = 200  # read before other tasks run: a flood must not block the node's sessions
+RECEIVE_BUFFER_BYTES = 1 << 20  # for datagrams that arrive while the process is paused
+MAX_DATAGRAMS_PER_TURN = 200  # read before other tasks run, so that a flood can't block sessions
 
 
 class DatagramSocket:
-    """A non-blocking UDP socket that counts what goes through it."""
+    """A non-blocking UDP socket that counts datagrams, bytes and failed calls."""
 
     def __init__(self, node_counters: Counters) -> None:
         self._counters = node_counters
@@ -38,10 +38,10 @@
         self._socket.close()
 
     def bind(self, address: tuple[str, int]) -> None:
-        """Listen at this address.
+        """Bind the socket to this address, to receive datagrams there.
 
         Raises:
-            OSError: another process uses the address, or it is not an address of this machine.
+            OSError: another process uses the address, or this machine does not have it.
 
         """
         self._socket.bind(address)
@@ -51,10 +51,10 @@
         await anyio.wait_readable(self._socket)
 
     def read_available(self) -> Iterator[bytes]:
-        """Yield the datagrams that are waiting, at most `MAX_DATAGRAMS_PER_TURN`."""
+        """Yield the datagrams that have arrived, at most `MAX_DATAGRAMS_PER_TURN`; never block."""
         for _ in range(MAX_DATAGRAMS_PER_TURN):
             try:
-                # One byte more than allowed shows that a datagram is too long.
+                # recvfrom() cuts a datagram off at this length: one extra byte shows that it is too long.
                 data, _ = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 return
@@ -66,7 +66,7 @@
             yield data
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send one datagram; a failure is counted, and otherwise treated like a lost datagram."""
+        """Send one datagram; a failed call is counted, and otherwise treated like a lost datagram."""
         try:
             self._socket.sendto(data, address)
         except OSError:
--- a/larchlatch/cluster/driver.py
+++ b/larchlatch/cluster/driver.py
@@ -1,4 +1,4 @@
-"""Socket, receive loop and heartbeat timer of a node's part in the cluster."""
+"""Does the I/O of a node's cluster service: the socket, the receive loop and the heartbeat timer."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
     from larchlatch.cluster.exchange.exchange import Exchange
     from larchlatch.cluster.exchange.results import ExchangeResult, ExecutedOrder, OutgoingDatagram
 
-SHUTDOWN_HEARTBEATS = 3  # repeated announcements of a shutdown, as datagrams may be lost
+SHUTDOWN_HEARTBEATS = 3  # heartbeats that announce a shutdown: single datagrams may be lost
 
 log = structlog.get_logger()
 
 
 def wall_us() -> int:
-    """Return Unix time in microseconds."""
+    """Return the Unix time in microseconds, by the wall clock."""
     return time.time_ns() // 1000
 
 
 class ClusterDriver:
-    """Passes datagrams and heartbeats to the exchange, and acts on the results.
+    """Passes received datagrams and heartbeats to the exchange, and carries out the results.
 
     Attributes:
-        nodes: all nodes of the cluster file by their names.
+        nodes: all nodes of the cluster file, by name.
 
     """
 
@@ -50,13 +50,13 @@
         """Prepare the driver; `run` starts it.
 
         Args:
-            nodes: all nodes of the cluster file by their names.
+            nodes: all nodes of the cluster file, by name.
             exchange: handles received datagrams and composes those to send.
             datagram_socket: the socket, not bound yet.
-            events: logs events.
+            events: logs and counts events of the cluster.
             notifier: sends notices to the balancer.
             now: returns monotonic time in microseconds.
-            log_orders: logs the orders that were executed here.
+            log_orders: logs orders that this node has executed, and changes of its own roles.
 
         """
         self.nodes = nodes
@@ -70,7 +70,7 @@
         self._log_orders = log_orders
 
     async def run(self) -> None:
-        """Take part in the cluster until cancelled."""
+        """Exchange datagrams with the other members until cancelled, and then announce the shutdown."""
         with self._socket:
             await self._bind()
             async with anyio.create_task_group() as tasks:
@@ -81,10 +81,11 @@
                     self._announce_shutdown()
 
     async def _bind(self) -> None:
-        """Bind the socket; wait for as long as another process uses the address.
+        """Bind the socket, and retry at the heartbeat interval while the address is not available.
 
-        In a hot restart this is the predecessor. Two processes with one name must not both send: each would
-        take the other for an earlier incarnation of itself, and both would raise their incarnations for ever.
+        In a hot restart the predecessor process still uses it. Two processes of one node must not both send:
+        each would take the other's records for those of an earlier incarnation of itself, and both would
+        raise their incarnations without end.
         """
         address = self.nodes[self._membership.own_name].address
         logged = False
@@ -123,20 +124,20 @@
         result = self._exchange.heartbeat(now=self._now(), wall=wall_us())
         self._events.member_changes(result.changes)
         self._log_orders([])
-        # The balancer has to stop using its slow-start turns before the datagrams promise them to the issuer.
+        # The balancer has to stop using its slow-start turns before datagrams promise them to the issuer.
         self._notifier.send_tokens(result.token_updates, self._now())
         self._send(result.datagrams)
         self._notifier.send_advice(result.advice)
         self._events.files_differ(now=self._state.quotas.any_file_differs)
 
     def _announce_shutdown(self) -> None:
-        """Tell the other members that this node shuts down, so that they need not detect its silence."""
+        """Announce the shutdown to the other members, so that they need not infer it from silence."""
         self._membership.is_departing = True
         for _ in range(SHUTDOWN_HEARTBEATS):
             self._heartbeat()
 
     def apply(self, result: ExchangeResult) -> None:
-        """Log, send and pass on what follows from a datagram or a request."""
+        """Carry out the result of a received datagram or of a request: log, send and notify the balancer."""
         self._events.member_changes(result.changes)
         self._log_orders(result.orders)
         self._send(result.datagrams)
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -1,4 +1,4 @@
-"""Log and count the events of a node's part in the cluster; docs/operating-cluster.md lists them."""
+"""Logs and counts the events of a node's cluster service; docs/operating-cluster.md lists them."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
     from larchlatch.node.messages import UnreachableUpstream
     from larchlatch.node.metrics import Counters
 
-ROLE_EVENTS = {RoleChange.HELD: "role_acquired", RoleChange.ENDED: "role_ended"}  # the log event of each
+ROLE_EVENTS = {RoleChange.HELD: "role_acquired", RoleChange.ENDED: "role_ended"}
 
 log = structlog.get_logger()
 
 
 class ClusterEventLog:
-    """Writes log events and counters; of a lasting condition only its beginning and its end."""
+    """Writes log events and counts them; a lasting condition is logged only when it begins and ends."""
 
     def __init__(self, node_counters: Counters) -> None:
         self._counters = node_counters
@@ -34,49 +34,49 @@
         self._unknown_version_logged = False
 
     def member_changes(self, changes: Iterable[MemberChange]) -> None:
-        """Log members whose state has changed."""
+        """Log and count the members whose state has changed, each with its new state."""
         for change in changes:
             self._counters.add(member_state_counter(change.state))
             log.info("member_state_changed", name=change.name, state=change.state.value)
 
     def orders(self, orders: Iterable[ExecutedOrder]) -> None:
-        """Log orders that were executed here."""
+        """Log and count orders that this node has executed."""
         for order in orders:
             self._counters.add(ClusterCounter.ORDERS_EXECUTED)
-            # The token issuer gives one for each session: too many for the usual level.
+            # The token issuer gives an order for each session, which is too many for the level INFO.
             write = log.debug if order.role == TOKEN_ISSUER else log.info
             write("order_executed", **order._asdict())
 
     def role_events(self, events: Iterable[RoleEvent]) -> None:
-        """Log which roles this node has acquired or lost."""
+        """Log the roles that this node has acquired or lost, each with the reason."""
         for event in events:
             log.info(ROLE_EVENTS[event.change], role=event.role, lease=event.lease, reason=event.reason)
 
     def ejections_advised(self, ejections: Iterable[UnreachableUpstream]) -> None:
-        """Log upstreams that other nodes can't reach, each with the number of these nodes."""
+        """Log and count upstreams that the balancer is advised to eject, with their numbers of reporters."""
         for upstream, reporters in ejections:
             self._counters.add(ClusterCounter.EJECTIONS_ADVISED)
             log.info("upstream_ejection_advised", upstream=upstream, reporters=reporters)
 
     def unreachable(self, upstreams: Iterable[str]) -> None:
-        """Log upstreams that count as unreachable at this node from now on."""
+        """Log upstreams that this node has begun to treat as unreachable."""
         for upstream in upstreams:
             log.info("upstream_unreachable", upstream=upstream)
 
     def isolated(self, *, now: bool) -> None:
-        """Log whether no other node is heard, if that has changed."""
+        """Log the beginning and the end of isolation: no other member is present."""
         if now is not self._isolated:
             self._isolated = now
             log.warning("cluster_isolated" if now else "cluster_isolation_ended")
 
     def files_differ(self, *, now: bool) -> None:
-        """Log whether other nodes use another cluster file, if that has changed."""
+        """Log the beginning and the end of a time in which other nodes use a different cluster file."""
         if now is not self._files_differ:
             self._files_differ = now
             log.warning("cluster_files_differ" if now else "cluster_files_agree")
 
     def unknown_version(self, version: int | None) -> None:
-        """Log once that datagrams of an unknown protocol version are received."""
+        """Log the first unknown protocol version of a received datagram, once; None: there was none."""
         if version is not None and not self._unknown_version_logged:
             self._unknown_version_logged = True
             log.warning("cluster_protocol_version_unknown", version=version)
--- a/larchlatch/cluster/keys.py
+++ b/larchlatch/cluster/keys.py
@@ -1,4 +1,4 @@
-"""Files with the secret keys of nodes."""
+"""Creates and reads the files that hold the secret keys of nodes."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 def read_secret(path: Path) -> str:
-    """Return the content of a key file.
+    """Return the secret key in a key file, in hexadecimal digits.
 
     Raises:
-        ConfigurationError: the file can't be read.
+        ConfigurationError: the file can't be read, or is not ASCII text.
 
     """
     try:
@@ -31,10 +31,10 @@
 
 
 def create_secret(path: Path) -> str:
-    """Write a new secret key into a new file that only its owner can read.
+    """Generate a secret key, and write it into a new file that only its owner can read.
 
     Returns:
-        The public key in hexadecimal digits, for the cluster file.
+        The public key that belongs to it, in hexadecimal digits, for the cluster file.
 
     Raises:
         ConfigurationError: the file exists already, or can't be written.
@@ -50,21 +50,24 @@
 
 
 def own_signer(configuration: ClusterConfiguration, name: str, secret: str) -> Signer:
-    """Return the signer of a node.
+    """Return the signer for a node, after checking its secret key against the cluster file.
 
     Args:
-        configuration: the cluster file.
+        configuration: the content of the cluster file.
         name: the node's name.
-        secret: its secret key in hexadecimal digits.
+        secret: the node's secret key in hexadecimal digits.
 
     Raises:
-        ConfigurationError: the cluster file has no such node or another key for it, or the secret is no key.
+        ConfigurationError: the cluster file has no such node, the secret is not a valid key, or it does not
+            belong to the node's public key in the cluster file.
 
     """
     own = own_node(configuration, name)
     signer = parse_signer(secret)
     if signer is None:
-        raise ConfigurationError("cluster key", f"not {KEY_BYTES} bytes as hexadecimal digits")
+        raise ConfigurationError("cluster key", f"a secret key is {KEY_BYTES} bytes in hexadecimal digits")
     if signer.public_key != own.key:
-        raise ConfigurationError("cluster key", f"not the one that the file has for {name}")
+        raise ConfigurationError(
+            "cluster key", f"not the one whose public key the cluster file has for {name}"
+        )
     return signer
--- a/larchlatch/cluster/local_node.py
+++ b/larchlatch/cluster/local_node.py
@@ -1,4 +1,4 @@
-"""This node as its cluster file describes it."""
+"""Holds what a node needs to join its cluster, and reads its cluster file again after a change."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class LocalNode(NamedTuple):
-    """What a node needs to join its cluster, read and checked before it starts.
+    """The identity and configuration with which a node joins its cluster, checked before the node starts.
 
     Attributes:
         name: the node's name.
-        traffic_classes: names of the traffic classes that the node has.
-        path: the cluster file.
-        configuration: the content of the file at the start.
-        signer: signs with the node's key.
+        traffic_classes: names of the traffic classes in the node's configuration.
+        path: path of the cluster file.
+        configuration: the content of the cluster file at the node's start.
+        signer: signs messages with the node's secret key.
 
     """
 
@@ -37,13 +37,13 @@
     signer: Signer
 
     def read_changed_file(self, *, present: ClusterConfiguration) -> ClusterConfiguration:
-        """Return the content of the cluster file now.
+        """Read the cluster file again, and return its content.
 
         Args:
-            present: the configuration that the node uses.
+            present: the configuration that the node uses at present.
 
         Raises:
-            ConfigurationError: the file is wrong, or the running node can't change to it.
+            ConfigurationError: the file is invalid, or a running node can't change to it.
 
         """
         configuration = read_cluster_file(self.path)
--- a/larchlatch/cluster/protocol/__init__.py
+++ b/larchlatch/cluster/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between nodes, how they are encoded, and their signatures."""
+"""The protocol between nodes: messages, their encoding and their signatures."""
--- a/larchlatch/cluster/protocol/codec.py
+++ b/larchlatch/cluster/protocol/codec.py
@@ -1,7 +1,7 @@
-"""Encode and decode datagrams: a version byte, then msgpack (array form).
+"""Encodes and decodes datagrams: a version byte, then msgpack (array form).
 
 Decoding has two stages: a datagram is first split into signed messages, whose bodies are decoded separately.
-So a forwarded record keeps the bytes that its origin has signed.
+In this way a record is forwarded with exactly those bytes that its origin has signed.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 )
 from larchlatch.cluster.protocol.signing import SIGNATURE_BYTES
 
-VERSION = 5  # of the protocol; datagrams of other versions are dropped
-MAX_DATAGRAM_BYTES = 1200  # fits into one packet on usual paths, so that datagrams are not fragmented
-DATAGRAM_OVERHEAD_BYTES = 8  # the version byte, and the heads of the arrays
-MESSAGE_OVERHEAD_BYTES = 8  # of one signed message in a datagram, at most: heads of array, body and signature
-MAX_VALUE = 2**62  # exclusive bound of integers on the wire: sums of two stay within 64 bits
+VERSION = 5  # version of the protocol; datagrams of other versions are dropped
+MAX_DATAGRAM_BYTES = 1200  # fits into one IP packet on usual paths, so that no datagram is fragmented
+DATAGRAM_OVERHEAD_BYTES = 8  # at most: the version byte, and the headers of the arrays
+MESSAGE_OVERHEAD_BYTES = 8  # of a signed message, at most: headers of array, body and signature
+MAX_VALUE = 2**62  # exclusive bound of integers in messages: the sum of two fits into 64 bits
 
 _DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
@@ -32,12 +32,12 @@
 
 
 def encode_body(message: NodeRecord | DirectMessage) -> bytes:
-    """Return the bytes of a message that are signed."""
+    """Return the encoded message: the bytes that are signed."""
     return _encoder.encode(message)
 
 
 def decode_record(body: bytes) -> NodeRecord | None:
-    """Return the record in a signed message's body; None if it is malformed."""
+    """Return the record in a signed message's body; None if the body is malformed."""
     try:
         record = _record_decoder.decode(body)
     except _DECODE_ERRORS:
@@ -47,7 +47,7 @@
 
 
 def decode_message(body: bytes) -> DirectMessage | None:
-    """Return the direct message in a signed message's body; None if it is malformed."""
+    """Return the direct message in a signed message's body; None if the body is malformed."""
     try:
         message: DirectMessage = _message_decoder.decode(body)
     except _DECODE_ERRORS:
@@ -57,17 +57,17 @@
 
 
 def encoded_size(signed: SignedMessage) -> int:
-    """Return the greatest number of bytes that a signed message takes in a datagram."""
+    """Return the number of bytes that a signed message takes in a datagram, at most."""
     return len(signed.body) + SIGNATURE_BYTES + MESSAGE_OVERHEAD_BYTES
 
 
 def encode_datagram(records: list[SignedMessage], messages: list[SignedMessage] | None = None) -> bytes:
-    """Return the bytes of one datagram."""
+    """Return the bytes of a datagram with these records and direct messages."""
     return bytes([VERSION]) + _encoder.encode(Datagram(records, messages or []))
 
 
 def decode_datagram(data: bytes) -> Datagram | DropReason:
-    """Return the datagram, whose signatures are not verified yet, or why it can't be decoded."""
+    """Return the datagram with signatures not verified yet, or the reason why it is dropped."""
     if not data:
         return DropReason.EMPTY
     if len(data) > MAX_DATAGRAM_BYTES:
--- a/larchlatch/cluster/protocol/headers.py
+++ b/larchlatch/cluster/protocol/headers.py
@@ -1,4 +1,4 @@
-"""The leading fields of requests and responses, as each sender fills them in."""
+"""Composes the leading fields of requests and responses."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RequestHeader(TypedDict):
-    """The fields that all requests have; see `messages.Request`."""
+    """The leading fields of every request; `messages.Request` explains them."""
 
     sender: str
     incarnation: int
@@ -20,7 +20,7 @@
 
 
 class ResponseHeader(TypedDict):
-    """The fields that all responses have; see `messages.Response`."""
+    """The leading fields of every response; `messages.Response` explains them."""
 
     sender: str
     recipient: str
@@ -29,12 +29,12 @@
 
 
 class RequestOrigin(NamedTuple):
-    """What all requests of a node say of their origin.
+    """The request fields that are the same in all requests of a node at one time.
 
     Attributes:
         sender: the node's name.
         incarnation: the node's present incarnation.
-        created_us: Unix time in microseconds.
+        created_us: Unix time in microseconds at which the requests are created.
 
     """
 
@@ -43,7 +43,7 @@
     created_us: int
 
     def header(self, *, request_id: int, recipient: str, config_digest: int) -> RequestHeader:
-        """Return the leading fields of a request to one recipient."""
+        """Return the leading fields of a request to this recipient."""
         return {
             "sender": self.sender,
             "incarnation": self.incarnation,
@@ -55,7 +55,7 @@
 
 
 def response_header(sender: str, request: Request) -> ResponseHeader:
-    """Return the leading fields of the response to a request."""
+    """Return the leading fields of the response that `sender` gives to a request."""
     return {
         "sender": sender,
         "recipient": request.sender,
--- a/larchlatch/cluster/protocol/messages.py
+++ b/larchlatch/cluster/protocol/messages.py
@@ -1,8 +1,8 @@
-"""Messages between nodes.
+"""Defines the messages between nodes.
 
 Each type is encoded as a msgpack array. The order of its fields, inherited ones first, and its tag are part
 of the protocol and don't change within one protocol version. Names of types and fields are not sent. Times in
-`*_us` are whole microseconds.
+`*_us` are whole microseconds. Each `*_index` counts from 0.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 
 class QuotaReport(msgspec.Struct, array_like=True, frozen=True):
-    """What a node reports of one quota.
+    """A node's report on one quota, as part of its record.
 
     Attributes:
         spent: sessions admitted since the node started.
-        spare: sessions per quota window that it could lend.
+        spare: sessions per quota window that the node could lend.
 
     """
 
@@ -26,12 +26,12 @@
 
 
 class HealthObservation(msgspec.Struct, array_like=True, frozen=True):
-    """An upstream to which a node could not connect, without a successful connection since.
+    """A node's report on an upstream: its last attempts to connect to the upstream have failed.
 
     Attributes:
         upstream: hash of the upstream's name.
-        failures: failed checks in a row.
-        age_us: age of the last of them when the record was created.
+        failures: number of failed attempts and probes in a row.
+        age_us: age of the last of these failures when the record was created.
 
     """
 
@@ -41,11 +41,11 @@
 
 
 class Suspicion(msgspec.Struct, array_like=True, frozen=True):
-    """A member that one of its watchers no longer hears directly.
+    """A watcher's report on a member from which it no longer receives datagrams directly.
 
     Attributes:
-        member_index: the member's index in the order of names.
-        incarnation: incarnation of the newest record of it that the watcher has received.
+        member_index: the member's index in the sorted names of all members.
+        incarnation: incarnation of the member's newest record that the watcher has received.
         sequence: sequence number of that record.
 
     """
@@ -56,13 +56,13 @@
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True):
-    """An elector's promise of one role.
+    """An elector's promise of a role to a candidate, as part of the elector's record.
 
     Attributes:
-        role_index: the role's index in the order of the cluster file.
-        lease: the lease's fencing token.
-        holder_index: the holder's index in the order of names.
-        remaining_us: what was left of the promise when the record was created.
+        role_index: the role's index among the roles of the cluster file.
+        lease: fencing token of the lease.
+        holder_index: index of the node to which the role is promised, in the sorted names of all members.
+        remaining_us: remaining time of the promise when the record was created.
 
     """
 
@@ -73,22 +73,22 @@
 
 
 class NodeRecord(msgspec.Struct, array_like=True, frozen=True):
-    """What a node reports about itself; other nodes forward it, signed by its origin.
+    """A node's report on itself, which it signs; other nodes forward it unchanged.
 
     Attributes:
         name: the node's name.
-        incarnation: Unix time at which the node started.
-        sequence: number of the record; it only grows within an incarnation.
+        incarnation: Unix time of the node's start; greater if an earlier start used a greater incarnation.
+        sequence: number of the record; it increases within an incarnation.
         created_us: Unix time at which the record was created.
         shutting_down: whether the node is leaving the cluster.
-        direct_contacts: one bit for each member, in the order of names: whether it was heard directly
-            within the last rounds. In a large cluster there are bits only for the members that this node
-            watches.
-        config_digest: digest of the cluster file by which the node divides the quotas; 0: none.
-        quota_reports: one for each quota, in the order of the file.
-        health_observations: upstreams that the node can't reach.
-        suspicions: members that the node watches and no longer hears.
-        promises: what the node, as an elector, has promised.
+        direct_contacts: one bit for each member, in the order of their names: whether this node received a
+            datagram from that member itself within the last rounds. In a large cluster there are bits only
+            for the members that this node watches.
+        config_digest: digest of the quota settings in the node's cluster file; 0: it has no such file.
+        quota_reports: a report on each quota, in the order of the cluster file.
+        health_observations: reports on upstreams that the node can't reach.
+        suspicions: reports on members that the node watches and from which it no longer receives datagrams.
+        promises: promises that the node has made as an elector.
 
     """
 
@@ -106,7 +106,7 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return the sort key of the records of one node; the newest record has the greatest."""
+        """Return the version of the record; among records of one node the newest has the greatest."""
         return self.incarnation, self.sequence
 
 
@@ -118,14 +118,14 @@
 
 
 class Request(msgspec.Struct, array_like=True, frozen=True):
-    """The fields with which each request to another node begins.
+    """The leading fields of each request to another node.
 
     Attributes:
-        sender: name of the node that sends it.
+        sender: name of the node that sends the request.
         incarnation: the sender's incarnation.
-        request_id: number of the request; it only grows within an incarnation.
-        created_us: Unix time.
-        recipient: name of the node that it is sent to.
+        request_id: number of the request; it increases within an incarnation.
+        created_us: Unix time at which the request was created.
+        recipient: name of the node that the request is sent to.
         config_digest: digest of the sender's settings for this kind of request.
 
     """
@@ -144,13 +144,13 @@
 
 
 class Response(msgspec.Struct, array_like=True, frozen=True):
-    """The fields with which each response to a request begins.
+    """The leading fields of each response to a request.
 
     Attributes:
         sender: name of the node that responds.
         recipient: name of the node that sent the request.
-        incarnation: incarnation of that node, from its request.
-        request_id: number of the request.
+        incarnation: the recipient's incarnation, copied from the request.
+        request_id: number of the request, copied from it.
 
     """
 
@@ -166,12 +166,12 @@
 
 
 class LoanRequest(Request, array_like=True, frozen=True, tag=0):
-    """A node asks to borrow a part of a quota; `config_digest` is that of its quota settings.
+    """A request to borrow a part of a quota; `config_digest` is that of the sender's quota settings.
 
     Attributes:
         quota: the quota's name.
         amount: sessions per quota window.
-        renews: the request by which the sender has the loan already; 0: a new loan.
+        renews: number of the request by which the loan to be renewed was first made; 0: the loan is new.
 
     """
 
@@ -186,13 +186,14 @@
 
 
 class LoanGrant(Response, array_like=True, frozen=True, tag=1):
-    """The response of a lender that lends; a declined request gets no response.
+    """A lender's response that grants a loan; a declined request gets no response.
 
     Attributes:
         quota: the quota's name.
         amount: sessions per quota window.
-        lease: fencing token of the role by which it is lent; 0: from the lender's own share.
-        remaining_us: what was left of that role's lease when the loan was granted.
+        lease: fencing token of the quota allocator, if the loan is from a pool; 0: it is from the lender's
+            own share.
+        remaining_us: remaining time of the allocator's lease when the loan was granted.
 
     """
 
@@ -208,15 +209,15 @@
 
 
 class BallotRequest(Request, array_like=True, frozen=True, tag=2):
-    """A candidate asks an elector for a role, or releases it.
+    """A candidate's request to an elector for a role, or its release of a role.
 
     `request_id` is the number of the candidate's ballot round, and `config_digest` that of its electorate.
 
     Attributes:
-        role_index: the role's index in the order of the cluster file.
-        lease: fencing token that the candidate asks for.
-        kind: kind of the ballot, a value of the election's ballot kinds.
-        successor: with a release, the node for which the role is reserved; empty: none.
+        role_index: the role's index among the roles of the cluster file.
+        lease: fencing token of the lease that the candidate asks for.
+        kind: kind of the ballot, a value of `BallotKind`.
+        successor: in a release, name of the node for which the role is reserved; empty: there is none.
 
     """
 
@@ -235,10 +236,10 @@
     """An elector's response to a ballot.
 
     Attributes:
-        role_index: the role's index in the order of the cluster file.
-        granted: whether the elector agrees.
-        highest_lease: greatest fencing token that the elector knows of.
-        remaining_us: how long a promise to another candidate still holds.
+        role_index: the role's index among the roles of the cluster file.
+        granted: whether the elector grants what the ballot asks for.
+        highest_lease: greatest fencing token of the role that the elector knows of.
+        remaining_us: remaining time of the elector's promise to another candidate.
 
     """
 
@@ -254,13 +255,13 @@
 
 
 class TokenDemand(msgspec.Struct, array_like=True, frozen=True):
-    """A warming upstream to which a node would send one session.
+    """A warming upstream on which a node may place the session that it requests a token for.
 
     Attributes:
         upstream: hash of the upstream's name.
-        budget_milli: what all nodes together may send in the upstream's overload window, in thousandths of a
-            session, as the sender calculates it.
-        weight_milli: the weight of the session, in the same unit.
+        budget_milli: weight of the sessions that all nodes together may send to the upstream within an
+            overload window, in thousandths of a session, as calculated by the sender.
+        weight_milli: weight of the session, in thousandths of a session.
 
     """
 
@@ -270,16 +271,16 @@
 
 
 class TokenRequest(Request, array_like=True, frozen=True, tag=4):
-    """A node asks the token issuer for permission to send one session to a warming upstream.
+    """A request to the token issuer for permission to place one session on a warming upstream.
 
-    Without demands it asks only for the issuer's response, with which it hands its slow-start turns over
-    again. `config_digest` is that of the sender's electorate.
+    A request without demands asks for no token, only for a response: the sender needs a recent one to hand
+    its slow-start turns over again. `config_digest` is that of the sender's electorate.
 
     Attributes:
-        lease: fencing token of the issuer's last response that the sender has; with it and `issued_us` the
-            sender hands its own slow-start turns over for a term. 0: it does not.
-        issued_us: time of that response, by the issuer's clock.
-        demands: upstreams, any one of which the session may go to.
+        lease: fencing token in the issuer's last response that the sender has received; by this token and
+            `issued_us` the sender hands its own slow-start turns over for a term. 0: it does not.
+        issued_us: time of that response, by the issuer's clock; 0 if the turns are not handed over.
+        demands: the upstreams on any one of which the session may be placed.
 
     """
 
@@ -298,10 +299,10 @@
     """The token issuer's response.
 
     Attributes:
-        lease: fencing token of the issuer.
-        remaining_us: what was left of that lease when the response was given.
+        lease: fencing token of the issuer's lease.
+        remaining_us: remaining time of that lease when the response was given.
         issued_us: time of the response, by the issuer's clock.
-        upstream: hash of the name of the upstream to which one session may be sent; 0: none.
+        upstream: hash of the name of the upstream on which one session may be placed; 0: no token is granted.
 
     """
 
@@ -317,15 +318,15 @@
 
 
 DirectMessage = LoanRequest | LoanGrant | BallotRequest | Vote | TokenRequest | TokenGrant
-"""A message for its recipient alone; unlike a record it is not forwarded."""
+"""A message for its recipient alone; unlike a record, it is not forwarded."""
 
 
 class Datagram(msgspec.Struct, array_like=True, frozen=True):
     """The content of one UDP datagram.
 
     Attributes:
-        records: encoded node records; the sender's own comes first, then those that it forwards.
-        messages: encoded direct messages.
+        records: signed node records; the sender's own comes first, then those that it forwards.
+        messages: signed direct messages.
 
     """
 
@@ -334,7 +335,7 @@
 
 
 class DropReason(Enum):
-    """Why a datagram, or a message in it, was dropped; the value is the end of a counter's name."""
+    """The reason why a datagram or a message in it was dropped; the value ends the counter's name."""
 
     EMPTY = "empty"
     TOO_LONG = "too_long"
--- a/larchlatch/cluster/protocol/signing.py
+++ b/larchlatch/cluster/protocol/signing.py
@@ -1,4 +1,4 @@
-"""Signatures of messages: Ed25519 (RFC 8032).
+"""Signs messages and verifies their signatures: Ed25519 (RFC 8032).
 
 Each record is signed by the node that it describes, so that no other node can forge it.
 """
@@ -8,7 +8,7 @@
 from nacl.exceptions import BadSignatureError
 from nacl.signing import SigningKey, VerifyKey
 
-KEY_BYTES = 32  # of a public key, and of the seed that is a secret key (RFC 8032, 5.1.5)
+KEY_BYTES = 32  # length of a public key, and of a secret key (the seed in RFC 8032, 5.1.5)
 SIGNATURE_BYTES = 64
 
 PublicKey = bytes
@@ -18,7 +18,7 @@
     """Signs messages with a node's secret key.
 
     Attributes:
-        public_key: the key that verifies the signatures.
+        public_key: the key by which other nodes verify the signatures.
 
     """
 
@@ -32,13 +32,13 @@
 
 
 class Verifier:
-    """Verifies signatures of other nodes, and caches their keys in the form that the library needs."""
+    """Verifies signatures of other nodes, and caches their public keys as objects of the library."""
 
     def __init__(self) -> None:
         self._prepared: dict[PublicKey, VerifyKey] = {}
 
     def verify(self, key: PublicKey, body: bytes, signature: bytes) -> bool:
-        """Return whether the signature was made by the owner of this key for this body."""
+        """Return whether the signature of this body was made with the secret key of this public key."""
         verify_key = self._prepared.get(key)
         if verify_key is None:
             verify_key = self._prepared[key] = VerifyKey(key)
@@ -50,7 +50,7 @@
 
 
 def parse_key(text: str) -> bytes | None:
-    """Return the key that is written as hexadecimal digits; None if the text is no key."""
+    """Return the key that a text gives in hexadecimal digits; None if the text is not a valid key."""
     try:
         key = bytes.fromhex(text)
     except ValueError:
@@ -59,6 +59,6 @@
 
 
 def parse_signer(text: str) -> Signer | None:
-    """Return the signer for a secret key that is written as hexadecimal digits; None if it is no key."""
+    """Return the signer for a secret key in hexadecimal digits; None if the text is not a valid key."""
     secret = parse_key(text.strip())
     return None if secret is None else Signer(secret)
--- a/larchlatch/cluster/replay_guard.py
+++ b/larchlatch/cluster/replay_guard.py
@@ -1,4 +1,4 @@
-"""Guard against requests that are received twice or out of order. No I/O."""
+"""Protects against requests that are received twice or out of order. No I/O."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class RequestAge(NamedTuple):
-    """Orders the requests of one member: by incarnation, then by number."""
+    """The place of a request among those of its sender: by incarnation, then by number."""
 
     incarnation: int
     number: int
 
 
-NO_REQUEST = RequestAge(-1, -1)  # older than any
+NO_REQUEST = RequestAge(-1, -1)  # older than any request
 
 
 class ReplayGuard:
-    """Keeps the age of each member's newest request, so that only newer ones are answered."""
+    """Records the newest request of each member, so that only newer ones are answered."""
 
     def __init__(self) -> None:
         self._newest: dict[str, RequestAge] = {}
 
     def is_new(self, request: Request) -> bool:
-        """Return whether a request is newer than all recorded ones of its sender."""
+        """Return whether a request is newer than all recorded requests of its sender."""
         return _age(request) > self._newest.get(request.sender, NO_REQUEST)
 
     def record(self, request: Request) -> None:
-        """Record a request that is answered now."""
+        """Record a request, so that neither it nor an earlier one of its sender is new from now on."""
         self._newest[request.sender] = _age(request)
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forget all members but these."""
+        """Forget the requests of all members but these."""
         self._newest = {name: age for name, age in self._newest.items() if name in names}
 
 
--- a/larchlatch/cluster/reports.py
+++ b/larchlatch/cluster/reports.py
@@ -1,4 +1,4 @@
-"""Rows about the cluster for operators; docs/operating-cluster.md explains their keys."""
+"""Builds the status rows of the cluster for operators; docs/operating-cluster.md explains their keys."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def member_rows(membership: Membership, sites: Mapping[str, str]) -> list[dict[str, Any]]:
-    """Return one row for each other member."""
+    """Return one row for each other member, with the node's knowledge of its state."""
     return [
         {
             "member": member.name,
@@ -30,7 +30,7 @@
 
 
 def quota_rows(state: SharedState, *, now: int, wall: int) -> list[dict[str, Any]]:
-    """Return one row for each quota.
+    """Return one row for each quota, with its use at this node and in the whole cluster.
 
     Args:
         state: the state that the members share.
@@ -51,5 +51,5 @@
 
 
 def role_rows(state: SharedState, membership: Membership, now: int) -> list[dict[str, Any]]:
-    """Return one row for each role."""
+    """Return one row for each role, with its holder as far as this node knows it."""
     return [status.to_json() for status in state.election.statuses(now, membership.present_records)]
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -1,6 +1,6 @@
-"""The cluster service of a node: what the node asks of its cluster and reports to it.
+"""The cluster service: the interface by which a node makes requests to its cluster and reports to it.
 
-The service decides nothing. `Exchange` composes datagrams, the parts of `SharedState` decide, and
+The service makes no decisions. `Exchange` composes datagrams, the parts of `SharedState` decide, and
 `ClusterDriver` does the I/O.
 """
 
@@ -37,20 +37,20 @@
 
 
 def steady_us() -> int:
-    """Return microseconds of a monotonic clock that also advances while the machine sleeps.
+    """Return the microseconds of a monotonic clock that also advances while the machine is suspended.
 
-    Leases and loans are measured by it.
+    Leases and loans are measured by it, as they go on expiring during that time.
     """
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
 
 
 class ClusterService:
-    """One node's part in the cluster, as the node uses it.
+    """The cluster service of one node, as the node's other parts use it.
 
     Attributes:
-        configuration: the cluster file that this node uses.
-        membership: the members, as this node knows them.
-        state: the state that the members share.
+        configuration: the content of the cluster file that this node uses.
+        membership: this node's view of the members.
+        state: this node's copy of the state that the members share.
         exchange: handles received datagrams and composes those to send.
 
     """
@@ -61,7 +61,7 @@
         """Prepare the service; `run` starts it.
 
         Args:
-            local_node: this node as the cluster file describes it.
+            local_node: the node's identity, key and cluster configuration.
             node_counters: the node's counters.
             random: source of all random choices.
             balancer: receives ejection advice and slow-start tokens.
@@ -70,7 +70,7 @@
         self._local_node = local_node
         self._counters = node_counters
         self.configuration = local_node.configuration
-        # The order of these two calls is the order of their random draws.
+        # The order of these two calls determines the order of their random draws.
         self.membership = _create_membership(local_node, self.now(), random)
         self.state = _create_state(local_node, self.now(), random)
         self.exchange = Exchange(
@@ -97,7 +97,7 @@
         self._notifier.open_tokens(self.now())
 
     def now(self) -> int:
-        """Return monotonic time in microseconds."""
+        """Return the monotonic time in microseconds that leases and loans are measured by."""
         return steady_us()
 
     @property
@@ -106,25 +106,25 @@
         return self._notifier.upstreams
 
     async def run(self) -> None:
-        """Take part in the cluster until cancelled."""
+        """Take part in the cluster until cancelled, and then announce the shutdown."""
         await self._driver.run()
 
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
-        """Log orders that were executed here, and changes of this node's own roles since the last call."""
+        """Log orders that this node has executed, and changes of its own roles since the last call."""
         self._events.orders(orders)
         self._events.role_events(self.state.election.take_events())
 
-    # What the node asks and reports.
+    # Requests and reports of the node.
 
     def resign(self) -> None:
-        """Hand this node's roles over, as it is shutting down."""
+        """Begin to hand this node's roles over to other nodes, as it is shutting down."""
         self.state.election.begin_handover()
 
     def admit(self, traffic_class: str) -> int:
-        """Spend one session of the traffic class's quota.
+        """Charge one new session to the quota of its traffic class, if the quota has room for it.
 
         Returns:
-            0 if the session is admitted, otherwise the microseconds after which the client may try again.
+            0 if the session is admitted, otherwise the microseconds after which its client may try again.
 
         """
         retry_after_us = self.state.quotas.admit(self.now(), traffic_class)
@@ -133,12 +133,12 @@
         return retry_after_us
 
     def update_endpoints(self, ready: Iterable[str], *, slow_start_us: int, overload_window_us: int) -> None:
-        """Use a new endpoint list.
+        """Apply a new endpoint list.
 
         Args:
             ready: names of the upstreams that are ready.
-            slow_start_us: longest remaining slow start of one of them.
-            overload_window_us: length of the overload window.
+            slow_start_us: longest remaining slow start of any of them.
+            overload_window_us: window in which sessions to a warming upstream are counted.
 
         """
         self._notifier.update_upstreams(ready)
@@ -148,12 +148,12 @@
         self.state.health.set_upstreams(self._notifier.upstreams)
 
     def observe_reachability(self, upstream: str, *, reached: bool | None) -> None:
-        """Record whether an upstream could be connected to; None: a session there broke off."""
+        """Record whether this node could connect to an upstream; None: established sessions broke off."""
         if upstream_hash(upstream) in self._notifier.upstreams:
             self.state.health.observe(self.now(), upstream_hash(upstream), reached=reached)
 
     def request_token(self, session: int, requests: list[TokenRequest]) -> None:
-        """Request a slow-start token for a session that would go to one of these warming upstreams."""
+        """Request a slow-start token for a session that may be placed on one of these warming upstreams."""
         candidates = [(upstream_hash(request.upstream), request.candidate) for request in requests]
         result = self.exchange.request_token(session, candidates, now=self.now(), wall=wall_us())
         self._driver.apply(result)
@@ -161,25 +161,25 @@
     # Hot restart.
 
     def hand_over(self) -> dict[str, int]:
-        """Stop admitting sessions, as the successor does so from now on.
+        """Stop admitting sessions, as the successor process admits them from now on.
 
         Returns:
-            The sessions that this process has admitted by each quota in the last window.
+            The number of sessions that this process has admitted in the last window, by quota.
 
         """
         self.state.tokens.requester.close()
         return self.state.quotas.close(self.now())
 
     def resume(self) -> None:
-        """Admit sessions again, as the successor does not take over."""
+        """Admit sessions again, as the successor process has failed to take over."""
         self.state.quotas.open(self.now())
         self._notifier.open_tokens(self.now())
 
     def take_over(self, used: Mapping[str, int]) -> None:
-        """Admit sessions from now on, as the predecessor no longer does.
+        """Admit sessions from now on, in place of the predecessor process.
 
         Args:
-            used: the sessions that the predecessor has admitted by each quota in the last window.
+            used: number of sessions that the predecessor has admitted in the last window, by quota.
 
         """
         self.state.quotas.take_over(self.now(), used)
@@ -188,12 +188,12 @@
     # Configuration.
 
     def reload(self) -> None:
-        """Read the cluster file again; a wrong file is rejected and changes nothing."""
+        """Read the cluster file again and apply it; an invalid file is rejected and changes nothing."""
         try:
             configuration = self._local_node.read_changed_file(present=self.configuration)
         except InvalidInputError as error:
             self._counters.add(ClusterCounter.FILE_REJECTED)
-            log.error("cluster_file_rejected", reason=str(error))  # noqa: TRY400  the traceback says nothing
+            log.error("cluster_file_rejected", reason=str(error))  # noqa: TRY400  the reason is complete
             return
         self._counters.add(ClusterCounter.FILE_READ)
         name = self._local_node.name
@@ -215,7 +215,7 @@
             now=self.now(),
         )
 
-    # Rows for operators; docs/operating-cluster.md explains them.
+    # Status rows for operators; docs/operating-cluster.md explains their keys.
 
     def role_rows(self) -> list[dict[str, Any]]:
         """Return one row for each role."""
@@ -231,7 +231,7 @@
 
 
 def _create_membership(local_node: LocalNode, now: int, random: Random) -> Membership:
-    """Return the membership of a node that starts."""
+    """Return the initial view of the members, for a node that starts."""
     configuration = local_node.configuration
     return Membership(
         local_node.name,
@@ -244,7 +244,7 @@
 
 
 def _create_state(local_node: LocalNode, now: int, random: Random) -> SharedState:
-    """Return the shared state of a node that starts."""
+    """Return the initial copy of the shared state, for a node that starts."""
     configuration = local_node.configuration
     return SharedState.create(
         local_node.name,
--- a/tests/cluster/test_cluster_file.py
+++ b/tests/cluster/test_cluster_file.py
@@ -1,4 +1,4 @@
-"""The cluster file, the secret keys of nodes and the commands that check and make them."""
+"""Checks of the cluster file, secret keys of nodes, and the commands that check a file and create a key."""
 
 from __future__ import annotations
 
@@ -47,15 +47,17 @@
     ],
 )
 def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], expected_key: str) -> None:
+    """An error that does not name the key in one line would leave operators to search the file for it."""
     with pytest.raises(InvalidInputError) as error:
         parse_cluster(cluster_table(**change), "cluster")
     assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
 def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
+    """With a wrong secret key a node must not start: the other nodes would drop all its messages."""
     public = create_secret(tmp_path / "a.key")
     secret = read_secret(tmp_path / "a.key")
-    assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "nobody else reads it"
+    assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "only the owner may read the secret key"
     signer = parse_signer(secret)
     assert signer is not None and signer.public_key.hex() == public
     with pytest.raises(InvalidInputError, match="can't be written"):
@@ -72,6 +74,7 @@
 
 
 def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
+    """An example file or a printed public key that is invalid would stop operators who copy it."""
     example = Path(__file__).parents[2] / "deploy" / "cluster.example.toml"
     result = CliRunner().invoke(cli, ["check", "--cluster", str(example)])
     assert result.exit_code == 0 and "3 nodes" in result.stdout
@@ -80,6 +83,7 @@
 
 
 def test_a_node_without_a_cluster_loads_nothing_of_it() -> None:
+    """An import of the cluster at the top of a module would require its libraries on every node."""
     code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
     process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
     assert process.stdout.strip() == "[]", process.stderr
@@ -97,6 +101,7 @@
     ],
 )
 def test_wrong_quota_is_rejected_with_its_key(change: dict[str, Any], expected_key: str) -> None:
+    """The nodes could not apply a quota below one session per window, or two for one traffic class."""
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": [ENTRY, OTHER], **change}, "cluster")
     assert expected_key in str(error.value) and "\n" not in str(error.value)
@@ -114,6 +119,7 @@
     ],
 )
 def test_wrong_duties_table_is_rejected_with_its_key(change: dict[str, Any], expected_key: str) -> None:
+    """With invalid electors or a term too short for renewal, a role could have no holder or two."""
     nodes = [{"name": f"n{n}", "address": f"127.0.0.1:{7000 + n}", "key": f"{n:02x}" * 32} for n in range(4)]
     with pytest.raises(InvalidInputError) as error:
         parse_cluster({"nodes": nodes, "duties": change}, "cluster")
@@ -121,6 +127,7 @@
 
 
 def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
+    """If two electors changed at once, majorities before and after could elect two holders of one role."""
     before = cluster_with_electors("n0", "n1", "n2")
     check_transition(cluster_with_electors("n0", "n1", "n3"), before=before)
     with pytest.raises(InvalidInputError, match=r"duties\.electors.*n1, n2, n3, n4"):
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes: what is dropped and why, signatures, and records that are repeated or late."""
+"""Datagrams between nodes: reasons for dropping them, signatures, and records that are repeated or late."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 
 
 def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
+    """Anyone can send to the UDP port: an invalid datagram must change nothing and show up in its counter."""
     good = ManualNode("b").next_datagram()
     body = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
     forged = encode_datagram([SignedMessage(body, Signer(SECRETS["c"]).sign(body))])
@@ -52,12 +53,13 @@
         before = node.drop_count(why)
         assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
         assert node.drop_count(why) == before + 1, why
-    assert node.members.is_alone, "no invalid datagram was accepted"
-    assert node.exchange.unknown_version == VERSION + 1, "for the log, which reports it once"
+    assert node.members.is_alone, "no invalid datagram may make a member present"
+    assert node.exchange.unknown_version == VERSION + 1, "the unknown version is kept for the log"
     assert node.exchange.receive(good, now=0, wall=WALL_US).changes != []
 
 
 def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
+    """A repeated or delayed record that counted as news would keep a member present that no longer runs."""
     node, other = ManualNode("a"), ManualNode("b")
     first, second = other.next_datagram(), other.next_datagram()
     node.exchange.receive(second, now=0, wall=WALL_US)
@@ -67,7 +69,7 @@
 
 
 def test_nobody_speaks_for_another() -> None:
-    # A member with a key of its own may claim anything of itself, and must not of another member.
+    """A faulty member signs with its own key a record of another member, which says that it shuts down."""
     signer, node = Signer(SECRETS["b"]), ManualNode("a")
     run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
     before = node.members.members["c"].record
