--- a/larchlatch/cluster/balancer_notifier.py
+++ b/larchlatch/cluster/balancer_notifier.py
@@ -46,7 +46,7 @@
         """Set the upstreams that are on the endpoint list, by their names."""
         self.upstreams = {upstream_hash(name): name for name in names}
 
-    def open_tokens(self, now: int) -> None:
+    def open_requester(self, now: int) -> None:
         """Allow this process to place sessions on warming upstreams, and to request tokens for them."""
         notice = self._requester.open(now)
         self.send_tokens([notice] if notice is not None else [], now)
@@ -61,13 +61,13 @@
             now: present time by that clock.
 
         """
-        ahead_us = now_us() - now  # the balancer's clock differs from that of leases
+        clock_offset_us = now_us() - now  # the balancer's clock differs from that of leases
         for notice in notices:
             tokens = SlowStartTokens(
-                notice.handed_over_until + ahead_us,
+                notice.handed_over_until + clock_offset_us,
                 self.upstreams.get(notice.upstream, ""),
                 notice.session,
-                notice.token_ends_at + ahead_us,
+                notice.token_ends_at + clock_offset_us,
             )
             if not self._balancer.receive_tokens(tokens):
                 self._requester.withdraw()
@@ -79,8 +79,8 @@
             UnreachableUpstream(self.upstreams[upstream], reporters)
             for upstream, reporters in advice.failures
         ]
-        self._events.ejections_advised(ejections)
-        self._events.unreachable(self.upstreams[upstream] for upstream in advice.newly_unreachable)
+        self._events.log_advised_ejections(ejections)
+        self._events.log_unreachable(self.upstreams[upstream] for upstream in advice.newly_unreachable)
         if probes or ejections:
             self._counters.add(ClusterCounter.PROBES_ADVISED, len(probes))
             self._balancer.advise_ejection(EjectionAdvised(probes, ejections))
--- a/larchlatch/cluster/cluster_file.py
+++ b/larchlatch/cluster/cluster_file.py
@@ -136,40 +136,40 @@
     return parse_cluster(read_toml(path, "cluster"), "cluster")
 
 
-def parse_cluster(raw: Any, top: str) -> ClusterConfiguration:
+def parse_cluster(raw: Any, file_kind: str) -> ClusterConfiguration:
     """Check the content of a cluster file.
 
     Args:
         raw: the content as TOML tables and values.
-        top: what error messages call the file.
+        file_kind: what error messages call the file.
 
     Raises:
         ConfigurationError: the content is invalid; the message names the key.
 
     """
-    table = convert_table(raw, ClusterTable, top)
-    nodes = _parse_nodes(table.nodes, top)
-    quota_settings = _parse_quotas(table, top)
+    table = convert_table(raw, ClusterTable, file_kind)
+    nodes = _parse_nodes(table.nodes, file_kind)
+    quota_settings = _parse_quotas(table, file_kind)
     return ClusterConfiguration(
         nodes=nodes,
         heartbeat_us=table.heartbeat_ms * 1000,
         quota_settings=quota_settings,
-        electorate=_parse_roles(table, quota_settings, top),
+        electorate=_parse_roles(table, quota_settings, file_kind),
         max_clock_difference_us=table.max_clock_difference_ms * 1000,
     )
 
 
-def _parse_nodes(tables: list[NodeTable], top: str) -> dict[str, ClusterNode]:
+def _parse_nodes(tables: list[NodeTable], file_kind: str) -> dict[str, ClusterNode]:
     """Return the nodes by name; check that no two have the same name, address or public key."""
     nodes: dict[str, ClusterNode] = {}
     for index, table in enumerate(tables):
-        node = _parse_node(table, nodes, f"{top}: nodes[{index}]")
+        node = _parse_node(table, nodes, f"{file_kind}: nodes[{index}]")
         nodes[node.name] = node
     return nodes
 
 
-def _parse_node(table: NodeTable, before: dict[str, ClusterNode], where: str) -> ClusterNode:
-    if table.name in before:
+def _parse_node(table: NodeTable, earlier_nodes: dict[str, ClusterNode], where: str) -> ClusterNode:
+    if table.name in earlier_nodes:
         raise ConfigurationError(f"{where}.name", f"another node has the same name ({table.name})")
     if len(table.name.encode()) > MAX_NAME_BYTES:
         raise ConfigurationError(f"{where}.name", f"the name is longer than {MAX_NAME_BYTES} bytes in UTF-8")
@@ -178,7 +178,7 @@
         raise ConfigurationError(
             f"{where}.address", f"other nodes send to this port, so it must not be 0 ({table.address})"
         )
-    for other in before.values():
+    for other in earlier_nodes.values():
         if other.address == address:
             raise ConfigurationError(
                 f"{where}.address", f"{other.name} has the same address ({table.address})"
@@ -186,52 +186,55 @@
     key = parse_key(table.key)
     if key is None:
         raise ConfigurationError(f"{where}.key", f"a public key is {KEY_BYTES} bytes in hexadecimal digits")
-    if any(key == other.key for other in before.values()):
+    if any(key == other.key for other in earlier_nodes.values()):
         raise ConfigurationError(f"{where}.key", "another node has the same public key")
     return ClusterNode(name=table.name, address=address, site=table.site, key=key)
 
 
-def _parse_quotas(table: ClusterTable, top: str) -> QuotaSettings:
+def _parse_quotas(table: ClusterTable, file_kind: str) -> QuotaSettings:
     """Return the quotas, and how they are divided among the nodes."""
-    periods = LoanTerms(table.window_ms * 1000, table.term_ms * 1000, table.skew)
-    limits: list[Quota] = []
-    for index, quota in enumerate(table.quotas):
-        limits.append(_parse_quota(quota, limits, table.window_ms, f"{top}: budgets[{index}]"))
-    if limits and table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > table.term_ms:
+    loan_terms = LoanTerms(table.window_ms * 1000, table.term_ms * 1000, table.skew)
+    quotas: list[Quota] = []
+    for index, quota_table in enumerate(table.quotas):
+        quotas.append(_parse_quota(quota_table, quotas, table.window_ms, f"{file_kind}: budgets[{index}]"))
+    if quotas and table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > table.term_ms:
         raise ConfigurationError(
-            top, f"term_ms: a term must be at least {MIN_HEARTBEATS_PER_TERM} times beat_ms ({table.term_ms})"
+            file_kind,
+            f"term_ms: a term must be at least {MIN_HEARTBEATS_PER_TERM} times beat_ms ({table.term_ms})",
         )
     names = tuple(sorted(node.name for node in table.nodes))
-    allocated = table.roles is not None and table.roles.allocates_quotas
-    text = _quota_digest_text(limits, names, table.floor, periods, allocated=allocated)
-    return QuotaSettings(tuple(limits), names, table.floor, periods, digest(text), allocated)
+    pooled = table.roles is not None and table.roles.allocates_quotas
+    text = _quota_digest_text(quotas, names, table.floor, loan_terms, pooled=pooled)
+    return QuotaSettings(tuple(quotas), names, table.floor, loan_terms, digest(text), pooled)
 
 
-def _parse_quota(table: QuotaTable, before: list[Quota], window_ms: int, where: str) -> Quota:
-    if any(table.name == limit.name for limit in before):
+def _parse_quota(table: QuotaTable, earlier_quotas: list[Quota], window_ms: int, where: str) -> Quota:
+    if any(table.name == quota.name for quota in earlier_quotas):
         raise ConfigurationError(f"{where}.name", f"another quota has the same name ({table.name})")
-    taken = {traffic_class: limit.name for limit in before for traffic_class in limit.traffic_classes}
+    quota_by_class = {
+        traffic_class: quota.name for quota in earlier_quotas for traffic_class in quota.traffic_classes
+    }
     for traffic_class in table.traffic_classes:
-        if traffic_class in taken:
+        if traffic_class in quota_by_class:
             raise ConfigurationError(
                 f"{where}.tariffs",
-                f"{traffic_class} belongs to the quota {taken[traffic_class]} already",
+                f"{traffic_class} belongs to the quota {quota_by_class[traffic_class]} already",
             )
-        taken[traffic_class] = table.name
-    sessions = int(table.sessions_per_s * window_ms / 1000)
-    if sessions < 1:
+        quota_by_class[traffic_class] = table.name
+    sessions_per_window = int(table.sessions_per_s * window_ms / 1000)
+    if sessions_per_window < 1:
         raise ConfigurationError(
             f"{where}.links_per_s", f"less than one session per quota window ({table.sessions_per_s})"
         )
-    return Quota(table.name, sessions, tuple(table.traffic_classes))
+    return Quota(table.name, sessions_per_window, tuple(table.traffic_classes))
 
 
-def _parse_roles(table: ClusterTable, quota_settings: QuotaSettings, top: str) -> Electorate:
+def _parse_roles(table: ClusterTable, quota_settings: QuotaSettings, file_kind: str) -> Electorate:
     """Return the roles and their electors."""
     roles = table.roles
     if roles is None:
         return Electorate()
-    where = f"{top}: duties"
+    where = f"{file_kind}: duties"
     _check_electors(roles.electors, quota_settings.names, f"{where}.electors")
     if table.heartbeat_ms * MIN_HEARTBEATS_PER_TERM > roles.term_ms:
         raise ConfigurationError(
@@ -241,26 +244,28 @@
     if roles.allocates_quotas and not quota_settings.quotas:
         raise ConfigurationError(f"{where}.allot", "there are no quotas in [[budgets]] to allocate")
     lease_terms = LeaseTerms(roles.term_ms * 1000, table.skew, table.max_clock_difference_ms * 1000)
-    names = (QUOTA_ALLOCATOR,) * roles.allocates_quotas + (TOKEN_ISSUER,) * roles.issues_tokens
+    role_names = (QUOTA_ALLOCATOR,) * roles.allocates_quotas + (TOKEN_ISSUER,) * roles.issues_tokens
     # Nodes of different versions compare the digest, so the text for a given file must not change.
-    text = repr((quota_settings.digest, roles.electors, roles.term_ms, names))
-    return Electorate(tuple(sorted(roles.electors)), quota_settings.names, names, lease_terms, digest(text))
+    text = repr((quota_settings.digest, roles.electors, roles.term_ms, role_names))
+    return Electorate(
+        tuple(sorted(roles.electors)), quota_settings.names, role_names, lease_terms, digest(text)
+    )
 
 
-def _check_electors(electors: list[str], names: tuple[str, ...], where: str) -> None:
+def _check_electors(electors: list[str], node_names: tuple[str, ...], where: str) -> None:
     if len(electors) % 2 == 0:
         raise ConfigurationError(
             where, "the number of electors must be odd, so that their votes can't be split evenly"
         )
     for index, name in enumerate(electors):
-        if name not in names:
+        if name not in node_names:
             raise ConfigurationError(f"{where}[{index}]", f"not among the nodes ({name})")
         if name in electors[:index]:
             raise ConfigurationError(f"{where}[{index}]", f"named twice ({name})")
 
 
 def _quota_digest_text(
-    limits: list[Quota], names: tuple[str, ...], floor: float, periods: LoanTerms, *, allocated: bool
+    quotas: list[Quota], names: tuple[str, ...], floor: float, loan_terms: LoanTerms, *, pooled: bool
 ) -> str:
     """Return the text whose digest identifies the quotas of a cluster file.
 
@@ -268,10 +273,10 @@
     names of the first version.
     """
     rows = [
-        f"Limit(name={limit.name!r}, links={limit.sessions!r}, tariffs={limit.traffic_classes!r})"
-        for limit in limits
+        f"Limit(name={quota.name!r}, links={quota.sessions!r}, tariffs={quota.traffic_classes!r})"
+        for quota in quotas
     ]
-    return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(periods)!r}, {allocated!r})"
+    return f"([{', '.join(rows)}], {names!r}, {floor!r}, {tuple(loan_terms)!r}, {pooled!r})"
 
 
 def digest(text: str) -> int:
@@ -287,11 +292,11 @@
 
     """
     known = frozenset(traffic_classes)
-    for limit in configuration.quota_settings.quotas:
-        for traffic_class in limit.traffic_classes:
+    for quota in configuration.quota_settings.quotas:
+        for traffic_class in quota.traffic_classes:
             if traffic_class not in known:
                 raise ConfigurationError(
-                    "cluster", f"budgets: {limit.name}: this node has no such traffic class ({traffic_class})"
+                    "cluster", f"budgets: {quota.name}: this node has no such traffic class ({traffic_class})"
                 )
 
 
@@ -307,9 +312,9 @@
     """
     old, new = set(before.electorate.electors), set(after.electorate.electors)
     if old and new and (len(new - old) > 1 or len(old - new) > 1):
-        names = ", ".join(sorted(old ^ new))
+        changed = ", ".join(sorted(old ^ new))
         raise ConfigurationError(
-            "cluster", f"duties.electors: only one elector can be replaced at a time ({names})"
+            "cluster", f"duties.electors: only one elector can be replaced at a time ({changed})"
         )
 
 
--- a/larchlatch/cluster/datagram_socket.py
+++ b/larchlatch/cluster/datagram_socket.py
@@ -33,7 +33,7 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+        self, exc_type: type[BaseException] | None, exc: BaseException | None, traceback: TracebackType | None
     ) -> None:
         self._socket.close()
 
--- a/larchlatch/cluster/driver.py
+++ b/larchlatch/cluster/driver.py
@@ -88,19 +88,19 @@
         raise their incarnations without end.
         """
         address = self.nodes[self._membership.own_name].address
-        logged = False
+        failure_logged = False
         while True:
             try:
                 self._socket.bind(address)
             except OSError as error:
-                if not logged:
+                if not failure_logged:
                     log.warning("cluster_address_unavailable", reason=str(error))
-                logged = True
-                await self._sleep_heartbeat()
+                failure_logged = True
+                await self._sleep_heartbeat_interval()
             else:
                 break
         self._state.open(self._now())
-        self._notifier.open_tokens(self._now())
+        self._notifier.open_requester(self._now())
         log.info("cluster_joined", listen=f"{address[0]}:{address[1]}", members=len(self.nodes))
 
     async def _receive_loop(self) -> None:
@@ -108,16 +108,16 @@
             await self._socket.wait_readable()
             for data in self._socket.read_available():
                 self.apply(self._exchange.receive(data, now=self._now(), wall=wall_us()))
-            self._events.unknown_version(self._exchange.unknown_version)
+            self._events.log_unknown_version(self._exchange.unknown_version)
             await anyio.lowlevel.checkpoint()
 
     async def _heartbeat_loop(self) -> None:
         while True:
             self._heartbeat()
-            self._events.isolated(now=self._membership.is_alone)
-            await self._sleep_heartbeat()
+            self._events.log_isolation(is_isolated=self._membership.is_alone)
+            await self._sleep_heartbeat_interval()
 
-    async def _sleep_heartbeat(self) -> None:
+    async def _sleep_heartbeat_interval(self) -> None:
         await anyio.sleep(self._membership.heartbeat_us / 1e6)
 
     def _heartbeat(self) -> None:
@@ -128,7 +128,7 @@
         self._notifier.send_tokens(result.token_updates, self._now())
         self._send(result.datagrams)
         self._notifier.send_advice(result.advice)
-        self._events.files_differ(now=self._state.quotas.any_file_differs)
+        self._events.log_file_difference(files_differ=self._state.quotas.any_file_differs)
 
     def _announce_shutdown(self) -> None:
         """Announce the shutdown to the other members, so that they need not infer it from silence."""
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -39,7 +39,7 @@
             self._counters.add(member_state_counter(change.state))
             log.info("member_state_changed", name=change.name, state=change.state.value)
 
-    def orders(self, orders: Iterable[ExecutedOrder]) -> None:
+    def log_orders(self, orders: Iterable[ExecutedOrder]) -> None:
         """Log and count orders that this node has executed."""
         for order in orders:
             self._counters.add(ClusterCounter.ORDERS_EXECUTED)
@@ -47,35 +47,35 @@
             write = log.debug if order.role == TOKEN_ISSUER else log.info
             write("order_executed", **order._asdict())
 
-    def role_events(self, events: Iterable[RoleEvent]) -> None:
+    def log_role_events(self, events: Iterable[RoleEvent]) -> None:
         """Log the roles that this node has acquired or lost, each with the reason."""
         for event in events:
             log.info(ROLE_EVENTS[event.change], role=event.role, lease=event.lease, reason=event.reason)
 
-    def ejections_advised(self, ejections: Iterable[UnreachableUpstream]) -> None:
+    def log_advised_ejections(self, ejections: Iterable[UnreachableUpstream]) -> None:
         """Log and count upstreams that the balancer is advised to eject, with their numbers of reporters."""
         for upstream, reporters in ejections:
             self._counters.add(ClusterCounter.EJECTIONS_ADVISED)
             log.info("upstream_ejection_advised", upstream=upstream, reporters=reporters)
 
-    def unreachable(self, upstreams: Iterable[str]) -> None:
+    def log_unreachable(self, upstreams: Iterable[str]) -> None:
         """Log upstreams that this node has begun to treat as unreachable."""
         for upstream in upstreams:
             log.info("upstream_unreachable", upstream=upstream)
 
-    def isolated(self, *, now: bool) -> None:
+    def log_isolation(self, *, is_isolated: bool) -> None:
         """Log the beginning and the end of isolation: no other member is present."""
-        if now is not self._isolated:
-            self._isolated = now
-            log.warning("cluster_isolated" if now else "cluster_isolation_ended")
+        if is_isolated is not self._isolated:
+            self._isolated = is_isolated
+            log.warning("cluster_isolated" if is_isolated else "cluster_isolation_ended")
 
-    def files_differ(self, *, now: bool) -> None:
+    def log_file_difference(self, *, files_differ: bool) -> None:
         """Log the beginning and the end of a time in which other nodes use a different cluster file."""
-        if now is not self._files_differ:
-            self._files_differ = now
-            log.warning("cluster_files_differ" if now else "cluster_files_agree")
+        if files_differ is not self._files_differ:
+            self._files_differ = files_differ
+            log.warning("cluster_files_differ" if files_differ else "cluster_files_agree")
 
-    def unknown_version(self, version: int | None) -> None:
+    def log_unknown_version(self, version: int | None) -> None:
         """Log the first unknown protocol version of a received datagram, once; None: there was none."""
         if version is not None and not self._unknown_version_logged:
             self._unknown_version_logged = True
--- a/larchlatch/cluster/keys.py
+++ b/larchlatch/cluster/keys.py
@@ -26,8 +26,8 @@
     try:
         return path.read_text(encoding="ascii").strip()
     except (OSError, UnicodeDecodeError) as error:
-        why = error.strerror if isinstance(error, OSError) else "not hexadecimal digits"
-        raise ConfigurationError("cluster key", f"can't be read ({why}: {path})") from None
+        reason = error.strerror if isinstance(error, OSError) else "not hexadecimal digits"
+        raise ConfigurationError("cluster key", f"can't be read ({reason}: {path})") from None
 
 
 def create_secret(path: Path) -> str:
@@ -42,8 +42,8 @@
     """
     secret = secrets.token_bytes(KEY_BYTES)
     try:
-        with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as out:
-            out.write(secret.hex() + "\n")
+        with os.fdopen(os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL, 0o600), "w") as key_file:
+            key_file.write(secret.hex() + "\n")
     except OSError as error:
         raise ConfigurationError("cluster key", f"can't be written ({error.strerror}: {path})") from None
     return Signer(secret).public_key.hex()
@@ -62,11 +62,11 @@
             belong to the node's public key in the cluster file.
 
     """
-    own = own_node(configuration, name)
+    node = own_node(configuration, name)
     signer = parse_signer(secret)
     if signer is None:
         raise ConfigurationError("cluster key", f"a secret key is {KEY_BYTES} bytes in hexadecimal digits")
-    if signer.public_key != own.key:
+    if signer.public_key != node.key:
         raise ConfigurationError(
             "cluster key", f"not the one whose public key the cluster file has for {name}"
         )
--- a/larchlatch/cluster/local_node.py
+++ b/larchlatch/cluster/local_node.py
@@ -36,11 +36,11 @@
     configuration: ClusterConfiguration
     signer: Signer
 
-    def read_changed_file(self, *, present: ClusterConfiguration) -> ClusterConfiguration:
+    def read_changed_file(self, *, current: ClusterConfiguration) -> ClusterConfiguration:
         """Read the cluster file again, and return its content.
 
         Args:
-            present: the configuration that the node uses at present.
+            current: the configuration that the node uses at present.
 
         Raises:
             ConfigurationError: the file is invalid, or a running node can't change to it.
@@ -49,5 +49,5 @@
         configuration = read_cluster_file(self.path)
         own_node(configuration, self.name)
         check_traffic_classes(configuration, self.traffic_classes)
-        check_transition(configuration, before=present)
+        check_transition(configuration, before=current)
         return configuration
--- a/larchlatch/cluster/protocol/codec.py
+++ b/larchlatch/cluster/protocol/codec.py
@@ -78,7 +78,7 @@
         datagram = _datagram_decoder.decode(memoryview(data)[1:])
     except _DECODE_ERRORS:
         return DropReason.MALFORMED
-    parts = datagram.records + datagram.messages
-    if not parts or any(len(signed.signature) != SIGNATURE_BYTES for signed in parts):
+    signed_messages = datagram.records + datagram.messages
+    if not signed_messages or any(len(signed.signature) != SIGNATURE_BYTES for signed in signed_messages):
         return DropReason.MALFORMED
     return datagram
--- a/larchlatch/cluster/protocol/messages.py
+++ b/larchlatch/cluster/protocol/messages.py
@@ -291,8 +291,10 @@
     @property
     def bounded_values(self) -> tuple[int, ...]:
         """Return the values that have to be within the bounds of the protocol."""
-        demanded = [value for demand in self.demands for value in (demand.budget_milli, demand.weight_milli)]
-        return self.incarnation, self.request_id, self.lease, self.issued_us, *demanded
+        demand_values = [
+            value for demand in self.demands for value in (demand.budget_milli, demand.weight_milli)
+        ]
+        return self.incarnation, self.request_id, self.lease, self.issued_us, *demand_values
 
 
 class TokenGrant(Response, array_like=True, frozen=True, tag=5):
--- a/larchlatch/cluster/protocol/signing.py
+++ b/larchlatch/cluster/protocol/signing.py
@@ -35,13 +35,13 @@
     """Verifies signatures of other nodes, and caches their public keys as objects of the library."""
 
     def __init__(self) -> None:
-        self._prepared: dict[PublicKey, VerifyKey] = {}
+        self._verify_keys: dict[PublicKey, VerifyKey] = {}
 
     def verify(self, key: PublicKey, body: bytes, signature: bytes) -> bool:
         """Return whether the signature of this body was made with the secret key of this public key."""
-        verify_key = self._prepared.get(key)
+        verify_key = self._verify_keys.get(key)
         if verify_key is None:
-            verify_key = self._prepared[key] = VerifyKey(key)
+            verify_key = self._verify_keys[key] = VerifyKey(key)
         try:
             verify_key.verify(body, signature)
         except (BadSignatureError, ValueError):
--- a/larchlatch/cluster/service.py
+++ b/larchlatch/cluster/service.py
@@ -94,7 +94,7 @@
             now=self.now,
             log_orders=self.log_orders,
         )
-        self._notifier.open_tokens(self.now())
+        self._notifier.open_requester(self.now())
 
     def now(self) -> int:
         """Return the monotonic time in microseconds that leases and loans are measured by."""
@@ -111,8 +111,8 @@
 
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
         """Log orders that this node has executed, and changes of its own roles since the last call."""
-        self._events.orders(orders)
-        self._events.role_events(self.state.election.take_events())
+        self._events.log_orders(orders)
+        self._events.log_role_events(self.state.election.take_events())
 
     # Requests and reports of the node.
 
@@ -173,7 +173,7 @@
     def resume(self) -> None:
         """Admit sessions again, as the successor process has failed to take over."""
         self.state.quotas.open(self.now())
-        self._notifier.open_tokens(self.now())
+        self._notifier.open_requester(self.now())
 
     def take_over(self, used: Mapping[str, int]) -> None:
         """Admit sessions from now on, in place of the predecessor process.
@@ -183,14 +183,14 @@
 
         """
         self.state.quotas.take_over(self.now(), used)
-        self._notifier.open_tokens(self.now())
+        self._notifier.open_requester(self.now())
 
     # Configuration.
 
     def reload(self) -> None:
         """Read the cluster file again and apply it; an invalid file is rejected and changes nothing."""
         try:
-            configuration = self._local_node.read_changed_file(present=self.configuration)
+            configuration = self._local_node.read_changed_file(current=self.configuration)
         except InvalidInputError as error:
             self._counters.add(ClusterCounter.FILE_REJECTED)
             log.error("cluster_file_rejected", reason=str(error))  # noqa: TRY400  the reason is complete
--- a/tests/cluster/test_cluster_file.py
+++ b/tests/cluster/test_cluster_file.py
@@ -46,34 +46,36 @@
         ({"nodes": [ENTRY, {**OTHER, "key": KEYS["a"].hex()}]}, "nodes[1].key"),
     ],
 )
-def test_a_faulty_file_gets_one_line_that_names_the_key(change: dict[str, Any], expected_key: str) -> None:
+def test_error_for_invalid_file_is_one_line_that_names_the_key(
+    change: dict[str, Any], expected_key: str
+) -> None:
     """An error that does not name the key in one line would leave operators to search the file for it."""
     with pytest.raises(InvalidInputError) as error:
         parse_cluster(cluster_table(**change), "cluster")
     assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_keys_are_made_checked_and_refused(tmp_path: Path) -> None:
+def test_secret_key_is_created_privately_and_checked_against_the_cluster_file(tmp_path: Path) -> None:
     """With a wrong secret key a node must not start: the other nodes would drop all its messages."""
-    public = create_secret(tmp_path / "a.key")
+    public_key = create_secret(tmp_path / "a.key")
     secret = read_secret(tmp_path / "a.key")
     assert (tmp_path / "a.key").stat().st_mode & 0o077 == 0, "only the owner may read the secret key"
     signer = parse_signer(secret)
-    assert signer is not None and signer.public_key.hex() == public
+    assert signer is not None and signer.public_key.hex() == public_key
     with pytest.raises(InvalidInputError, match="can't be written"):
         create_secret(tmp_path / "a.key")
     cluster = parse_cluster(cluster_table(), "cluster")
     assert own_signer(cluster, "a", SECRETS["a"].hex()).public_key == KEYS["a"]
-    for name, key, reason in (
+    for name, key_text, reason in (
         ("x", SECRETS["a"].hex(), "not among"),
         ("a", secret, "not the one"),
         ("a", "q", "32"),
     ):
         with pytest.raises(InvalidInputError, match=reason):
-            own_signer(cluster, name, key)
+            own_signer(cluster, name, key_text)
 
 
-def test_the_example_is_in_order_and_serve_wants_a_key(tmp_path: Path) -> None:
+def test_example_file_is_valid_and_cluster_key_prints_a_public_key(tmp_path: Path) -> None:
     """An example file or a printed public key that is invalid would stop operators who copy it."""
     example = Path(__file__).parents[2] / "deploy" / "cluster.example.toml"
     result = CliRunner().invoke(cli, ["check", "--cluster", str(example)])
@@ -82,7 +84,7 @@
     assert result.exit_code == 0 and len(result.stdout.strip()) == 64
 
 
-def test_a_node_without_a_cluster_loads_nothing_of_it() -> None:
+def test_node_without_a_cluster_imports_no_cluster_module() -> None:
     """An import of the cluster at the top of a module would require its libraries on every node."""
     code = "import sys, larchlatch.__main__; print([m for m in sys.modules if 'cluster' in m or m == 'nacl'])"
     process = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, env={**os.environ})
@@ -126,7 +128,7 @@
     assert expected_key in str(error.value) and "\n" not in str(error.value)
 
 
-def test_a_new_file_that_can_not_be_followed_is_refused_with_its_key() -> None:
+def test_file_that_a_running_node_can_not_apply_is_rejected_with_its_key() -> None:
     """If two electors changed at once, majorities before and after could elect two holders of one role."""
     before = cluster_with_electors("n0", "n1", "n2")
     check_transition(cluster_with_electors("n0", "n1", "n3"), before=before)
--- a/tests/cluster/test_datagrams.py
+++ b/tests/cluster/test_datagrams.py
@@ -26,12 +26,12 @@
 )
 
 
-def test_what_can_not_be_used_is_dropped_and_counted_by_cause() -> None:
+def test_invalid_datagram_is_dropped_and_counted_by_reason() -> None:
     """Anyone can send to the UDP port: an invalid datagram must change nothing and show up in its counter."""
     good = ManualNode("b").next_datagram()
     body = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
     forged = encode_datagram([SignedMessage(body, Signer(SECRETS["c"]).sign(body))])
-    stranger = encode_body(NodeRecord("x", WALL_US, 1, WALL_US, False, b""))
+    unknown_member = encode_body(NodeRecord("x", WALL_US, 1, WALL_US, False, b""))
     cases = [
         (b"", DropReason.EMPTY),
         (bytes(MAX_DATAGRAM_BYTES + 1), DropReason.TOO_LONG),
@@ -40,7 +40,7 @@
         (encode_datagram([SignedMessage(b"", bytes(64))]), DropReason.MALFORMED),
         (encode_datagram([SignedMessage(body, b"short")]), DropReason.MALFORMED),
         (encode_datagram([]), DropReason.MALFORMED),
-        (encode_datagram([SignedMessage(stranger, bytes(64))]), DropReason.UNKNOWN_MEMBER),
+        (encode_datagram([SignedMessage(unknown_member, bytes(64))]), DropReason.UNKNOWN_MEMBER),
         (forged, DropReason.INVALID_SIGNATURE),
         (
             ManualNode("b", wall=WALL_US - 86_400_000_000).next_datagram(wall=WALL_US - 86_400_000_000),
@@ -49,16 +49,16 @@
         (ManualNode("b").next_datagram(wall=WALL_US + 2 * MAX_CLOCK_DIFFERENCE_US), DropReason.IN_THE_FUTURE),
     ]
     node = ManualNode("a")
-    for data, why in cases:
-        before = node.drop_count(why)
+    for data, reason in cases:
+        before = node.drop_count(reason)
         assert node.exchange.receive(data, now=0, wall=WALL_US).changes == []
-        assert node.drop_count(why) == before + 1, why
+        assert node.drop_count(reason) == before + 1, reason
     assert node.members.is_alone, "no invalid datagram may make a member present"
     assert node.exchange.unknown_version == VERSION + 1, "the unknown version is kept for the log"
     assert node.exchange.receive(good, now=0, wall=WALL_US).changes != []
 
 
-def test_yesterdays_datagrams_and_twice_the_same_are_no_news() -> None:
+def test_repeated_or_older_record_is_not_accepted() -> None:
     """A repeated or delayed record that counted as news would keep a member present that no longer runs."""
     node, other = ManualNode("a"), ManualNode("b")
     first, second = other.next_datagram(), other.next_datagram()
@@ -68,14 +68,16 @@
     assert node.counts["cluster_records_accepted"] == 1 and node.counts["cluster_records_known"] == 2
 
 
-def test_nobody_speaks_for_another() -> None:
-    """A faulty member signs with its own key a record of another member, which says that it shuts down."""
+def test_record_signed_by_another_member_is_dropped() -> None:
+    """A faulty member signs with its own key a record of another member that says that it shuts down."""
     signer, node = Signer(SECRETS["b"]), ManualNode("a")
     run_heartbeats([node, ManualNode("c", seed=2)], 0, 4)
     before = node.members.members["c"].record
-    body = encode_body(NodeRecord("c", WALL_US + 9, 99, WALL_US, True, b""))
-    own = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
-    data = encode_datagram([SignedMessage(own, signer.sign(own)), SignedMessage(body, signer.sign(body))])
+    forged = encode_body(NodeRecord("c", WALL_US + 9, 99, WALL_US, True, b""))
+    own_record = encode_body(NodeRecord("b", WALL_US, 1, WALL_US, False, b""))
+    data = encode_datagram(
+        [SignedMessage(own_record, signer.sign(own_record)), SignedMessage(forged, signer.sign(forged))]
+    )
     node.exchange.receive(data, now=0, wall=WALL_US)
     assert node.members.members["c"].record == before and node.state("c") is MemberState.PRESENT
     assert node.drop_count(DropReason.INVALID_SIGNATURE) == 1 and node.state("b") is MemberState.PRESENT
