--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -1,4 +1,4 @@
-"""Races of a client: it leaves, or sends more, during another event. Each race is forced."""
+"""Races between other events and a client that leaves or sends more. Each test forces its race."""
 
 from __future__ import annotations
 
@@ -39,21 +39,24 @@
 )
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-# Closing a connection over unread bytes.
+# Closing a connection while it has unread data.
 
 
 @pytest.mark.parametrize("first", [b"nonsense\r\n", b"OPEN a\r\n", b"x" * 5000, b"OPEN half"])
 def test_an_answer_arrives_although_unread_bytes_follow_the_request(
     first: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They arrive between the reading of the request and its answer."""
+    """A close with unread data resets the connection, and the client loses its answer.
+
+    The unread data arrives after the node has read the request and before it sends the answer.
+    """
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
-    real = stream.Lines.send
+    original = stream.Lines.send
 
     async def send(lines: stream.Lines, data: bytes) -> bool:
         clients[0].sendall(b"more and more\r\n" * 100)
-        return await real(lines, data)
+        return await original(lines, data)
 
     monkeypatch.setattr(stream.Lines, "send", send)
 
@@ -68,6 +71,8 @@
 
 
 def test_a_session_shed_unread_gets_its_complete_answer() -> None:
+    """A close while the client still sends would reset the connection, and the answer would be lost."""
+
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             client = connect_raw(server.getsockname()[1], request_line("a"))
@@ -88,7 +93,10 @@
 def test_a_client_whose_end_follows_other_bytes_counts_as_gone(
     client_connections: list[ClientConnections],
 ) -> None:
-    """It continues a session, sends more lines, and leaves while its session is held."""
+    """A node that sees the end only after the data before it makes an attempt for a client that has left.
+
+    The client continues a session, sends more lines, and leaves while its session is held.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -107,7 +115,7 @@
             await wait_until_idle(client_connections[0])
         client_connections[0]._balancer_actor.handle(now_us(), EndpointsChanged(endpoint_changes(rows), True))
         assert await (await open_session(port)).line() == b"UP r1\r\n"
-        assert len(upstreams.lines) == 1, "an attempt for a client that had left"
+        assert len(upstreams.lines) == 1, "an attempt was made for a client that had left"
 
     run_on_loopback(body)
 
@@ -116,7 +124,10 @@
 def test_no_attempt_is_sent_for_a_client_that_left_after_the_decision(
     unread: bytes, client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its end has arrived, but is not read yet, when the connection to the upstream is established."""
+    """An attempt after the client's end would establish a session without a client.
+
+    The client's end arrives, and is not read yet, while the node connects to the upstream.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -143,12 +154,13 @@
 def test_a_client_that_leaves_before_its_decision_causes_no_attempt(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    gate = anyio.Event()
-    real = Mailbox.submit
+    """A request that waits while the mailbox is full must be dropped when its client leaves."""
+    mailbox_has_room = anyio.Event()
+    original = Mailbox.submit
 
     async def submit(mailbox: Mailbox, message: Any) -> None:
-        await gate.wait()  # while the mailbox is full
-        await real(mailbox, message)
+        await mailbox_has_room.wait()  # while the mailbox is full
+        await original(mailbox, message)
 
     monkeypatch.setattr(Mailbox, "offer", lambda mailbox, message: False)
     monkeypatch.setattr(Mailbox, "submit", submit)
@@ -164,7 +176,7 @@
         client.close()
         with anyio.fail_after(SOON_S):
             await wait_until(lambda: client_connections[0].sessions.open_count == 0)
-        gate.set()
+        mailbox_has_room.set()
         await wait_until_idle(client_connections[0])
         assert not upstreams.lines
 
@@ -174,6 +186,8 @@
 def test_a_session_without_a_decision_is_answered_in_time(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A client must not wait beyond its deadline when the mailbox stays full and no decision is made."""
+
     async def submit(mailbox: Mailbox, message: Any) -> None:
         await anyio.sleep_forever()
 
@@ -200,26 +214,32 @@
 def test_idle_clients_with_all_descriptors_block_neither_discovery_nor_operators(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They arrive while discovery is down; later its changes are followed, and a client is served."""
+    """Idle clients that take all descriptors could leave none for discovery and the admin API.
+
+    They connect while discovery is down. The admin API must answer, and once discovery is up again, the node
+    must apply its list and serve clients.
+    """
     monkeypatch.setattr(node_run, "FIRST_LIST_WAIT_S", 0.1)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 2)
         closed = socket.create_server(("127.0.0.1", 0))
-        port = closed.getsockname()[1]
+        discovery_port = closed.getsockname()[1]
         closed.close()
-        raw = node_configuration(upstreams.addresses[:1], port)
+        raw = node_configuration(upstreams.addresses[:1], discovery_port)
         raw["limits"] = {"sockets": HEADROOM + 24}
         raw["control"] = admin_address()
-        at = await start_node(tasks, raw)
-        idle = [connect_raw(at, b"") for _ in range(60)]
+        node_port = await start_node(tasks, raw)
+        idle = [connect_raw(node_port, b"") for _ in range(60)]
         await wait_until(lambda: client_connections[0].counters.counts["idle_connection_evicted_silent"] > 0)
         assert (await call_admin_api(raw["control"], "GET /ops/readiness"))[0] == 200
         rows = [
             endpoint_row(0, upstreams.addresses[0], "terminating"),
             endpoint_row(1, upstreams.addresses[1]),
         ]
-        listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port, reuse_port=True)
+        listener = await anyio.create_tcp_listener(
+            local_host="127.0.0.1", local_port=discovery_port, reuse_port=True
+        )
 
         async def serve(session: SocketStream) -> None:
             async with session:
@@ -232,7 +252,7 @@
         tasks.start_soon(listener.serve, serve)
         await wait_until(lambda: client_connections[0].counters.counts["endpoint_list_full"] == 1)
         for _ in range(5):
-            assert await (await open_session(at)).line() == b"UP r1\r\n"
+            assert await (await open_session(node_port)).line() == b"UP r1\r\n"
         assert {upstream for upstream, _ in upstreams.lines} == {1}
         for client in idle:
             client.close()
@@ -241,7 +261,10 @@
 
 
 def test_many_nodes_that_start_at_once_are_ready_in_time(tmp_path: Path) -> None:
-    """Thirty processes start while discovery can't be reached."""
+    """Nodes that start together compete for processor time, which must not delay their readiness for long.
+
+    Thirty processes start while discovery can't be reached; 27 of them must be ready within 10 s.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         path = tmp_path / "node.json"
@@ -253,9 +276,9 @@
             async with node_process(path):
                 ready.append(anyio.current_time() - began)
 
-        async with anyio.create_task_group() as herd:
+        async with anyio.create_task_group() as starts:
             for _ in range(30):
-                herd.start_soon(start)
+                starts.start_soon(start)
         assert sorted(ready)[26] < 10.0
 
     run_on_loopback(body)
