--- a/larchlatch/cluster/driver.py
+++ b/larchlatch/cluster/driver.py
@@ -122,7 +122,7 @@
 
     def _heartbeat(self) -> None:
         result = self._exchange.heartbeat(now=self._now(), wall=wall_us())
-        self._events.member_changes(result.changes)
+        self._events.log_member_changes(result.changes)
         self._log_orders([])
         # The balancer has to stop using its slow-start turns before datagrams promise them to the issuer.
         self._notifier.send_tokens(result.token_updates, self._now())
@@ -138,7 +138,7 @@
 
     def apply(self, result: ExchangeResult) -> None:
         """Carry out the result of a received datagram or of a request: log, send and notify the balancer."""
-        self._events.member_changes(result.changes)
+        self._events.log_member_changes(result.changes)
         self._log_orders(result.orders)
         self._send(result.datagrams)
         self._notifier.send_tokens(result.token_updates, self._now())
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -25,7 +25,7 @@
 
 
 class ClusterEventLog:
-    """Writes log events and counts them; a lasting condition is logged only when it begins and ends."""
+    """Writes log events and updates counters; a lasting condition is logged only when it begins and ends."""
 
     def __init__(self, node_counters: Counters) -> None:
         self._counters = node_counters
@@ -33,7 +33,7 @@
         self._files_differ = False
         self._unknown_version_logged = False
 
-    def member_changes(self, changes: Iterable[MemberChange]) -> None:
+    def log_member_changes(self, changes: Iterable[MemberChange]) -> None:
         """Log and count the members whose state has changed, each with its new state."""
         for change in changes:
             self._counters.add(member_state_counter(change.state))
--- a/tests/loadtest/test_cluster_observer.py
+++ b/tests/loadtest/test_cluster_observer.py
@@ -50,7 +50,7 @@
     service.update_endpoints(["h-3"], slow_start_us=0, overload_window_us=0)
     [upstream] = service.upstreams
     with service._socket, capture_logs() as lines:
-        service._events.member_changes([MemberChange("n1", MemberState.PRESENT)])
+        service._events.log_member_changes([MemberChange("n1", MemberState.PRESENT)])
         service._notifier.send_advice(EjectionAdvice([], [ReportedFailure(upstream, 2)], [upstream]))
         service.state.election._candidate_side._events.append(
             RoleEvent(QUOTA_ALLOCATOR, RoleChange.HELD, 7, RoleChangeReason.VACANT)
