--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -1,4 +1,4 @@
-"""Races of an attempt: it ends, or its conditions change, during another event. Each race is forced."""
+"""Races of an attempt with events that end it or change its conditions. Each test forces its race."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 )
 from tests.support.stand_ins import UpstreamStubs
 
-# An attempt between the decision and its sending.
+# Events between the decision on an attempt and the sending of its request.
 
 
 def drain_upstream(harness: ActorHarness, record: SessionRecord) -> None:
@@ -59,16 +59,18 @@
 def test_nothing_is_sent_if_a_condition_fails_while_connecting(
     change: Callable[[ActorHarness, SessionRecord], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A check before connecting alone would miss that the attempt must not be sent any more."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness, record = ActorHarness(upstreams.addresses[0]), make_record()
 
-        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+        async def dial_and_change(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             connection = await dialing.dial(address, within_s)
             change(harness, record)
             return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        monkeypatch.setattr(node_attempts, "dial", dial_and_change)
         assert await harness.attempt(record) is Outcome.NOT_SENT
         assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
@@ -78,17 +80,19 @@
 def test_nothing_is_sent_on_a_connection_established_after_the_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """An attempt sent after its timeout could run although the balancer has given it up."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         harness = ActorHarness(upstreams.addresses[0])
-        late = now_us() + 30_000
+        timed_out_at = now_us() + 30_000
 
-        async def dial_with_event(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
+        async def dial_too_late(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
             connection = await dialing.dial(address, within_s)
-            await wait_until(lambda: now_us() > late)
+            await wait_until(lambda: now_us() > timed_out_at)
             return connection
 
-        monkeypatch.setattr(node_attempts, "dial", dial_with_event)
+        monkeypatch.setattr(node_attempts, "dial", dial_too_late)
         assert await harness.attempt(make_record(), 20_000) is Outcome.NOT_SENT
         assert not upstreams.lines and harness.descriptors.free == harness.descriptors.capacity
 
@@ -96,7 +100,11 @@
 
 
 def test_a_request_line_not_written_completely_is_a_failed_connection() -> None:
-    """Reset before its last byte, an attempt may be repeated in any traffic class; later it may have run."""
+    """Only a request that was written completely may have run.
+
+    If the upstream resets the connection before the last byte, the attempt may be repeated in any traffic
+    class. A reset after the last byte must not count as a failed connection, or the request could run twice.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -105,18 +113,18 @@
             upstream, _ = server.accept()
         with connection, upstream:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            ended: list[bool] = []
+            results: list[bool] = []
 
             async def write() -> None:
-                ended.append(await dialing.send_all(connection, b"x" * 10_000_000))
+                results.append(await dialing.send_all(connection, b"x" * 10_000_000))
 
             tasks.start_soon(write)
             await anyio.wait_readable(upstream)
-            assert not ended
+            assert not results
             upstream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
             upstream.close()
-            await wait_until(lambda: bool(ended))
-            assert ended == [False]
+            await wait_until(lambda: bool(results))
+            assert results == [False]
         upstreams = await UpstreamStubs("reset").start(tasks)
         assert await ActorHarness(upstreams.addresses[0]).attempt(make_record()) is Outcome.RESET
 
@@ -124,19 +132,19 @@
 
 
 def open_descriptor_count() -> int:
-    gc.collect()  # objects that other tests have left
+    gc.collect()  # closes sockets of objects that other tests have left unreferenced
     return len(os.listdir("/proc/self/fd"))
 
 
 @pytest.mark.parametrize("cancelled", [False, True])
 def test_connecting_leaves_no_descriptor_open(cancelled: bool) -> None:
-    """Ended by timeout and by cancellation, while it connects and just as it has connected."""
+    """Guards against a leaked socket if connecting times out, or is cancelled during or right after it."""
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0), backlog=0) as server:
             address = server.getsockname()[:2]
-            filler = [socket.socket() for _ in range(4)]
-            for sock in filler:
+            backlog_fillers = [socket.socket() for _ in range(4)]
+            for sock in backlog_fillers:
                 sock.setblocking(False)
                 sock.connect_ex(address)
             before = open_descriptor_count()
@@ -146,7 +154,7 @@
             else:
                 assert await dialing.dial(address, 0.05) is Unconnected.CONNECT_FAILED
             assert open_descriptor_count() == before
-            for sock in filler:
+            for sock in backlog_fillers:
                 sock.close()
         with socket.create_server(("127.0.0.1", 0)) as server, anyio.CancelScope() as scope:
             before = open_descriptor_count()
@@ -160,12 +168,12 @@
 def test_an_established_connection_is_used_although_the_event_loop_lagged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timeout is over when the event loop runs again, but the upstream had accepted the connection."""
+    """The upstream has accepted in time, but the event loop runs again only after the timeout: no failure."""
 
-    async def never(sock: socket.socket) -> None:
+    async def never_writable(sock: socket.socket) -> None:
         await anyio.sleep_forever()
 
-    monkeypatch.setattr(anyio, "wait_writable", never)
+    monkeypatch.setattr(anyio, "wait_writable", never_writable)
 
     async def body(tasks: TaskGroup) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
@@ -177,6 +185,8 @@
 
 
 def test_an_unknown_name_and_a_refusal_give_no_connection() -> None:
+    """Guards against an exception of the system that leaves `dial` in place of CONNECT_FAILED."""
+
     async def body(tasks: TaskGroup) -> None:
         assert await dialing.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
         assert await dialing.dial(("no.such.name.invalid", 1), 5.0) is Unconnected.CONNECT_FAILED
@@ -184,7 +194,7 @@
     run_on_loopback(body)
 
 
-# Answers that arrive as the attempt ends.
+# Answers that arrive while the attempt ends.
 
 
 @pytest.mark.parametrize(
@@ -199,6 +209,8 @@
     ],
 )
 def test_an_attempt_has_one_outcome_whatever_lines_follow(chunks: list[bytes], expected: Outcome) -> None:
+    """Guards against a second outcome or an open connection if more lines follow or a line comes in parts."""
+
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
             for chunk in chunks:
@@ -224,7 +236,7 @@
 
 @pytest.mark.parametrize("remaining", [b"1\r\n", None])
 def test_an_answer_completed_after_the_deadline_does_not_count(remaining: bytes | None) -> None:
-    """The first piece arrives in time, the second too late or never: the client gets neither."""
+    """The first part of the line arrives in time, the rest too late or never: the client gets neither."""
 
     async def body(tasks: TaskGroup) -> None:
         timed_out = anyio.Event()
@@ -246,10 +258,10 @@
     run_on_loopback(body)
 
 
-def test_an_answer_during_cancellation_is_delivered_or_leaves_nothing(
+def test_an_answer_during_cancellation_is_delivered_or_its_connection_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer was read when the attempt is cancelled: there is one outcome, and nothing stays open."""
+    """The attempt is cancelled just after it has read its answer: one outcome, and no descriptor leaks."""
 
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
@@ -257,15 +269,15 @@
 
         upstream = await ScriptedUpstream().start(tasks, answer)
         harness, record = ActorHarness(upstream.named), make_record("rerun")
-        real = stream.Lines.line
+        original_line = stream.Lines.line
 
-        async def line(lines: stream.Lines) -> Any:
-            got = await real(lines)
+        async def line_then_cancel(lines: stream.Lines) -> Any:
+            result = await original_line(lines)
             assert record.attempt_scope is not None
             record.attempt_scope.cancel()
-            return got
+            return result
 
-        monkeypatch.setattr(stream.Lines, "line", line)
+        monkeypatch.setattr(stream.Lines, "line", line_then_cancel)
         outcome = await harness.attempt(record)
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
         if isinstance(record.final_answer, Delivered):
@@ -280,6 +292,8 @@
 def test_a_second_line_cancels_the_attempt_and_none_follows(
     client_connections: list[ClientConnections],
 ) -> None:
+    """A client that sends a second line before its answer is rejected; its attempt must not continue."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent", "UP r1").start(tasks, 3)
         port = await start_node_with(tasks, upstreams)
