--- a/larchlatch/emulator/__init__.py
+++ b/larchlatch/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The emulator: plays scenarios as a discrete-event simulation, with the real decisions of nodes."""
+"""Runs scenarios as discrete-event simulations that use the production decision code of nodes."""
--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -1,4 +1,4 @@
-"""Baseline policies: simple choices of an upstream, for comparison with the balancer."""
+"""Defines the policies of simulated nodes: the balancer, and simple baselines to compare it with."""
 
 from __future__ import annotations
 
@@ -30,14 +30,14 @@
 if TYPE_CHECKING:
     from larchlatch.policy.upstream import Candidates, Upstream
 
-HOLD_US = 50_000  # between two looks for a ready upstream
+HOLD_US = 50_000  # a held session is placed again after this time
 PROBE_INTERVAL_US = 1_000_000
 RETRY_AFTER_US = 200_000  # advised to clients whose sessions are shed
-NEVER_US = 3_600_000_000  # where nothing falls due by itself
+NEVER_US = 3_600_000_000  # the wait of a policy without timed actions
 
 
 class Policy(Protocol):
-    """The calls of a node's driver to its policy."""
+    """The decisions that a simulated node requests from its policy, and the observations that it reports."""
 
     def place(self, now: int, session: Session) -> Answer:
         """Return an upstream for a session, or that it is held, or its final answer."""
@@ -48,33 +48,41 @@
         ...
 
     def due_actions(self, now: int) -> DueActions:
-        """Return what falls due now, and how long until the next does."""
+        """Return the actions that are due now, and the time until the next one is due."""
         ...
 
     def update_endpoints(
         self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, from_discovery: bool
     ) -> None:
-        """Update the endpoints from the whole list or from changes."""
+        """Apply an endpoint list, or changes to it.
+
+        Args:
+            now: The time, in microseconds.
+            endpoints: The endpoints.
+            whole: Whether they are the whole list rather than changes to it.
+            from_discovery: Whether discovery sent them, rather than a former process of this node.
+
+        """
         ...
 
     def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
-        """Record the result of a probe of an upstream, by its number."""
+        """Record the result of a probe of the upstream with this number."""
         ...
 
     def record_load(self, now: int, session: Session, load: float) -> None:
-        """Record the load of an established session."""
+        """Record the present load of an established session, in microseconds of work per second."""
         ...
 
     def record_delay(self, now: int, session: Session, delay_us: int) -> None:
-        """Record the latency of messages on an established session."""
+        """Record the message latency of an established session, in microseconds."""
         ...
 
     def record_unresponsive(self, now: int, number: int) -> None:
-        """Record that an upstream does not answer messages."""
+        """Record that an upstream has stopped answering messages."""
         ...
 
     def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None:
-        """Record a slow-start token, and the time until which the issuer is in charge."""
+        """Record until when a token issuer allots slow-start budgets, and a token if it issued one."""
         ...
 
     def remove_session(self, session: Session) -> None:
@@ -86,14 +94,14 @@
 
 
 class BaselinePolicy:
-    """Keeps the rules on sessions and drains; subclasses choose the upstream.
+    """Implements the rules on retries, deadlines and drains; subclasses choose the upstream.
 
     Attributes:
         settings: The deployment settings.
         rng: Source of random choices.
-        ready: The ready upstreams, by number.
-        utilizations: Load over capacity of each upstream, as last probed.
-        sent_since_probe: Sessions that were sent to each upstream since.
+        ready: The endpoints of the ready upstreams, by number.
+        utilizations: Load over capacity of each upstream at its last answered probe, by number.
+        sent_since_probe: How many sessions were sent to each upstream since its last probe, by number.
 
     """
 
@@ -145,7 +153,7 @@
         return Nothing() if answered else self.place(now, session)
 
     def due_actions(self, now: int) -> DueActions:
-        """Return the probes that are due, and how long until the next are."""
+        """Return the probes that are due, and the time until the next ones are due."""
         probes: list[int] = []
         if self.uses_probes and now >= self._next_probe_at:
             self._next_probe_at = now + PROBE_INTERVAL_US
@@ -158,7 +166,7 @@
     def update_endpoints(
         self, now: int, endpoints: Iterable[Endpoint], *, whole: bool, from_discovery: bool
     ) -> None:
-        """Update the endpoints from the whole list or from changes."""
+        """Apply an endpoint list, or changes to it."""
         if whole:
             self.ready.clear()
         for endpoint in endpoints:
@@ -168,20 +176,20 @@
                 self.ready.pop(endpoint.upstream, None)
 
     def record_probe(self, now: int, number: int, probe: ProbeResult) -> None:
-        """Record the result of a probe of an upstream, by its number."""
+        """Record the result of a probe of the upstream with this number."""
         self.sent_since_probe[number] = 0
         if probe.utilization is not None:
             self.utilizations[number] = probe.utilization
 
     def record_load(self, now: int, session: Session, load: float) -> None:
-        """Record the load of an established session."""
+        """Record the present load of an established session, in microseconds of work per second."""
         session.load = load
 
     def record_delay(self, now: int, session: Session, delay_us: int) -> None:
-        """Ignore the latency of messages."""
+        """Ignore the message latency."""
 
     def record_unresponsive(self, now: int, number: int) -> None:
-        """Ignore unresponsive upstreams."""
+        """Ignore that an upstream has stopped answering messages."""
 
     def record_token(self, now: int, issuer_until: int, token: Token | None = None) -> None:
         """Ignore slow-start tokens."""
@@ -191,10 +199,10 @@
 
 
 class RandomPolicy(BaselinePolicy):
-    """Chooses at random."""
+    """Chooses a ready upstream at random."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
-        """Return any upstream."""
+        """Return a random upstream."""
         return self.rng.choice(upstreams)
 
 
@@ -204,7 +212,10 @@
     uses_probes = True
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
-        """Return the least loaded upstream; sessions that were sent since the probe count a little."""
+        """Return the upstream with the lowest estimated utilization.
+
+        The estimate is the utilization at the last probe, plus 0.001 for each session sent since then.
+        """
         return min(upstreams, key=self._rank)
 
     def _rank(self, upstream: int) -> tuple[float, int]:
@@ -213,16 +224,16 @@
 
 
 class MasterSelector(UpstreamSelector):
-    """Selects the ring's master alone."""
+    """Selects only the master, which is the first of a session's two candidates on the ring."""
 
     def choose(self, now: int, session: Session, candidates: Candidates) -> Upstream | None:
-        """Return the master, if it may take the session."""
+        """Return the master; None if there is none or its slow-start budget does not allow the session."""
         first = candidates.pair[0] if candidates.pair else None
         return first if first is not None and self.slow_start.may_take(now, first, session) else None
 
 
 class MasterOnlyPolicy(Balancer):
-    """The balancer without its second candidate."""
+    """The balancer, restricted to the master of each session's two candidates."""
 
     def __init__(self, settings: DeploymentSettings, rng: Random) -> None:
         super().__init__(settings, rng)
--- a/larchlatch/emulator/clients.py
+++ b/larchlatch/emulator/clients.py
@@ -1,4 +1,4 @@
-"""The simulated clients: their arrivals, sessions and retries."""
+"""Simulates the clients: their arrivals, sessions, retries and reconnects."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
     from larchlatch.emulator.session_table import ForwardedSession
     from larchlatch.scenario.clients import Client
 
-FORWARDED_RETRY_US = SECOND  # after which a forwarded session that finds no node is tried again
+FORWARDED_RETRY_US = SECOND  # pause after a forwarded session has found no running node
 
 
 class ClientPopulation:
     """The clients of a simulation.
 
     Attributes:
-        is_entry: Whether clients are sent to a node, by its number.
+        is_entry: Whether clients connect to a node, by the node's number.
 
     """
 
@@ -47,7 +47,7 @@
     # Arrival.
 
     def schedule_arrivals(self, clients: Iterator[Client]) -> None:
-        """Schedule the arrival of the next of these clients; each arrival schedules the following one."""
+        """Schedule the arrival of the next of these clients; each arrival schedules the next one."""
         client = next(clients, None)
         if client is not None:
             clock = self._context.clock
@@ -67,8 +67,8 @@
 
         Args:
             client: The client.
-            forwarded: The session that an upstream still holds, if packets of an established session now
-                arrive through another node.
+            forwarded: The earlier session of this client, whose node died. Set if the upstream still holds
+                it and the client's packets now arrive through another node.
 
         """
         if client.done or self._now >= min(client.ends_at, self._context.end):
@@ -76,7 +76,7 @@
             return
         client.sessions += 1
         if client.rejections == 0 and forwarded is None and client.sessions > 1:
-            client.due = self._now  # the time to its next session counts from now
+            client.due = self._now  # the setup time of this session is measured from now
         node = self._entry_node(client)
         if node is not None and node.is_alive:
             self._request_session(client, node, forwarded)
@@ -92,7 +92,7 @@
             self._sessions.release(forwarded.upstream, forwarded.session, client)
 
     def _entry_node(self, client: Client) -> SimulatedNode | None:
-        """Return the node that a client connects to: one of its zone, or any node if there is none."""
+        """Return the node that a client connects to: one in its zone, or any node if its zone has none."""
         entries = [node for node in self._context.nodes if self.is_entry[node.number]]
         nodes = [node for node in entries if node.zone == client.zone] or entries
         if not nodes:
@@ -135,7 +135,7 @@
     # Clients of a paused node.
 
     def limit_patience(self, record: SessionRecord, node: SimulatedNode) -> None:
-        """Schedule that a client leaves at its deadline if its node is still paused then."""
+        """Schedule that a client gives up at its deadline if its node is still paused then."""
         deadline = record.session.deadline
         self._context.clock.schedule(deadline, Priority.WORLD, self._leave_unanswered, record, node)
 
@@ -155,7 +155,7 @@
     # Retries and reconnects.
 
     def _retry(self, client: Client, retry_after_us: int) -> None:
-        """Schedule the return of a rejected client: as it was advised, or after a random pause."""
+        """Schedule the retry of a rejected client: after the advised pause, or a random one if that is 0."""
         client.rejections += 1
         if client.rejections > self._demand.max_retries:
             self._context.figures.counts[SessionEvent.ABANDONED] += 1
@@ -168,22 +168,28 @@
         self._context.clock.schedule(retry_at, Priority.WORLD, self.connect, client)
 
     def reconnect(self, client: Client) -> None:
-        """Schedule the return of a client whose session was dropped or migrated."""
+        """Schedule that a client whose session has ended requests a new one after a random pause."""
         client.rejections = 0
         draw = self._context.streams.draw("return", client.number, client.sessions)
         pause_us = MIN_RECONNECT_US + round((MAX_RECONNECT_US - MIN_RECONNECT_US) * draw)
         self._context.clock.schedule(self._now + pause_us, Priority.WORLD, self.connect, client)
 
-    # Answers of nodes.
+    # Answers that nodes send to their clients.
 
     def on_shed(self, record: SessionRecord, retry_after_us: int) -> None:
-        """Handle the answer that nothing was executed, with an advised pause or 0."""
+        """Handle the answer that nothing was executed.
+
+        Args:
+            record: The session.
+            retry_after_us: The advised pause before a retry, in microseconds; 0 for no advice.
+
+        """
         self._context.figures.counts[SessionEvent.SHED] += 1
         self._context.trace.record("shed", record.session.number, retry_after_us)
         self._take_rejection(record, retry_after_us, shed=True)
 
     def on_failed(self, record: SessionRecord) -> None:
-        """Handle the answer that a session failed."""
+        """Handle the answer that a session failed and that an attempt may have been executed."""
         self._context.figures.counts[SessionEvent.FAILED] += 1
         self._context.trace.record("given up", record.session.number, 0)
         self._take_rejection(record, 0, shed=False)
@@ -195,7 +201,7 @@
         self._retry(record.client, retry_after_us)
 
     def on_established(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Handle an established session, and schedule its end."""
+        """Handle that a session is established, and schedule its end."""
         session, client, node = record.session, record.client, attempt.node
         self._context.trace.record("stands", session.number, attempt.upstream)
         self._context.rules.answered(self._now, session.number, shed=False)
@@ -225,12 +231,12 @@
         self.reconnect(record.client)
 
     def on_migrated(self, record: SessionRecord) -> None:
-        """Handle the request to reconnect, as an established session is migrated."""
+        """Handle a node's request to reconnect, by which it migrates an established session."""
         self.end_session(record, SessionEvent.MIGRATED)
         self.reconnect(record.client)
 
     def end_session(self, record: SessionRecord, reason: SessionEvent) -> None:
-        """End an established session at its upstream and count the reason."""
+        """Remove an established session from its upstream, and count the reason for its end."""
         number = record.session.number
         self._context.trace.record(reason.value, number)
         self._context.figures.counts[reason] += 1
--- a/larchlatch/emulator/clock.py
+++ b/larchlatch/emulator/clock.py
@@ -1,4 +1,4 @@
-"""The simulated clock, which advances from event to event."""
+"""Provides the simulated clock, which advances from event to event."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 class Priority(IntEnum):
     """The order of events that are due at the same microsecond."""
 
-    WORLD = 0  # what clients, upstreams, networks and faults do
-    NOTIFICATION = 1  # what nodes receive
+    WORLD = 0  # events of clients, upstreams, the network and faults
+    NOTIFICATION = 1  # deliveries to nodes
     TIMER = 2  # a node's own timers
-    CHECK = 3  # checks of what has happened
+    CHECK = 3  # checks of the rules, after all other events of that time
 
 
 class SimulationClock:
@@ -26,8 +26,8 @@
 
     Attributes:
         now: The present time, in microseconds.
-        scheduled_count: How many events were ever scheduled.
-        executed_count: How many of them were executed.
+        scheduled_count: How many events have been scheduled so far.
+        executed_count: How many events have been executed so far.
 
     """
 
@@ -38,16 +38,16 @@
         self._queue: list[tuple[int, int, int, Callable[..., None], tuple[Any, ...]]] = []
 
     def schedule(self, when: int, priority: Priority, action: Callable[..., None], *args: Any) -> None:
-        """Schedule a call of an action; a time in the past means now."""
+        """Schedule a call of an action; a time in the past is replaced by the present time."""
         self.scheduled_count += 1
         heapq.heappush(self._queue, (max(when, self.now), priority, self.scheduled_count, action, args))
 
     def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
-        """Schedule a call of an action, with the priority of the world, after a delay in seconds."""
+        """Schedule a call of an action after a delay in seconds, with `Priority.WORLD`."""
         self.schedule(self.now + us(delay_s), Priority.WORLD, action, *args)
 
     def run_until(self, end: int) -> None:
-        """Execute all events up to a time, including those that are scheduled meanwhile."""
+        """Execute all events due up to a time, including those scheduled meanwhile; advance to it."""
         queue = self._queue
         while queue and queue[0][0] <= end:
             self.now, _, _, action, args = heapq.heappop(queue)
--- a/larchlatch/emulator/cluster.py
+++ b/larchlatch/emulator/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated cluster: the members of all nodes and the paths of their datagrams."""
+"""Simulates a cluster: the members of all nodes, and the delivery of their datagrams."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 
 
 class SimulatedCluster:
-    """The members of all nodes, and their datagrams.
+    """Starts and stops the members of all nodes, and delivers their datagrams.
 
     Attributes:
-        checkers: The invariant checkers of the cluster.
+        checkers: The checkers of the cluster's invariants.
         members: The member of each node, by number.
-        clocks: The clock of each node, by number.
-        paths: The paths of datagrams.
-        counts: The members' counts of invalid datagrams, by reason.
-        bytes_sent: The size of all datagrams together.
-        decision_time_s: The processor time of all members' decisions.
+        clocks: The clock of each node, by number; clocks may drift.
+        paths: The partitions and impairments of the paths between nodes.
+        counts: How many datagrams the members have rejected as invalid, by reason.
+        bytes_sent: The total size of all datagrams sent, in bytes.
+        decision_time_s: The real time that all members' decisions and coding of datagrams took, in seconds.
 
     """
 
@@ -70,17 +70,17 @@
         )
 
     def number_of(self, name: str) -> int:
-        """Return the number of the node of this name."""
+        """Return the number of the node with this name."""
         return self._numbers[name]
 
     def count(self, kind: str) -> None:
-        """Count an invalid datagram by its reason."""
+        """Count an invalid datagram by the reason for which it was rejected."""
         self.counts[kind] = self.counts.get(kind, 0) + 1
 
     # Datagrams and advice.
 
     def carry(self, sender: int, receiver: int, data: bytes) -> None:
-        """Send a datagram from one node to another."""
+        """Send a datagram from one node to another; the state of the path may lose, delay or repeat it."""
         self.bytes_sent += len(data)
         zones, clock = self._context.scenario.zones, self._context.clock
         latency_us = self._context.topology.latency_us(sender % zones, receiver % zones)
@@ -92,7 +92,7 @@
         self.members[receiver].receive(data)
 
     def pass_on_advice(self, number: int, advice: EjectionAdvice) -> None:
-        """Pass other nodes' reports of failed upstreams to a node's balancer."""
+        """Pass advice that is based on other nodes' reports of failed upstreams to a node's balancer."""
         node = self._context.nodes[number]
         for upstream, _ in advice.failures:
             reachable = self._context.topology.reaches(node, self._context.upstreams[upstream])
@@ -119,33 +119,33 @@
     # Processes and cluster files.
 
     def kill(self, number: int) -> None:
-        """Kill a member's process."""
+        """Kill the process of a member."""
         self.members[number].is_alive = False
         for role in self.checkers.leaders:
             self.checkers.observe(RoleChanged(self._context.clock.now, role, node=number, held=False))
         self.observe_fleet()
 
     def restart(self, number: int) -> None:
-        """Start a member's new process."""
+        """Start a new process of a member."""
         self.members[number] = self._start_member(number)
         self.checkers.observe(NodeStarted(self._context.clock.now, number))
         self.observe_fleet()
 
     def pause(self, number: int) -> None:
-        """Pause a member's process."""
+        """Pause the process of a member."""
         self.members[number].is_paused = True
         self.observe_fleet()
 
     def resume(self, number: int) -> None:
-        """Continue a member's process."""
+        """Resume the process of a member."""
         self.members[number].resume()
 
     def remove_from_files(self, numbers: Iterable[int]) -> None:
-        """Remove nodes from the cluster file; members notice when they reread it."""
+        """Remove nodes from the cluster file; a member applies the change when it rereads the file."""
         self._removed.update(numbers)
 
     def reread_file(self, number: int) -> None:
-        """Make a running member reread its cluster file; others read it when they start."""
+        """Make a member reread its cluster file; one whose process has ended reads it at its next start."""
         self._settings = self._current_settings()
         member = self.members[number]
         if member.is_alive:
--- a/larchlatch/emulator/cluster_settings.py
+++ b/larchlatch/emulator/cluster_settings.py
@@ -1,4 +1,4 @@
-"""What the members of a simulated cluster read from their cluster files."""
+"""Builds the settings that the members of a simulated cluster would read from their cluster files."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
     from larchlatch.scenario.scenario import Scenario
 
-MAX_CLOCK_DIFFERENCE_US = 200_000  # by which the wall clocks of nodes may differ
+MAX_CLOCK_DIFFERENCE_US = 200_000  # largest assumed difference between the wall clocks of two nodes
 
 
 def member_name(number: int) -> str:
-    """Return the name of the node of this number."""
+    """Return the name of the node with this number."""
     return f"n{number}"
 
 
 def traffic_class_name(index: int) -> str:
-    """Return the name of a traffic class in the cluster file."""
+    """Return the name that the cluster file gives to the traffic class with this index."""
     return f"t{index}"
 
 
@@ -37,8 +37,8 @@
     Attributes:
         sites: The site of each member, by name.
         keys: The key of each member, by name.
-        quota_settings: The quotas, and how they are divided.
-        electorate: Who elects, for which roles.
+        quota_settings: The quotas, and how they are divided among the members.
+        electorate: The electors, the members and the roles that are elected.
 
     """
 
@@ -53,8 +53,8 @@
 
     Args:
         scenario: The scenario.
-        numbers: The nodes that the file names.
-        digest: Tells this file from others.
+        numbers: The numbers of the nodes that the file names.
+        digest: The digest of the file, by which members detect that their files differ.
 
     """
     names = [member_name(number) for number in numbers]
@@ -79,7 +79,7 @@
 
 
 def _electorate(scenario: Scenario, names: Sequence[str], digest: int) -> Electorate:
-    """Return the electorate: the first nodes, which belong to different sites."""
+    """Return the electorate; its electors are the first nodes, which belong to different sites."""
     cluster = scenario.cluster
     if not cluster.has_roles:
         return Electorate()
--- a/larchlatch/emulator/context.py
+++ b/larchlatch/emulator/context.py
@@ -1,4 +1,4 @@
-"""The state that all parts of a simulation share."""
+"""Holds the state that all components of a simulation share."""
 
 from __future__ import annotations
 
@@ -22,25 +22,25 @@
     from larchlatch.emulator.node import SimulatedNode
     from larchlatch.scenario.scenario import Scenario
 
-START_US = 1_000 * SECOND  # when a scenario begins: a time of 0 means long ago
+START_US = 1_000 * SECOND  # simulated time at which a scenario begins; a time of 0 stands for 'long ago'
 
 
 class SimulationContext:
-    """The scenario, its clock, randomness, network, upstreams, nodes and records.
+    """The scenario, and the clock, random streams, network, upstreams, nodes and records of its simulation.
 
     Attributes:
         scenario: The scenario.
-        clock: The clock.
-        end: The time at which the scenario ends.
-        streams: The source of all randomness.
-        trace: The trace.
+        clock: The simulated clock.
+        end: The simulated time at which the scenario ends.
+        streams: The seeded source of all random numbers.
+        trace: The trace of the simulation's events.
         traffic_classes: The settings of the clients' traffic classes.
         figures: Counts and times of sessions.
-        rules: The checker of the rules on sessions.
+        rules: The checks of the rules on sessions.
         slow_start: The checker of slow-start safety.
-        topology: The network.
+        topology: Latency and reachability between zones.
         upstreams: All upstreams, by number.
-        sessions: Established sessions.
+        sessions: The sessions that are established or held by an upstream.
         nodes: All nodes, by number.
 
     """
@@ -63,6 +63,6 @@
         self._last_id = 0
 
     def next_id(self) -> int:
-        """Return a new number for a session or a notification of discovery."""
+        """Return a new number for a session or for a delivery of the endpoint list."""
         self._last_id += 1
         return self._last_id
--- a/larchlatch/emulator/discovery.py
+++ b/larchlatch/emulator/discovery.py
@@ -1,4 +1,4 @@
-"""The simulated discovery service: nodes receive changes of the endpoint list late, but in order."""
+"""Simulates the discovery service, which delivers endpoint list changes to each node delayed but in order."""
 
 from __future__ import annotations
 
@@ -30,10 +30,10 @@
 
 
 class SimulatedDiscovery:
-    """The endpoint list, and its delivery to nodes.
+    """Keeps the endpoint list, and delivers it and its changes to nodes.
 
     Attributes:
-        endpoints: The list, by the upstreams' numbers.
+        endpoints: The endpoint list, by the upstreams' numbers.
         suspended_until: The time until which nothing is delivered.
 
     """
@@ -46,7 +46,7 @@
         }
         self.suspended_until = 0
         self._context = context
-        self._last_sent_at = [0] * context.scenario.nodes.count  # keeps each node's deliveries in order
+        self._last_sent_at = [0] * context.scenario.nodes.count  # by node; keeps its deliveries in order
 
     def change(self, upstream: SimulatedUpstream, state: EndpointState) -> None:
         """Change an upstream's entry, and send the change to all nodes."""
@@ -62,7 +62,7 @@
         self._send(node, list(self.endpoints.values()), whole=True)
 
     def forget_order(self, node: SimulatedNode) -> None:
-        """Deliver to a node's new process regardless of what its former process was sent."""
+        """Let deliveries to a node's new process arrive before those that its former process was sent."""
         self._last_sent_at[node.number] = 0
 
     def _send(self, node: SimulatedNode, endpoints: list[Endpoint], *, whole: bool) -> None:
--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The emulator's implementation of the fault protocols in `scenario/fault_injection.py`."""
+"""Implements the fault protocols of `scenario/fault_injection.py` for the emulator."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     from larchlatch.emulator.upstream_fleet import UpstreamFleet
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
-OVERLOAD_DOWNTIME_S = 5.0  # of an upstream that fell over while it warmed up
+OVERLOAD_DOWNTIME_S = 5.0  # of an upstream that crashed under overload in its slow start
 
 
 class SimulatedUpstreamFaults:
-    """Faults of upstreams and of the shared store."""
+    """Injects faults of upstreams and of the shared store."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         return [upstream for upstream in self._context.upstreams if upstream.was_never_started]
 
     def slow_down(self, upstream: SimulatedUpstream, factor: float) -> None:
-        """Multiply the time that an upstream takes for its work."""
+        """Multiply the time that an upstream takes for its work; a factor below 1 speeds it up."""
         self._fleet.slow_down(upstream, factor)
 
     def silence(self, upstream: SimulatedUpstream) -> None:
@@ -66,7 +66,7 @@
         self._fleet.crash(upstream)
 
     def bring_up(self, upstream: SimulatedUpstream) -> None:
-        """Start an upstream, cold."""
+        """Start an upstream anew: in slow start, without sessions, and listed as ready."""
         if self._cluster is not None:
             now = self._context.clock.now
             self._cluster.checkers.observe(UpstreamReturned(now, upstream.number))
@@ -81,11 +81,11 @@
         self._fleet.retire(upstream)
 
     def slow_shared_store(self, factor: float) -> None:
-        """Multiply the time that the shared store takes."""
+        """Multiply the time that each access to the shared store takes."""
         self._store.slowness *= factor
 
     def fall_over(self, upstream: SimulatedUpstream) -> None:
-        """Crash an upstream that was overloaded while it warmed up, and start it again later."""
+        """Crash an upstream that was overloaded in its slow start, and start it again after a fixed time."""
         self.crash(upstream)
         self._context.clock.call_later(OVERLOAD_DOWNTIME_S, self.bring_up, upstream)
 
@@ -96,7 +96,7 @@
 
 
 class SimulatedNodeFaults:
-    """Faults of nodes' processes, clocks and cluster files."""
+    """Injects faults of nodes' processes, clocks and cluster files."""
 
     def __init__(
         self,
@@ -111,7 +111,7 @@
         self._cluster = cluster
 
     def serving_nodes(self) -> list[SimulatedNode]:
-        """Return the nodes that are alive."""
+        """Return the nodes whose processes have not ended."""
         return [node for node in self._context.nodes if node.is_alive]
 
     def role_holders(self) -> list[SimulatedNode]:
@@ -129,7 +129,7 @@
         self._lifecycle.kill(node)
 
     def pause(self, node: SimulatedNode) -> None:
-        """Pause a node's process; clients without an answer leave at their deadline."""
+        """Pause a node's process; clients that still wait for an answer give up at their deadline."""
         node.inbox.pause()
         for record in node.records.values():
             if not record.session.established:
@@ -148,17 +148,17 @@
         node.inbox.deliver()
 
     def set_clock_gain(self, node: SimulatedNode, gain: float) -> None:
-        """Make a node's clock gain this share from now on."""
+        """Make a node's clock gain this share from now on; a negative share makes it lose time."""
         if self._cluster is not None:
             self._cluster.clocks[node.number].set_gain(self._context.clock.now, gain)
 
     def send_false_reports(self, node: SimulatedNode, subject: str) -> None:
-        """Make a node send false reports about a subject; an empty subject ends it."""
+        """Make a node send false reports about a subject; an empty subject makes it stop."""
         if self._cluster is not None:
             self._cluster.members[node.number].exchange.false_subject = subject
 
     def decommission(self, node: SimulatedNode) -> None:
-        """Stop a node for good."""
+        """Stop a node permanently."""
         self._lifecycle.decommission(node)
 
     def update_cluster_files(
@@ -174,7 +174,7 @@
 
 
 class SimulatedNetworkFaults:
-    """Faults of the paths between zones and between nodes, and of discovery."""
+    """Injects faults of the paths between zones and between nodes, and of discovery."""
 
     def __init__(
         self,
@@ -189,14 +189,14 @@
         self._cluster = cluster
 
     def isolate_zone(self, zone: int) -> None:
-        """Block everything between a zone and the others, except for datagrams between nodes."""
+        """Block all traffic between a zone and the others, except for datagrams between nodes."""
         self._context.topology.isolated_zones.add(zone)
         established = self._context.sessions.established.values()
         silent = [session for session in established if self._is_cut_off(session)]
         self._silence.begin(silent, self._is_cut_off)
 
     def _is_cut_off(self, established: EstablishedSession) -> bool:
-        """Return whether a session's node and upstream do not reach each other."""
+        """Return whether the zones of a session's node and upstream do not reach each other."""
         attempt = established.record.attempt
         if attempt is None:
             return False
@@ -208,7 +208,7 @@
         self._context.topology.isolated_zones.discard(zone)
 
     def partition(self, nodes: Sequence[SimulatedNode], *, oneway: bool) -> None:
-        """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
+        """Block datagrams between these nodes and the others; with `oneway`, only what these nodes send."""
         if self._cluster is not None:
             self._cluster.paths.partitions.append(_partitioned(nodes, oneway=oneway))
             self._cluster.observe_fleet()
@@ -225,7 +225,7 @@
             self._cluster.paths.impairment = impairment
 
     def suspend_discovery(self, for_s: float) -> None:
-        """Deliver no change of the endpoint list for a time in seconds."""
+        """Delay endpoint list changes that are sent from now on until a time in seconds has passed."""
         self._discovery.suspended_until = self._context.clock.now + us(for_s)
 
 
@@ -234,7 +234,7 @@
 
 
 class SimulatedClientFaults:
-    """Faults of clients."""
+    """Injects faults of clients."""
 
     def __init__(self, context: SimulationContext, clients: ClientPopulation) -> None:
         self._context = context
@@ -244,7 +244,7 @@
         """Break the established sessions of a share of the clients, which reconnect."""
         sessions = list(self._context.sessions.established.values())
         for record, node in rng.sample(sessions, round(len(sessions) * share)):
-            # It may have been migrated in reaction to the end of another session.
+            # The end of another session may have caused a node to migrate this one meanwhile.
             if record.session.number in self._context.sessions.established:
                 self._clients.end_session(record, SessionEvent.LOST_BY_CLIENT)
                 node.client_left(record.session.number)
--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -1,4 +1,4 @@
-"""A simulated member of the cluster, with the real decisions and datagrams on the simulated clock."""
+"""Simulates a member of the cluster: production decisions and datagrams, driven by the simulated clock."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     from larchlatch.invariants.observations import Observation
     from larchlatch.scenario.drifting_clock import DriftingClock
 
-MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; similar to a socket's receive buffer
+MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; corresponds to a socket's receive buffer
 
 
 class SimulatedMember:
@@ -51,9 +51,9 @@
 
     Attributes:
         number: The node's number.
-        exchange: The member's decisions and datagrams.
-        is_alive: Whether the process has not ended.
-        is_paused: Whether the process is stopped.
+        exchange: Makes the member's decisions, and encodes and decodes its datagrams.
+        is_alive: Whether the process has not ended; it may be paused.
+        is_paused: Whether the process is paused.
 
     """
 
@@ -112,7 +112,7 @@
 
     @property
     def shown_time(self) -> int:
-        """The time on the node's own clock, in microseconds."""
+        """The time that the node's own, possibly drifting clock shows, in microseconds."""
         return self._clock.at(self._now)
 
     @property
@@ -123,10 +123,10 @@
     def _observe(self, observation: Observation) -> None:
         self._cluster.checkers.observe(observation)
 
-    # Calls of its node.
+    # Calls that its node makes.
 
     def admit(self, session: int, traffic_class: int) -> int:
-        """Return 0 if the quotas admit a session, else the microseconds after which to retry."""
+        """Return 0 if the quotas admit a session, else the pause before a retry, in microseconds."""
         self._observe(SessionRequested(self._now, str(session)))
         quotas = self.exchange.state.quotas
         retry_after_us = quotas.admit(self.shown_time, traffic_class_name(traffic_class))
@@ -135,7 +135,7 @@
         return retry_after_us
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
-        """Update the ready upstreams and the start time of the latest of them."""
+        """Set the ready upstreams and the start time of the one that started last; 0 for long ago."""
         self.exchange.state.health.set_upstreams(upstreams)
         slow_start = self._context.scenario.slow_start
         remaining_us = started_at + us(slow_start.duration_s) - self._now if started_at else 0
@@ -147,7 +147,7 @@
         )
 
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
-        """Request a slow-start token."""
+        """Request a slow-start token for a session at one of its candidates."""
         by_upstream = [(candidate.upstream, candidate) for candidate in candidates]
         result = self.exchange.request_token(session, by_upstream, now=self.shown_time, wall=self._now)
         self._send(result.datagrams)
@@ -155,13 +155,13 @@
         self._pass_on_tokens(result.token_updates)
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Record whether an upstream was reached; None if it fell silent."""
+        """Record whether an upstream was reached; None if it stopped answering messages."""
         health = self.exchange.state.health
         if upstream in health.upstreams:
             health.observe(self.shown_time, upstream, reached=reached)
 
     def report_quota_usage(self) -> None:
-        """Report this member's estimate of the quota's usage to the checkers."""
+        """Report to the checkers how much of the quota this member estimates to be used."""
         usage = self.exchange.state.quota_usage
         [known] = usage.ranges(self._now)
         self._observe(
@@ -186,7 +186,8 @@
         self._context.clock.schedule(at, Priority.TIMER, self._on_timer, at)
 
     def _on_timer(self, at: int) -> None:
-        # A pause that ends before the next heartbeat must not leave the member with two timers.
+        # If a pause ends in the microsecond of a heartbeat, `resume` has already sent it and set the next
+        # timer; sending it here again would leave the member with two timers.
         if self.is_running and at == self._heartbeat_at:
             self._heartbeat()
 
@@ -205,7 +206,7 @@
         self._set_timer()
 
     def receive(self, data: bytes) -> None:
-        """Process a datagram, or keep it while the process is paused."""
+        """Process a datagram; while the process is paused, keep it for later."""
         if self.is_paused:
             self._unread.append(data)
         elif self.is_alive:
@@ -220,7 +221,7 @@
         self._pass_on_tokens(result.token_updates)
 
     def resume(self) -> None:
-        """Continue a paused process."""
+        """Resume a paused process: send an overdue heartbeat, then process the datagrams that were kept."""
         self.is_paused = False
         self._cluster.observe_fleet()
         # An overdue timer fires before unread datagrams are processed.
@@ -233,7 +234,7 @@
 
     @contextmanager
     def _measured(self) -> Iterator[None]:
-        """Measure the processor time of decisions and of encoding and decoding datagrams."""
+        """Add the real time that the body takes to the cluster's `decision_time_s`."""
         began = time.perf_counter()
         yield
         self._cluster.decision_time_s += time.perf_counter() - began
@@ -241,7 +242,7 @@
     # Results of the exchange.
 
     def _pass_on_tokens(self, notices: Sequence[TokenNotice]) -> None:
-        ahead_us = self._now - self.shown_time  # the balancer uses the true time here
+        ahead_us = self._now - self.shown_time  # the balancer uses the simulated clock, not the node's
         node = self._context.nodes[self.number]
         for notice in notices:
             upstream = notice.upstream if notice.session >= 0 else -1
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -1,4 +1,4 @@
-"""The simulated network between nodes and upstreams: attempts, probes and their outcomes."""
+"""Simulates the network between nodes and upstreams: attempts, probes and their outcomes."""
 
 from __future__ import annotations
 
@@ -30,7 +30,14 @@
         store: SharedStore,
         on_overload: Callable[[SimulatedUpstream], None],
     ) -> None:
-        """Connect nodes and upstreams; `on_overload` is called when a warming upstream is overloaded."""
+        """Connect nodes and upstreams.
+
+        Args:
+            context: The state of the simulation.
+            store: The store that upstreams access to establish a session.
+            on_overload: Called with an upstream that is overloaded in its slow start.
+
+        """
         self._context = context
         self._clock = context.clock
         self._store = store
@@ -40,7 +47,7 @@
     # Attempts.
 
     def send_attempt(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Send an attempt to its upstream."""
+        """Send an attempt to its upstream, and schedule its timeout."""
         context, node = self._context, attempt.node
         now, upstream = self._clock.now, context.upstreams[attempt.upstream]
         context.figures.counts[SessionEvent.ATTEMPTED] += 1
@@ -58,19 +65,19 @@
             self._clock.schedule(arrives_at, Priority.WORLD, self._arrive, record, attempt, latency_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt that is not established yet."""
         self._expire(attempt, Outcome.CANCELLED)
 
     def _expire_at(self, when: int, attempt: Attempt, outcome: Outcome) -> None:
         self._clock.schedule(when, Priority.TIMER, self._expire, attempt, outcome)
 
     def _expire(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt on the node's side, if it is not established yet."""
+        """Report an outcome to the attempt's node, unless the attempt has ended or is established."""
         if attempt.is_live and not attempt.is_established:
             attempt.node.receive_outcome(attempt, outcome)
 
     def _notify(self, attempt: Attempt, outcome: Outcome, latency_us: int) -> None:
-        """Schedule that the node receives an outcome after a latency in microseconds."""
+        """Schedule that an attempt's node receives an outcome after a latency in microseconds."""
         receive = attempt.node.receive_outcome
         self._clock.schedule(self._clock.now + latency_us, Priority.NOTIFICATION, receive, attempt, outcome)
 
@@ -88,7 +95,10 @@
     def _rejoins_forwarded(
         self, record: SessionRecord, attempt: Attempt, upstream: SimulatedUpstream
     ) -> bool:
-        """Return whether the upstream already holds the session, as it came through another node before."""
+        """Return whether a forwarded session's attempt reached the upstream that holds its earlier session.
+
+        The earlier session, if there is one, is removed from its upstream in either case.
+        """
         forwarded = self._context.sessions.forwarded.pop(attempt.session, None)
         if forwarded is None:
             return False
@@ -121,23 +131,23 @@
     def _end_setup(self, record: SessionRecord, attempt: Attempt, incarnation: int, latency_us: int) -> None:
         upstream = self._context.upstreams[attempt.upstream]
         if upstream.incarnation != incarnation or upstream.condition is not Condition.HEALTHY:
-            # Its process has died: the connection is reset, unless the machine is silent.
+            # The upstream's process has ended: the connection is reset, unless the upstream is silent.
             if upstream.condition is not Condition.SILENT:
                 self._notify(attempt, Outcome.RESET, latency_us)
-        elif attempt.is_live:  # otherwise the node has given it up
+        elif attempt.is_live:  # otherwise the node no longer waits for it
             self._establish(record, attempt, upstream, latency_us)
 
     def _establish(
         self, record: SessionRecord, attempt: Attempt, upstream: SimulatedUpstream, latency_us: int
     ) -> None:
-        """Add the session to the upstream, and schedule its confirmation."""
+        """Add the session to the upstream, and schedule its confirmation to the node."""
         self._context.sessions.hold(upstream, attempt.session, record.client)
         attempt.is_held = True
         arrives_at = self._clock.now + latency_us
         self._clock.schedule(arrives_at, Priority.NOTIFICATION, self._confirm, record, attempt)
 
     def _confirm(self, record: SessionRecord, attempt: Attempt) -> None:
-        """Confirm a session to its node, or remove it from the upstream if the node has given it up."""
+        """Confirm a session to its node; if the node no longer waits for it, remove it from the upstream."""
         is_held = attempt.session in self._context.upstreams[attempt.upstream].sessions
         if attempt.is_live and attempt.node.is_alive and is_held:
             attempt.node.receive_outcome(attempt, Outcome.ESTABLISHED)
@@ -147,7 +157,7 @@
     # Probes.
 
     def send_probe(self, node: SimulatedNode, upstream: int) -> None:
-        """Send a probe to the upstream of this number."""
+        """Send a probe to the upstream with this number, and schedule the delivery of its result."""
         target, now = self._context.upstreams[upstream], self._clock.now
         self._context.figures.counts[SessionEvent.PROBED] += 1
         answered_at = now + 2 * self._context.topology.latency_us(node.zone, target.zone)
--- a/larchlatch/emulator/node.py
+++ b/larchlatch/emulator/node.py
@@ -1,4 +1,4 @@
-"""A simulated node, which drives the real decisions like the simulator's adapter does."""
+"""Simulates a node: it reports events to its policy and executes the policy's decisions."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class SimulatedNode(Driver):
-    """A node.
+    """One process of a simulated node.
 
     Attributes:
-        policy: The policy that decides.
-        number: Its number, from 0.
-        zone: Its zone.
+        policy: The policy that makes its decisions.
+        number: The node's number, from 0.
+        zone: The node's zone.
         records: Its sessions, by number.
         endpoints: The endpoint list as last received, by upstream.
-        inbox: Keeps events while its process is paused.
-        cluster: Its side of the cluster, if there is one.
-        is_alive: Whether its process has not ended; it may be paused.
+        inbox: Defers events while the process is paused.
+        cluster: Its member of the cluster; None if the scenario has no cluster.
+        is_alive: Whether the process has not ended; it may be paused.
 
     """
 
@@ -63,12 +63,12 @@
     # Events.
 
     def receive_endpoints(self, endpoints: list[Endpoint], *, whole: bool, polled: bool = True) -> None:
-        """Handle endpoints from discovery.
+        """Handle an endpoint list, or changes to it.
 
         Args:
-            endpoints: The whole list, or its changes.
-            whole: Whether it is the whole list.
-            polled: Whether discovery sent it; otherwise a former process of this node had it.
+            endpoints: The endpoints.
+            whole: Whether they are the whole list rather than changes to it.
+            polled: Whether discovery sent them, rather than a former process of this node.
 
         """
         again = partial(self.receive_endpoints, endpoints, whole=whole, polled=polled)
@@ -104,7 +104,7 @@
         self.act()
 
     def receive_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Handle the outcome of an attempt, or the end of the resulting connection."""
+        """Handle the outcome of an attempt, or the end of the session that it has established."""
         if not attempt.is_live or not self.is_alive:
             return
         if self.inbox.defers(self.receive_outcome, attempt, outcome):
@@ -140,7 +140,7 @@
         self.act()
 
     def receive_message_latency(self, record: SessionRecord, latency_us: int) -> None:
-        """Handle a measured latency of messages on an established session."""
+        """Handle a measured message latency of an established session, in microseconds."""
         if self.inbox.defers(self.receive_message_latency, record, latency_us):
             return
         if self.is_alive and record.session.number in self.records and record.session.established:
@@ -148,7 +148,7 @@
             self.act()
 
     def receive_ejection_advice(self, probes: list[int], failures: Sequence[tuple[int, int]]) -> None:
-        """Handle other nodes' reports of upstreams, in the same order as a real node does.
+        """Handle advice that is based on other nodes' reports, in the same order as a production node does.
 
         Args:
             probes: Upstreams that should be probed.
@@ -163,7 +163,7 @@
         self.act()
 
     def receive_token(self, until: int, token: Token) -> None:
-        """Handle a slow-start token, and the time until which the issuer is known to be in charge."""
+        """Handle a slow-start token, and the time until which its issuer allots slow-start budgets."""
         if not self.inbox.defers(self.receive_token, until, token) and self.is_alive:
             self.policy.record_token(self._now, until, token)
 
@@ -179,26 +179,26 @@
             self.act()
 
     def receive_silence(self, upstream: int) -> None:
-        """Handle that an upstream no longer answers messages."""
+        """Handle that an upstream has stopped answering messages."""
         self.policy.record_unresponsive(self._now, upstream)
         self._observe_reachability(upstream, reached=None)
         self.act()
 
     def _observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Report to the cluster whether an upstream was reached; None if it fell silent."""
+        """Report to the cluster whether an upstream was reached; None if it stopped answering messages."""
         if self.cluster is not None:
             self.cluster.observe_reachability(upstream, reached=reached)
 
-    # Actions of the driver.
+    # The actions that `Driver` requires.
 
     def carry_out(self, now: int, session: Session, answer: Answer) -> None:
-        """Carry out the balancer's answer, and request a token if it asks for one."""
+        """Execute the policy's answer, and request a slow-start token if the answer asks for one."""
         super().carry_out(now, session, answer)
         if isinstance(answer, Hold) and answer.token_candidates and self.cluster is not None:
             self.cluster.request_token(session.number, answer.token_candidates)
 
     def session(self, number: int) -> Session | None:
-        """Return the session of this number, if the node has it."""
+        """Return the session with this number; None if the node does not have it."""
         record = self.records.get(number)
         return None if record is None else record.session
 
@@ -209,11 +209,11 @@
         self._environment.upstreams.send_attempt(record, record.attempt)
 
     def shed(self, now: int, session: Session, retry_after_us: int) -> None:
-        """Answer that nothing was executed."""
+        """Answer the client that nothing was executed."""
         self._environment.clients.on_shed(self.records.pop(session.number), retry_after_us)
 
     def fail(self, now: int, session: Session) -> None:
-        """Answer that the session failed."""
+        """Answer the client that the session failed and that an attempt may have been executed."""
         self._environment.clients.on_failed(self.records.pop(session.number))
 
     def probe(self, now: int, upstream: int) -> None:
@@ -221,11 +221,11 @@
         self._environment.upstreams.send_probe(self, upstream)
 
     def migrate(self, now: int, session: int) -> None:
-        """Migrate an established session."""
+        """Migrate an established session: request its client to reconnect."""
         record = self.records.pop(session, None)
         if record is not None and record.attempt is not None:
             record.attempt.is_live = False
-            # Before the client is told: the decisions have taken the session off its upstream already.
+            # Called before the client is notified: the balancer no longer counts the session at its upstream.
             self.policy.remove_session(record.session)
             self._environment.clients.on_migrated(record)
 
@@ -241,7 +241,7 @@
         self._environment.discovery.send_whole_list(self)
 
     def act(self) -> None:
-        """Carry out what has fallen due, and set the timer for what falls due next."""
+        """Execute the actions that are due, and set the timer for the next one."""
         now = self._now
         wake_at = max(self.due(now), now + 1)
         if wake_at < self._wake_at or self._wake_at <= now:
@@ -255,7 +255,7 @@
             self.act()
 
     def die(self) -> list[SessionRecord]:
-        """End the process; return the sessions that it had, and those whose requests waited for it."""
+        """End the process; return its sessions, including those whose requests were deferred by a pause."""
         self.is_alive = False
         waiting = [args[0] for args in self.inbox.waiting(self.receive_session)]
         records = [*self.records.values(), *(record for record in waiting if not record.client_left)]
--- a/larchlatch/emulator/node_environment.py
+++ b/larchlatch/emulator/node_environment.py
@@ -1,4 +1,4 @@
-"""The interfaces of a simulated node to clients, upstreams, discovery and the cluster."""
+"""Defines the interfaces of a simulated node to clients, upstreams, discovery and the cluster."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class ClientSide(Protocol):
-    """Receives a node's answers to its clients."""
+    """Receives the answers that a node sends to its clients."""
 
     def on_established(self, record: SessionRecord, attempt: Attempt) -> None:
         """Handle that a session is established."""
@@ -27,27 +27,33 @@
         ...
 
     def on_migrated(self, record: SessionRecord) -> None:
-        """Handle the request to reconnect, as an established session is migrated."""
+        """Handle a node's request to reconnect, by which it migrates an established session."""
         ...
 
     def on_shed(self, record: SessionRecord, retry_after_us: int) -> None:
-        """Handle the answer that nothing was executed, with an advised pause or 0."""
+        """Handle the answer that nothing was executed.
+
+        Args:
+            record: The session.
+            retry_after_us: The advised pause before a retry, in microseconds; 0 for no advice.
+
+        """
         ...
 
     def on_failed(self, record: SessionRecord) -> None:
-        """Handle the answer that a session failed."""
+        """Handle the answer that a session failed and that an attempt may have been executed."""
         ...
 
 
 class UpstreamSide(Protocol):
-    """Carries attempts and probes to upstreams."""
+    """Carries a node's attempts and probes to upstreams."""
 
     def send_attempt(self, record: SessionRecord, attempt: Attempt) -> None:
         """Send an attempt to its upstream."""
         ...
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Cancel an attempt."""
+        """Cancel an attempt that is not established yet."""
         ...
 
     def send_probe(self, node: SimulatedNode, upstream: int) -> None:
@@ -56,27 +62,27 @@
 
 
 class ClusterSide(Protocol):
-    """The cluster side of a node."""
+    """A node's member of the cluster: admits sessions by quota, requests tokens and reports reachability."""
 
     def admit(self, session: int, traffic_class: int) -> int:
-        """Return 0 if the quotas admit a session, else the microseconds after which to retry."""
+        """Return 0 if the quotas admit a session, else the pause before a retry, in microseconds."""
         ...
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
-        """Update the ready upstreams and the start time of the latest of them."""
+        """Set the ready upstreams and the start time of the one that started last; 0 for long ago."""
         ...
 
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
-        """Request a slow-start token."""
+        """Request a slow-start token for a session at one of its candidates."""
         ...
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Record whether an upstream was reached; None if it fell silent."""
+        """Record whether an upstream was reached; None if it stopped answering messages."""
         ...
 
 
 class DiscoverySide(Protocol):
-    """Delivers the endpoint list."""
+    """Delivers the endpoint list to nodes."""
 
     def send_whole_list(self, node: SimulatedNode) -> None:
         """Send the whole endpoint list to a node."""
@@ -85,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeEnvironment:
-    """Everything that a node is connected to from its start."""
+    """The clock, rule checks and interfaces that all nodes of a simulation share."""
 
     clock: SimulationClock
     rules: SessionRules
--- a/larchlatch/emulator/node_lifecycle.py
+++ b/larchlatch/emulator/node_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, death and restart of simulated nodes."""
+"""Starts, kills and restarts simulated nodes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """Starts, kills and restarts nodes.
 
     Attributes:
-        decommissioned: The numbers of nodes that are not restarted.
+        decommissioned: The numbers of the nodes that are stopped permanently.
 
     """
 
@@ -40,7 +40,7 @@
         discovery: SimulatedDiscovery,
         cluster: SimulatedCluster | None,
     ) -> None:
-        """Connect all nodes to this environment; `create_policy` makes the policy of each."""
+        """Prepare to start nodes in this environment; `create_policy` creates the policy of each."""
         self.decommissioned: set[int] = set()
         self._context = context
         self._environment = environment
@@ -70,7 +70,7 @@
         return self._context.nodes[node.number] is node
 
     def kill(self, node: SimulatedNode) -> None:
-        """Kill a node; its next process starts with the endpoint list that it had."""
+        """Kill a node; its next process starts with the endpoint list that the killed one had."""
         if self._cluster is not None:
             self._cluster.kill(node.number)
         nodes, clock = self._context.scenario.nodes, self._context.clock
@@ -88,7 +88,7 @@
         self.kill(node)
 
     def _lose_session(self, record: SessionRecord) -> None:
-        """End a session of a dead node: its client reconnects, or its packets take another path."""
+        """End a session of a dead node: its client reconnects, or its packets arrive through another node."""
         number, attempt, client = record.session.number, record.attempt, record.client
         sessions = self._context.sessions
         self._context.rules.session_over(number)
@@ -103,7 +103,7 @@
         self._clients.reconnect(client)
 
     def _forward(self, record: SessionRecord, forwarded: ForwardedSession) -> None:
-        """Schedule that a client's next message arrives through another node, after the death is detected."""
+        """Schedule that a client's next message after the death is detected takes another node."""
         scenario, clock = self._context.scenario, self._context.clock
         draw = self._context.streams.draw("beat", record.session.number)
         next_message_us = round(us(scenario.sessions.message_interval_s) * draw)
--- a/larchlatch/emulator/pausable_inbox.py
+++ b/larchlatch/emulator/pausable_inbox.py
@@ -1,4 +1,4 @@
-"""The events of a process that may be paused."""
+"""Defers the events of a process while it is paused."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class PausableInbox:
-    """Keeps the events of a paused process until it continues; pauses may overlap."""
+    """Keeps the events of a paused process until it resumes; pauses may overlap."""
 
     def __init__(self) -> None:
         self._pauses = 0
@@ -17,7 +17,7 @@
 
     @property
     def is_paused(self) -> bool:
-        """Whether events are kept for later."""
+        """Whether the process is paused, so that its events are deferred."""
         return self._backlog is not None
 
     def pause(self) -> None:
@@ -27,25 +27,25 @@
             self._backlog = []
 
     def end_pause(self) -> bool:
-        """End one pause; return whether it was the last, so that the backlog can be delivered."""
+        """End one pause; return whether it was the last one, after which `deliver` is to be called."""
         self._pauses -= 1
         return not self._pauses
 
     def defers(self, action: Callable[..., None], *args: Any) -> bool:
-        """Return whether the process is paused, in which case the action is kept for later."""
+        """Defer a call of an action if the process is paused; return whether it was deferred."""
         if self._backlog is None:
             return False
         self._backlog.append((action, args))
         return True
 
     def deliver(self) -> None:
-        """Continue the process, and carry out the actions that were kept."""
+        """Resume the process, and make the calls that were deferred."""
         backlog, self._backlog = self._backlog or [], None
         for action, args in backlog:
             action(*args)
 
     def waiting(self, action: Callable[..., None]) -> Iterator[tuple[Any, ...]]:
-        """Yield the arguments of each kept call of an action."""
+        """Yield the arguments of each deferred call of an action."""
         for kept, args in self._backlog or ():
             if kept == action:
                 yield args
--- a/larchlatch/emulator/plot.py
+++ b/larchlatch/emulator/plot.py
@@ -1,4 +1,4 @@
-"""A picture of a sweep: one figure over one key, with a line for each value of another key."""
+"""Plots the results of a sweep: one figure over one key, with a line for each value of another key."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from larchlatch.emulator.sweep import Interval, summarize
 from larchlatch.errors import ConfigurationError
 
-matplotlib.use("Agg")  # needs no screen
+matplotlib.use("Agg")  # renders without a display
 
 from matplotlib import pyplot
 
@@ -24,15 +24,15 @@
 def plot(
     results: list[dict[str, Any]], path: Path, *, over: str, by: str, figure: str, logarithmic: bool
 ) -> None:
-    """Draw a figure of a sweep's results into a PNG.
+    """Plot one figure of a sweep's results into a PNG file.
 
     Args:
-        results: The results.
+        results: The results, one for each run.
         path: The file to write.
         over: The key on the horizontal axis.
-        by: The key that each line is of.
-        figure: The figure on the vertical axis.
-        logarithmic: Whether the horizontal axis is.
+        by: The key with a line for each of its values.
+        figure: The key of the results on the vertical axis.
+        logarithmic: Whether the horizontal axis is logarithmic.
 
     Raises:
         ConfigurationError: A result lacks a key or the figure.
@@ -40,7 +40,7 @@
     """
     for key in (over, by):
         if not all(key in result for result in results):
-            raise ConfigurationError("results", f"not every row has {key}")
+            raise ConfigurationError("results", f"not every row has the key {key}")
     points = summarize(results, [by, over], figure)
     picture, axes = pyplot.subplots(figsize=(7, 4.5), layout="constrained")
     for name in dict.fromkeys(name for name, _ in points):
@@ -52,7 +52,7 @@
         axes.set_xticks(ticks, [f"{x:g}" for x in ticks])
     axes.set_xlabel(over)
     axes.set_ylabel(figure)
-    axes.set_title(f"{results[0].get('day', 'day')}: median, and the mean's interval of 95%", fontsize=10)
+    axes.set_title(f"{results[0].get('day', 'day')}: median and 95% confidence interval of mean", fontsize=10)
     axes.legend()
     axes.grid(alpha=0.3)
     picture.savefig(path, dpi=120)
--- a/larchlatch/emulator/report.py
+++ b/larchlatch/emulator/report.py
@@ -1,4 +1,4 @@
-"""The result of a finished simulation."""
+"""Composes the result of a finished simulation."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def result_of(context: SimulationContext, cluster: SimulatedCluster | None) -> dict[str, Any]:
-    """Return the result of a simulation: its figures by their keys."""
+    """Return the result of a simulation: its figures, rule violations and trace digest, by key."""
     return {
         **context.figures.figures(),
         **context.slow_start.figures(context.clock.now),
@@ -25,7 +25,7 @@
 
 
 def cluster_figures(context: SimulationContext, cluster: SimulatedCluster) -> dict[str, Any]:
-    """Return the checkers' figures, and the traffic and processor time per member and second."""
+    """Return the checkers' figures, and the bytes sent and decision time per member and simulated second."""
     member_seconds = (context.clock.now - START_US) / SECOND * len(cluster.members)
     return {
         **cluster.checkers.figures(context.clock.now),
--- a/larchlatch/emulator/session_record.py
+++ b/larchlatch/emulator/session_record.py
@@ -1,4 +1,4 @@
-"""A simulated node's records of its sessions and attempts."""
+"""Defines a simulated node's records of its sessions and attempts."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt to establish a session, and the connection that it leads to.
+    """An attempt to establish a session, and the connection to the upstream that results from it.
 
     Attributes:
         session: The session's number.
         node: The node that sent it.
         upstream: The upstream's number.
-        ends_at: When the node stops waiting for its outcome.
+        ends_at: When it times out, in microseconds.
         is_held: Whether the upstream holds the session.
-        is_established: Whether the node has received its confirmation.
-        is_live: Whether outcomes of it still count.
+        is_established: Whether the node has received the confirmation of the session.
+        is_live: Whether the node still accepts an outcome of it.
 
     """
 
@@ -37,13 +37,13 @@
 
 @dataclass(slots=True)
 class SessionRecord:
-    """A session at a node, in flight or established.
+    """A session at a node, established or not.
 
     Attributes:
-        session: The policy's view of it.
+        session: The session's state, which the policy reads and changes.
         client: The client that requested it.
-        attempt: Its attempt or connection, if it has one.
-        client_left: Whether its client has left without an answer.
+        attempt: Its attempt in flight or established connection; None if it has neither.
+        client_left: Whether the client gave up at its deadline, as the node was paused.
 
     """
 
--- a/larchlatch/emulator/session_rules.py
+++ b/larchlatch/emulator/session_rules.py
@@ -1,6 +1,6 @@
-"""Checks of the rules on sessions, based only on what can be observed from outside.
+"""Checks the rules on sessions, based only on what can be observed from outside the nodes.
 
-This module does not share code with the decisions that it checks: it has its own list of the outcomes after
+This module does not share code with the decisions that it checks. It has its own list of the outcomes after
 which an attempt may be repeated.
 """
 
@@ -11,16 +11,16 @@
 
 from larchlatch.policy.types import EndpointState, Idempotency, Outcome
 
-DRAIN_GRACE_US = 500_000  # for which a node may still send to an upstream that has left the ready state
-ANSWER_GRACE_US = 16_000  # by which a final answer may be late
-MAX_DESCRIPTIONS = 20  # of violations; further ones are only counted
+DRAIN_GRACE_US = 500_000  # for which a node may still send to an upstream that it knows not to be ready
+ANSWER_GRACE_US = 16_000  # tolerated lateness of a final answer
+MAX_DESCRIPTIONS = 20  # of violations; later violations are only counted
 
-# Outcomes after which the upstream has not seen the attempt.
+# Outcomes that prove that the upstream has not executed the attempt.
 NEVER_SEEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Rule(StrEnum):
-    """The rules; the values are their keys in results."""
+    """The rules on sessions; a value is the key of the rule in results."""
 
     ONE_FINAL_ANSWER = "lost"
     NO_DUPLICATE_EFFECT = "twice"
@@ -33,12 +33,12 @@
     """What was observed of a session, from its request to its end.
 
     Attributes:
-        deadline: When its final answer is due.
+        deadline: When its final answer is due, in microseconds.
         idempotency: Whether an attempt may be repeated.
-        dedup_window_us: For how long upstreams discard a repeated attempt, in microseconds.
+        dedup_window_us: For how long upstreams recognize a repeated attempt, in microseconds.
         in_flight: Whether an attempt is in flight.
         is_answered: Whether its client has its final answer.
-        is_over: Whether no answer is expected any more, as its client or its node is gone.
+        is_over: Whether no answer is expected any more, as the session, its client or its node is gone.
         possible_runs: Attempts that may have been executed: the time and the upstream of each.
 
     """
@@ -57,7 +57,7 @@
 
     Attributes:
         violations: How often each rule was broken.
-        descriptions: The first violations, each in a line.
+        descriptions: The descriptions of the first violations, each in one line.
 
     """
 
@@ -77,7 +77,7 @@
         if len(self.descriptions) < MAX_DESCRIPTIONS:
             self.descriptions.append(f"{now / 1e6:.6f} s: {rule.value}: {description}")
 
-    # What is observed.
+    # Observations.
 
     def session_requested(
         self, session: int, *, deadline: int, idempotency: Idempotency, dedup_window_us: int
@@ -86,22 +86,24 @@
         self._histories[session] = SessionHistory(deadline, idempotency, dedup_window_us)
 
     def endpoint_received(self, now: int, *, node: int, upstream: int, state: EndpointState) -> None:
-        """Record that a node has received the state of an upstream."""
+        """Record that a node has received the listed state of an upstream."""
         if state is EndpointState.READY:
             self._excluded_since.pop((node, upstream), None)
         else:
             self._excluded_since.setdefault((node, upstream), now)
 
     def node_died(self, node: int) -> None:
-        """Forget which endpoints a node had received, as the node has died."""
+        """Discard the endpoint states that a node had received, as the node has died."""
         for pair in [pair for pair in self._excluded_since if pair[0] == node]:
             del self._excluded_since[pair]
 
     def attempt_sent(self, now: int, *, session: int, node: int, upstream: int) -> None:
-        """Check an attempt that a node sends."""
+        """Check an attempt that a node sends, and record it."""
         history = self._histories.get(session)
         if history is None:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its end")
+            self._violate(
+                Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its final answer or end"
+            )
             return
         self._check_repetition(now, session, history)
         excluded_since = self._excluded_since.get((node, upstream))
@@ -116,7 +118,9 @@
         if history.in_flight:
             self._violate(Rule.NO_DUPLICATE_EFFECT, now, f"session {session}: two attempts in flight")
         if history.is_answered or history.is_over:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its end")
+            self._violate(
+                Rule.ONE_FINAL_ANSWER, now, f"session {session}: attempt after its final answer or end"
+            )
         if not history.possible_runs:
             return
         first_at, first_upstream = history.possible_runs[0]
@@ -139,10 +143,12 @@
             history.possible_runs.pop()
 
     def answered(self, now: int, session: int, *, shed: bool) -> None:
-        """Check a final answer that has reached its client; shed: it says that nothing was executed."""
+        """Check a final answer that a client has received; `shed` if it says that nothing was executed."""
         history = self._histories.get(session)
         if history is None or history.is_answered or history.is_over:
-            self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: answer after its end")
+            self._violate(
+                Rule.ONE_FINAL_ANSWER, now, f"session {session}: answer after its final answer or end"
+            )
             return
         if now > history.deadline + ANSWER_GRACE_US:
             late_us = now - history.deadline
@@ -158,7 +164,7 @@
         history.is_answered = True
 
     def answer_due(self, now: int, session: int) -> None:
-        """Check that a session was answered; called when its deadline and the grace time have passed."""
+        """Check that a session was answered, after its deadline and the tolerated lateness have passed."""
         history = self._histories.pop(session, None)
         if history is not None and not history.is_answered and not history.is_over:
             self._violate(Rule.ONE_FINAL_ANSWER, now, f"session {session}: no answer by its deadline")
@@ -170,6 +176,6 @@
             history.is_over = True
 
     def upstream_overloaded(self, now: int, upstream: int) -> None:
-        """Record that an upstream has crashed under overload while it was warming up."""
-        description = f"upstream {upstream}: overloaded while it was warming up"
+        """Record that an upstream has crashed under overload in its slow start."""
+        description = f"upstream {upstream}: overloaded in its slow start"
         self._violate(Rule.NO_SLOW_START_OVERLOAD, now, description)
--- a/larchlatch/emulator/session_table.py
+++ b/larchlatch/emulator/session_table.py
@@ -1,4 +1,4 @@
-"""The established sessions of a simulation, and the time for which they are served."""
+"""Tracks the established sessions of a simulation and for how long they are served."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
     Attributes:
         upstream: The number of the upstream.
-        session: The number by which it holds the session.
+        session: The number under which the upstream holds the session.
 
     """
 
@@ -41,8 +41,9 @@
     """All sessions that are established or held by an upstream.
 
     Attributes:
-        established: Sessions that node and upstream consider established, by number.
-        forwarded: The session that an upstream still holds, by the number of the session that replaces it.
+        established: The sessions whose clients have been told that they are established, by number.
+        forwarded: The sessions of dead nodes that upstreams still hold, by the number of the session that
+            replaces each of them.
 
     """
 
@@ -53,7 +54,15 @@
         figures: SessionFigures,
         group_load: float,
     ) -> None:
-        """Track the sessions of these upstreams; `group_load` is the work per second of each group."""
+        """Track the sessions of these upstreams.
+
+        Args:
+            clock: The simulated clock.
+            upstreams: All upstreams, by number.
+            figures: Where the served time is counted.
+            group_load: Work that each group causes at an upstream, in microseconds per second.
+
+        """
         self.established: dict[int, EstablishedSession] = {}
         self.forwarded: dict[int, ForwardedSession] = {}
         self._clock = clock
@@ -67,7 +76,11 @@
         return [self.established[number] for number in upstream.sessions if number in self.established]
 
     def count_served_time(self, upstream: SimulatedUpstream) -> None:
-        """Count the served time of an upstream's sessions; called before the upstream changes."""
+        """Count the time for which an upstream's sessions were served since the last call.
+
+        To be called before the upstream's sessions, speed or condition change. Time under overload counts in
+        part.
+        """
         now, since = self._clock.now, self._counted_until[upstream.number]
         self._counted_until[upstream.number] = now
         if upstream.sessions and upstream.condition is Condition.HEALTHY:
@@ -75,18 +88,18 @@
             self._figures.served_us += len(upstream.sessions) * (now - since) / overload
 
     def hold(self, upstream: SimulatedUpstream, number: int, client: Client) -> None:
-        """Add a client's session to an upstream."""
+        """Add a client's session to the sessions that an upstream holds."""
         self.count_served_time(upstream)
         upstream.add_session(number, client.load, client.group, self._group_load)
 
     def release(self, upstream_number: int, number: int, client: Client) -> None:
-        """Remove a client's session from an upstream, if it is there."""
+        """Remove a client's session from an upstream, if the upstream holds it."""
         upstream = self._upstreams[upstream_number]
         self.count_served_time(upstream)
         upstream.remove_session(number, client.group, self._group_load)
 
     def release_forwarded(self, number: int, client: Client) -> None:
-        """Remove the earlier session of a forwarded one from its upstream, if there is one."""
+        """Remove the earlier session that a session replaces from its upstream, if there is one."""
         forwarded = self.forwarded.pop(number, None)
         if forwarded is not None:
             self.release(forwarded.upstream, forwarded.session, client)
--- a/larchlatch/emulator/shared_store.py
+++ b/larchlatch/emulator/shared_store.py
@@ -1,4 +1,4 @@
-"""A store that all upstreams share and use once for each session that they establish."""
+"""Simulates a store that all upstreams share and access once for each session that they establish."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class SharedStore:
-    """The shared store.
+    """The shared store, reduced to the duration of an access.
 
     Attributes:
-        slowness: The factor by which accesses are slowed down.
+        slowness: The factor by which the duration of an access is multiplied.
 
     """
 
--- a/larchlatch/emulator/silence_detection.py
+++ b/larchlatch/emulator/silence_detection.py
@@ -1,4 +1,4 @@
-"""Detection of established sessions on which nothing is received, timed as in real nodes."""
+"""Simulates how nodes detect unanswered messages of established sessions, timed as in production nodes."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
     from larchlatch.emulator.node import SimulatedNode
     from larchlatch.emulator.session_table import EstablishedSession
 
-# When a node takes an upstream for unresponsive, and migrates a session, after a message without an answer.
+# Times from an unanswered message until its node treats the upstream as unresponsive, and until the node
+# migrates the session.
 UNRESPONSIVE_AFTER_US = 500_000
 MIGRATE_AFTER_US = 1_500_000
 
 
 class SilenceDetection:
-    """Makes nodes react when messages of their clients remain unanswered."""
+    """Schedules the reactions of nodes to messages of their clients that remain unanswered."""
 
     def __init__(self, context: SimulationContext) -> None:
         self._context = context
@@ -29,11 +30,11 @@
     def begin(
         self, sessions: Iterable[EstablishedSession], is_silent: Callable[[EstablishedSession], bool]
     ) -> None:
-        """Schedule the reactions to silence on these sessions, which begins now.
+        """Schedule the reactions of nodes to a silence of these sessions' upstreams that begins now.
 
         Args:
-            sessions: The sessions.
-            is_silent: Returns whether a session is still silent; called when its node is about to react.
+            sessions: The established sessions whose messages are not answered any more.
+            is_silent: Returns whether a session's messages are still unanswered; called before its migration.
 
         """
         clock, interval_us = self._context.clock, us(self._context.scenario.sessions.message_interval_s)
@@ -70,5 +71,5 @@
 def _upstream_of(established: EstablishedSession) -> int:
     attempt = established.record.attempt
     if attempt is None:
-        raise RuntimeError("an established session has the attempt that led to it")
+        raise RuntimeError("an established session has no attempt")
     return attempt.upstream
--- a/larchlatch/emulator/simulation.py
+++ b/larchlatch/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""A simulation: it connects all parts and plays a scenario from start to end."""
+"""Creates the components of a simulation, connects them and runs a scenario from start to end."""
 
 from __future__ import annotations
 
@@ -39,13 +39,13 @@
 
 
 class Simulation:
-    """A scenario that is played in simulated time.
+    """A scenario that runs in simulated time.
 
     Attributes:
         scenario: The scenario.
-        context: The state that all parts share.
-        cluster: The cluster, if the scenario has one.
-        lifecycle: Starts and kills nodes.
+        context: The state that all components share.
+        cluster: The cluster; None if the scenario has none.
+        lifecycle: Starts, kills and restarts nodes.
 
     """
 
@@ -55,10 +55,10 @@
         policy: str | PolicyFactory = "larchlatch",
         write_trace: Callable[[bytes], None] | None = None,
     ) -> None:
-        """Create and connect the parts.
+        """Create and connect the components.
 
         Args:
-            scenario: What to play.
+            scenario: The scenario to run.
             policy: The policy of all nodes: the name of one of `POLICIES`, or a factory.
             write_trace: Called with each line of the trace, if given.
 
@@ -99,7 +99,7 @@
         )
 
     def run(self) -> dict[str, Any]:
-        """Play the scenario to its end and return its result."""
+        """Run the scenario to its end and return its result."""
         context, clock = self.context, self.context.clock
         for node in context.nodes:
             node.receive_endpoints(list(self._discovery.endpoints.values()), whole=True)
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -1,4 +1,4 @@
-"""Many runs of a scenario on several cores, with a result for each and a summary of all."""
+"""Runs a scenario many times, with varied keys, policies and seeds, and summarizes the results."""
 
 from __future__ import annotations
 
@@ -18,7 +18,8 @@
     from collections.abc import Iterator
     from pathlib import Path
 
-# Student's t for a two-sided interval of 95%, by the number of values less one; the normal value beyond.
+# Quantiles of Student's t distribution for a two-sided interval of 95%, by degrees of freedom from 1 on. For
+# more degrees of freedom, the quantile of the normal distribution is used.
 T95 = (12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13, 2.12)
 NORMAL95 = 1.96
 
@@ -28,10 +29,10 @@
 
     Attributes:
         path: The scenario file.
-        changes: Other values for its keys.
-        seed: The seed.
+        changes: Values that replace those of the file, by key.
+        seed: The seed of the run.
         policy: The name of the nodes' policy.
-        random_faults: The number of additional faults drawn at random.
+        random_faults: How many faults to add at random.
 
     """
 
@@ -50,7 +51,7 @@
 
 
 class Interval(NamedTuple):
-    """The median of some values, and the 95% interval of their mean."""
+    """The median of some values, and the bounds of the 95% confidence interval of their mean."""
 
     median: float
     low: float
@@ -58,14 +59,14 @@
 
 
 def execute(run: PlannedRun) -> dict[str, Any]:
-    """Play a run, and return its result."""
+    """Execute a run and return its result."""
     scenario = read_scenario_file(run.path, {**run.changes, "seed": run.seed})
     result = Simulation(with_random_faults(scenario, run.random_faults), run.policy).run()
     return {"day": scenario.name, "policy": run.policy, "seed": run.seed, **run.changes, **result}
 
 
 def execute_all(runs: list[PlannedRun], workers: int) -> Iterator[dict[str, Any]]:
-    """Play all runs, and yield their results in the order of the runs."""
+    """Execute all runs, on several cores if `workers` is above 1, and yield their results in this order."""
     if workers <= 1:
         yield from map(execute, runs)
         return
@@ -74,7 +75,7 @@
 
 
 def parse_value(text: str) -> Any:
-    """Return a value as it would stand in a scenario file."""
+    """Return the value that a text stands for: an integer, a float, a Boolean, or else the text itself."""
     for kind in (int, float):
         try:
             return kind(text)
@@ -84,7 +85,7 @@
 
 
 def parse_variation(text: str) -> Variation:
-    """Parse `KEY=A,B,C`.
+    """Parse a variation of the form `KEY=A,B,C`.
 
     Raises:
         ConfigurationError: The text has another form.
@@ -92,7 +93,7 @@
     """
     key, equals, values = text.partition("=")
     if not equals or not key or not all(values.split(",")):
-        raise ConfigurationError("vary", f"not KEY=A,B,C ({text})")
+        raise ConfigurationError("vary", f"not of the form KEY=A,B,C ({text})")
     return Variation(key, [parse_value(value) for value in values.split(",")])
 
 
@@ -104,10 +105,10 @@
     policies: list[str],
     random_faults: int = 0,
 ) -> list[PlannedRun]:
-    """Return a run for each combination of values, policy and seed.
+    """Return a run for each combination of values, policy and seed; all combinations are validated here.
 
     Raises:
-        ConfigurationError: A combination is no scenario; all are checked before the first is played.
+        ConfigurationError: A combination is not a valid scenario.
 
     """
     keys = [variation.key for variation in variations]
@@ -125,7 +126,7 @@
 
 
 def interval(values: list[float]) -> Interval:
-    """Return the median and the 95% interval of the mean, for approximately normal values."""
+    """Return the median and the 95% confidence interval of the mean of approximately normal values."""
     median, mean = statistics.median(values), statistics.fmean(values)
     if len(values) < 2:
         return Interval(median, median, median)
@@ -136,29 +137,29 @@
 
 
 def summarize(results: list[dict[str, Any]], keys: list[str], figure: str) -> dict[tuple[Any, ...], Interval]:
-    """Return the interval of one figure for each combination of values of some keys.
+    """Return the interval of one figure for each combination of the values of some keys.
 
     Raises:
-        ConfigurationError: A result lacks the figure, or it is no number.
+        ConfigurationError: A result lacks the figure, or the figure is not a number.
 
     """
     groups: dict[tuple[Any, ...], list[float]] = {}
     for result in results:
         if figure not in result:
             known = ", ".join(sorted(result))
-            raise ConfigurationError("results", f"no figure of that name ({figure}); there are {known}")
+            raise ConfigurationError("results", f"no figure named {figure}; there are {known}")
         if not isinstance(result[figure], int | float):
-            raise ConfigurationError("results", f"{figure} is no number")
+            raise ConfigurationError("results", f"{figure} is not a number")
         group = tuple(result.get(key) for key in keys)
         groups.setdefault(group, []).append(float(result[figure]))
     return {group: interval(values) for group, values in groups.items()}
 
 
 def read_results(path: Path) -> list[dict[str, Any]]:
-    """Return the results that a sweep has printed into a file.
+    """Return the results in a file that holds the output of a sweep.
 
     Raises:
-        ConfigurationError: The file can't be read, is empty, or holds something else.
+        ConfigurationError: The file can't be read, is empty, or has a line that is not a JSON object.
 
     """
     results: list[dict[str, Any]] = []
@@ -171,7 +172,7 @@
     except OSError as error:
         raise ConfigurationError("results", f"can't be read ({error.strerror}: {path})") from None
     except msgspec.DecodeError as error:
-        raise ConfigurationError("results", f"line {len(results) + 1}: no JSON ({error})") from None
+        raise ConfigurationError("results", f"line {len(results) + 1}: not JSON ({error})") from None
     if not results:
         raise ConfigurationError("results", f"empty ({path})")
     return results
--- a/larchlatch/emulator/topology.py
+++ b/larchlatch/emulator/topology.py
@@ -1,4 +1,4 @@
-"""Latency and reachability between zones."""
+"""Determines latency and reachability between zones."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     """The network between zones.
 
     Attributes:
-        isolated_zones: Zones that do not reach any other zone.
+        isolated_zones: Zones that are cut off from all other zones.
 
     """
 
@@ -35,6 +35,6 @@
         return zone != other and not self.isolated_zones.isdisjoint((zone, other))
 
     def reaches(self, node: SimulatedNode, upstream: SimulatedUpstream) -> bool:
-        """Return whether a node receives answers from an upstream's machine."""
+        """Return whether a node receives answers from an upstream's machine; its process may have crashed."""
         answers = upstream.condition not in (Condition.SILENT, Condition.ABSENT)
         return answers and not self.is_cut_off(node.zone, upstream.zone)
--- a/larchlatch/emulator/trace.py
+++ b/larchlatch/emulator/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a simulation: one line per event, and a digest of all lines."""
+"""Records the trace of a simulation: one line per event, and a digest of all lines."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class Trace:
-    """Records lines with the time and some fields; equal runs have byte-identical traces."""
+    """Records lines of the simulated time and some fields; equal runs have byte-identical traces."""
 
     def __init__(self, clock: SimulationClock, write: Callable[[bytes], None] | None) -> None:
-        """Use this clock for the time of each line; `write` is called with each line, if given."""
+        """Take the time of each line from this clock; `write` is called with each line, if given."""
         self._clock = clock
         self._write = write
         self._digest = xxh3_64()
 
     def record(self, *fields: object) -> None:
-        """Add a line."""
+        """Record a line with the present time and these fields."""
         line = f"{self._clock.now} {' '.join(map(str, fields))}\n".encode()
         self._digest.update(line)
         if self._write is not None:
--- a/larchlatch/emulator/unsigned_signer.py
+++ b/larchlatch/emulator/unsigned_signer.py
@@ -1,4 +1,4 @@
-"""Signatures without cryptography, as simulated members do not forge any."""
+"""Provides signatures without cryptography, as simulated members do not forge signatures."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class UnsignedSigner:
-    """Signs with the member's name; only the load test includes the cost of real signatures."""
+    """Signs with the member's name; only the load test measures the cost of cryptographic signatures."""
 
     def __init__(self, name: str) -> None:
         self._key = unsigned_key(name)
@@ -21,5 +21,5 @@
         return self._key
 
     def verify(self, key: bytes, body: bytes, signature: bytes) -> bool:
-        """Return whether a signature is of the member with this key."""
+        """Return whether a signature was made by the member with this key."""
         return key == signature
--- a/larchlatch/emulator/upstream_fleet.py
+++ b/larchlatch/emulator/upstream_fleet.py
@@ -1,4 +1,4 @@
-"""State changes of simulated upstreams: slowdown, silence, crash, start, drain and removal."""
+"""Changes the state of simulated upstreams: slowdown, silence, crash, start, drain and removal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class UpstreamFleet:
-    """Changes the state of upstreams and notifies nodes of the consequences."""
+    """Changes the state of upstreams, and notifies discovery and the nodes with sessions there."""
 
     def __init__(
         self, context: SimulationContext, discovery: SimulatedDiscovery, silence: SilenceDetection
@@ -52,7 +52,7 @@
         self.reset_sessions(upstream, established)
 
     def bring_up(self, upstream: SimulatedUpstream) -> None:
-        """Start an upstream, cold; sessions that nodes still consider established there are reset."""
+        """Start an upstream anew, in slow start; reset sessions that nodes still consider established."""
         established = self._sessions.established_at(upstream)
         self._sessions.count_served_time(upstream)
         upstream.start(self._context.clock.now)
@@ -74,7 +74,7 @@
         self._discovery.change(upstream, EndpointState.GONE)
 
     def reset_sessions(self, upstream: SimulatedUpstream, sessions: Iterable[EstablishedSession]) -> None:
-        """Notify nodes that the connections of these sessions are reset."""
+        """Notify the nodes of these sessions that the upstream has reset the connections."""
         clock = self._context.clock
         for record, node in sessions:
             arrives_at = clock.now + self._context.topology.latency_us(node.zone, upstream.zone)
--- a/larchlatch/emulator/upstream_sampling.py
+++ b/larchlatch/emulator/upstream_sampling.py
@@ -1,4 +1,4 @@
-"""Periodic work at all upstreams: reports of message latency, and sessions dropped under overload."""
+"""Samples all upstreams periodically: reports message latency, and drops sessions under overload."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
 INTERVAL_US = SECOND
-REPORTED_SHARE = 0.34  # of the latency objective, above which a latency is reported
+REPORTED_SHARE = 0.34  # share of the latency objective above which a latency is reported
 
 
 class UpstreamSampling:
-    """Samples all upstreams at a fixed interval."""
+    """Samples all upstreams once per `INTERVAL_US`."""
 
     def __init__(self, context: SimulationContext, fleet: UpstreamFleet) -> None:
         self._context = context
         self._fleet = fleet
-        self._reported: set[tuple[int, int]] = set()  # node and upstream, while latencies are reported
+        self._reported: set[tuple[int, int]] = set()  # node and upstream whose last reported latency was long
 
     def tick(self) -> None:
         """Sample all upstreams now, and schedule the next sample."""
@@ -36,12 +36,12 @@
         context.slow_start.observe(UpstreamsSampled(now, context.upstreams, INTERVAL_US))
         for upstream in context.upstreams:
             if upstream.condition is Condition.HEALTHY:
-                context.sessions.count_served_time(upstream)  # its speed changes while it warms up
+                context.sessions.count_served_time(upstream)  # its speed changes in its slow start
                 self._report_latency(upstream)
                 self._drop_sessions(upstream)
 
     def _report_latency(self, upstream: SimulatedUpstream) -> None:
-        """Report a long latency to each node with sessions there, and once that it has become short again."""
+        """Report a long latency to each node with sessions there, and the first short one after it."""
         objective_us = us(self._context.scenario.sessions.message_ms / 1e3)
         latency_us = upstream.message_latency_us(self._context.clock.now, objective_us)
         is_long = latency_us > REPORTED_SHARE * objective_us
--- a/tests/emulator/test_clock.py
+++ b/tests/emulator/test_clock.py
@@ -1,4 +1,4 @@
-"""The simulation's clock, and equal traces for equal seeds."""
+"""Tests of the simulated clock and of the reproducibility of simulations."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 
 def test_events_of_one_microsecond_run_by_priority_then_in_order_of_scheduling() -> None:
+    """An order of simultaneous events that depended on anything else would make results irreproducible."""
     clock = SimulationClock()
     seen: list[Any] = []
     for priority in reversed(Priority):
@@ -27,12 +28,13 @@
         for number in (1, 2)
     ]
     assert seen == [*before, "late", (check, 1), (check, 2)], (
-        "an event scheduled in the past runs now, first by its priority"
+        "an event scheduled for a past time must run at the present time, before events of lower priority"
     )
     assert clock.now == 5 and clock.executed_count == 10
 
 
 def test_equal_seeds_give_equal_traces_byte_for_byte_in_any_process(tmp_path: Path) -> None:
+    """Iteration over a set, whose order depends on the hash seed of the process, would make traces differ."""
     text = (SCENARIOS / "crowd.toml").read_text().replace("span_s = 20.0", "span_s = 15.0")
     (tmp_path / "scenario.toml").write_text(text)
     traces = []
--- a/tests/emulator/test_session_rules.py
+++ b/tests/emulator/test_session_rules.py
@@ -1,4 +1,4 @@
-"""The rules on sessions: a policy that breaks one is found."""
+"""Tests that the checks of the rules on sessions find violations."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class AnswersNobody(BaselinePolicy):
-    """Answers nobody."""
+    """Holds every session and never answers it."""
 
     def place(self, now: int, session: Session) -> Answer:
         return Hold(now + 10 * SECOND)
 
 
 class RepeatsNonIdempotent(BaselinePolicy):
-    """Repeats a non-idempotent session, whatever its outcome was."""
+    """Repeats the attempt of a non-idempotent session after a reset, as if it had been rejected."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.rng.choice(upstreams)
@@ -33,7 +33,7 @@
 
 
 class IgnoresDrains(BaselinePolicy):
-    """Ignores drains."""
+    """Treats draining upstreams as ready."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return self.rng.choice(upstreams)
@@ -44,7 +44,7 @@
 
 
 class OverloadsNewest(BaselinePolicy):
-    """Sends all sessions to the upstream that started last."""
+    """Sends all sessions to the upstream that started last, which overloads it in its slow start."""
 
     def choose(self, session: Session, upstreams: list[int]) -> int:
         return max(upstreams, key=lambda upstream: (self.ready[upstream].started_at, upstream))
@@ -60,6 +60,7 @@
     ],
 )
 def test_a_policy_that_breaks_a_rule_is_found(policy: PolicyFactory, rule: str) -> None:
+    """A check that finds nothing when a policy breaks its rule would let a faulty balancer pass."""
     sessions = {**SMALL["links"], "load_ms": 100.0, "setup_ms": 100.0, "effects": ["exclusive"]}
     simulation = simulation_of(policy, faults=ALL_FAULTS, links=sessions)
     simulation.run()
@@ -70,6 +71,8 @@
 def test_two_attempts_in_flight_and_an_answer_after_the_last_are_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """No policy causes these violations: a node sends each attempt twice, and a session is answered twice."""
+
     def twice(node: SimulatedNode, now: int, session: Session, upstream: int, until: int) -> None:
         sent(node, now, session, upstream, until)
         sent(node, now, session, upstream, until)
--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -1,4 +1,4 @@
-"""Simulations with faults and under overload keep all rules."""
+"""Tests that simulations keep the rules on sessions under faults and overload."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 @pytest.mark.parametrize("policy", POLICIES)
 @pytest.mark.parametrize("passes", [False, True])
 def test_all_rules_hold_through_all_faults(policy: str, passes: bool) -> None:
+    """A fault may leave a session without an answer, with two, or with a repeated effect."""
     for seed in (1, 2):
         simulation = simulation_of(policy, faults=ALL_FAULTS, passes=passes, seed=seed)
         row = simulation.run()
         rules = dict(row["broken"])
         if policy in ("random", "least"):
-            rules.pop("cold")  # they keep no slow-start budget
+            rules.pop("cold")  # these policies do not limit sessions to upstreams in slow start
         assert not any(rules.values()), simulation.context.rules.descriptions
         assert row["links"] > row["clients"] and row["dropped"] + row["moved"] > 0
         assert bool(row["mid_flow_right"] + row["mid_flow_wrong"]) == passes
-        assert 0.2 < row["served"] <= 1.0, "a session was served for longer than requested"
+        assert 0.2 < row["served"] <= 1.0, (
+            "sessions were hardly served, or for longer than their clients wanted"
+        )
 
 
 FAULT = st.sampled_from(ALL_FAULTS)
@@ -58,12 +61,14 @@
 
 
 def test_without_upstreams_each_session_is_answered_in_time() -> None:
+    """A session that is held until an upstream is ready would miss its deadline if none ever is."""
     simulation = simulation_of(hosts=[{"count": 2, "late": 2}])
     row = simulation.run()
     assert simulation.context.rules.all_hold and row["delivered"] == 0 and row["shed"] > 200
 
 
 def test_all_rules_hold_under_constant_overload() -> None:
+    """Queues that grow without limit would delay answers beyond their deadlines."""
     sessions = {"rate": 60.0, "setup_ms": 400.0, "life_s": 5.0, "load_ms": 50.0}
     simulation = simulation_of(hosts=[{"count": 3, "size": 1.0}], links=sessions)
     row = simulation.run()
@@ -72,6 +77,7 @@
 
 
 def test_a_node_killed_with_attempts_in_flight_leaves_no_session_at_an_upstream() -> None:
+    """An upstream that establishes a session after its node has died would hold it for ever."""
     sessions = {**SMALL["links"], "setup_ms": 300.0}
     kills = [{"kind": "kill", "at_s": at, "nodes": 3} for at in (2.0, 4.5, 7.0)]
     simulation = simulation_of(links=sessions, faults=kills)
@@ -92,11 +98,12 @@
     simulation.context.clock.run_until(simulation.context.clock.now + 3 * SECOND)
     held = {number for upstream in simulation.context.upstreams for number in upstream.sessions}
     assert held == set(simulation.context.sessions.established), (
-        "an upstream holds a session that no node knows"
+        "an upstream holds a session that no node has, or does not hold one that a node has"
     )
 
 
 def test_an_attempt_at_an_upstream_that_dies_before_its_answer_may_have_run() -> None:
+    """A reset attempt that is repeated could execute a non-idempotent session twice."""
     reset_sessions = []
 
     class RecordingBalancer(Balancer):
@@ -111,11 +118,12 @@
     row = simulation.run()
     assert len(reset_sessions) > 3 and simulation.context.rules.all_hold
     assert row["given_up"] >= len(reset_sessions), (
-        "a non-idempotent session has one attempt, and its answer is no promise"
+        "a non-idempotent session whose attempt was reset must be answered as failed, without another attempt"
     )
 
 
 def test_a_node_imports_nothing_of_the_tools() -> None:
+    """An import in a shared module would load the libraries of the emulator and load test into each node."""
     probe = (
         "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.simulator_adapter.main;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'matplotlib', 'hdrh', 'numpy')"
@@ -126,6 +134,7 @@
 
 
 def test_a_node_schedules_nothing_for_the_decision_nothing() -> None:
+    """`Nothing` is the answer for a session with an attempt in flight; held, it would be placed twice."""
     simulation = simulation_of()
     node = simulation.context.nodes[0]
     before = simulation.context.clock.scheduled_count
--- a/tests/emulator/test_sweep.py
+++ b/tests/emulator/test_sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps: the same results however many cores, their intervals, what is printed and drawn."""
+"""Tests of sweeps: their results on one core and on several, their summaries, output and plots."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def test_a_sweep_gives_the_same_results_on_one_core_and_on_many(tmp_path: Path) -> None:
+    """State that a run leaves in its process would change the results of later runs in that process."""
     path = tmp_path / "scenario.toml"
     path.write_text("span_s = 3.0\n[links]\nrate = 20.0\n")
     runs = plan_runs(path, [Variation("nodes.count", [1, 2])], seeds=2, policies=["larchlatch", "random"])
@@ -24,7 +25,7 @@
         (count, policy, seed) for count in (1, 2) for policy in ("larchlatch", "random") for seed in (1, 2)
     }
     assert set(summarize(rows, ["nodes.count"], "served")) == {(1,), (2,)}
-    with pytest.raises(InvalidInputError, match="no figure of that name"):
+    with pytest.raises(InvalidInputError, match="no figure named happiness"):
         summarize(rows, [], "happiness")
 
 
