--- a/larchlatch/emulator/baselines.py
+++ b/larchlatch/emulator/baselines.py
@@ -125,11 +125,11 @@
             return Nothing()
         idempotency = self.settings.traffic_classes[session.traffic_class].idempotency
         may_have_run = session.maybe_executed_at >= 0
-        is_harmless = not may_have_run or idempotency is Idempotency.IDEMPOTENT
-        is_last_look = now + HOLD_US >= session.deadline
-        if is_last_look or session.attempt_count >= self.settings.max_attempts:
-            return Shed(RETRY_AFTER_US) if is_harmless else Fail()
-        if not is_harmless:
+        may_repeat = not may_have_run or idempotency is Idempotency.IDEMPOTENT
+        hold_exceeds_deadline = now + HOLD_US >= session.deadline
+        if hold_exceeds_deadline or session.attempt_count >= self.settings.max_attempts:
+            return Shed(RETRY_AFTER_US) if may_repeat else Fail()
+        if not may_repeat:
             return Fail()
         if not self.ready:
             return Hold(min(now + HOLD_US, session.deadline - HOLD_US))
--- a/larchlatch/emulator/clients.py
+++ b/larchlatch/emulator/clients.py
@@ -51,7 +51,7 @@
         client = next(clients, None)
         if client is not None:
             clock = self._context.clock
-            clock.schedule(START_US + client.due, Priority.WORLD, self._arrive, client, clients)
+            clock.schedule(START_US + client.due, Priority.ENVIRONMENT, self._arrive, client, clients)
 
     def _arrive(self, client: Client, clients: Iterator[Client]) -> None:
         self.schedule_arrivals(clients)
@@ -82,7 +82,7 @@
             self._request_session(client, node, forwarded)
         elif forwarded is not None:
             retry_at = self._now + FORWARDED_RETRY_US
-            self._context.clock.schedule(retry_at, Priority.WORLD, self.connect, client, forwarded)
+            self._context.clock.schedule(retry_at, Priority.ENVIRONMENT, self.connect, client, forwarded)
         else:
             self._retry(client, 0)
 
@@ -93,8 +93,8 @@
 
     def _entry_node(self, client: Client) -> SimulatedNode | None:
         """Return the node that a client connects to: one in its zone, or any node if its zone has none."""
-        entries = [node for node in self._context.nodes if self.is_entry[node.number]]
-        nodes = [node for node in entries if node.zone == client.zone] or entries
+        entry_nodes = [node for node in self._context.nodes if self.is_entry[node.number]]
+        nodes = [node for node in entry_nodes if node.zone == client.zone] or entry_nodes
         if not nodes:
             return None
         draw = self._context.streams.draw("front", client.number, client.sessions)
@@ -130,14 +130,14 @@
         record = SessionRecord(session, client)
         node.receive_session(record)
         if node.inbox.is_paused:
-            self.limit_patience(record, node)
+            self.schedule_departure(record, node)
 
     # Clients of a paused node.
 
-    def limit_patience(self, record: SessionRecord, node: SimulatedNode) -> None:
+    def schedule_departure(self, record: SessionRecord, node: SimulatedNode) -> None:
         """Schedule that a client gives up at its deadline if its node is still paused then."""
         deadline = record.session.deadline
-        self._context.clock.schedule(deadline, Priority.WORLD, self._leave_unanswered, record, node)
+        self._context.clock.schedule(deadline, Priority.ENVIRONMENT, self._leave_unanswered, record, node)
 
     def _leave_unanswered(self, record: SessionRecord, node: SimulatedNode) -> None:
         number = record.session.number
@@ -165,14 +165,14 @@
         draw = self._context.streams.draw("back", client.number, client.sessions)
         pause_us = retry_after_us or round(mean_us * 2 * draw)
         retry_at = self._now + max(1, pause_us)
-        self._context.clock.schedule(retry_at, Priority.WORLD, self.connect, client)
+        self._context.clock.schedule(retry_at, Priority.ENVIRONMENT, self.connect, client)
 
     def reconnect(self, client: Client) -> None:
         """Schedule that a client whose session has ended requests a new one after a random pause."""
         client.rejections = 0
         draw = self._context.streams.draw("return", client.number, client.sessions)
         pause_us = MIN_RECONNECT_US + round((MAX_RECONNECT_US - MIN_RECONNECT_US) * draw)
-        self._context.clock.schedule(self._now + pause_us, Priority.WORLD, self.connect, client)
+        self._context.clock.schedule(self._now + pause_us, Priority.ENVIRONMENT, self.connect, client)
 
     # Answers that nodes send to their clients.
 
@@ -186,15 +186,15 @@
         """
         self._context.figures.counts[SessionEvent.SHED] += 1
         self._context.trace.record("shed", record.session.number, retry_after_us)
-        self._take_rejection(record, retry_after_us, shed=True)
+        self._handle_rejection(record, retry_after_us, shed=True)
 
     def on_failed(self, record: SessionRecord) -> None:
         """Handle the answer that a session failed and that an attempt may have been executed."""
         self._context.figures.counts[SessionEvent.FAILED] += 1
         self._context.trace.record("given up", record.session.number, 0)
-        self._take_rejection(record, 0, shed=False)
+        self._handle_rejection(record, 0, shed=False)
 
-    def _take_rejection(self, record: SessionRecord, retry_after_us: int, *, shed: bool) -> None:
+    def _handle_rejection(self, record: SessionRecord, retry_after_us: int, *, shed: bool) -> None:
         number = record.session.number
         self._context.rules.answered(self._now, number, shed=shed)
         self._sessions.release_forwarded(number, record.client)
@@ -210,7 +210,7 @@
         self._sessions.established[session.number] = EstablishedSession(record, node)
         node.policy.record_load(self._now, session, client.load)
         end = max(self._now, client.ends_at)
-        self._context.clock.schedule(end, Priority.WORLD, self._finish, session.number)
+        self._context.clock.schedule(end, Priority.ENVIRONMENT, self._finish, session.number)
 
     def _finish(self, number: int) -> None:
         """End the session of a client whose lifetime is over."""
--- a/larchlatch/emulator/clock.py
+++ b/larchlatch/emulator/clock.py
@@ -15,7 +15,7 @@
 class Priority(IntEnum):
     """The order of events that are due at the same microsecond."""
 
-    WORLD = 0  # events of clients, upstreams, the network and faults
+    ENVIRONMENT = 0  # events of clients, upstreams, the network and faults
     NOTIFICATION = 1  # deliveries to nodes
     TIMER = 2  # a node's own timers
     CHECK = 3  # checks of the rules, after all other events of that time
@@ -43,8 +43,8 @@
         heapq.heappush(self._queue, (max(when, self.now), priority, self.scheduled_count, action, args))
 
     def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
-        """Schedule a call of an action after a delay in seconds, with `Priority.WORLD`."""
-        self.schedule(self.now + us(delay_s), Priority.WORLD, action, *args)
+        """Schedule a call of an action after a delay in seconds, with `Priority.ENVIRONMENT`."""
+        self.schedule(self.now + us(delay_s), Priority.ENVIRONMENT, action, *args)
 
     def run_until(self, end: int) -> None:
         """Execute all events due up to a time, including those scheduled meanwhile; advance to it."""
--- a/larchlatch/emulator/cluster.py
+++ b/larchlatch/emulator/cluster.py
@@ -47,7 +47,7 @@
         self._numbers = {member_name(number): number for number in range(count)}
         self._removed: set[int] = set()
         self._settings = self._current_settings()
-        self._starts = [0] * count
+        self._start_counts = [0] * count
         self.members = [self._start_member(number) for number in range(count)]
         self.observe_fleet()
         if self.checkers.quota is not None:
@@ -58,8 +58,8 @@
         return cluster_settings(self._context.scenario, numbers, digest=1 + len(self._removed))
 
     def _start_member(self, number: int) -> SimulatedMember:
-        self._starts[number] += 1
-        stream = f"cluster {number} start {self._starts[number]}"
+        self._start_counts[number] += 1
+        stream = f"cluster {number} start {self._start_counts[number]}"
         return SimulatedMember(
             self._context,
             self,
@@ -73,13 +73,13 @@
         """Return the number of the node with this name."""
         return self._numbers[name]
 
-    def count(self, kind: str) -> None:
+    def count(self, reason: str) -> None:
         """Count an invalid datagram by the reason for which it was rejected."""
-        self.counts[kind] = self.counts.get(kind, 0) + 1
+        self.counts[reason] = self.counts.get(reason, 0) + 1
 
     # Datagrams and advice.
 
-    def carry(self, sender: int, receiver: int, data: bytes) -> None:
+    def send_datagram(self, sender: int, receiver: int, data: bytes) -> None:
         """Send a datagram from one node to another; the state of the path may lose, delay or repeat it."""
         self.bytes_sent += len(data)
         zones, clock = self._context.scenario.zones, self._context.clock
--- a/larchlatch/emulator/discovery.py
+++ b/larchlatch/emulator/discovery.py
@@ -46,7 +46,7 @@
         }
         self.suspended_until = 0
         self._context = context
-        self._last_sent_at = [0] * context.scenario.nodes.count  # by node; keeps its deliveries in order
+        self._last_delivery_at = [0] * context.scenario.nodes.count  # by node; keeps its deliveries in order
 
     def change(self, upstream: SimulatedUpstream, state: EndpointState) -> None:
         """Change an upstream's entry, and send the change to all nodes."""
@@ -61,17 +61,21 @@
         """Send the whole endpoint list to a node."""
         self._send(node, list(self.endpoints.values()), whole=True)
 
-    def forget_order(self, node: SimulatedNode) -> None:
+    def reset_delivery_order(self, node: SimulatedNode) -> None:
         """Let deliveries to a node's new process arrive before those that its former process was sent."""
-        self._last_sent_at[node.number] = 0
+        self._last_delivery_at[node.number] = 0
 
     def _send(self, node: SimulatedNode, endpoints: list[Endpoint], *, whole: bool) -> None:
         discovery, clock = self._context.scenario.discovery, self._context.clock
         draw = self._context.streams.draw("list", node.number, self._context.next_id())
         delay_ms = discovery.min_delay_ms + (discovery.max_delay_ms - discovery.min_delay_ms) * draw
-        at = max(clock.now + us(delay_ms / 1e3), self._last_sent_at[node.number], self.suspended_until)
-        self._last_sent_at[node.number] = at
-        clock.schedule(at, Priority.NOTIFICATION, partial(self._deliver, node, endpoints, whole=whole))
+        deliver_at = max(
+            clock.now + us(delay_ms / 1e3), self._last_delivery_at[node.number], self.suspended_until
+        )
+        self._last_delivery_at[node.number] = deliver_at
+        clock.schedule(
+            deliver_at, Priority.NOTIFICATION, partial(self._deliver, node, endpoints, whole=whole)
+        )
 
     @staticmethod
     def _deliver(node: SimulatedNode, endpoints: list[Endpoint], *, whole: bool) -> None:
--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -84,7 +84,7 @@
         """Multiply the time that each access to the shared store takes."""
         self._store.slowness *= factor
 
-    def fall_over(self, upstream: SimulatedUpstream) -> None:
+    def crash_under_overload(self, upstream: SimulatedUpstream) -> None:
         """Crash an upstream that was overloaded in its slow start, and start it again after a fixed time."""
         self.crash(upstream)
         self._context.clock.call_later(OVERLOAD_DOWNTIME_S, self.bring_up, upstream)
@@ -133,7 +133,7 @@
         node.inbox.pause()
         for record in node.records.values():
             if not record.session.established:
-                self._clients.limit_patience(record, node)
+                self._clients.schedule_departure(record, node)
         if self._cluster is not None:
             self._cluster.pause(node.number)
 
--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -86,7 +86,7 @@
             settings.sites,
             heartbeat_us=self._heartbeat_us,
             wall_us=self._now,
-            now_us=self.shown_time,
+            now_us=self.node_time,
             rng=rng,
         )
         state = SharedState.create(
@@ -95,10 +95,10 @@
             settings.electorate,
             max_clock_difference_us=MAX_CLOCK_DIFFERENCE_US,
             heartbeat_us=self._heartbeat_us,
-            now=self.shown_time,
+            now=self.node_time,
             random=rng,
         )
-        state.open(self.shown_time)
+        state.open(self.node_time)
         signer = UnsignedSigner(name)
         exchange = ByzantineExchange(
             membership, state, settings.sites, settings.keys, signer, signer, self._cluster.count
@@ -111,7 +111,7 @@
         return self._context.clock.now
 
     @property
-    def shown_time(self) -> int:
+    def node_time(self) -> int:
         """The time that the node's own, possibly drifting clock shows, in microseconds."""
         return self._clock.at(self._now)
 
@@ -129,7 +129,7 @@
         """Return 0 if the quotas admit a session, else the pause before a retry, in microseconds."""
         self._observe(SessionRequested(self._now, str(session)))
         quotas = self.exchange.state.quotas
-        retry_after_us = quotas.admit(self.shown_time, traffic_class_name(traffic_class))
+        retry_after_us = quotas.admit(self.node_time, traffic_class_name(traffic_class))
         if not retry_after_us:
             self._observe(SessionAdmitted(self._now, str(session)))
         return retry_after_us
@@ -140,7 +140,7 @@
         slow_start = self._context.scenario.slow_start
         remaining_us = started_at + us(slow_start.duration_s) - self._now if started_at else 0
         self.exchange.state.tokens.update_upstreams(
-            self.shown_time,
+            self.node_time,
             upstreams,
             slow_start_us=max(0, remaining_us),
             window_us=us(slow_start.overload_window_s),
@@ -149,7 +149,7 @@
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
         """Request a slow-start token for a session at one of its candidates."""
         by_upstream = [(candidate.upstream, candidate) for candidate in candidates]
-        result = self.exchange.request_token(session, by_upstream, now=self.shown_time, wall=self._now)
+        result = self.exchange.request_token(session, by_upstream, now=self.node_time, wall=self._now)
         self._send(result.datagrams)
         self._report_election(result.orders)
         self._pass_on_tokens(result.token_updates)
@@ -158,15 +158,13 @@
         """Record whether an upstream was reached; None if it stopped answering messages."""
         health = self.exchange.state.health
         if upstream in health.upstreams:
-            health.observe(self.shown_time, upstream, reached=reached)
+            health.observe(self.node_time, upstream, reached=reached)
 
     def report_quota_usage(self) -> None:
         """Report to the checkers how much of the quota this member estimates to be used."""
         usage = self.exchange.state.quota_usage
-        [known] = usage.ranges(self._now)
-        self._observe(
-            QuotaUsageReported(self._now, least=known.least, most=known.most, span_us=usage.span_us)
-        )
+        [used] = usage.ranges(self._now)
+        self._observe(QuotaUsageReported(self._now, least=used.least, most=used.most, span_us=usage.span_us))
 
     def reload(self, settings: ClusterSettings) -> None:
         """Apply a new cluster file."""
@@ -176,7 +174,7 @@
             settings.quota_settings,
             settings.electorate,
             heartbeat_us=self._heartbeat_us,
-            now=self.shown_time,
+            now=self.node_time,
         )
 
     # Heartbeats and datagrams.
@@ -193,7 +191,7 @@
 
     def _heartbeat(self) -> None:
         with self._measured():
-            result = self.exchange.heartbeat(now=self.shown_time, wall=self._now)
+            result = self.exchange.heartbeat(now=self.node_time, wall=self._now)
         self._report_members(result.changes)
         self._report_election([])
         self._pass_on_tokens(result.token_updates)
@@ -211,10 +209,10 @@
             self._unread.append(data)
         elif self.is_alive:
             with self._measured():
-                result = self.exchange.receive(data, now=self.shown_time, wall=self._now)
-            self._take_result(result)
+                result = self.exchange.receive(data, now=self.node_time, wall=self._now)
+            self._handle_result(result)
 
-    def _take_result(self, result: ExchangeResult) -> None:
+    def _handle_result(self, result: ExchangeResult) -> None:
         self._report_members(result.changes)
         self._report_election(result.orders)
         self._send(result.datagrams)
@@ -242,12 +240,12 @@
     # Results of the exchange.
 
     def _pass_on_tokens(self, notices: Sequence[TokenNotice]) -> None:
-        ahead_us = self._now - self.shown_time  # the balancer uses the simulated clock, not the node's
+        clock_offset_us = self._now - self.node_time  # the balancer uses the simulated clock, not the node's
         node = self._context.nodes[self.number]
         for notice in notices:
             upstream = notice.upstream if notice.session >= 0 else -1
-            token = Token(upstream, notice.session, notice.token_ends_at + ahead_us)
-            node.receive_token(notice.handed_over_until + ahead_us, token)
+            token = Token(upstream, notice.session, notice.token_ends_at + clock_offset_us)
+            node.receive_token(notice.handed_over_until + clock_offset_us, token)
 
     def _report_election(self, orders: Sequence[ExecutedOrder]) -> None:
         events = self.exchange.state.election.take_events()
@@ -268,4 +266,4 @@
 
     def _send(self, datagrams: Sequence[OutgoingDatagram]) -> None:
         for name, data in datagrams:
-            self._cluster.carry(self.number, self._cluster.number_of(name), data)
+            self._cluster.send_datagram(self.number, self._cluster.number_of(name), data)
--- a/larchlatch/emulator/network.py
+++ b/larchlatch/emulator/network.py
@@ -54,24 +54,24 @@
         context.trace.record("try", attempt.session, node.number, upstream.number)
         context.rules.attempt_sent(now, session=attempt.session, node=node.number, upstream=upstream.number)
         latency_us = context.topology.latency_us(node.zone, upstream.zone)
-        self._expire_at(attempt.ends_at, attempt, Outcome.TIMED_OUT)
+        self._schedule_end(attempt.ends_at, attempt, Outcome.TIMED_OUT)
         if not context.topology.reaches(node, upstream):
             expires_at = min(now + self._connect_timeout_us, attempt.ends_at)
-            self._expire_at(expires_at, attempt, Outcome.CONNECT_FAILED)
+            self._schedule_end(expires_at, attempt, Outcome.CONNECT_FAILED)
         elif upstream.condition is Condition.CRASHED:
             self._notify(attempt, Outcome.CONNECT_FAILED, 2 * latency_us)
         else:
             arrives_at = now + latency_us
-            self._clock.schedule(arrives_at, Priority.WORLD, self._arrive, record, attempt, latency_us)
+            self._clock.schedule(arrives_at, Priority.ENVIRONMENT, self._arrive, record, attempt, latency_us)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
         """Cancel an attempt that is not established yet."""
-        self._expire(attempt, Outcome.CANCELLED)
+        self._end_unestablished(attempt, Outcome.CANCELLED)
 
-    def _expire_at(self, when: int, attempt: Attempt, outcome: Outcome) -> None:
-        self._clock.schedule(when, Priority.TIMER, self._expire, attempt, outcome)
+    def _schedule_end(self, when: int, attempt: Attempt, outcome: Outcome) -> None:
+        self._clock.schedule(when, Priority.TIMER, self._end_unestablished, attempt, outcome)
 
-    def _expire(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _end_unestablished(self, attempt: Attempt, outcome: Outcome) -> None:
         """Report an outcome to the attempt's node, unless the attempt has ended or is established."""
         if attempt.is_live and not attempt.is_established:
             attempt.node.receive_outcome(attempt, outcome)
@@ -125,7 +125,13 @@
             return
         stored_at = done_at + self._store.delay_us
         self._clock.schedule(
-            stored_at, Priority.WORLD, self._end_setup, record, attempt, upstream.incarnation, latency_us
+            stored_at,
+            Priority.ENVIRONMENT,
+            self._end_setup,
+            record,
+            attempt,
+            upstream.incarnation,
+            latency_us,
         )
 
     def _end_setup(self, record: SessionRecord, attempt: Attempt, incarnation: int, latency_us: int) -> None:
--- a/larchlatch/emulator/node.py
+++ b/larchlatch/emulator/node.py
@@ -62,17 +62,19 @@
 
     # Events.
 
-    def receive_endpoints(self, endpoints: list[Endpoint], *, whole: bool, polled: bool = True) -> None:
+    def receive_endpoints(
+        self, endpoints: list[Endpoint], *, whole: bool, from_discovery: bool = True
+    ) -> None:
         """Handle an endpoint list, or changes to it.
 
         Args:
             endpoints: The endpoints.
             whole: Whether they are the whole list rather than changes to it.
-            polled: Whether discovery sent them, rather than a former process of this node.
+            from_discovery: Whether discovery sent them, rather than a former process of this node.
 
         """
-        again = partial(self.receive_endpoints, endpoints, whole=whole, polled=polled)
-        if self.inbox.defers(again):
+        redelivery = partial(self.receive_endpoints, endpoints, whole=whole, from_discovery=from_discovery)
+        if self.inbox.defer_if_paused(redelivery):
             return
         if whole:
             self.endpoints.clear()
@@ -81,16 +83,16 @@
             self._environment.rules.endpoint_received(
                 self._now, node=self.number, upstream=endpoint.upstream, state=endpoint.state
             )
-        self.policy.update_endpoints(self._now, endpoints, whole=whole, from_discovery=polled)
+        self.policy.update_endpoints(self._now, endpoints, whole=whole, from_discovery=from_discovery)
         if self.cluster is not None:
             ready = [each for each in self.endpoints.values() if each.state is EndpointState.READY]
             started_at = max((endpoint.started_at for endpoint in ready), default=0)
             self.cluster.update_endpoints([endpoint.upstream for endpoint in ready], started_at)
-        self.act()
+        self.run_due_actions()
 
     def receive_session(self, record: SessionRecord) -> None:
         """Handle a client's request for a session."""
-        if record.client_left or self.inbox.defers(self.receive_session, record):
+        if record.client_left or self.inbox.defer_if_paused(self.receive_session, record):
             return
         session = record.session
         self.records[session.number] = record
@@ -101,13 +103,13 @@
             self.shed(self._now, session, retry_after_us)
             return
         self.carry_out(self._now, session, self.policy.place(self._now, session))
-        self.act()
+        self.run_due_actions()
 
     def receive_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
         """Handle the outcome of an attempt, or the end of the session that it has established."""
         if not attempt.is_live or not self.is_alive:
             return
-        if self.inbox.defers(self.receive_outcome, attempt, outcome):
+        if self.inbox.defer_if_paused(self.receive_outcome, attempt, outcome):
             return
         attempt.is_live = attempt.is_established = outcome is Outcome.ESTABLISHED
         self._environment.rules.attempt_ended(attempt.session, outcome)
@@ -116,10 +118,10 @@
             return
         if outcome in REACHED:
             self._observe_reachability(attempt.upstream, reached=REACHED[outcome])
-        self._take_outcome(record, attempt, outcome)
-        self.act()
+        self._handle_outcome(record, attempt, outcome)
+        self.run_due_actions()
 
-    def _take_outcome(self, record: SessionRecord, attempt: Attempt, outcome: Outcome) -> None:
+    def _handle_outcome(self, record: SessionRecord, attempt: Attempt, outcome: Outcome) -> None:
         was_established = record.session.established
         record.attempt = attempt if attempt.is_live or was_established else None
         answer = self.policy.outcome(self._now, record.session, outcome, answered=was_established)
@@ -133,19 +135,19 @@
 
     def receive_probe_result(self, upstream: int, result: ProbeResult) -> None:
         """Handle the result of a probe."""
-        if not self.is_alive or self.inbox.defers(self.receive_probe_result, upstream, result):
+        if not self.is_alive or self.inbox.defer_if_paused(self.receive_probe_result, upstream, result):
             return
         self._observe_reachability(upstream, reached=result.answered)
         self.policy.record_probe(self._now, upstream, result)
-        self.act()
+        self.run_due_actions()
 
     def receive_message_latency(self, record: SessionRecord, latency_us: int) -> None:
         """Handle a measured message latency of an established session, in microseconds."""
-        if self.inbox.defers(self.receive_message_latency, record, latency_us):
+        if self.inbox.defer_if_paused(self.receive_message_latency, record, latency_us):
             return
         if self.is_alive and record.session.number in self.records and record.session.established:
             self.policy.record_delay(self._now, record.session, latency_us)
-            self.act()
+            self.run_due_actions()
 
     def receive_ejection_advice(self, probes: list[int], failures: Sequence[tuple[int, int]]) -> None:
         """Handle advice that is based on other nodes' reports, in the same order as a production node does.
@@ -157,14 +159,14 @@
         """
         for upstream in probes:
             self.probe(self._now, upstream)
-        for upstream, witnesses in failures:
-            for _ in range(witnesses):
+        for upstream, reporter_count in failures:
+            for _ in range(reporter_count):
                 self.policy.record_probe(self._now, upstream, ProbeResult(False))
-        self.act()
+        self.run_due_actions()
 
     def receive_token(self, until: int, token: Token) -> None:
         """Handle a slow-start token, and the time until which its issuer allots slow-start budgets."""
-        if not self.inbox.defers(self.receive_token, until, token) and self.is_alive:
+        if not self.inbox.defer_if_paused(self.receive_token, until, token) and self.is_alive:
             self.policy.record_token(self._now, until, token)
 
     def client_left(self, session: int) -> None:
@@ -176,13 +178,13 @@
             record.attempt.is_live = False
         self.policy.remove_session(record.session)
         if not self.inbox.is_paused:
-            self.act()
+            self.run_due_actions()
 
     def receive_silence(self, upstream: int) -> None:
         """Handle that an upstream has stopped answering messages."""
         self.policy.record_unresponsive(self._now, upstream)
         self._observe_reachability(upstream, reached=None)
-        self.act()
+        self.run_due_actions()
 
     def _observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
         """Report to the cluster whether an upstream was reached; None if it stopped answering messages."""
@@ -240,7 +242,7 @@
         """Poll the endpoint list."""
         self._environment.discovery.send_whole_list(self)
 
-    def act(self) -> None:
+    def run_due_actions(self) -> None:
         """Execute the actions that are due, and set the timer for the next one."""
         now = self._now
         wake_at = max(self.due(now), now + 1)
@@ -249,15 +251,15 @@
             self._environment.clock.schedule(wake_at, Priority.TIMER, self._on_timer, wake_at)
 
     def _on_timer(self, at: int) -> None:
-        if self.is_alive and self.inbox.defers(self._on_timer, at):
+        if self.is_alive and self.inbox.defer_if_paused(self._on_timer, at):
             return
         if self.is_alive and at == self._wake_at:
-            self.act()
+            self.run_due_actions()
 
     def die(self) -> list[SessionRecord]:
         """End the process; return its sessions, including those whose requests were deferred by a pause."""
         self.is_alive = False
-        waiting = [args[0] for args in self.inbox.waiting(self.receive_session)]
+        waiting = [args[0] for args in self.inbox.deferred_calls(self.receive_session)]
         records = [*self.records.values(), *(record for record in waiting if not record.client_left)]
         for record in records:
             if record.attempt is not None:
--- a/larchlatch/emulator/node_lifecycle.py
+++ b/larchlatch/emulator/node_lifecycle.py
@@ -48,7 +48,7 @@
         self._clients = clients
         self._discovery = discovery
         self._cluster = cluster
-        self._starts = [0] * context.scenario.nodes.count
+        self._start_counts = [0] * context.scenario.nodes.count
 
     def start_all(self) -> None:
         """Create all nodes."""
@@ -56,9 +56,9 @@
         nodes.extend(self._create(number) for number in range(self._context.scenario.nodes.count))
 
     def _create(self, number: int) -> SimulatedNode:
-        self._starts[number] += 1
+        self._start_counts[number] += 1
         scenario = self._context.scenario
-        rng = self._context.streams.stream(f"node {number} start {self._starts[number]}")
+        rng = self._context.streams.stream(f"node {number} start {self._start_counts[number]}")
         policy = self._create_policy(deployment_settings(scenario, number), rng)
         node = SimulatedNode(self._environment, policy, number=number, zone=number % scenario.zones)
         if self._cluster is not None:
@@ -108,7 +108,7 @@
         draw = self._context.streams.draw("beat", record.session.number)
         next_message_us = round(us(scenario.sessions.message_interval_s) * draw)
         at = clock.now + us(scenario.nodes.detection_s) + next_message_us
-        clock.schedule(at, Priority.WORLD, self._clients.connect, record.client, forwarded)
+        clock.schedule(at, Priority.ENVIRONMENT, self._clients.connect, record.client, forwarded)
 
     def _detect_death(self, node: SimulatedNode) -> None:
         if not node.is_alive and self.is_current(node):
@@ -119,7 +119,7 @@
             self._cluster.restart(dead.number)
         node = self._context.nodes[dead.number] = self._create(dead.number)
         self._context.trace.record("restart", node.number)
-        node.receive_endpoints(endpoints, whole=True, polled=False)
-        self._discovery.forget_order(node)
+        node.receive_endpoints(endpoints, whole=True, from_discovery=False)
+        self._discovery.reset_delivery_order(node)
         self._discovery.send_whole_list(node)
         self._clients.is_entry[node.number] = True
--- a/larchlatch/emulator/pausable_inbox.py
+++ b/larchlatch/emulator/pausable_inbox.py
@@ -12,7 +12,7 @@
     """Keeps the events of a paused process until it resumes; pauses may overlap."""
 
     def __init__(self) -> None:
-        self._pauses = 0
+        self._pause_count = 0
         self._backlog: list[tuple[Callable[..., None], tuple[Any, ...]]] | None = None
 
     @property
@@ -22,16 +22,16 @@
 
     def pause(self) -> None:
         """Begin a pause."""
-        self._pauses += 1
+        self._pause_count += 1
         if self._backlog is None:
             self._backlog = []
 
     def end_pause(self) -> bool:
         """End one pause; return whether it was the last one, after which `deliver` is to be called."""
-        self._pauses -= 1
-        return not self._pauses
+        self._pause_count -= 1
+        return not self._pause_count
 
-    def defers(self, action: Callable[..., None], *args: Any) -> bool:
+    def defer_if_paused(self, action: Callable[..., None], *args: Any) -> bool:
         """Defer a call of an action if the process is paused; return whether it was deferred."""
         if self._backlog is None:
             return False
@@ -44,8 +44,8 @@
         for action, args in backlog:
             action(*args)
 
-    def waiting(self, action: Callable[..., None]) -> Iterator[tuple[Any, ...]]:
+    def deferred_calls(self, action: Callable[..., None]) -> Iterator[tuple[Any, ...]]:
         """Yield the arguments of each deferred call of an action."""
-        for kept, args in self._backlog or ():
-            if kept == action:
+        for deferred_action, args in self._backlog or ():
+            if deferred_action == action:
                 yield args
--- a/larchlatch/emulator/session_rules.py
+++ b/larchlatch/emulator/session_rules.py
@@ -16,7 +16,7 @@
 MAX_DESCRIPTIONS = 20  # of violations; later violations are only counted
 
 # Outcomes that prove that the upstream has not executed the attempt.
-NEVER_SEEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class Rule(StrEnum):
@@ -108,8 +108,8 @@
         self._check_repetition(now, session, history)
         excluded_since = self._excluded_since.get((node, upstream))
         if excluded_since is not None and now > excluded_since + DRAIN_GRACE_US:
-            late_us = now - excluded_since
-            target = f"node {node} to upstream {upstream}, which was not ready for {late_us} us"
+            excluded_us = now - excluded_since
+            target = f"node {node} to upstream {upstream}, which was not ready for {excluded_us} us"
             self._violate(Rule.DRAIN_RESPECTED, now, f"session {session}: sent by {target}")
         history.in_flight = True
         history.possible_runs.append((now, upstream))
@@ -139,7 +139,7 @@
         if history is None:
             return
         history.in_flight = False
-        if outcome in NEVER_SEEN and history.possible_runs:
+        if outcome in NOT_EXECUTED and history.possible_runs:
             history.possible_runs.pop()
 
     def answered(self, now: int, session: int, *, shed: bool) -> None:
--- a/larchlatch/emulator/session_table.py
+++ b/larchlatch/emulator/session_table.py
@@ -71,7 +71,7 @@
         self._group_load = group_load
         self._counted_until = [clock.now] * len(upstreams)
 
-    def established_at(self, upstream: SimulatedUpstream) -> list[EstablishedSession]:
+    def established_on(self, upstream: SimulatedUpstream) -> list[EstablishedSession]:
         """Return the established sessions of an upstream."""
         return [self.established[number] for number in upstream.sessions if number in self.established]
 
--- a/larchlatch/emulator/silence_detection.py
+++ b/larchlatch/emulator/silence_detection.py
@@ -50,8 +50,8 @@
             )
         for (node_number, upstream), message_at in first_message_at.items():
             node = self._context.nodes[node_number]
-            found_at = message_at + UNRESPONSIVE_AFTER_US
-            clock.schedule(found_at, Priority.TIMER, self._report_unresponsive, node, upstream)
+            unresponsive_at = message_at + UNRESPONSIVE_AFTER_US
+            clock.schedule(unresponsive_at, Priority.TIMER, self._report_unresponsive, node, upstream)
 
     def _migrate(
         self, established: EstablishedSession, is_silent: Callable[[EstablishedSession], bool]
@@ -61,7 +61,7 @@
             node.receive_outcome(attempt, Outcome.RESET)
 
     def _report_unresponsive(self, node: SimulatedNode, upstream: int) -> None:
-        if node.inbox.defers(self._report_unresponsive, node, upstream):
+        if node.inbox.defer_if_paused(self._report_unresponsive, node, upstream):
             return
         reaches = self._context.topology.reaches(node, self._context.upstreams[upstream])
         if node.is_alive and not reaches:
--- a/larchlatch/emulator/simulation.py
+++ b/larchlatch/emulator/simulation.py
@@ -73,7 +73,7 @@
         fleet = UpstreamFleet(context, self._discovery, silence)
         self._sampling = UpstreamSampling(context, fleet)
         upstream_faults = SimulatedUpstreamFaults(context, fleet, store, self.cluster)
-        network = SimulatedNetwork(context, store, upstream_faults.fall_over)
+        network = SimulatedNetwork(context, store, upstream_faults.crash_under_overload)
         environment = NodeEnvironment(context.clock, context.rules, self._clients, network, self._discovery)
         self.lifecycle = NodeLifecycle(
             context,
@@ -105,8 +105,8 @@
             node.receive_endpoints(list(self._discovery.endpoints.values()), whole=True)
         self._clients.schedule_arrivals(client_arrivals(self.scenario, context.streams))
         for index, fault in enumerate(self.scenario.faults):
-            clock.schedule(START_US + us(fault.at_s), Priority.WORLD, self._inject, index, fault)
-        clock.schedule(START_US + INTERVAL_US, Priority.WORLD, self._sampling.tick)
+            clock.schedule(START_US + us(fault.at_s), Priority.ENVIRONMENT, self._inject, index, fault)
+        clock.schedule(START_US + INTERVAL_US, Priority.ENVIRONMENT, self._sampling.tick)
         clock.run_until(context.end)
         for upstream in context.upstreams:
             context.sessions.count_served_time(upstream)
--- a/larchlatch/emulator/sweep.py
+++ b/larchlatch/emulator/sweep.py
@@ -76,9 +76,9 @@
 
 def parse_value(text: str) -> Any:
     """Return the value that a text stands for: an integer, a float, a Boolean, or else the text itself."""
-    for kind in (int, float):
+    for number_type in (int, float):
         try:
-            return kind(text)
+            return number_type(text)
         except ValueError:
             continue
     return {"true": True, "false": False}.get(text, text)
@@ -130,10 +130,10 @@
     median, mean = statistics.median(values), statistics.fmean(values)
     if len(values) < 2:
         return Interval(median, median, median)
-    freedom = len(values) - 1
-    t = T95[freedom - 1] if freedom <= len(T95) else NORMAL95
-    half = t * statistics.stdev(values) / len(values) ** 0.5
-    return Interval(median, mean - half, mean + half)
+    degrees_of_freedom = len(values) - 1
+    t = T95[degrees_of_freedom - 1] if degrees_of_freedom <= len(T95) else NORMAL95
+    margin = t * statistics.stdev(values) / len(values) ** 0.5
+    return Interval(median, mean - margin, mean + margin)
 
 
 def summarize(results: list[dict[str, Any]], keys: list[str], figure: str) -> dict[tuple[Any, ...], Interval]:
--- a/larchlatch/emulator/upstream_fleet.py
+++ b/larchlatch/emulator/upstream_fleet.py
@@ -40,12 +40,12 @@
         upstream.condition = Condition.SILENT
         incarnation = upstream.incarnation
         self._silence.begin(
-            self._sessions.established_at(upstream), lambda _: upstream.incarnation == incarnation
+            self._sessions.established_on(upstream), lambda _: upstream.incarnation == incarnation
         )
 
     def crash(self, upstream: SimulatedUpstream) -> None:
         """End an upstream's process."""
-        established = self._sessions.established_at(upstream)
+        established = self._sessions.established_on(upstream)
         self._sessions.count_served_time(upstream)
         upstream.condition = Condition.CRASHED
         upstream.stop()
@@ -53,7 +53,7 @@
 
     def bring_up(self, upstream: SimulatedUpstream) -> None:
         """Start an upstream anew, in slow start; reset sessions that nodes still consider established."""
-        established = self._sessions.established_at(upstream)
+        established = self._sessions.established_on(upstream)
         self._sessions.count_served_time(upstream)
         upstream.start(self._context.clock.now)
         self.reset_sessions(upstream, established)
@@ -66,7 +66,7 @@
 
     def retire(self, upstream: SimulatedUpstream) -> None:
         """Stop an upstream and remove it from the endpoint list."""
-        established = self._sessions.established_at(upstream)
+        established = self._sessions.established_on(upstream)
         self._sessions.count_served_time(upstream)
         upstream.stop()
         upstream.condition = Condition.ABSENT
--- a/larchlatch/emulator/upstream_sampling.py
+++ b/larchlatch/emulator/upstream_sampling.py
@@ -26,13 +26,14 @@
     def __init__(self, context: SimulationContext, fleet: UpstreamFleet) -> None:
         self._context = context
         self._fleet = fleet
-        self._reported: set[tuple[int, int]] = set()  # node and upstream whose last reported latency was long
+        # Node and upstream of which the last reported latency was long.
+        self._long_latency_pairs: set[tuple[int, int]] = set()
 
     def tick(self) -> None:
         """Sample all upstreams now, and schedule the next sample."""
         context = self._context
         now = context.clock.now
-        context.clock.schedule(now + INTERVAL_US, Priority.WORLD, self.tick)
+        context.clock.schedule(now + INTERVAL_US, Priority.ENVIRONMENT, self.tick)
         context.slow_start.observe(UpstreamsSampled(now, context.upstreams, INTERVAL_US))
         for upstream in context.upstreams:
             if upstream.condition is Condition.HEALTHY:
@@ -45,22 +46,22 @@
         objective_us = us(self._context.scenario.sessions.message_ms / 1e3)
         latency_us = upstream.message_latency_us(self._context.clock.now, objective_us)
         is_long = latency_us > REPORTED_SHARE * objective_us
-        if not (is_long or self._reported):
+        if not (is_long or self._long_latency_pairs):
             return
         for number, (record, node) in self._first_session_by_node(upstream).items():
             pair = (number, upstream.number)
-            if is_long or pair in self._reported:
+            if is_long or pair in self._long_latency_pairs:
                 receive = node.receive_message_latency
                 clock = self._context.clock
                 clock.schedule(clock.now, Priority.NOTIFICATION, receive, record, latency_us)
             if is_long:
-                self._reported.add(pair)
+                self._long_latency_pairs.add(pair)
             else:
-                self._reported.discard(pair)
+                self._long_latency_pairs.discard(pair)
 
     def _first_session_by_node(self, upstream: SimulatedUpstream) -> dict[int, EstablishedSession]:
         first: dict[int, EstablishedSession] = {}
-        for established in self._context.sessions.established_at(upstream):
+        for established in self._context.sessions.established_on(upstream):
             first.setdefault(established.node.number, established)
         return first
 
--- a/tests/emulator/test_session_rules.py
+++ b/tests/emulator/test_session_rules.py
@@ -14,7 +14,7 @@
 from tests.support.simulations import ALL_FAULTS, SMALL, simulation_of
 
 
-class AnswersNobody(BaselinePolicy):
+class NeverAnswers(BaselinePolicy):
     """Holds every session and never answers it."""
 
     def place(self, now: int, session: Session) -> Answer:
@@ -53,7 +53,7 @@
 @pytest.mark.parametrize(
     ("policy", "rule"),
     [
-        (AnswersNobody, "lost"),
+        (NeverAnswers, "lost"),
         (RepeatsNonIdempotent, "twice"),
         (IgnoresDrains, "drain"),
         (OverloadsNewest, "cold"),
@@ -68,17 +68,17 @@
     assert any(f": {rule}: " in description for description in simulation.context.rules.descriptions)
 
 
-def test_two_attempts_in_flight_and_an_answer_after_the_last_are_found(
+def test_two_attempts_in_flight_and_late_or_second_answers_are_found(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """No policy causes these violations: a node sends each attempt twice, and a session is answered twice."""
 
-    def twice(node: SimulatedNode, now: int, session: Session, upstream: int, until: int) -> None:
-        sent(node, now, session, upstream, until)
-        sent(node, now, session, upstream, until)
+    def send_twice(node: SimulatedNode, now: int, session: Session, upstream: int, until: int) -> None:
+        send_once(node, now, session, upstream, until)
+        send_once(node, now, session, upstream, until)
 
-    sent = SimulatedNode.send
-    monkeypatch.setattr(SimulatedNode, "send", twice)
+    send_once = SimulatedNode.send
+    monkeypatch.setattr(SimulatedNode, "send", send_twice)
     simulation = simulation_of("random", span_s=3.0)
     simulation.run()
     assert simulation.context.rules.violations["twice"] > 0
--- a/tests/emulator/test_simulation.py
+++ b/tests/emulator/test_simulation.py
@@ -24,14 +24,14 @@
     """A fault may leave a session without an answer, with two, or with a repeated effect."""
     for seed in (1, 2):
         simulation = simulation_of(policy, faults=ALL_FAULTS, passes=passes, seed=seed)
-        row = simulation.run()
-        rules = dict(row["broken"])
+        result = simulation.run()
+        rules = dict(result["broken"])
         if policy in ("random", "least"):
             rules.pop("cold")  # these policies do not limit sessions to upstreams in slow start
         assert not any(rules.values()), simulation.context.rules.descriptions
-        assert row["links"] > row["clients"] and row["dropped"] + row["moved"] > 0
-        assert bool(row["mid_flow_right"] + row["mid_flow_wrong"]) == passes
-        assert 0.2 < row["served"] <= 1.0, (
+        assert result["links"] > result["clients"] and result["dropped"] + result["moved"] > 0
+        assert bool(result["mid_flow_right"] + result["mid_flow_wrong"]) == passes
+        assert 0.2 < result["served"] <= 1.0, (
             "sessions were hardly served, or for longer than their clients wanted"
         )
 
@@ -63,17 +63,17 @@
 def test_without_upstreams_each_session_is_answered_in_time() -> None:
     """A session that is held until an upstream is ready would miss its deadline if none ever is."""
     simulation = simulation_of(hosts=[{"count": 2, "late": 2}])
-    row = simulation.run()
-    assert simulation.context.rules.all_hold and row["delivered"] == 0 and row["shed"] > 200
+    result = simulation.run()
+    assert simulation.context.rules.all_hold and result["delivered"] == 0 and result["shed"] > 200
 
 
 def test_all_rules_hold_under_constant_overload() -> None:
     """Queues that grow without limit would delay answers beyond their deadlines."""
     sessions = {"rate": 60.0, "setup_ms": 400.0, "life_s": 5.0, "load_ms": 50.0}
     simulation = simulation_of(hosts=[{"count": 3, "size": 1.0}], links=sessions)
-    row = simulation.run()
+    result = simulation.run()
     assert simulation.context.rules.all_hold, simulation.context.rules.descriptions
-    assert 0 < row["delivered"] < row["links"] / 2 and row["shed"] + row["given_up"] > 100
+    assert 0 < result["delivered"] < result["links"] / 2 and result["shed"] + result["given_up"] > 100
 
 
 def test_a_node_killed_with_attempts_in_flight_leaves_no_session_at_an_upstream() -> None:
@@ -82,7 +82,7 @@
     kills = [{"kind": "kill", "at_s": at, "nodes": 3} for at in (2.0, 4.5, 7.0)]
     simulation = simulation_of(links=sessions, faults=kills)
     in_flight: list[Any] = []
-    real = simulation.lifecycle.kill
+    original_kill = simulation.lifecycle.kill
 
     def kill(node: SimulatedNode) -> None:
         in_flight.extend(
@@ -90,7 +90,7 @@
             for record in node.records.values()
             if record.attempt is not None and not record.session.established
         )
-        real(node)
+        original_kill(node)
 
     simulation.lifecycle.kill = kill  # type: ignore[method-assign]
     simulation.run()
@@ -115,25 +115,25 @@
     sessions = {**SMALL["links"], "setup_ms": 300.0, "effects": ["exclusive"]}
     crashes = [{"kind": "crash", "at_s": at, "hosts": 3} for at in (2.0, 5.0, 8.0)]
     simulation = simulation_of(RecordingBalancer, links=sessions, faults=crashes)
-    row = simulation.run()
+    result = simulation.run()
     assert len(reset_sessions) > 3 and simulation.context.rules.all_hold
-    assert row["given_up"] >= len(reset_sessions), (
+    assert result["given_up"] >= len(reset_sessions), (
         "a non-idempotent session whose attempt was reset must be answered as failed, without another attempt"
     )
 
 
-def test_a_node_imports_nothing_of_the_tools() -> None:
+def test_a_node_does_not_import_the_emulator_or_the_load_test() -> None:
     """An import in a shared module would load the libraries of the emulator and load test into each node."""
     probe = (
         "import sys, larchlatch.__main__, larchlatch.node.runtime, larchlatch.simulator_adapter.main;"
         "print([m for m in sys.modules if m.split('.')[0] in ('msgspec', 'matplotlib', 'hdrh', 'numpy')"
         " or m.startswith(('larchlatch.emulator', 'larchlatch.loadtest'))])"
     )
-    done = subprocess.run([sys.executable, "-c", probe], capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    completed = subprocess.run([sys.executable, "-c", probe], capture_output=True, text=True)
+    assert completed.stdout.strip() == "[]", completed.stdout + completed.stderr
 
 
-def test_a_node_schedules_nothing_for_the_decision_nothing() -> None:
+def test_the_answer_nothing_schedules_no_event() -> None:
     """`Nothing` is the answer for a session with an attempt in flight; held, it would be placed twice."""
     simulation = simulation_of()
     node = simulation.context.nodes[0]
--- a/tests/emulator/test_sweep.py
+++ b/tests/emulator/test_sweep.py
@@ -29,13 +29,17 @@
         summarize(rows, [], "happiness")
 
 
-def test_an_interval_is_that_of_students_distribution() -> None:
-    at = interval([1.0, 2.0, 3.0])
-    assert at.median == 2.0 and abs(at.high - 2 - 4.30 / 3**0.5) < 1e-9 and abs(at.low + at.high - 4) < 1e-9
+def test_an_interval_follows_students_t_distribution() -> None:
+    summary = interval([1.0, 2.0, 3.0])
+    assert (
+        summary.median == 2.0
+        and abs(summary.high - 2 - 4.30 / 3**0.5) < 1e-9
+        and abs(summary.low + summary.high - 4) < 1e-9
+    )
     assert interval([5.0]) == (5.0, 5.0, 5.0)
 
 
-def test_a_sweep_is_printed_and_drawn(tmp_path: Path) -> None:
+def test_a_sweep_prints_results_that_can_be_plotted(tmp_path: Path) -> None:
     path = tmp_path / "scenario.toml"
     path.write_text("span_s = 2.0\n")
     command = ["sweep", str(path), "--vary", "nodes.count=1,2", "--seeds", "2", "--jobs", "1"]
