--- a/larchlatch/invariants/__init__.py
+++ b/larchlatch/invariants/__init__.py
@@ -1,4 +1,4 @@
-"""Checkers that judge a played scenario from outside: one property each, by what players observe.
+"""Invariant checkers: each verifies one property of a run by observations from outside the nodes.
 
-They import nothing of the policy and of the cluster's decisions, which they judge.
+The checkers import neither the policy nor the cluster's decisions, so that an error there can't hide itself.
 """
--- a/larchlatch/invariants/checker.py
+++ b/larchlatch/invariants/checker.py
@@ -1,4 +1,4 @@
-"""The protocol of all invariant checkers."""
+"""The protocol that all invariant checkers implement."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 if TYPE_CHECKING:
     from larchlatch.invariants.observations import Observation
 
-Figures = Mapping[str, float | int | None]  # by the keys of a result
+Figures = Mapping[str, float | int | None]  # by their keys in a result
 
 
 class Verdict(NamedTuple):
-    """Whether a property has held.
+    """The result of checking one property.
 
     Attributes:
-        invariant: The property's name.
+        invariant: The name of the property.
         violations: The number of violations.
 
     """
@@ -25,21 +25,21 @@
 
     @property
     def holds(self) -> bool:
-        """Whether it was never violated."""
+        """Whether the property was never violated."""
         return self.violations == 0
 
 
 class InvariantChecker(Protocol):
-    """Judges one property by what is observed from outside."""
+    """Checks one property by observations from outside the nodes."""
 
     def observe(self, observation: Observation) -> None:
-        """Record an observation; those that do not concern the property are ignored."""
+        """Record an observation; ignore it if it does not concern the property."""
         ...
 
     def verdict(self) -> Verdict:
-        """Return whether the property has held so far."""
+        """Return how often the property has been violated so far."""
         ...
 
     def figures(self, now: int) -> Figures:
-        """Return the property's figures by their keys in a result; `now` is the end of the scenario."""
+        """Return the figures of the property by their keys in a result; `now` is the end of the scenario."""
         ...
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -1,4 +1,7 @@
-"""Membership agreement: nodes soon agree on which nodes are present. No I/O."""
+"""Checks membership agreement: soon after a change, all nodes agree on which nodes are present.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,23 +10,23 @@
 from larchlatch.invariants.checker import Figures, Verdict
 from larchlatch.invariants.observations import FleetChanged, MemberReported, NodeStarted, Observation
 
-# For which a node must have been reachable before calling it silent counts as wrong.
+# How long a node must have been reachable before it is an error to consider it silent.
 SETTLED_US = 5_000_000
 
 IsBlocked = Callable[[int, int], bool]
 
 
 class MembershipAgreement:
-    """Checks that no node considers another silent while that one has been reachable for `SETTLED_US`.
+    """Checks that no node considers another node silent that has been reachable for `SETTLED_US`.
 
-    A node is reachable if a path of running nodes leads from it to the observer, as nodes pass on records.
+    Nodes pass on records, so a node is reachable if a path over running nodes leads from it to the observer.
 
     Attributes:
-        views: For each node, which nodes it considers present.
-        reachable: For each node, which nodes it can receive records of.
-        agreed_after_us: For each change of the fleet, the time until all views were correct.
-        differing_pairs: The number of pairs of a running node and another whose view is wrong.
-        wrong_verdicts: How often a node wrongly considered another silent.
+        views: For each node, which other nodes it considers present.
+        reachable: For each node, which other nodes' records can reach it.
+        agreed_after_us: The times from a change of the fleet to correct views at all nodes, in microseconds.
+        differing_pairs: The number of pairs of a running node and another node of which it has a wrong view.
+        wrong_verdicts: How often a node considered a reachable node silent.
 
     """
 
@@ -63,7 +66,7 @@
         self._note_agreement(change.now)
 
     def _pairs(self) -> Iterator[tuple[int, int]]:
-        """Yield each running node with each other node."""
+        """Yield all pairs of a running node and another node."""
         for node in range(self._node_count):
             if self._running[node]:
                 yield from ((node, other) for other in range(self._node_count) if other != node)
@@ -87,11 +90,11 @@
             self.agreed_after_us.append(now - self._changed_at)
 
     def verdict(self) -> Verdict:
-        """Return how often a node was wrongly considered silent."""
+        """Return how often a node considered a reachable node silent."""
         return Verdict("membership_agreement", self.wrong_verdicts)
 
     def figures(self, now: int) -> Figures:
-        """Return wrong verdicts, and the longest times to agreement: None where there was none at the end."""
+        """Return times to agreement and counts of errors; a time is None if nodes disagree at the end."""
         times = self.agreed_after_us
         agreed = None if self._awaits_agreement else max(times, default=0) / 1e6
         agreed_later = None if self._awaits_agreement else max(times[1:], default=0) / 1e6
@@ -105,7 +108,7 @@
 
 
 def reachable_sources(running: Sequence[bool], is_blocked: IsBlocked) -> list[set[int]]:
-    """Return, for each node, the nodes whose records reach it directly or through others."""
+    """Return, for each node, the nodes whose records can reach it directly or through other nodes."""
     groups = list(_equally_connected(running, is_blocked))
     reachable: list[set[int]] = [set() for _ in running]
     for place, members in enumerate(groups):
@@ -116,7 +119,7 @@
 
 
 def _equally_connected(running: Sequence[bool], is_blocked: IsBlocked) -> Iterable[list[int]]:
-    """Return the running nodes in groups whose members have the same blocked paths."""
+    """Return the running nodes in groups of nodes with the same blocked paths."""
     groups: dict[tuple[bool, ...], list[int]] = {}
     nodes = [node for node, runs in enumerate(running) if runs]
     for node in nodes:
@@ -127,7 +130,7 @@
 
 
 def _sources_of(place: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
-    """Return the places of all groups from which a path leads to the group at `place`."""
+    """Return the indexes of all groups from which a path leads to the group at `place`, and its own."""
     found, unvisited = {place}, [place]
     while unvisited:
         receiver = groups[unvisited.pop()][0]
--- a/larchlatch/invariants/observations.py
+++ b/larchlatch/invariants/observations.py
@@ -1,4 +1,4 @@
-"""The observations that players of scenarios pass to the checkers. Times are in microseconds."""
+"""The observations that the emulator and the load test pass to the checkers. Times are in microseconds."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class FleetChanged(NamedTuple):
-    """Nodes have started or stopped, or paths between them were blocked or opened.
+    """Nodes have started or stopped, or paths between nodes have been blocked or opened.
 
     Attributes:
-        now: The time.
-        running: Whether each node's process runs.
-        is_blocked: Whether nothing gets directly from one node to another.
+        now: When the change happened.
+        running: Whether the process of each node runs, by node number.
+        is_blocked: Whether datagrams from one node to another are blocked on the direct path.
 
     """
 
@@ -26,14 +26,14 @@
 
 
 class NodeStarted(NamedTuple):
-    """A node's new process starts, which knows of no other node."""
+    """A new process of a node starts, which considers no other node present."""
 
     now: int
     node: int
 
 
 class MemberReported(NamedTuple):
-    """A node considers another present, or no longer does."""
+    """A node reports that it considers another node present, or no longer does."""
 
     now: int
     node: int
@@ -42,7 +42,7 @@
 
 
 class RoleChanged(NamedTuple):
-    """A node holds a role from now on, or no longer."""
+    """A node reports that it holds a role from now on, or no longer."""
 
     now: int
     role: str
@@ -51,7 +51,7 @@
 
 
 class OrderExecuted(NamedTuple):
-    """An order of a role's holder was carried out; `lease` is its fencing token."""
+    """A node has executed an order of a role's holder; `lease` is the fencing token of the order."""
 
     now: int
     role: str
@@ -59,27 +59,27 @@
 
 
 class SessionRequested(NamedTuple):
-    """A client asks for a session."""
+    """A client requests a session."""
 
     now: int
     session: str
 
 
 class SessionAdmitted(NamedTuple):
-    """A session was admitted at the latest now: an upstream sees it, or the node says so."""
+    """A session has been admitted before `now`: an upstream sees an attempt, or the node reports it."""
 
     now: int
     session: str
 
 
 class QuotaUsageReported(NamedTuple):
-    """A node reports how many sessions all nodes have admitted.
+    """A node reports bounds of the number of sessions that all nodes have admitted in a period.
 
     Attributes:
-        now: The end of the time that it reports on.
-        least: Its lower bound.
-        most: Its upper bound.
-        span_us: Length of that time.
+        now: The end of the period.
+        least: The lower bound.
+        most: The upper bound.
+        span_us: The length of the period.
 
     """
 
@@ -90,14 +90,14 @@
 
 
 class UpstreamLost(NamedTuple):
-    """An upstream crashes or falls silent."""
+    """An upstream crashes or stops answering."""
 
     now: int
     upstream: int
 
 
 class UpstreamReturned(NamedTuple):
-    """An upstream has been started again."""
+    """An upstream is restarted after a loss, or is started for the first time."""
 
     now: int
     upstream: int
@@ -112,11 +112,11 @@
 
 
 class UpstreamEjected(NamedTuple):
-    """A node ejects an upstream because of other nodes' reports.
+    """A node ejects an upstream because other nodes have reported it as unreachable.
 
     Attributes:
-        now: The time.
-        upstream: The upstream.
+        now: When the node ejects it.
+        upstream: The number of the upstream.
         reachable: Whether the network between the node and the upstream is intact.
 
     """
@@ -127,7 +127,7 @@
 
 
 class SessionArrived(NamedTuple):
-    """An attempt to establish a session has reached an upstream; `load` is the session's work a second."""
+    """An attempt has reached an upstream; `load` is the session's work, in microseconds per second."""
 
     now: int
     upstream: SimulatedUpstream
@@ -135,7 +135,7 @@
 
 
 class UpstreamsSampled(NamedTuple):
-    """All upstreams are looked at, `interval_us` after the last time."""
+    """The state of all upstreams is sampled, `interval_us` after the previous sample."""
 
     now: int
     upstreams: Sequence[SimulatedUpstream]
--- a/larchlatch/invariants/quota_safety.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -1,4 +1,7 @@
-"""Quota safety: all nodes together admit no more sessions in a window than the quota allows. No I/O."""
+"""Checks quota safety: all nodes together admit no more sessions in a window than the quota allows.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -16,27 +19,27 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-USAGE_INTERVAL_US = 1_000_000  # of the intervals by which usage is calculated
+USAGE_INTERVAL_US = 1_000_000  # the length of the intervals for which quota usage is calculated
 
 
 class Admission(NamedTuple):
-    """A session was admitted at some time between the two."""
+    """An admitted session; the node admitted it at some time between `requested_at` and `seen_at`."""
 
     requested_at: int
     seen_at: int
 
 
 class QuotaSafety:
-    """Checks that no window holds more admissions than the quota, and that nodes report usage correctly.
+    """Checks that no window contains more admissions than the quota, and that nodes report usage correctly.
 
-    An admission certainly lies within a window if its session was requested and seen within it.
+    An admission is certain to lie within a window if its session was requested and seen within the window.
 
     Attributes:
-        limit: The number of sessions allowed in a window.
-        requests: When sessions were requested.
+        limit: The number of sessions that the quota allows in a window.
+        requests: The times at which sessions were requested, in microseconds.
         admissions: The admitted sessions.
         reports: The number of usage reports.
-        wrong_reports: The number of those that cannot be true.
+        wrong_reports: The number of usage reports whose bounds cannot be true.
 
     """
 
@@ -47,7 +50,7 @@
         self.reports = 0
         self.wrong_reports = 0
         self._window_us = window_us
-        self._pending: dict[str, int] = {}  # requests whose session was not seen yet
+        self._pending: dict[str, int] = {}  # times of requests whose sessions were not seen yet, by session
 
     def observe(self, observation: Observation) -> None:
         """Record an observation."""
@@ -66,23 +69,23 @@
         end, begin = report.now, report.now - report.span_us
         certainly = sum(begin < requested and seen <= end for requested, seen in self.admissions)
         possibly = sum(begin <= seen and requested <= end for requested, seen in self.admissions)
-        # A session that was not seen may have been admitted, too.
+        # A session that was requested and not seen yet may have been admitted.
         possibly += sum(begin <= requested <= end for requested in self._pending.values())
         self.reports += 1
         self.wrong_reports += not (report.least <= possibly and certainly <= report.most)
 
     def excess(self) -> int:
-        """Return the largest number of sessions by which a window certainly exceeds the quota."""
+        """Return the largest number of sessions by which a window is certain to exceed the quota."""
         requested = sorted(admission.requested_at for admission in self.admissions)
         seen = sorted(admission.seen_at for admission in self.admissions)
-        # Of the sessions seen by a window's end, those requested before its begin don't lie within it.
+        # Of the sessions seen before a window ends, those requested before it begins don't count for it.
         sums = (
             bisect_right(seen, begin + self._window_us) - earlier for earlier, begin in enumerate(requested)
         )
         return max(0, max(sums, default=0) - self.limit)
 
     def used_share(self) -> float:
-        """Return the share of the usable quota that was used, calculated by intervals."""
+        """Return which share was used of the quota for which there were requests, summed over intervals."""
         usable = admitted = 0
         requested = sorted(admission.requested_at for admission in self.admissions)
         for begin in self._intervals():
@@ -92,17 +95,17 @@
         return admitted / usable if usable else 1.0
 
     def _intervals(self) -> range:
-        """Return the begins of whole intervals between the first and the last request."""
+        """Return the start times of the intervals between the first and the last request."""
         if not self.requests:
             return range(0)
         return range(self.requests[0], self.requests[-1], USAGE_INTERVAL_US)
 
     def verdict(self) -> Verdict:
-        """Return the number of sessions beyond the quota plus the number of wrong reports."""
+        """Return the number of sessions that exceed the quota plus the number of wrong reports."""
         return Verdict("quota_safety", self.excess() + self.wrong_reports)
 
     def figures(self, now: int) -> Figures:
-        """Return excess, used share and wrong reports."""
+        """Return the excess of sessions, the used share of the quota and the number of wrong reports."""
         return {
             "over_budget": self.excess(),
             "budget_used": round(self.used_share(), 4),
@@ -111,5 +114,5 @@
 
 
 def _count_in_interval(times: Sequence[int], begin: int) -> int:
-    """Return how many of these sorted times lie in the interval that begins then."""
+    """Return how many of these sorted times lie in the interval that starts at `begin`."""
     return bisect_left(times, begin + USAGE_INTERVAL_US) - bisect_left(times, begin)
--- a/larchlatch/invariants/scenario_checkers.py
+++ b/larchlatch/invariants/scenario_checkers.py
@@ -1,4 +1,4 @@
-"""The checkers of a scenario, for whoever plays it."""
+"""Creates the invariant checkers of a scenario, for the emulator and the load test."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
     from larchlatch.invariants.observations import Observation
     from larchlatch.scenario.scenario import Scenario
 
-# The roles' names, as nodes log them.
+# The names of the roles in the logs of nodes.
 QUOTA_ALLOCATOR = "allotter"
 TOKEN_ISSUER = "pacer"
 
 
 class ClusterCheckers:
-    """The checkers of what nodes share; each gets every observation.
+    """The checkers of properties of the whole cluster; each gets every observation.
 
     Attributes:
-        membership: Whom nodes take for present.
-        quota: What is spent of the shared quota, if there is one.
-        avoidance: How nodes find lost upstreams.
-        leaders: A checker for each role, by its name.
+        membership: Checks that nodes agree on which nodes are present.
+        quota: Checks that nodes keep to the shared quota; None if there is none.
+        avoidance: Checks how nodes detect and eject upstreams.
+        leaders: A checker for each role, by the name of the role.
 
     """
 
@@ -42,20 +42,20 @@
             self._checkers.append(self.quota)
 
     def observe(self, observation: Observation) -> None:
-        """Hand an observation to all checkers."""
+        """Pass an observation to all checkers."""
         for checker in self._checkers:
             checker.observe(observation)
 
     def role_holders(self) -> list[int]:
-        """Return the nodes that hold any role, in the order of their numbers."""
+        """Return the numbers of the nodes that hold at least one role, in ascending order."""
         return role_holders(self.leaders.values())
 
     def verdicts(self) -> list[Verdict]:
-        """Return whether each property has held up to now."""
+        """Return the verdict on each property up to now."""
         return [checker.verdict() for checker in self._checkers]
 
     def figures(self, now: int) -> Figures:
-        """Return the figures of all checkers, by the keys of a result; the scenario is over at `now`."""
+        """Return the figures of all checkers by their keys in a result; `now` is the end of the scenario."""
         return {
             **self.membership.figures(now),
             **(self.quota.figures(now) if self.quota is not None else {}),
@@ -65,7 +65,7 @@
 
 
 def quota_checker(scenario: Scenario) -> QuotaSafety | None:
-    """Return the checker of the shared quota, or None if the scenario has none."""
+    """Return the checker of the shared quota, or None if the scenario has no quota."""
     cluster = scenario.cluster
     if not cluster.sessions_per_s:
         return None
@@ -80,5 +80,5 @@
 
 
 def slow_start_checker(scenario: Scenario) -> SlowStartSafety:
-    """Return the checker of what is sent to upstreams that warm up."""
+    """Return the checker of the sessions that nodes send to upstreams in slow start."""
     return SlowStartSafety(scenario.slow_start, scenario.sessions.load_ms * 1000)
--- a/larchlatch/invariants/session_figures.py
+++ b/larchlatch/invariants/session_figures.py
@@ -1,4 +1,4 @@
-"""What became of the sessions of a scenario, in figures that are the same for both players."""
+"""Counts the outcomes of sessions in a scenario, in the same figures for the emulator and the load test."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-# Range and precision of recorded times.
+# The range and the precision of recorded times.
 MIN_TIME_US = 1
 MAX_TIME_US = 600_000_000
 SIGNIFICANT_DIGITS = 3
 
 
 class SessionEvent(StrEnum):
-    """What is counted of clients and their sessions; the values are words of traces and keys of counts."""
+    """The counted events of clients and their sessions; traces and counts use their values."""
 
     CLIENT_ARRIVED = "clients"
     REQUESTED = "links"
@@ -45,10 +45,12 @@
     """Counts and times of sessions.
 
     Attributes:
-        counts: How often each event happened.
-        setup_times: From when a session was wanted until it was established, in microseconds.
-        wanted_us: For how long clients wanted to be served, all together.
-        served_us: For how long they were; a session at an overloaded upstream counts in part.
+        counts: How often each event happened, by the value of a `SessionEvent`.
+        setup_times: Histogram of the times from a client's request to its established session, including
+            retries, in microseconds.
+        wanted_us: The total time for which clients wanted to be served, in microseconds.
+        served_us: The total time for which clients were served, in microseconds; in the emulator, the time at
+            an overloaded upstream counts in part.
 
     """
 
@@ -62,14 +64,14 @@
         """Count an established session.
 
         Args:
-            took_us: The time since the client wanted it, in microseconds.
+            took_us: The time since the client first requested the session, in microseconds.
 
         """
         self.counts[SessionEvent.ESTABLISHED] += 1
         self.setup_times.record_value(max(MIN_TIME_US, min(MAX_TIME_US, took_us)))
 
     def figures(self) -> dict[str, Any]:
-        """Return the figures, by the keys of a result."""
+        """Return the figures by their keys in a result."""
         counts = self.counts
         sessions = max(1, counts[SessionEvent.REQUESTED])
         outcomes = (
--- a/larchlatch/invariants/single_leader.py
+++ b/larchlatch/invariants/single_leader.py
@@ -1,4 +1,7 @@
-"""Single leader: no order of a former holder of a role is executed after one of its successor. No I/O."""
+"""Checks single leadership: after an order of a role's new holder, no order of a former one is executed.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -17,15 +20,15 @@
     """Checks that no order is executed after an order with a higher fencing token, on any node.
 
     Attributes:
-        role: The role's name.
+        role: The name of the role.
         orders: The number of executed orders.
-        outdated_orders: The number of those with a lower fencing token than an earlier one.
-        holders: Nodes that consider themselves holders of the role, the latest last.
+        outdated_orders: The number of executed orders with a lower fencing token than an earlier one.
+        holders: The numbers of the nodes that report that they hold the role, the latest report last.
 
     """
 
     def __init__(self, role: str, electors: Sequence[int]) -> None:
-        """Check one role; `electors` are the numbers of the nodes that elect its holder."""
+        """Create the checker of one role; `electors` are the numbers of the nodes that elect its holder."""
         self.role = role
         self.orders = 0
         self.outdated_orders = 0
@@ -54,7 +57,7 @@
                 self._highest_lease = max(self._highest_lease, observation.lease)
 
     def _has_connected_majority(self, is_blocked: Callable[[int, int], bool]) -> bool:
-        """Return whether any elector exchanges messages with a majority of them."""
+        """Return whether an elector can exchange messages with a majority of them, itself included."""
         electors = [node for node in self._electors if self._running[node]]
 
         def is_connected(node: int, other: int) -> bool:
@@ -73,7 +76,7 @@
 
     @property
     def holder(self) -> int | None:
-        """The running node that was the last to report that it holds the role."""
+        """The running node that has reported last that it holds the role, or None."""
         return next((node for node in reversed(self.holders) if self._running[node]), None)
 
     def _note_vacancy(self, now: int) -> None:
@@ -89,7 +92,7 @@
         return Verdict("single_leader", self.outdated_orders)
 
     def figures(self, now: int) -> dict[str, float | int]:
-        """Return counts, and the longest time without a holder while one could be elected."""
+        """Return counts, and the longest time without a holder while electors could have elected one."""
         present = [] if self._vacant_since is None else [now - self._vacant_since]
         return {
             "two_holders": self.outdated_orders,
@@ -100,12 +103,12 @@
 
 
 def role_holders(checkers: Iterable[SingleLeader]) -> list[int]:
-    """Return the nodes that hold any role, in the order of their numbers."""
+    """Return the numbers of the nodes that hold at least one role, in ascending order."""
     return sorted({checker.holder for checker in checkers if checker.holder is not None})
 
 
 def merged_figures(checkers: Iterable[SingleLeader], now: int) -> dict[str, float | int]:
-    """Return the figures of all roles: the longest time without a holder, and the sums of all others."""
+    """Return the figures of all roles: the longest time without a holder, and sums of the other figures."""
     rows = [checker.figures(now) for checker in checkers]
     if not rows:
         return {}
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -1,4 +1,7 @@
-"""Slow-start safety: an upstream that warms up is not overloaded with sessions. No I/O."""
+"""Checks slow-start safety: nodes do not overload an upstream that warms up with new sessions.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +20,18 @@
     from larchlatch.scenario.scenario import SlowStart
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
-FULL_SHARE = 0.9  # of the load of warm upstreams of its size, from which an upstream bears its share
+# An upstream carries its full share from this fraction of the load of warm upstreams of its size on.
+FULL_SHARE = 0.9
 
 
 @dataclass(slots=True)
 class WarmUp:
-    """One start of an upstream.
+    """The warm-up of an upstream after one of its starts.
 
     Attributes:
-        started_at: When it started.
-        full_share_at: When it first bore its share of the load, if it has.
-        recent_arrivals: Time and weight of sessions sent to it within the overload window.
+        started_at: When the upstream started.
+        full_share_at: When it first carried its full share of the load; None before that.
+        recent_arrivals: Time and weight of each session that arrived within the last overload window.
 
     """
 
@@ -39,12 +43,12 @@
 class SlowStartSafety:
     """Checks that an upstream that warms up gets no more sessions in a window than the scenario allows.
 
-    A session of mean load counts as 1. Nodes keep to the limit on average, so a random excess of three
+    A session of mean load has weight 1. Nodes limit the mean number of sessions, so a random excess of three
     standard deviations is allowed.
 
     Attributes:
-        violations: How often more sessions arrived than allowed.
-        mean_load_us: The work per second of a mean session, in microseconds.
+        violations: The number of arrivals by which a window got more sessions than allowed.
+        mean_load_us: The mean work of a session, in microseconds per second.
 
     """
 
@@ -74,7 +78,7 @@
         return not upstream.started_at or now >= upstream.started_at + self._warm_up_us
 
     def _allowed_now(self, now: int, upstream: SimulatedUpstream) -> float:
-        """Return how many sessions may arrive in a window now."""
+        """Return how many sessions of mean load may arrive at an upstream in a window that ends now."""
         full = upstream.capacity(now) / self.mean_load_us if self.mean_load_us else 0.0
         if not self._warm_up_us:
             return 0.0
@@ -108,19 +112,19 @@
                 self._allowed += self._allowed_now(now, upstream) * sample.interval_us / self._window_us
 
     def _mean_load_of_warm(self, now: int, upstreams: Sequence[SimulatedUpstream]) -> float:
-        """Return the load of warm upstreams for each unit of size."""
+        """Return the mean load per core of those upstreams that are warm."""
         warmed_up = [upstream for upstream in upstreams if self._is_warm(now, upstream)]
         size = sum(upstream.size for upstream in warmed_up)
         return sum(upstream.load for upstream in warmed_up) / size if size else 0.0
 
     def verdict(self) -> Verdict:
-        """Return how often more arrived at a warming upstream than is allowed."""
+        """Return how many arrivals exceeded the allowed number of sessions of a window."""
         return Verdict("slow_start_safety", self.violations)
 
     def figures(self, now: int) -> Figures:
-        """Return the mean and longest time until an upstream bore its share, violations and used share.
+        """Return the mean and longest time to a full share of the load, violations and the used share.
 
-        An upstream that never bore its share counts up to the end.
+        For an upstream that never carried its full share, the time up to the end of the scenario counts.
         """
         times = [(warm_up.full_share_at or now) - warm_up.started_at for warm_up in self._warm_ups.values()]
         return {
--- a/larchlatch/invariants/upstream_avoidance.py
+++ b/larchlatch/invariants/upstream_avoidance.py
@@ -1,4 +1,7 @@
-"""Upstream avoidance: nodes detect lost upstreams and do not eject healthy ones. No I/O."""
+"""Checks upstream avoidance: nodes detect lost upstreams, and do not eject healthy ones.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
     UpstreamReturned,
 )
 
-RETURN_GRACE_US = 1_000_000  # after an upstream's return, while nodes may still consider it lost
+RETURN_GRACE_US = 1_000_000  # how long after an upstream's return nodes may still eject it
 
 
 class UpstreamAvoidance:
@@ -20,8 +23,8 @@
 
     Attributes:
         ejections: How often a node ejected an upstream because of other nodes' reports.
-        wrong_ejections: How often that upstream was healthy and reachable.
-        detected_at: When each node detected each lost upstream, by node and upstream.
+        wrong_ejections: How often the ejected upstream was healthy and reachable.
+        detected_at: When a node first detected the loss of an upstream, by node and upstream.
 
     """
 
@@ -59,7 +62,7 @@
                 self._running_since.pop(node, None)
 
     def _end_loss(self, now: int, upstream: int) -> None:
-        """Evaluate the detection of an upstream that has returned, or at the end of the scenario."""
+        """End the loss of an upstream, and record which nodes have detected it and after what time."""
         lost_at = self._lost_at.pop(upstream, None)
         if lost_at is None:
             return
@@ -82,11 +85,14 @@
         self.wrong_ejections += ejection.reachable and not is_lost and not returned_lately
 
     def verdict(self) -> Verdict:
-        """Return how many healthy upstreams were ejected."""
+        """Return how often a healthy and reachable upstream was ejected."""
         return Verdict("upstream_avoidance", self.wrong_ejections)
 
     def figures(self, now: int) -> Figures:
-        """Return the longest detection by a node that ran all the time, missing ones, and ejections."""
+        """Return the longest detection time, the number of missed detections, and the numbers of ejections.
+
+        Only nodes that ran since before the loss of an upstream are expected to detect it.
+        """
         for upstream in list(self._lost_at):
             self._end_loss(now, upstream)
         return {
--- a/larchlatch/scenario/__init__.py
+++ b/larchlatch/scenario/__init__.py
@@ -1,1 +1,4 @@
-"""Scenarios as data: nodes, upstreams, demand, network and faults, for whatever plays them."""
+"""Descriptions of scenarios: nodes, upstreams, client demand, network and faults.
+
+The emulator plays scenarios on simulated time, the load test plays them with real processes and sockets.
+"""
--- a/larchlatch/scenario/amounts.py
+++ b/larchlatch/scenario/amounts.py
@@ -1,4 +1,4 @@
-"""The numbers that a scenario file may hold, and its conversion of seconds to microseconds."""
+"""Types of the numbers in scenario files with their ranges, and the conversion of seconds to microseconds."""
 
 from __future__ import annotations
 
@@ -16,5 +16,5 @@
 
 
 def us(seconds: float) -> int:
-    """Return a time in whole microseconds."""
+    """Convert a time in seconds to whole microseconds."""
     return round(seconds * SECOND)
--- a/larchlatch/scenario/byzantine_exchange.py
+++ b/larchlatch/scenario/byzantine_exchange.py
@@ -1,4 +1,4 @@
-"""A cluster exchange that can be made to send false reports."""
+"""A cluster exchange that sends false reports to other nodes when a fault demands it."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
 if TYPE_CHECKING:
     from collections.abc import Iterable, Sequence
 
-# Names the file from which a fault-injecting node process reads what it is to do wrong.
+# The environment variable that holds the path of the file from which a node process reads its faults.
 ORDERS_VARIABLE = "LARCHLATCH_PUPPET"
 
-FALSE_SESSION_COUNT = 1_000_000  # sessions a window that a node claims to have, or asks for
-FALSE_FAILURE_COUNT = 9  # failures in a row that a false health observation claims
-SEQUENCE_LEAD = 1000  # by which a forged record is newer than its subject's own
+FALSE_SESSION_COUNT = 1_000_000  # sessions per window that false reports and loan requests state
+FALSE_FAILURE_COUNT = 9  # consecutive failures that a false health observation states
+SEQUENCE_LEAD = 1000  # added to the true record's sequence number, so that the forged one seems newer
 
 
 class ByzantineExchange(Exchange):
-    """An exchange that can be made to tell other nodes what is not so.
+    """An exchange that can send false reports to other nodes, as a Byzantine node does.
 
     Attributes:
-        false_subject: What the false reports are about, as in a scenario file: `hosts`, `counts` or `budget`;
-            empty for none.
-        upstreams: Hashes of the names of all upstreams, which are reported as failed.
+        false_subject: The subject of the false reports, as in a scenario file: `hosts` for the health of
+            upstreams, `counts` for the quota usage of other nodes, `budget` for what this node would lend and
+            borrow; empty if reports are true.
+        upstreams: Hashes of the names of all upstreams; reports about `hosts` state that all of them failed.
 
     """
 
@@ -42,7 +43,7 @@
     upstreams: Sequence[int] = ()
 
     def sign(self, message: NodeRecord | DirectMessage) -> SignedMessage:
-        """Return a message with its signature; this node's own record is falsified first."""
+        """Return a message with its signature; falsify it first if it is this node's own record."""
         if isinstance(message, NodeRecord) and message.name == self.membership.own_name:
             message = self._falsified(message)
         return super().sign(message)
@@ -59,7 +60,7 @@
         return record
 
     def heartbeat(self, *, now: int, wall: int) -> HeartbeatResult:
-        """Return what a heartbeat sends, with false datagrams behind it."""
+        """Return the result of a heartbeat, with false datagrams appended to those that it sends."""
         result = super().heartbeat(now=now, wall=wall)
         if self.false_subject == "counts":
             result.datagrams.extend(self._forged_records(wall))
@@ -68,7 +69,7 @@
         return result
 
     def _forged_records(self, wall: int) -> Iterable[OutgoingDatagram]:
-        """Yield records of other nodes that claim nothing spent and everything to lend."""
+        """Yield forged records of other nodes, which state that these spent nothing and can lend a lot."""
         for record in self.membership.present_records.values():
             forged = msgspec.structs.replace(
                 record,
@@ -81,7 +82,7 @@
                 yield OutgoingDatagram(member, encode_datagram([self.sign(forged)]))
 
     def _excessive_loan_requests(self, now: int, wall: int) -> Iterable[OutgoingDatagram]:
-        """Yield requests to every member for more of each quota than there is."""
+        """Yield a loan request to every member for each quota, for more sessions than the quota allows."""
         for quota in self.state.quotas.settings.quotas:
             for member in self.membership.members:
                 origin = self.membership.request_origin(wall)
--- a/larchlatch/scenario/clients.py
+++ b/larchlatch/scenario/clients.py
@@ -1,4 +1,7 @@
-"""The demand of a scenario: which clients arrive when, and what they want. Both players use the same."""
+"""The demand of a scenario: when clients arrive, and what each requests.
+
+The emulator and the load test use the same clients, so that their results can be compared.
+"""
 
 from __future__ import annotations
 
@@ -15,30 +18,30 @@
     from larchlatch.scenario.random_streams import RandomStreams
     from larchlatch.scenario.scenario import Scenario
 
-# A client whose session broke or was migrated is back after a time between these.
+# A client whose session was lost or migrated reconnects after a random time between these.
 MIN_RECONNECT_US = 50_000
 MAX_RECONNECT_US = 250_000
 
 
 @dataclass(slots=True)
 class Client:
-    """A client and how far it has come.
+    """A client of a scenario: what it requests, and its progress.
 
     Attributes:
-        number: Counts clients from 1.
-        due: When it arrives, in microseconds after the start; the emulator sets it to its clock's time, and
-            anew whenever the client wants a session again.
-        life_us: How long it wants to be served, in microseconds.
-        load: Work a second that its session costs, in microseconds.
-        work_us: Work of establishing its session, in microseconds.
-        key: Its key on the ring.
-        group: Its group.
+        number: The client's number in the order of arrival, from 1.
+        due: When the client arrives, in microseconds after the start of the scenario; the emulator replaces
+            it by the time of its own clock, also whenever the client begins to request another session.
+        life_us: How long the client wants to be served, in microseconds.
+        load: Work that its established session causes, in microseconds of a core per second.
+        work_us: Work of establishing its session, in microseconds of a core.
+        key: The key by which the consistent-hash ring places its session.
+        group: The number of its group, from 1.
         traffic_class: Index of its traffic class.
-        zone: Its zone.
-        ends_at: When it has been served for as long as it wanted.
-        rejections: Rejections in a row.
-        sessions: How many sessions it has asked for.
-        done: Whether it has left for good.
+        zone: The number of its zone, from 0.
+        ends_at: When the time for which it wants to be served is over.
+        rejections: Consecutive rejections of its requests.
+        sessions: How many sessions it has requested.
+        done: Whether it will not return.
 
     """
 
@@ -58,7 +61,7 @@
 
 
 def client_arrivals(scenario: Scenario, streams: RandomStreams) -> Iterator[Client]:
-    """Yield all clients in the order of their arrival."""
+    """Yield all clients of a scenario in the order of their arrival, which is a Poisson process."""
     sessions = scenario.sessions
     arrivals, properties = streams.stream("arrivals"), streams.stream("clients")
     group_sizes = list(accumulate(1 / (rank + 1) ** sessions.group_skew for rank in range(sessions.groups)))
@@ -68,7 +71,7 @@
         if now_s >= scenario.span_s:
             return
         number += 1
-        # Each client takes the same number of draws: a changed setting changes no other property.
+        # Each client takes the same number of draws, so that a changed setting affects only one property.
         life, load, work = (properties.expovariate(1.0) for _ in range(3))
         group = bisect(group_sizes, properties.random() * group_sizes[-1])
         traffic_class, zone = properties.random(), properties.random()
@@ -86,12 +89,12 @@
 
 
 def entry_node_index(draw: float, count: int, imbalance: float) -> int:
-    """Return the index of the node that a client is sent to.
+    """Return the index of the node that a client connects to.
 
     Args:
-        draw: A number from 0 to 1, drawn evenly.
-        count: How many nodes there are to choose from.
-        imbalance: How unevenly clients fall on them; 0 is evenly.
+        draw: A uniformly distributed random number from 0 to 1.
+        count: The number of nodes to choose from.
+        imbalance: How strongly nodes of low index are preferred; 0 distributes clients uniformly.
 
     """
     return int(draw ** (1 + imbalance) * count) if imbalance else int(draw * count)
--- a/larchlatch/scenario/datagram_paths.py
+++ b/larchlatch/scenario/datagram_paths.py
@@ -1,6 +1,7 @@
-"""The paths of datagrams between nodes: blocked, lossy, duplicating, delaying or reordering.
+"""Decides which datagrams between nodes are lost, duplicated, delayed or reordered.
 
-No I/O: the load test's datagram proxy asks it for real datagrams, the emulator for simulated ones.
+This module does no I/O: the load test's proxy applies the decisions to real datagrams, the emulator to
+simulated ones.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 if TYPE_CHECKING:
     from larchlatch.scenario.random_streams import RandomStreams
 
-REORDERING_DELAY_US = 50_000  # enough for later datagrams to overtake
+REORDERING_DELAY_US = 50_000  # long enough for later datagrams to arrive first
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,12 +20,12 @@
     """How paths treat the datagrams that they carry.
 
     Attributes:
-        loss: The share of datagrams that is lost, from 0 to 1.
-        duplication: The share that arrives twice.
-        reordering: The share that is delayed enough to be overtaken.
-        delay_us: A delay of all datagrams, in microseconds.
-        replay: The share that arrives once more, much later.
-        replay_delay_us: How much later, in microseconds.
+        loss: The share of datagrams that are lost, from 0 to 1.
+        duplication: The share of datagrams that arrive twice.
+        reordering: The share of datagrams that arrive after later ones.
+        delay_us: The delay of all datagrams, in microseconds.
+        replay: The share of datagrams of which another copy arrives much later.
+        replay_delay_us: The additional delay of that copy, in microseconds.
 
     """
 
@@ -38,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PartitionedNodes:
-    """Nodes that hear nothing of the others, nor the others of them.
+    """A partition between some nodes and all others.
 
     Attributes:
-        nodes: Their numbers.
-        oneway: Whether they hear the others all the same.
+        nodes: The numbers of the nodes on one side.
+        oneway: Whether only the datagrams that these nodes send to the others are blocked.
 
     """
 
@@ -58,13 +59,13 @@
 class DatagramPaths:
     """The paths between all ordered pairs of nodes.
 
-    What happens to a datagram is drawn by its path and its number on that path: traffic on one path does not
-    change what is drawn for another.
+    The random numbers for a datagram depend only on its path and on its number on that path, so that traffic
+    on one path does not change what happens on another.
 
     Attributes:
-        streams: Source of random numbers; None for an instance that is asked only what is blocked.
-        impairment: How all paths treat datagrams now.
-        partitions: The partitions that are in force.
+        streams: Source of random numbers; None if the instance is used only for `is_blocked`.
+        impairment: The present impairment of all paths.
+        partitions: The present partitions.
 
     """
 
@@ -75,21 +76,21 @@
         self._datagram_counts: dict[tuple[int, int], int] = {}
 
     def is_blocked(self, sender: int, receiver: int) -> bool:
-        """Return whether no datagram gets from one node to another.
+        """Return whether a partition blocks all datagrams from one node to another.
 
-        Nodes that are cut off together still hear each other.
+        Nodes on the same side of a partition still reach each other.
         """
         return any(partition.blocks(sender, receiver) for partition in self.partitions)
 
     def delays_of_next(self, sender: int, receiver: int) -> list[int]:
-        """Return the delays in microseconds after which the next datagram arrives: none, one or several."""
+        """Return the delays of all copies of the next datagram, in microseconds; empty if none arrives."""
         number = self._datagram_counts.get((sender, receiver), 0) + 1
         self._datagram_counts[sender, receiver] = number
         if self.is_blocked(sender, receiver):
             return []
         impairment, streams = self.impairment, self.streams
         if streams is None:
-            raise RuntimeError("paths without random streams carry no datagrams")
+            raise RuntimeError("DatagramPaths without random streams can only be asked for is_blocked")
         loss, duplication, reordering = (
             streams.draw(f"path {purpose}", sender, receiver, number) for purpose in "ldr"
         )
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -1,6 +1,6 @@
-"""The faults of a scenario, each declared once against the protocols of `fault_injection.py`.
+"""The kinds of faults in scenario files, written against the protocols of `fault_injection.py`.
 
-The upstreams or nodes that a fault affects are drawn when it begins, from those that are running then.
+The upstreams or nodes that a fault affects are chosen when it begins, from those that run at that time.
 """
 
 from __future__ import annotations
@@ -20,31 +20,31 @@
 
     from larchlatch.scenario.fault_injection import FaultInjector, NodeT, UpstreamT
 
-CLUSTER_FILE_SPREAD_S = 1.0  # within which all nodes have reread a changed cluster file
+CLUSTER_FILE_SPREAD_S = 1.0  # the time within which all nodes reread a changed cluster file
 
 Target = TypeVar("Target")
 
 
 def sample(targets: Sequence[Target], count: int, rng: Random) -> list[Target]:
-    """Return this many randomly chosen targets, or all of them in random order if there are fewer."""
+    """Return `count` randomly chosen targets, or all targets in random order if there are fewer."""
     return rng.sample(targets, min(count, len(targets)))
 
 
 class Fault(Strict, tag_field="kind", frozen=True):
-    """A fault that begins at a time of the scenario.
+    """A fault that begins at a given time of the scenario.
 
     Attributes:
-        at_s: When it begins, in seconds after the scenario's start.
+        at_s: When the fault begins, in seconds after the start of the scenario.
 
     """
 
     at_s: NonNegative
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Begin the fault, and schedule its end.
+        """Begin the fault, and schedule its end if it has one.
 
         Args:
-            injector: The player's implementation of the fault protocols.
+            injector: The implementation of the fault protocols, on which the fault acts.
             rng: Source of the fault's random choices.
 
         """
@@ -52,43 +52,49 @@
 
 
 class UpstreamFault(Fault, frozen=True):
-    """A fault of some ready upstreams.
+    """A fault that affects some of the ready upstreams.
 
     Attributes:
-        upstreams: How many it affects at most.
+        upstreams: The largest number of upstreams that the fault affects.
 
     """
 
     upstreams: Count = 1
 
     def draw_upstreams(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> list[UpstreamT]:
-        """Return the upstreams that the fault affects."""
+        """Return the randomly chosen upstreams that the fault affects."""
         return sample(injector.upstreams.ready_upstreams(), self.upstreams, rng)
 
 
 class NodeFault(Fault, frozen=True):
-    """A fault of some serving nodes.
+    """A fault that affects some of the serving nodes.
 
     Attributes:
-        nodes: How many it affects at most.
+        nodes: The largest number of nodes that the fault affects.
 
     """
 
     nodes: Count = 1
 
     def draw_nodes(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> list[NodeT]:
-        """Return the nodes that the fault affects."""
+        """Return the randomly chosen nodes that the fault affects."""
         return sample(injector.nodes.serving_nodes(), self.nodes, rng)
 
 
 class UpstreamSlowdown(UpstreamFault, tag="slow", frozen=True):
-    """Upstreams take a multiple of the time for their work."""
+    """Some upstreams take longer for their work.
+
+    Attributes:
+        factor: The factor by which their processing time grows.
+        for_s: How long the slowdown lasts, in seconds.
+
+    """
 
     factor: Positive = 4.0
     for_s: Positive = 10.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Slow upstreams down for the fault's time."""
+        """Slow upstreams down for the duration of the fault."""
         slow_down = injector.upstreams.slow_down
         injector.affect(
             self.draw_upstreams(injector, rng),
@@ -99,107 +105,148 @@
 
 
 class UpstreamSilence(UpstreamFault, tag="silent", frozen=True):
-    """Upstreams stop answering, and come back cold, without their sessions."""
+    """Some upstreams stop answering; later they are restarted in slow start, without their sessions.
+
+    Attributes:
+        for_s: The time until the restart, in seconds.
+
+    """
 
     for_s: Positive = 10.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Silence upstreams for the fault's time."""
+        """Silence upstreams, and restart them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
         injector.affect(affected, for_s=self.for_s, begin=upstreams.silence, end=upstreams.bring_up)
 
 
 class UpstreamCrash(UpstreamFault, tag="crash", frozen=True):
-    """Upstreams' processes die, and come back cold."""
+    """The processes of some upstreams crash; later they are restarted in slow start.
+
+    Attributes:
+        for_s: The time until the restart, in seconds.
+
+    """
 
     for_s: Positive = 2.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Crash upstreams, and start them again after the fault's time."""
+        """Crash upstreams, and restart them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
         injector.affect(affected, for_s=self.for_s, begin=upstreams.crash, end=upstreams.bring_up)
 
 
 class UpstreamDrain(UpstreamFault, tag="drain", frozen=True):
-    """Upstreams take no new sessions, and leave after a time."""
+    """Some upstreams drain: they accept no new sessions, and are stopped later.
+
+    Attributes:
+        for_s: The time until they are stopped, in seconds.
+
+    """
 
     for_s: Positive = 10.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Drain upstreams, and retire them after the fault's time."""
+        """Drain upstreams, and retire them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
         injector.affect(affected, for_s=self.for_s, begin=upstreams.drain, end=upstreams.retire)
 
 
 class UpstreamJoin(UpstreamFault, tag="join", frozen=True):
-    """Upstreams that were absent from the start come up, cold."""
+    """Some upstreams that were absent from the start of the scenario are started."""
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Start the first of the absent upstreams."""
+        """Start absent upstreams in the order of their numbers."""
         for upstream in injector.upstreams.absent_upstreams()[: self.upstreams]:
             injector.upstreams.bring_up(upstream)
 
 
 class ZoneIsolation(Fault, tag="cut", frozen=True):
-    """A zone and the others do not reach each other, except for datagrams between nodes."""
+    """A zone and the other zones do not reach each other, except for datagrams between nodes.
+
+    Attributes:
+        zone: The number of the zone.
+        for_s: How long the isolation lasts, in seconds.
+
+    """
 
     zone: CountOrZero = 0
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Isolate the zone for the fault's time."""
+        """Isolate the zone for the duration of the fault."""
         injector.network.isolate_zone(self.zone)
         injector.scheduler.call_later(self.for_s, injector.network.reconnect_zone, self.zone)
 
 
 class NodeCrash(NodeFault, tag="kill", frozen=True):
-    """Nodes die with their sessions; where packets pass through nodes, these go on at other nodes."""
+    """Some nodes crash and lose their sessions.
+
+    If the scenario has `packet_forwarding`, packets of established sessions reach other nodes instead.
+    """
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Kill nodes."""
+        """Kill the processes of nodes."""
         for node in self.draw_nodes(injector, rng):
             injector.nodes.kill(node)
 
 
 class SharedStoreSlowdown(Fault, tag="store", frozen=True):
-    """The shared store, which each session's establishment needs, takes a multiple of its time."""
+    """The store that upstreams use to establish sessions becomes slower.
+
+    Attributes:
+        factor: The factor by which its processing time grows.
+        for_s: How long the slowdown lasts, in seconds.
+
+    """
 
     factor: Positive = 10.0
     for_s: Positive = 10.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Slow the store down for the fault's time."""
+        """Slow the store down for the duration of the fault."""
         injector.upstreams.slow_shared_store(self.factor)
         injector.scheduler.call_later(self.for_s, injector.upstreams.slow_shared_store, 1 / self.factor)
 
 
 class ClientReconnectStorm(Fault, tag="crowd", frozen=True):
-    """A share of the clients loses its sessions at once, and reconnects."""
+    """Many clients lose their sessions at the same time, and reconnect.
+
+    Attributes:
+        share: The share of established sessions that break, from 0 to 1.
+
+    """
 
     share: Share = 0.5
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Disconnect clients."""
+        """Break the sessions of randomly chosen clients."""
         injector.clients.disconnect_clients(self.share, rng)
 
 
 class DiscoveryOutage(Fault, tag="deaf", frozen=True):
-    """No node hears of changes of the endpoint list."""
+    """Nodes receive no changes of the endpoint list.
+
+    Attributes:
+        for_s: How long the outage lasts, in seconds.
+
+    """
 
     for_s: Positive = 10.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Suspend discovery for the fault's time."""
+        """Suspend discovery for the duration of the fault."""
         injector.network.suspend_discovery(self.for_s)
 
 
 class Partition(Fault, tag="part", frozen=True):
-    """Some nodes are partitioned from all others, in both directions or in one.
+    """Datagrams between some nodes and all others are blocked, in both directions or in one.
 
     Attributes:
-        nodes: The number of nodes, chosen at random; 0 if `zone` is given.
-        zone: The zone whose nodes are partitioned; -1 if `nodes` is given.
+        nodes: The number of randomly chosen nodes on one side; 0 if `zone` is given.
+        zone: The zone whose nodes are on one side; -1 if `nodes` is given.
         oneway: Whether only datagrams from these nodes are blocked.
+        for_s: How long the partition lasts, in seconds.
 
     """
 
@@ -209,7 +256,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Partition nodes for the fault's time."""
+        """Partition nodes for the duration of the fault."""
         nodes = self._affected_nodes(injector, rng)
         injector.network.partition(nodes, oneway=self.oneway)
         heal = partial(injector.network.heal_partition, nodes, oneway=self.oneway)
@@ -225,12 +272,13 @@
     """All paths between nodes lose, duplicate, reorder, delay and replay datagrams.
 
     Attributes:
-        loss: The share of datagrams that is lost.
-        duplication: The share that arrives twice.
-        reordering: The share that later datagrams overtake.
-        delay_ms: A delay of all datagrams.
-        replay: The share that is repeated much later.
-        replay_after_s: The delay of that copy, in seconds.
+        loss: The share of datagrams that are lost, from 0 to 1.
+        duplication: The share of datagrams that arrive twice.
+        reordering: The share of datagrams that arrive after later ones.
+        delay_ms: The delay of all datagrams, in milliseconds.
+        replay: The share of datagrams of which another copy arrives much later.
+        replay_after_s: The additional delay of that copy, in seconds.
+        for_s: How long the impairment lasts, in seconds.
 
     """
 
@@ -243,7 +291,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Impair all paths for the fault's time."""
+        """Impair all paths for the duration of the fault."""
         impairment = PathImpairment(
             loss=self.loss,
             duplication=self.duplication,
@@ -257,10 +305,11 @@
 
 
 class ProcessPause(NodeFault, tag="stall", frozen=True):
-    """Nodes' processes are paused and continue later.
+    """The processes of some nodes are paused, and continue later.
 
     Attributes:
-        role_holders: Whether to pause the nodes that hold a role instead of random ones.
+        role_holders: Whether to pause the nodes that hold a role instead of randomly chosen ones.
+        for_s: How long the pause lasts, in seconds.
 
     """
 
@@ -268,16 +317,17 @@
     for_s: Positive = 3.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Pause nodes for the fault's time."""
+        """Pause nodes for the duration of the fault."""
         paused = injector.nodes.role_holders() if self.role_holders else self.draw_nodes(injector, rng)
         injector.affect(paused, for_s=self.for_s, begin=injector.nodes.pause, end=injector.nodes.resume)
 
 
 class ClockSkew(NodeFault, tag="skew", frozen=True):
-    """Nodes' clocks run fast or slow.
+    """The clocks of some nodes run fast or slow.
 
     Attributes:
-        gain: The share that they gain; a negative one is lost.
+        gain: The error of their rate: 0.01 for clocks that run 1% fast, -0.01 for slow ones.
+        for_s: How long the clocks run at the wrong rate, in seconds.
 
     """
 
@@ -285,7 +335,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Make clocks run at a wrong rate for the fault's time."""
+        """Change the rate of clocks for the duration of the fault."""
         set_clock_gain = injector.nodes.set_clock_gain
         injector.affect(
             self.draw_nodes(injector, rng),
@@ -296,11 +346,12 @@
 
 
 class ByzantineNode(NodeFault, tag="liar", frozen=True):
-    """Nodes send false reports to other nodes, but act correctly themselves.
+    """Some nodes send false reports to other nodes, but otherwise act correctly.
 
     Attributes:
-        subject: What the reports are about: health of upstreams, quota usage of others, or what they
-            may lend.
+        subject: The subject of the reports: `hosts` for the health of upstreams, `counts` for the quota usage
+            of other nodes, `budget` for what the node would lend and borrow.
+        for_s: How long the nodes send false reports, in seconds.
 
     """
 
@@ -308,7 +359,7 @@
     for_s: Positive = 8.0
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Make nodes send false reports for the fault's time."""
+        """Make nodes send false reports for the duration of the fault."""
         send_false_reports = injector.nodes.send_false_reports
         injector.affect(
             self.draw_nodes(injector, rng),
@@ -319,17 +370,17 @@
 
 
 class RemoveNode(NodeFault, tag="expel", frozen=True):
-    """Nodes stop for good, and some time later they are removed from the cluster file.
+    """Some nodes are stopped permanently, and are removed from the cluster file some time later.
 
     Attributes:
-        cluster_file_after_s: The time until then, in seconds.
+        cluster_file_after_s: The time from the stop to the change of the cluster file, in seconds.
 
     """
 
     cluster_file_after_s: Positive = field(default=3.0, name="told_s")
 
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
-        """Decommission nodes, and update the cluster files later."""
+        """Decommission nodes, and schedule the update of the cluster files."""
         removed = self.draw_nodes(injector, rng)
         for node in removed:
             injector.nodes.decommission(node)
@@ -358,12 +409,12 @@
     | RemoveNode
 )
 
-# Faults that need a node process with support for them.
+# Faults that a node must inflict on itself; the load test runs a special node process for them.
 SELF_INFLICTED = (ClockSkew, ByzantineNode)
-# Faults that need a cluster of nodes.
+# Faults that are possible only in scenarios with a cluster of nodes.
 BETWEEN_NODES = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
 
 
 def trace_name(fault: Fault) -> str:
-    """Return a fault's name in a trace: its kind in the scenario file, capitalised. Digests depend on it."""
+    """Return a fault's name in traces, on which trace digests depend: its `kind`, capitalised."""
     return str(fault.__struct_config__.tag).capitalize()
--- a/larchlatch/scenario/node_settings.py
+++ b/larchlatch/scenario/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings with which a node's balancer decides in a scenario."""
+"""Derives the settings of a node's balancer from a scenario."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def deployment_settings(scenario: Scenario, node_number: int) -> DeploymentSettings:
-    """Return the deployment settings of one node."""
+    """Return the settings on which the decisions of one node's balancer depend."""
     sessions, slow_start = scenario.sessions, scenario.slow_start
     return DeploymentSettings(
         me=node_number,
@@ -29,7 +29,7 @@
         probes=scenario.network.probes,
         can_cancel=True,
         probes_report_load=scenario.network.probes,
-        reports_delay=False,  # real nodes don't either
+        reports_delay=False,  # as real nodes, which report no delays either
         max_attempts=MAX_ATTEMPTS,
         max_retry_after_us=us(sessions.wait_ms / 2e3),
         poll_within_us=POLL_WITHIN_US,
--- a/larchlatch/scenario/random_faults.py
+++ b/larchlatch/scenario/random_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are drawn from a scenario's seed, so that many scenarios differ in what goes wrong."""
+"""Adds random faults to a scenario; they depend on its seed, so that runs with other seeds cover others."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
     from larchlatch.scenario.scenario import Scenario
 
-MARGIN_S = 8.0  # without new faults at both ends of a scenario
+MARGIN_S = 8.0  # at the start and at the end of a scenario, during which no random fault begins
 MIN_DURATION_S = 0.5
 MAX_DURATION_S = 8.0
 MAX_UPSTREAM_CRASH_S = 2.0
-MAX_NODES = 4  # that one fault affects, and fewer than half of all
+MAX_NODES = 4  # affected by one fault, and always fewer than half of all nodes
 MAX_PAUSED_NODES = 2
 
 
 def with_random_faults(scenario: Scenario, count: int) -> Scenario:
-    """Return the scenario with this many faults more."""
+    """Return the scenario with `count` random faults added."""
     rng = RandomStreams(scenario.seed).stream("drawn")
     drawn = [draw_fault(scenario, rng) for _ in range(count)]
     return msgspec.structs.replace(scenario, faults=[*scenario.faults, *drawn])
 
 
 def draw_fault(scenario: Scenario, rng: Random) -> AnyFault:
-    """Return a fault of any kind that the scenario allows."""
+    """Return a random fault of a kind that is possible in the scenario."""
     last_s = max(MARGIN_S, scenario.span_s - MARGIN_S)
     at_s, for_s = rng.uniform(MARGIN_S, last_s), rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
     nodes = rng.randint(1, max(1, min(MAX_NODES, (scenario.nodes.count - 1) // 2)))
--- a/larchlatch/scenario/scenario.py
+++ b/larchlatch/scenario/scenario.py
@@ -1,6 +1,7 @@
-"""The description of a scenario: nodes, upstreams, demand, network, discovery, cluster and faults.
+"""The types of a scenario: nodes, upstreams, demand, network, discovery, cluster and faults.
 
-Attributes bear the names of the field; where a scenario file has another key, it stands beside the attribute.
+Where the key in a scenario file differs from the attribute, it is the `name` of the field, or stands in
+`FILE_KEYS` of `config/toml_file.py`.
 """
 
 from __future__ import annotations
@@ -15,12 +16,13 @@
 
 
 class NodeFleet(Strict, frozen=True):
-    """The nodes.
+    """The nodes of a scenario.
 
     Attributes:
-        count: How many there are.
-        restart_after_s: How long a killed node is away; it comes back with the endpoint list that it had.
-        detection_s: How long clients are still sent to a node that has died.
+        count: The number of nodes.
+        restart_after_s: The time from a node's crash to its restart, in seconds; the new process starts with
+            the endpoint list of the old one.
+        detection_s: How long clients still connect to a node that has crashed, in seconds.
 
     """
 
@@ -30,12 +32,12 @@
 
 
 class UpstreamGroup(Strict, frozen=True):
-    """Upstreams of one size, spread over the zones.
+    """Upstreams of one size, distributed evenly over the zones.
 
     Attributes:
-        count: How many there are.
-        size: Cores of each; a core does a second of work in a second.
-        absent: How many of them are not there until an `UpstreamJoin` starts them.
+        count: The number of upstreams.
+        size: The number of cores of each upstream; a core does one second of work per second.
+        absent: How many of the upstreams run only after an `UpstreamJoin` has started them.
 
     """
 
@@ -45,13 +47,14 @@
 
 
 class SlowStart(Strict, frozen=True):
-    """How an upstream that starts warms up, and what overloads it meanwhile.
+    """How an upstream warms up after its start, and which load makes it crash meanwhile.
 
     Attributes:
-        initial_share: The share of its work that it can do at first.
-        duration_s: How long it takes to do all of it.
-        overload_multiple: Work within the overload window, over what it can do, from which it falls over.
-        overload_window_s: Length of the overload window.
+        initial_share: The share of its full capacity that an upstream has when it has just started.
+        duration_s: The time until it has its full capacity, in seconds; capacity grows linearly.
+        overload_multiple: An upstream that warms up crashes if the load of the sessions that arrive within
+            the overload window exceeds this multiple of its present capacity.
+        overload_window_s: The length of the overload window, in seconds.
 
     """
 
@@ -62,25 +65,28 @@
 
 
 class Demand(Strict, frozen=True):
-    """Clients arrive independently of what became of earlier ones.
+    """The demand of clients. It is an open loop: the arrival of clients does not depend on earlier ones.
 
     Attributes:
-        rate: Clients that arrive in a second, at all nodes together.
-        lifetime_s: Mean time that a client wants a session for; exponential.
-        load_ms: Mean work that an established session costs in a second; exponential.
-        setup_ms: Mean work of establishing a session; exponential.
-        groups: How many groups (affinity keys) there are.
-        group_skew: Zipf's exponent of the groups' sizes.
-        group_ms: Work a second that a group costs each upstream that has any of its sessions.
-        wait_ms: How long a client waits for its final answer.
-        expected_ms: The latency objective of establishing a session.
-        message_ms: The latency objective of a message.
-        message_interval_s: How often a client says something.
-        idempotencies: The traffic classes, by whether an attempt may be repeated.
-        dedup_window_s: How long upstreams remember keyed sessions.
-        max_retries: How often a client comes back after a rejection; one whose session broke starts anew.
-        imbalance: How unevenly clients fall on the nodes of their zone; 0 is evenly.
-        retry_pause_ms: Mean pause of a client before it comes back, where the node gives no advice.
+        rate: The mean number of clients that arrive per second, at all nodes together.
+        lifetime_s: The mean time for which a client wants a session, in seconds; exponentially distributed.
+        load_ms: The mean work of an established session, in milliseconds per second; exponentially
+            distributed.
+        setup_ms: The mean work of establishing a session, in milliseconds; exponentially distributed.
+        groups: The number of groups (affinity keys).
+        group_skew: The exponent of the Zipf distribution of group sizes.
+        group_ms: The additional work of an upstream for each group of which it has sessions, in
+            milliseconds per second.
+        wait_ms: How long a client waits for its final answer, in milliseconds.
+        expected_ms: The latency objective of establishing a session, in milliseconds.
+        message_ms: The latency objective of a message, in milliseconds.
+        message_interval_s: The time between two messages of a client, in seconds.
+        idempotencies: The idempotency of each traffic class, that is, whether an attempt may be repeated.
+        dedup_window_s: How long upstreams recognize the repeat of a keyed session, in seconds.
+        max_retries: How many consecutive rejections a client follows by a retry before it gives up; an
+            established session resets the count.
+        imbalance: How unevenly clients are distributed over the nodes of their zone; 0 is evenly.
+        retry_pause_ms: The mean pause of a client before a retry if the node advises none, in milliseconds.
 
     """
 
@@ -108,9 +114,9 @@
     """The network between nodes and upstreams.
 
     Attributes:
-        same_zone_ms: One way, within a zone.
-        other_zone_ms: One way, between zones.
-        connect_timeout_ms: How long a node waits for a connection.
+        same_zone_ms: The one-way latency within a zone, in milliseconds.
+        other_zone_ms: The one-way latency between zones, in milliseconds.
+        connect_timeout_ms: How long a node waits for a connection to an upstream, in milliseconds.
         probes: Whether upstreams answer probes with their load.
 
     """
@@ -122,26 +128,34 @@
 
 
 class Discovery(Strict, frozen=True):
-    """When a node hears of a change of the endpoint list: drawn between the two."""
+    """The random delay between a change of the endpoint list and its receipt by a node.
+
+    Attributes:
+        min_delay_ms: The shortest delay, in milliseconds.
+        max_delay_ms: The longest delay, in milliseconds.
+
+    """
 
     min_delay_ms: NonNegative = field(default=50.0, name="soon_ms")
     max_delay_ms: NonNegative = field(default=400.0, name="late_ms")
 
 
 class Cluster(Strict, frozen=True):
-    """What nodes share.
+    """The settings of the cluster that nodes form.
 
     Attributes:
-        on: Whether nodes know of each other.
-        heartbeat_ms: Time between two heartbeats.
-        sessions_per_s: The quota of new sessions of all nodes together; 0 for none.
-        floor: The share of each node's quota share that it never lends.
-        window_s: The window of the quota.
-        term_s: Length of loans and leases.
-        max_clock_skew: The worst clock error that nodes allow for, as a share.
-        electors: How many nodes elect the holders of roles; odd.
-        quota_allocator: Whether one node lends what the quota holds above all floors.
-        token_issuer: Whether one node says who sends the next session to an upstream that warms up.
+        on: Whether nodes form a cluster.
+        heartbeat_ms: The time between two heartbeats, in milliseconds.
+        sessions_per_s: The shared quota of new sessions per second of all nodes; 0 for no quota.
+        floor: The fraction of its part of the quota that a node never lends.
+        window_s: The length of the quota window, in seconds.
+        term_s: The term of loans and leases, in seconds.
+        max_clock_skew: The largest error of a clock's rate that nodes allow for; 0.01 is 1%.
+        electors: The number of nodes that elect the holders of roles; it is odd.
+        quota_allocator: Whether an elected node lends the part of the quota that exceeds the floors of all
+            nodes.
+        token_issuer: Whether an elected node decides which node sends the next session to an upstream in slow
+            start.
 
     """
 
@@ -158,29 +172,30 @@
 
     @property
     def has_roles(self) -> bool:
-        """Whether there is any role to be elected for."""
+        """Whether the cluster elects the holder of at least one role."""
         return self.quota_allocator or self.token_issuer
 
 
 class Scenario(Strict, frozen=True):
-    """A scenario.
+    """A scenario for the emulator or the load test, as its file describes it.
 
     Attributes:
-        name: Its name in results.
-        span_s: Its length.
-        seed: Source of everything that is drawn.
-        zones: How many zones nodes, upstreams and clients are spread over.
-        cells: How many cells upstreams are spread over.
-        packet_forwarding: Whether packets pass through nodes, so that sessions outlive their node.
-        shared_store_ms: What the shared store takes for each session, beside the upstream's own work.
+        name: The name of the scenario in results.
+        span_s: The duration of the scenario, in seconds.
+        seed: The seed of all random numbers.
+        zones: The number of zones over which nodes, upstreams and clients are distributed.
+        cells: The number of cells over which upstreams are distributed.
+        packet_forwarding: Whether nodes forward the packets of sessions, so that sessions outlive their node.
+        shared_store_ms: The time that the shared store takes to establish a session, in addition to the
+            upstream's own work, in milliseconds.
         nodes: The nodes.
         upstreams: The groups of upstreams.
         slow_start: How upstreams warm up.
-        sessions: The demand.
-        network: Latencies.
-        discovery: Delays of the endpoint list.
-        cluster: What nodes share.
-        faults: What goes wrong.
+        sessions: The demand of clients.
+        network: The latencies of the network.
+        discovery: The delays of changes of the endpoint list.
+        cluster: The settings of the cluster.
+        faults: The faults, in any order.
 
     """
 
@@ -204,10 +219,10 @@
 
     @property
     def upstream_count(self) -> int:
-        """How many upstreams there ever are."""
+        """The number of all upstreams, including those that are absent at the start."""
         return sum(group.count for group in self.upstreams)
 
     @property
     def absent_upstream_count(self) -> int:
-        """How many upstreams are not there at first."""
+        """The number of upstreams that are absent at the start."""
         return sum(group.absent for group in self.upstreams)
--- a/larchlatch/scenario/scenario_file.py
+++ b/larchlatch/scenario/scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenario files: read from TOML, with single values changed by their keys, and checked."""
+"""Reads scenario files (TOML), replaces single values in them, and checks the result."""
 
 from __future__ import annotations
 
@@ -22,18 +22,18 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-FILE_KIND = "day"  # what messages call the file
+FILE_KIND = "day"  # what error messages call the file
 
 
 def read_scenario_file(path: Path, changes: dict[str, Any] | None = None) -> Scenario:
-    """Return the scenario of a file.
+    """Return the scenario that a file describes.
 
     Args:
-        path: The file.
-        changes: Other values for keys of the file; a key has dots between its parts.
+        path: The path of the file.
+        changes: Values that replace those of the file, by keys such as `nodes.count`.
 
     Raises:
-        ConfigurationError: The file can't be read, or holds something that a scenario can't.
+        ConfigurationError: The file can't be read or is invalid; the message names the key.
 
     """
     raw = read_toml(path, FILE_KIND)
@@ -43,14 +43,14 @@
 
 
 def parse_scenario(raw: Any, file_kind: str) -> Scenario:
-    """Return a scenario from a file's content.
+    """Return the scenario that the content of a file describes.
 
     Args:
         raw: The content.
-        file_kind: What messages call the file.
+        file_kind: What error messages call the file.
 
     Raises:
-        ConfigurationError: The content holds something that a scenario can't.
+        ConfigurationError: The content is invalid; the message names the key.
 
     """
     scenario = convert_table(raw, Scenario, file_kind)
@@ -66,67 +66,69 @@
     known = {idempotency.value for idempotency in Idempotency}
     for place, effect in enumerate(scenario.sessions.idempotencies):
         if effect not in known:
-            raise ConfigurationError(file_kind, f"links.effects[{place}]: no such effect ({effect!r})")
+            raise ConfigurationError(file_kind, f"links.effects[{place}]: not a known effect ({effect!r})")
     if scenario.discovery.max_delay_ms < scenario.discovery.min_delay_ms:
-        raise ConfigurationError(file_kind, "listing.late_ms: less than listing.soon_ms")
+        raise ConfigurationError(file_kind, "listing.late_ms: must not be less than listing.soon_ms")
 
 
 def _check_cluster(scenario: Scenario, file_kind: str) -> None:
     cluster = scenario.cluster
     if cluster.quota_allocator and not (cluster.on and cluster.sessions_per_s):
-        raise ConfigurationError(file_kind, "cluster.allot: there is no budget to deal out")
-    if cluster.token_issuer and not cluster.on:
         raise ConfigurationError(
-            file_kind, "cluster.pace: cluster.on is false: nodes don't talk to each other"
+            file_kind, "cluster.allot: requires cluster.on, and cluster.links_per_s above 0"
         )
+    if cluster.token_issuer and not cluster.on:
+        raise ConfigurationError(file_kind, "cluster.pace: requires cluster.on")
     too_many = cluster.has_roles and cluster.electors > scenario.nodes.count
     if cluster.electors % 2 == 0 or too_many:
         raise ConfigurationError(
-            file_kind, f"cluster.electors: an odd number of the nodes ({cluster.electors})"
+            file_kind, f"cluster.electors: must be odd and at most nodes.count ({cluster.electors})"
         )
 
 
 def _check_upstreams(scenario: Scenario, file_kind: str) -> None:
     for place, group in enumerate(scenario.upstreams):
         if group.absent > group.count:
-            raise ConfigurationError(file_kind, f"hosts[{place}].late: more than the hosts there are")
+            raise ConfigurationError(file_kind, f"hosts[{place}].late: must not exceed hosts[{place}].count")
 
 
 def _check_fault(scenario: Scenario, fault: AnyFault, where: str) -> None:
     upstreams = getattr(fault, "upstreams", 0)
     joins = isinstance(fault, UpstreamJoin)
     if upstreams > (scenario.absent_upstream_count if joins else scenario.upstream_count):
-        raise ConfigurationError(f"{where}.hosts", f"more than there are ({upstreams})")
+        raise ConfigurationError(
+            f"{where}.hosts", f"the scenario has fewer hosts for this kind of fault ({upstreams})"
+        )
     nodes = _required_nodes(fault)
     if nodes > scenario.nodes.count:
-        raise ConfigurationError(f"{where}.nodes", f"more than there are ({nodes})")
+        raise ConfigurationError(f"{where}.nodes", f"the scenario has fewer nodes ({nodes})")
     if isinstance(fault, BETWEEN_NODES) and not scenario.cluster.on:
-        raise ConfigurationError(where, "cluster.on is false: nodes don't talk to each other")
+        raise ConfigurationError(where, "this kind of fault requires cluster.on")
     if isinstance(fault, Partition) and (fault.nodes > 0) is (fault.zone >= 0):
-        raise ConfigurationError(where, "one of nodes and zone says who is cut off")
+        raise ConfigurationError(where, "exactly one of nodes and zone must be given")
     if isinstance(fault, Partition | ZoneIsolation) and fault.zone >= scenario.zones:
         raise ConfigurationError(
-            f"{where}.zone", f"there are {scenario.zones}, counted from 0 ({fault.zone})"
+            f"{where}.zone", f"must be less than zones, which is {scenario.zones} ({fault.zone})"
         )
 
 
 def _required_nodes(fault: AnyFault) -> int:
-    """Return how many nodes a fault must find; a removal takes those that there are."""
+    """Return the number of nodes that a scenario must have for a fault; `RemoveNode` accepts any number."""
     if isinstance(fault, NodeFault | Partition) and not isinstance(fault, RemoveNode):
         return fault.nodes
     return 0
 
 
 def set_by_key(raw: dict[str, Any], key: str, value: Any) -> None:
-    """Change one value of a file's content.
+    """Set one value in the content of a scenario file.
 
     Args:
         raw: The content.
-        key: The value's key, such as `nodes.count` or `hosts.0.size`; tables that lack are made.
+        key: The key of the value, such as `nodes.count` or `hosts.0.size`; missing tables are created.
         value: The new value.
 
     Raises:
-        ConfigurationError: The key leads through a value, or to an entry that a list lacks.
+        ConfigurationError: A part of the key is neither a table nor a list, or is no index of its list.
 
     """
     table: Any = raw
@@ -135,7 +137,7 @@
         is_list = isinstance(table, list)
         table = table[_index(table, part, key)] if is_list else table.setdefault(part, {})
         if not isinstance(table, dict | list):
-            raise ConfigurationError(FILE_KIND, f"{key}: {part} is a value by itself")
+            raise ConfigurationError(FILE_KIND, f"{key}: {part} is neither a table nor a list")
     if isinstance(table, list):
         table[_index(table, last, key)] = value
     else:
@@ -144,5 +146,5 @@
 
 def _index(entries: list[Any], part: str, key: str) -> int:
     if not part.isdigit() or int(part) >= len(entries):
-        raise ConfigurationError(FILE_KIND, f"{key}: there is no {part}")
+        raise ConfigurationError(FILE_KIND, f"{key}: the list has no entry {part}")
     return int(part)
--- a/larchlatch/scenario/upstreams.py
+++ b/larchlatch/scenario/upstreams.py
@@ -1,7 +1,7 @@
-"""A model of an upstream: it establishes sessions from a queue, and slows down under established ones.
+"""Models an upstream: its queue of session setups, its warm-up, and its message latency under load.
 
-No I/O: time is handed in. The emulator's upstreams and the load test's upstream stubs are both this model.
-Times are in microseconds, work in microseconds of one core.
+This module does no I/O, and callers pass the present time. The emulator and the load test's upstream stubs
+use the same model. Times are in microseconds, work is in microseconds of one core.
 """
 
 from __future__ import annotations
@@ -18,43 +18,44 @@
 
     from larchlatch.scenario.scenario import Scenario, SlowStart
 
-MAX_SETUP_WAIT_US = 2 * SECOND  # a setup that would wait longer for a core is rejected
+MAX_SETUP_WAIT_US = 2 * SECOND  # setups that would wait longer for a core are rejected
 
-# Latency of messages over utilization: constant up to a limit, then rising by a power, up to a maximum.
+# Message latency is constant up to this utilization, then grows with a power of it, up to a maximum.
 UNDELAYED_UTILIZATION = 0.9
 LATENCY_EXPONENT = 8
 IDLE_LATENCY_DIVISOR = 10  # of the latency objective
 MAX_LATENCY_MULTIPLE = 40.0  # of the latency objective
 
-# A tick drops this share of the sessions that are too many for an overloaded upstream.
+# Above this utilization, an upstream drops a share of its excess sessions at each call of `sessions_to_drop`.
 OVERLOAD_UTILIZATION = 1.5
 DROPPED_SHARE = 0.3
 
 
 class Condition(Enum):
-    """What happens to whoever connects."""
+    """The condition of an upstream, which decides what happens to connections to it."""
 
     HEALTHY = "healthy"
-    CRASHED = "crashed"  # the machine is there, the process is not
-    SILENT = "silent"  # nothing answers
-    ABSENT = "absent"  # there is no such upstream, not yet or no more
+    CRASHED = "crashed"  # the machine runs without the process, so that connections are refused
+    SILENT = "silent"  # neither connections nor messages are answered
+    ABSENT = "absent"  # the upstream was not started yet, or has been retired
 
 
 class SimulatedUpstream:
-    """One upstream.
+    """The model of one upstream.
 
     Attributes:
-        number: Its number, from 0.
-        zone: Its zone.
-        cell: Its cell.
-        size: Its cores.
-        condition: Whether it runs.
-        draining: Whether it takes no new sessions.
-        started_at: When its process started; 0 for long ago.
-        incarnation: Counts starts and ends of its process: work of an earlier one is void.
-        slowness: Multiple of the time that its work takes.
-        load: Work a second of its sessions and their groups.
-        sessions: Load of each of its sessions, by number.
+        number: The upstream's number, from 0.
+        zone: The number of its zone.
+        cell: The number of its cell.
+        size: The number of its cores.
+        condition: Whether its process runs and answers.
+        draining: Whether it rejects new sessions.
+        started_at: When its process started; 0 if it ran before the scenario and has warmed up.
+        incarnation: Incremented when its process starts or ends, so that work of an earlier process is
+            recognized as void.
+        slowness: The factor by which its processing time is longer than that of a healthy upstream.
+        load: Work of all its sessions and their groups, in microseconds per second.
+        sessions: Load of each of its sessions, by session number.
 
     """
 
@@ -76,13 +77,13 @@
         self._recent_arrivals: list[tuple[int, float]] = []  # time and load, while it warms up
 
     def start(self, now: int) -> None:
-        """Start a new process, cold and without sessions."""
+        """Start a new process, which has no sessions and has to warm up."""
         self.condition, self.draining = Condition.HEALTHY, False
         self.started_at = max(1, now)
         self.stop()
 
     def stop(self) -> None:
-        """End the process and all that it had."""
+        """End the process, with all its sessions and queued setups."""
         self.incarnation += 1
         self.sessions.clear()
         self._group_sizes.clear()
@@ -92,18 +93,18 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it is healthy and takes new sessions."""
+        """Whether the upstream is healthy and accepts new sessions."""
         return self.condition is Condition.HEALTHY and not self.draining
 
     @property
     def was_never_started(self) -> bool:
-        """Whether it has been absent from the start."""
+        """Whether the upstream has been absent since the start of the scenario."""
         return self.condition is Condition.ABSENT and not self.incarnation
 
     # Speed and load.
 
     def warm_share(self, now: int) -> float:
-        """Return the share of its work that it can do by its warm-up."""
+        """Return the share of its full capacity that the upstream has reached in its warm-up."""
         warm_up_us = us(self._slow_start.duration_s)
         if not self.started_at or now >= self.started_at + warm_up_us:
             return 1.0
@@ -111,23 +112,23 @@
         return initial + (1 - initial) * (now - self.started_at) / warm_up_us
 
     def core_speed(self, now: int) -> float:
-        """Return the speed of a core, as a share of that of a warm and healthy one."""
+        """Return the speed of a core, as a share of the speed of a healthy core after warm-up."""
         return self.warm_share(now) / self.slowness
 
     def capacity(self, now: int) -> float:
-        """Return the work that it can do in a second."""
+        """Return the work that the upstream can do per second."""
         return self.size * self.core_speed(now) * SECOND
 
     def utilization(self, now: int) -> float:
-        """Return load over capacity."""
+        """Return the upstream's load divided by its present capacity."""
         return self.load / self.capacity(now)
 
     def message_latency_us(self, now: int, objective_us: int) -> int:
-        """Return how long a message takes here.
+        """Return how long the upstream takes to answer a message, in microseconds.
 
         Args:
-            now: The time.
-            objective_us: The latency objective.
+            now: The present time.
+            objective_us: The latency objective of messages, in microseconds.
 
         """
         excess = max(1.0, self.utilization(now) / UNDELAYED_UTILIZATION)
@@ -138,7 +139,7 @@
     # Sessions.
 
     def schedule_setup(self, now: int, work_us: float) -> int | None:
-        """Return when a setup that has arrived now is done, or None if it is rejected."""
+        """Return when a session setup that arrives now will be finished, or None if it is rejected."""
         begin = max(now, self._cores_free_at[0])
         if self.draining or begin > now + MAX_SETUP_WAIT_US:
             return None
@@ -147,13 +148,13 @@
         return end
 
     def add_session(self, session: int, load: float, group: int, group_load: float) -> None:
-        """Add an established session, unless it is there.
+        """Add an established session, unless the upstream has it already.
 
         Args:
-            session: Its number.
-            load: Its load.
-            group: Its group.
-            group_load: The load of the group itself, added once.
+            session: The number of the session.
+            load: The load of the session.
+            group: The number of its group.
+            group_load: The load of a group itself, added with its first session.
 
         """
         if session in self.sessions:
@@ -165,7 +166,7 @@
         self.load += load
 
     def remove_session(self, session: int, group: int, group_load: float) -> None:
-        """Remove a session, if it is there; arguments as those with which it was added."""
+        """Remove a session if the upstream has it; arguments are as for `add_session`."""
         load = self.sessions.pop(session, None)
         if load is None:
             return
@@ -178,28 +179,28 @@
             self.load = 0.0  # removes rounding errors
 
     def sessions_to_drop(self, now: int) -> int:
-        """Return how many sessions it drops in this tick, as it is overloaded."""
+        """Return how many sessions the upstream drops now because it is overloaded."""
         utilization = self.utilization(now)
         if self.condition is not Condition.HEALTHY or utilization <= OVERLOAD_UTILIZATION:
             return 0
         return int(len(self.sessions) * DROPPED_SHARE * (1 - OVERLOAD_UTILIZATION / utilization)) + 1
 
     def is_overloaded_by(self, now: int, load: float) -> bool:
-        """Record the load of an arriving session; return whether it makes a warming upstream fall over."""
+        """Record the arrival of a session; return whether it makes the upstream crash during its warm-up."""
         if self.warm_share(now) >= 1.0:
             self._recent_arrivals.clear()
             return False
         self._recent_arrivals.append((now, load))
         since = now - us(self._slow_start.overload_window_s)
         self._recent_arrivals = [arrival for arrival in self._recent_arrivals if arrival[0] > since]
-        # The arriving session is left out: a single one never makes an upstream fall over.
+        # The arriving session is left out, so that a single session never makes an upstream crash.
         before = sum(earlier for _, earlier in self._recent_arrivals[:-1])
         slow_start = self._slow_start
         return before > slow_start.overload_multiple * self.capacity(now) * slow_start.overload_window_s
 
 
 def create_upstreams(scenario: Scenario) -> Iterator[SimulatedUpstream]:
-    """Yield the upstreams of a scenario, the absent ones included."""
+    """Yield the upstreams of a scenario, including those that are absent at the start."""
     number = 0
     for group in scenario.upstreams:
         for place in range(group.count):
--- a/tests/invariants/test_quota_safety.py
+++ b/tests/invariants/test_quota_safety.py
@@ -1,4 +1,4 @@
-"""The checker of quota safety counts what surely lies within a window, and wrong reports."""
+"""Tests of the checker of quota safety."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 
 def test_what_surely_lies_within_a_window_counts() -> None:
+    """Guards against a checker that misses sessions beyond the quota, or usage reports that can't be true."""
     checker = QuotaSafety(2.0, SECOND)
     for number in range(3):
         checker.observe(SessionRequested(number * 400_000, str(number)))
--- a/tests/invariants/test_scenario_checkers.py
+++ b/tests/invariants/test_scenario_checkers.py
@@ -1,4 +1,4 @@
-"""The checkers of a scenario get all observations, and each judges its own property."""
+"""Tests of the checkers of a scenario together."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 
 
 def test_each_observation_concerns_the_verdicts_of_its_property_alone() -> None:
+    """Guards against a checker that gets no observations, or that reacts to those of another property."""
     checkers = ClusterCheckers(read_scenario_file(SCENARIOS / "duties.toml"), 0)
     properties = {"membership_agreement", "upstream_avoidance", "single_leader", "quota_safety"}
     assert {verdict.invariant for verdict in checkers.verdicts()} == properties
@@ -20,6 +21,10 @@
 
 
 def test_all_properties_hold_in_a_simulation_with_faults_between_nodes() -> None:
+    """Guards against violations under faults, and against false alarms of the checkers.
+
+    Nodes lose datagrams, are partitioned and are paused in one run, in which no property may be violated.
+    """
     simulation = simulation_of(
         cluster={"on": True, "links_per_s": 20.0},
         faults=[
--- a/tests/invariants/test_slow_start_safety.py
+++ b/tests/invariants/test_slow_start_safety.py
@@ -1,4 +1,4 @@
-"""The checker of slow-start safety finds what is too much for an upstream that warms up."""
+"""Tests of the checker of slow-start safety."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 
 
 def test_too_many_sessions_at_a_warming_upstream_are_found() -> None:
+    """Guards against a checker that misses a burst of sessions at an upstream that has just started."""
     scenario = read_scenario_file(SCENARIOS / "pace.toml")
     checker = slow_start_checker(scenario)
     upstream = SimulatedUpstream(0, zone=0, cell=0, size=2.0, slow_start=scenario.slow_start)
--- a/tests/invariants/test_upstream_avoidance.py
+++ b/tests/invariants/test_upstream_avoidance.py
@@ -1,4 +1,4 @@
-"""The checker of upstream avoidance finds wrong ejections, and times how nodes find lost upstreams."""
+"""Tests of the checker of upstream avoidance."""
 
 from __future__ import annotations
 
@@ -14,6 +14,10 @@
 
 
 def test_an_ejection_is_wrong_only_if_the_upstream_is_there_and_reachable() -> None:
+    """Guards against a checker that misses wrong ejections, or counts justified ones as wrong.
+
+    An ejection is justified if the upstream is lost, has returned only just now, or is not reachable.
+    """
     checker = UpstreamAvoidance()
     checker.observe(UpstreamLost(SECOND, 7))
     checker.observe(UpstreamEjected(2 * SECOND, 7, reachable=True))
@@ -26,10 +30,16 @@
 
 
 def test_only_nodes_that_ran_all_the_time_are_expected_to_find_a_loss() -> None:
+    """Guards against a checker that ignores a node that never detects a loss.
+
+    Nodes that start after the loss of an upstream have no sessions there, and are not expected to detect it.
+    """
     checker = UpstreamAvoidance()
     checker.observe(FleetChanged(0, [True, True, False], lambda sender, receiver: False))
     checker.observe(UpstreamLost(SECOND, 7))
     checker.observe(FleetChanged(2 * SECOND, [True, True, True], lambda sender, receiver: False))
     checker.observe(UpstreamFailureDetected(4 * SECOND, 0, 7))
     figures = checker.figures(20 * SECOND)
-    assert figures["avoided_s"] == 3.0 and figures["avoided_not"] == 1, "the second node never found it"
+    assert figures["avoided_s"] == 3.0 and figures["avoided_not"] == 1, (
+        "the second node has not detected the loss"
+    )
--- a/tests/scenario/test_clients.py
+++ b/tests/scenario/test_clients.py
@@ -1,4 +1,4 @@
-"""The demand of a scenario."""
+"""Tests of the clients that a scenario generates."""
 
 from __future__ import annotations
 
@@ -9,6 +9,11 @@
 
 
 def test_a_further_fault_changes_no_arrival() -> None:
+    """Guards against random numbers that faults and clients share.
+
+    If faults drew from the stream of the clients, an added fault would change the demand, and results with
+    and without the fault could not be compared.
+    """
     came = []
     for faults in ([], ALL_FAULTS):
         day = parse_scenario({**SMALL, "faults": faults}, "day")
--- a/tests/scenario/test_datagram_paths.py
+++ b/tests/scenario/test_datagram_paths.py
@@ -1,4 +1,4 @@
-"""Paths between nodes: what is blocked, and what becomes of datagrams."""
+"""Tests of the paths between nodes: partitions and the impairment of datagrams."""
 
 from __future__ import annotations
 
@@ -7,15 +7,25 @@
 
 
 def test_partitions_block_each_direction_by_itself() -> None:
+    """Guards against partitions that block too much.
+
+    A one-way partition must block only one direction, and no partition may separate the nodes on one side.
+    """
     paths = DatagramPaths(RandomStreams(1))
     paths.partitions.append(PartitionedNodes(frozenset({0, 1})))
     pairs = ((0, 1), (0, 2), (2, 0), (2, 3))
     assert [paths.is_blocked(*pair) for pair in pairs] == [False, True, True, False]
     paths.partitions.append(PartitionedNodes(frozenset({1}), oneway=True))
-    assert paths.is_blocked(1, 0) and not paths.is_blocked(0, 1), "it is not heard, but hears"
+    assert paths.is_blocked(1, 0) and not paths.is_blocked(0, 1), (
+        "node 1 must not reach node 0, but must receive from it"
+    )
 
 
 def test_impaired_paths_lose_duplicate_and_delay_each_by_its_own_draws() -> None:
+    """Guards against wrong rates of impairment, and against random numbers that paths share.
+
+    If paths drew from a common stream, traffic on one path would change which datagrams another path loses.
+    """
     paths = DatagramPaths(RandomStreams(1))
     paths.impairment = PathImpairment(loss=0.2, duplication=0.1, reordering=0.1, delay_us=1000)
     delays = [paths.delays_of_next(0, 1) for _ in range(4000)]
@@ -26,5 +36,5 @@
     other.impairment = paths.impairment
     for number in range(50):
         other.delays_of_next(1, 0)
-        message = "datagrams of another path change none of this one's delays"
+        message = "datagrams on another path must not change the delays on this path"
         assert other.delays_of_next(0, 1) == delays[number], message
--- a/tests/scenario/test_scenario_file.py
+++ b/tests/scenario/test_scenario_file.py
@@ -1,4 +1,4 @@
-"""Scenario files: what is refused, with which key, and the example files."""
+"""Tests of scenario files: the errors for invalid files, and the example files."""
 
 from __future__ import annotations
 
@@ -35,6 +35,10 @@
 def test_a_wrong_scenario_file_gets_one_line_that_names_the_key(
     change: str, key: str, tmp_path: Path
 ) -> None:
+    """Guards against an invalid scenario file that is accepted or gets an error without the key.
+
+    The commands that read scenario files must print a single line and exit with status 2.
+    """
     path = tmp_path / "scenario.toml"
     path.write_text(change)
     for command in (["emulate", str(path)], ["sweep", str(path), "--jobs", "1"]):
@@ -44,6 +48,7 @@
 
 
 def test_the_example_scenarios_are_valid() -> None:
+    """Guards against example files that do not follow a change of the format, or differ from their `name`."""
     names = {path.stem: read_scenario_file(path).name for path in SCENARIOS.glob("*.toml")}
     assert len(names) >= 4 and all(stem == name for stem, name in names.items())
 
@@ -58,6 +63,10 @@
     ],
 )
 def test_a_wrong_fault_between_nodes_is_refused(fault: dict[str, Any], key: str) -> None:
+    """Guards against faults that are accepted and can't be played.
+
+    They name both nodes and a zone or neither, affect nodes that do not exist, or need a cluster that is off.
+    """
     with pytest.raises(InvalidInputError, match=key):
         parse_scenario({"cluster": {"on": True}, "faults": [{"at_s": 1.0, **fault}]}, "day")
     with pytest.raises(InvalidInputError, match=r"cluster\.on"):
