--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -26,7 +26,7 @@
         reachable: For each node, which other nodes' records can reach it.
         agreed_after_us: The times from a change of the fleet to correct views at all nodes, in microseconds.
         differing_pairs: The number of pairs of a running node and another node of which it has a wrong view.
-        wrong_verdicts: How often a node considered a reachable node silent.
+        wrong_silence_reports: How often a node considered a reachable node silent.
 
     """
 
@@ -35,7 +35,7 @@
         self.reachable = [[False] * node_count for _ in range(node_count)]
         self.agreed_after_us: list[int] = []
         self.differing_pairs = 0
-        self.wrong_verdicts = 0
+        self.wrong_silence_reports = 0
         self._node_count = node_count
         self._running = [False] * node_count
         self._reachable_since = [[now] * node_count for _ in range(node_count)]
@@ -63,7 +63,7 @@
         self.differing_pairs = sum(
             self.views[node][other] is not self.reachable[node][other] for node, other in self._pairs()
         )
-        self._note_agreement(change.now)
+        self._record_agreement(change.now)
 
     def _pairs(self) -> Iterator[tuple[int, int]]:
         """Yield all pairs of a running node and another node."""
@@ -79,19 +79,19 @@
         reachable = self.reachable[node][member]
         settled = report.now >= self._reachable_since[node][member] + SETTLED_US
         if reachable and settled and not report.present:
-            self.wrong_verdicts += 1
+            self.wrong_silence_reports += 1
         if self._running[node]:
             self.differing_pairs += 1 if report.present is not reachable else -1
-        self._note_agreement(report.now)
+        self._record_agreement(report.now)
 
-    def _note_agreement(self, now: int) -> None:
+    def _record_agreement(self, now: int) -> None:
         if self._awaits_agreement and not self.differing_pairs:
             self._awaits_agreement = False
             self.agreed_after_us.append(now - self._changed_at)
 
     def verdict(self) -> Verdict:
         """Return how often a node considered a reachable node silent."""
-        return Verdict("membership_agreement", self.wrong_verdicts)
+        return Verdict("membership_agreement", self.wrong_silence_reports)
 
     def figures(self, now: int) -> Figures:
         """Return times to agreement and counts of errors; a time is None if nodes disagree at the end."""
@@ -103,7 +103,7 @@
             "agreed_start_s": times[0] / 1e6 if times else None,
             "agreed_later_s": agreed_later,
             "pairs_apart": self.differing_pairs,
-            "members_wrong": self.wrong_verdicts,
+            "members_wrong": self.wrong_silence_reports,
         }
 
 
@@ -111,8 +111,8 @@
     """Return, for each node, the nodes whose records can reach it directly or through other nodes."""
     groups = list(_equally_connected(running, is_blocked))
     reachable: list[set[int]] = [set() for _ in running]
-    for place, members in enumerate(groups):
-        sources = {node for other in _sources_of(place, groups, is_blocked) for node in groups[other]}
+    for index, members in enumerate(groups):
+        sources = {node for other in _sources_of(index, groups, is_blocked) for node in groups[other]}
         for node in members:
             reachable[node] = sources - {node}
     return reachable
@@ -129,9 +129,9 @@
     return groups.values()
 
 
-def _sources_of(place: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
-    """Return the indexes of all groups from which a path leads to the group at `place`, and its own."""
-    found, unvisited = {place}, [place]
+def _sources_of(index: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
+    """Return the indexes of all groups from which a path leads to the group at `index`, and its own."""
+    found, unvisited = {index}, [index]
     while unvisited:
         receiver = groups[unvisited.pop()][0]
         for other, members in enumerate(groups):
--- a/larchlatch/invariants/quota_safety.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -79,10 +79,11 @@
         requested = sorted(admission.requested_at for admission in self.admissions)
         seen = sorted(admission.seen_at for admission in self.admissions)
         # Of the sessions seen before a window ends, those requested before it begins don't count for it.
-        sums = (
-            bisect_right(seen, begin + self._window_us) - earlier for earlier, begin in enumerate(requested)
+        counts = (
+            bisect_right(seen, begin + self._window_us) - requested_before
+            for requested_before, begin in enumerate(requested)
         )
-        return max(0, max(sums, default=0) - self.limit)
+        return max(0, max(counts, default=0) - self.limit)
 
     def used_share(self) -> float:
         """Return which share was used of the quota for which there were requests, summed over intervals."""
--- a/larchlatch/invariants/session_figures.py
+++ b/larchlatch/invariants/session_figures.py
@@ -60,15 +60,15 @@
         self.wanted_us = 0.0
         self.served_us = 0.0
 
-    def record_established(self, took_us: int) -> None:
+    def record_established(self, setup_us: int) -> None:
         """Count an established session.
 
         Args:
-            took_us: The time since the client first requested the session, in microseconds.
+            setup_us: The time since the client first requested the session, in microseconds.
 
         """
         self.counts[SessionEvent.ESTABLISHED] += 1
-        self.setup_times.record_value(max(MIN_TIME_US, min(MAX_TIME_US, took_us)))
+        self.setup_times.record_value(max(MIN_TIME_US, min(MAX_TIME_US, setup_us)))
 
     def figures(self) -> dict[str, Any]:
         """Return the figures by their keys in a result."""
--- a/larchlatch/invariants/single_leader.py
+++ b/larchlatch/invariants/single_leader.py
@@ -47,10 +47,10 @@
             case FleetChanged():
                 self._running = list(observation.running)
                 self._is_electable = self._has_connected_majority(observation.is_blocked)
-                self._note_vacancy(observation.now)
+                self._record_vacancy(observation.now)
             case RoleChanged(role=self.role):
                 self._update_holders(observation)
-                self._note_vacancy(observation.now)
+                self._record_vacancy(observation.now)
             case OrderExecuted(role=self.role):
                 self.orders += 1
                 self.outdated_orders += observation.lease < self._highest_lease
@@ -63,8 +63,8 @@
         def is_connected(node: int, other: int) -> bool:
             return node == other or not (is_blocked(node, other) or is_blocked(other, node))
 
-        most = max((sum(is_connected(node, other) for other in electors) for node in electors), default=0)
-        return most > len(self._electors) // 2
+        largest = max((sum(is_connected(node, other) for other in electors) for node in electors), default=0)
+        return largest > len(self._electors) // 2
 
     def _update_holders(self, change: RoleChanged) -> None:
         others = [node for node in self.holders if node != change.node]
@@ -79,7 +79,7 @@
         """The running node that has reported last that it holds the role, or None."""
         return next((node for node in reversed(self.holders) if self._running[node]), None)
 
-    def _note_vacancy(self, now: int) -> None:
+    def _record_vacancy(self, now: int) -> None:
         is_vacant = self._is_electable and self.holder is None
         if is_vacant and self._vacant_since is None:
             self._vacant_since = now
@@ -93,10 +93,10 @@
 
     def figures(self, now: int) -> dict[str, float | int]:
         """Return counts, and the longest time without a holder while electors could have elected one."""
-        present = [] if self._vacant_since is None else [now - self._vacant_since]
+        current_vacancy_us = [] if self._vacant_since is None else [now - self._vacant_since]
         return {
             "two_holders": self.outdated_orders,
-            UNHELD_KEY: max([*self._vacancies_us, *present], default=0) / 1e6,
+            UNHELD_KEY: max([*self._vacancies_us, *current_vacancy_us], default=0) / 1e6,
             "duty_changes": self._holder_changes,
             "orders": self.orders,
         }
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -79,10 +79,10 @@
 
     def _allowed_now(self, now: int, upstream: SimulatedUpstream) -> float:
         """Return how many sessions of mean load may arrive at an upstream in a window that ends now."""
-        full = upstream.capacity(now) / self.mean_load_us if self.mean_load_us else 0.0
+        sessions_at_capacity = upstream.capacity(now) / self.mean_load_us if self.mean_load_us else 0.0
         if not self._warm_up_us:
             return 0.0
-        return self._overload_multiple * full * self._window_us / self._warm_up_us
+        return self._overload_multiple * sessions_at_capacity * self._window_us / self._warm_up_us
 
     def _check_arrival(self, arrival: SessionArrived) -> None:
         now, upstream = arrival.now, arrival.upstream
@@ -105,8 +105,8 @@
             if not upstream.started_at:
                 continue
             warm_up = self._warm_up(upstream)
-            bears_share = mean_load and upstream.load >= FULL_SHARE * mean_load * upstream.size
-            if warm_up.full_share_at is None and bears_share:
+            carries_full_share = mean_load and upstream.load >= FULL_SHARE * mean_load * upstream.size
+            if warm_up.full_share_at is None and carries_full_share:
                 warm_up.full_share_at = now
             if not self._is_warm(now, upstream) and self._window_us:
                 self._allowed += self._allowed_now(now, upstream) * sample.interval_us / self._window_us
@@ -126,10 +126,12 @@
 
         For an upstream that never carried its full share, the time up to the end of the scenario counts.
         """
-        times = [(warm_up.full_share_at or now) - warm_up.started_at for warm_up in self._warm_ups.values()]
+        times_us = [
+            (warm_up.full_share_at or now) - warm_up.started_at for warm_up in self._warm_ups.values()
+        ]
         return {
-            "bears_s": round(sum(times) / len(times) / 1e6, 3) if times else None,
-            "bears_most_s": max(times) / 1e6 if times else None,
+            "bears_s": round(sum(times_us) / len(times_us) / 1e6, 3) if times_us else None,
+            "bears_most_s": max(times_us) / 1e6 if times_us else None,
             "cold_over": self.violations,
             "cold_used": round(self._sent / self._allowed, 4) if self._allowed else None,
         }
--- a/larchlatch/scenario/datagram_paths.py
+++ b/larchlatch/scenario/datagram_paths.py
@@ -52,8 +52,8 @@
 
     def blocks(self, sender: int, receiver: int) -> bool:
         """Return whether a datagram from one node to another is blocked."""
-        leaves, enters = sender in self.nodes, receiver in self.nodes
-        return leaves is not enters and (leaves or not self.oneway)
+        sender_inside, receiver_inside = sender in self.nodes, receiver in self.nodes
+        return sender_inside is not receiver_inside and (sender_inside or not self.oneway)
 
 
 class DatagramPaths:
--- a/larchlatch/scenario/fault_injection.py
+++ b/larchlatch/scenario/fault_injection.py
@@ -159,7 +159,7 @@
     clients: ClientFaults
     scheduler: Scheduler
 
-    def affect(
+    def apply_temporarily(
         self,
         targets: Iterable[TargetT],
         *,
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -96,7 +96,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Slow upstreams down for the duration of the fault."""
         slow_down = injector.upstreams.slow_down
-        injector.affect(
+        injector.apply_temporarily(
             self.draw_upstreams(injector, rng),
             for_s=self.for_s,
             begin=lambda upstream: slow_down(upstream, self.factor),
@@ -117,7 +117,9 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Silence upstreams, and restart them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
-        injector.affect(affected, for_s=self.for_s, begin=upstreams.silence, end=upstreams.bring_up)
+        injector.apply_temporarily(
+            affected, for_s=self.for_s, begin=upstreams.silence, end=upstreams.bring_up
+        )
 
 
 class UpstreamCrash(UpstreamFault, tag="crash", frozen=True):
@@ -133,7 +135,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Crash upstreams, and restart them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
-        injector.affect(affected, for_s=self.for_s, begin=upstreams.crash, end=upstreams.bring_up)
+        injector.apply_temporarily(affected, for_s=self.for_s, begin=upstreams.crash, end=upstreams.bring_up)
 
 
 class UpstreamDrain(UpstreamFault, tag="drain", frozen=True):
@@ -149,7 +151,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Drain upstreams, and retire them after the duration of the fault."""
         affected, upstreams = self.draw_upstreams(injector, rng), injector.upstreams
-        injector.affect(affected, for_s=self.for_s, begin=upstreams.drain, end=upstreams.retire)
+        injector.apply_temporarily(affected, for_s=self.for_s, begin=upstreams.drain, end=upstreams.retire)
 
 
 class UpstreamJoin(UpstreamFault, tag="join", frozen=True):
@@ -319,7 +321,9 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Pause nodes for the duration of the fault."""
         paused = injector.nodes.role_holders() if self.role_holders else self.draw_nodes(injector, rng)
-        injector.affect(paused, for_s=self.for_s, begin=injector.nodes.pause, end=injector.nodes.resume)
+        injector.apply_temporarily(
+            paused, for_s=self.for_s, begin=injector.nodes.pause, end=injector.nodes.resume
+        )
 
 
 class ClockSkew(NodeFault, tag="skew", frozen=True):
@@ -337,7 +341,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Change the rate of clocks for the duration of the fault."""
         set_clock_gain = injector.nodes.set_clock_gain
-        injector.affect(
+        injector.apply_temporarily(
             self.draw_nodes(injector, rng),
             for_s=self.for_s,
             begin=lambda node: set_clock_gain(node, self.gain),
@@ -361,7 +365,7 @@
     def apply(self, injector: FaultInjector[UpstreamT, NodeT], rng: Random) -> None:
         """Make nodes send false reports for the duration of the fault."""
         send_false_reports = injector.nodes.send_false_reports
-        injector.affect(
+        injector.apply_temporarily(
             self.draw_nodes(injector, rng),
             for_s=self.for_s,
             begin=lambda node: send_false_reports(node, self.subject),
@@ -412,7 +416,7 @@
 # Faults that a node must inflict on itself; the load test runs a special node process for them.
 SELF_INFLICTED = (ClockSkew, ByzantineNode)
 # Faults that are possible only in scenarios with a cluster of nodes.
-BETWEEN_NODES = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
+CLUSTER_FAULTS = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
 
 
 def trace_name(fault: Fault) -> str:
--- a/larchlatch/scenario/random_faults.py
+++ b/larchlatch/scenario/random_faults.py
@@ -14,7 +14,7 @@
 
     from larchlatch.scenario.scenario import Scenario
 
-MARGIN_S = 8.0  # at the start and at the end of a scenario, during which no random fault begins
+FAULT_FREE_MARGIN_S = 8.0  # at the start and at the end of a scenario, during which no random fault begins
 MIN_DURATION_S = 0.5
 MAX_DURATION_S = 8.0
 MAX_UPSTREAM_CRASH_S = 2.0
@@ -25,14 +25,14 @@
 def with_random_faults(scenario: Scenario, count: int) -> Scenario:
     """Return the scenario with `count` random faults added."""
     rng = RandomStreams(scenario.seed).stream("drawn")
-    drawn = [draw_fault(scenario, rng) for _ in range(count)]
-    return msgspec.structs.replace(scenario, faults=[*scenario.faults, *drawn])
+    random_faults = [draw_fault(scenario, rng) for _ in range(count)]
+    return msgspec.structs.replace(scenario, faults=[*scenario.faults, *random_faults])
 
 
 def draw_fault(scenario: Scenario, rng: Random) -> AnyFault:
     """Return a random fault of a kind that is possible in the scenario."""
-    last_s = max(MARGIN_S, scenario.span_s - MARGIN_S)
-    at_s, for_s = rng.uniform(MARGIN_S, last_s), rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
+    last_s = max(FAULT_FREE_MARGIN_S, scenario.span_s - FAULT_FREE_MARGIN_S)
+    at_s, for_s = rng.uniform(FAULT_FREE_MARGIN_S, last_s), rng.uniform(MIN_DURATION_S, MAX_DURATION_S)
     nodes = rng.randint(1, max(1, min(MAX_NODES, (scenario.nodes.count - 1) // 2)))
     kinds = ["stall", "kill", "crash"]
     if scenario.cluster.on:
--- a/larchlatch/scenario/scenario_file.py
+++ b/larchlatch/scenario/scenario_file.py
@@ -9,7 +9,7 @@
 from larchlatch.errors import ConfigurationError
 from larchlatch.policy.types import Idempotency
 from larchlatch.scenario.faults import (
-    BETWEEN_NODES,
+    CLUSTER_FAULTS,
     AnyFault,
     NodeFault,
     Partition,
@@ -57,16 +57,16 @@
     _check_demand_and_discovery(scenario, file_kind)
     _check_cluster(scenario, file_kind)
     _check_upstreams(scenario, file_kind)
-    for place, fault in enumerate(scenario.faults):
-        _check_fault(scenario, fault, f"{file_kind}: faults[{place}]")
+    for index, fault in enumerate(scenario.faults):
+        _check_fault(scenario, fault, f"{file_kind}: faults[{index}]")
     return scenario
 
 
 def _check_demand_and_discovery(scenario: Scenario, file_kind: str) -> None:
     known = {idempotency.value for idempotency in Idempotency}
-    for place, effect in enumerate(scenario.sessions.idempotencies):
-        if effect not in known:
-            raise ConfigurationError(file_kind, f"links.effects[{place}]: not a known effect ({effect!r})")
+    for index, value in enumerate(scenario.sessions.idempotencies):
+        if value not in known:
+            raise ConfigurationError(file_kind, f"links.effects[{index}]: not a known effect ({value!r})")
     if scenario.discovery.max_delay_ms < scenario.discovery.min_delay_ms:
         raise ConfigurationError(file_kind, "listing.late_ms: must not be less than listing.soon_ms")
 
@@ -87,9 +87,11 @@
 
 
 def _check_upstreams(scenario: Scenario, file_kind: str) -> None:
-    for place, group in enumerate(scenario.upstreams):
+    for index, group in enumerate(scenario.upstreams):
         if group.absent > group.count:
-            raise ConfigurationError(file_kind, f"hosts[{place}].late: must not exceed hosts[{place}].count")
+            raise ConfigurationError(
+                file_kind, f"hosts[{index}].late: must not exceed the count of these hosts"
+            )
 
 
 def _check_fault(scenario: Scenario, fault: AnyFault, where: str) -> None:
@@ -102,7 +104,7 @@
     nodes = _required_nodes(fault)
     if nodes > scenario.nodes.count:
         raise ConfigurationError(f"{where}.nodes", f"the scenario has fewer nodes ({nodes})")
-    if isinstance(fault, BETWEEN_NODES) and not scenario.cluster.on:
+    if isinstance(fault, CLUSTER_FAULTS) and not scenario.cluster.on:
         raise ConfigurationError(where, "this kind of fault requires cluster.on")
     if isinstance(fault, Partition) and (fault.nodes > 0) is (fault.zone >= 0):
         raise ConfigurationError(where, "exactly one of nodes and zone must be given")
--- a/larchlatch/scenario/upstreams.py
+++ b/larchlatch/scenario/upstreams.py
@@ -191,19 +191,19 @@
             self._recent_arrivals.clear()
             return False
         self._recent_arrivals.append((now, load))
-        since = now - us(self._slow_start.overload_window_s)
-        self._recent_arrivals = [arrival for arrival in self._recent_arrivals if arrival[0] > since]
+        window_start = now - us(self._slow_start.overload_window_s)
+        self._recent_arrivals = [arrival for arrival in self._recent_arrivals if arrival[0] > window_start]
         # The arriving session is left out, so that a single session never makes an upstream crash.
-        before = sum(earlier for _, earlier in self._recent_arrivals[:-1])
+        earlier_load = sum(arrival_load for _, arrival_load in self._recent_arrivals[:-1])
         slow_start = self._slow_start
-        return before > slow_start.overload_multiple * self.capacity(now) * slow_start.overload_window_s
+        return earlier_load > slow_start.overload_multiple * self.capacity(now) * slow_start.overload_window_s
 
 
 def create_upstreams(scenario: Scenario) -> Iterator[SimulatedUpstream]:
     """Yield the upstreams of a scenario, including those that are absent at the start."""
     number = 0
     for group in scenario.upstreams:
-        for place in range(group.count):
+        for index in range(group.count):
             upstream = SimulatedUpstream(
                 number,
                 zone=number % scenario.zones,
@@ -211,7 +211,7 @@
                 size=group.size,
                 slow_start=scenario.slow_start,
             )
-            if place >= group.count - group.absent:
+            if index >= group.count - group.absent:
                 upstream.condition = Condition.ABSENT
             yield upstream
             number += 1
--- a/tests/invariants/test_membership_agreement.py
+++ b/tests/invariants/test_membership_agreement.py
@@ -7,7 +7,7 @@
 from larchlatch.scenario.datagram_paths import PartitionedNodes
 
 
-def test_wrong_verdicts_are_counted_and_agreement_is_timed() -> None:
+def test_wrong_silence_reports_are_counted_and_agreement_is_timed() -> None:
     """Guards against a checker that misses errors or reports errors that are none.
 
     It is an error to consider a reachable node silent, but not to consider a partitioned node silent.
--- a/tests/invariants/test_quota_safety.py
+++ b/tests/invariants/test_quota_safety.py
@@ -7,7 +7,7 @@
 from larchlatch.scenario.amounts import SECOND
 
 
-def test_what_surely_lies_within_a_window_counts() -> None:
+def test_excess_sessions_and_wrong_reports_are_counted() -> None:
     """Guards against a checker that misses sessions beyond the quota, or usage reports that can't be true."""
     checker = QuotaSafety(2.0, SECOND)
     for number in range(3):
--- a/tests/invariants/test_scenario_checkers.py
+++ b/tests/invariants/test_scenario_checkers.py
@@ -8,7 +8,7 @@
 from tests.support.simulations import SCENARIOS, simulation_of
 
 
-def test_each_observation_concerns_the_verdicts_of_its_property_alone() -> None:
+def test_an_observation_affects_only_the_verdict_on_its_property() -> None:
     """Guards against a checker that gets no observations, or that reacts to those of another property."""
     checkers = ClusterCheckers(read_scenario_file(SCENARIOS / "duties.toml"), 0)
     properties = {"membership_agreement", "upstream_avoidance", "single_leader", "quota_safety"}
--- a/tests/invariants/test_single_leader.py
+++ b/tests/invariants/test_single_leader.py
@@ -32,10 +32,10 @@
     checker, is_blocked = SingleLeader(ROLE, range(3)), [False]
     checker.observe(FleetChanged(0, [True] * 4, lambda sender, receiver: is_blocked[0]))
     checker.observe(RoleChanged(2 * SECOND, ROLE, 3, held=True))
-    without_holder = [True, True, True, False]
-    checker.observe(FleetChanged(5 * SECOND, without_holder, lambda sender, receiver: is_blocked[0]))
+    running_without_holder = [True, True, True, False]
+    checker.observe(FleetChanged(5 * SECOND, running_without_holder, lambda sender, receiver: is_blocked[0]))
     is_blocked[0] = True
-    checker.observe(FleetChanged(6 * SECOND, without_holder, lambda sender, receiver: is_blocked[0]))
+    checker.observe(FleetChanged(6 * SECOND, running_without_holder, lambda sender, receiver: is_blocked[0]))
     assert checker.figures(60 * SECOND)["unheld_s"] == 2.0, (
         "electors that reach no majority can't elect a holder"
     )
--- a/tests/invariants/test_upstream_avoidance.py
+++ b/tests/invariants/test_upstream_avoidance.py
@@ -13,7 +13,7 @@
 from larchlatch.scenario.amounts import SECOND
 
 
-def test_an_ejection_is_wrong_only_if_the_upstream_is_there_and_reachable() -> None:
+def test_an_ejection_is_wrong_only_if_the_upstream_is_healthy_and_reachable() -> None:
     """Guards against a checker that misses wrong ejections, or counts justified ones as wrong.
 
     An ejection is justified if the upstream is lost, has returned only just now, or is not reachable.
@@ -29,7 +29,7 @@
     assert checker.verdict().violations == 1
 
 
-def test_only_nodes_that_ran_all_the_time_are_expected_to_find_a_loss() -> None:
+def test_only_nodes_that_ran_all_the_time_are_expected_to_detect_a_loss() -> None:
     """Guards against a checker that ignores a node that never detects a loss.
 
     Nodes that start after the loss of an upstream have no sessions there, and are not expected to detect it.
--- a/tests/scenario/test_clients.py
+++ b/tests/scenario/test_clients.py
@@ -14,12 +14,12 @@
     If faults drew from the stream of the clients, an added fault would change the demand, and results with
     and without the fault could not be compared.
     """
-    came = []
+    arrivals = []
     for faults in ([], ALL_FAULTS):
-        day = parse_scenario({**SMALL, "faults": faults}, "day")
-        clients = client_arrivals(day, RandomStreams(day.seed))
-        came.append([(c.due, c.life_us, c.group, c.load) for c in clients])
-    assert came[0] == came[1] and len(came[0]) > 200
+        scenario = parse_scenario({**SMALL, "faults": faults}, "day")
+        clients = client_arrivals(scenario, RandomStreams(scenario.seed))
+        arrivals.append([(client.due, client.life_us, client.group, client.load) for client in clients])
+    assert arrivals[0] == arrivals[1] and len(arrivals[0]) > 200
     streams = RandomStreams(7)
     draws = [streams.draw("x", 1), streams.draw("x", 2), streams.draw("y", 1), RandomStreams(8).draw("x", 1)]
     assert len(set(draws)) == 4
--- a/tests/scenario/test_datagram_paths.py
+++ b/tests/scenario/test_datagram_paths.py
@@ -21,7 +21,7 @@
     )
 
 
-def test_impaired_paths_lose_duplicate_and_delay_each_by_its_own_draws() -> None:
+def test_each_impaired_path_loses_duplicates_and_delays_by_its_own_random_numbers() -> None:
     """Guards against wrong rates of impairment, and against random numbers that paths share.
 
     If paths drew from a common stream, traffic on one path would change which datagrams another path loses.
--- a/tests/scenario/test_scenario_file.py
+++ b/tests/scenario/test_scenario_file.py
@@ -62,7 +62,7 @@
         ({"kind": "stall", "nodes": 9}, "nodes"),
     ],
 )
-def test_a_wrong_fault_between_nodes_is_refused(fault: dict[str, Any], key: str) -> None:
+def test_a_wrong_fault_between_nodes_is_rejected(fault: dict[str, Any], key: str) -> None:
     """Guards against faults that are accepted and can't be played.
 
     They name both nodes and a zone or neither, affect nodes that do not exist, or need a cluster that is off.
