--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API: HTTP/1.1 with one call for each connection. It reads and changes the lifecycle state."""
+"""Serves the admin API: operators' calls over HTTP/1.1 that read or change the node's lifecycle state."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     from larchlatch.node.metrics import Counters
     from larchlatch.node.wire.http import HttpEvent
 
-BACKLOG = 64  # connections that wait to be accepted
-MAX_CALLERS = 16  # at once, as each uses a descriptor: beyond it the oldest caller is evicted
-CALL_TIMEOUT_S = 5.0  # for a whole call, its response included
-MAX_HEAD_BYTES = 8192  # of a call's head
-MAX_BODY_BYTES = 4096  # of a call's body, which is ignored
-READ_BYTES = 4096  # read at a time
-ACCEPT_RETRY_S = 0.02  # pause after a connection could not be accepted
+BACKLOG = 64  # connections that the operating system queues until they are accepted
+MAX_CALLERS = 16  # served at once, as each uses a descriptor; a further one evicts the oldest
+CALL_TIMEOUT_S = 5.0  # for a whole call, response included
+MAX_HEAD_BYTES = 8192  # the longest head of a call
+MAX_BODY_BYTES = 4096  # the longest body of a call; bodies are ignored
+READ_BYTES = 4096  # per read
+ACCEPT_RETRY_S = 0.02  # the pause after a connection could not be accepted
 
 log = structlog.get_logger()
 
@@ -38,13 +38,13 @@
 class AdminCounter(StrEnum):
     """Names of the counters of the admin API."""
 
-    CALLER_EVICTED = "admin_caller_evicted"  # the oldest caller was ended for a new one
-    CALL_UNFINISHED = "admin_call_unfinished"  # evicted, or not complete within CALL_TIMEOUT_S
-    CALL_ERROR = "admin_call_error"  # a fault of the node while it answered
+    CALLER_EVICTED = "admin_caller_evicted"  # the oldest caller was evicted for a new one
+    CALL_UNFINISHED = "admin_call_unfinished"  # a call was evicted, or not complete in CALL_TIMEOUT_S
+    CALL_ERROR = "admin_call_error"  # a fault of the node while it served a call
 
 
 def response_counter(status: int) -> str:
-    """Return the name of the counter of responses with an HTTP status."""
+    """Return the name of the counter for responses with an HTTP status."""
     return f"admin_response_{status}"
 
 
@@ -53,8 +53,8 @@
 
     Attributes:
         status: the HTTP status.
-        body: sent as JSON.
-        headers: sent besides those of every response.
+        body: the body, which is sent as JSON.
+        headers: the names and values of headers that are sent in addition to those of every response.
 
     """
 
@@ -64,19 +64,19 @@
 
 
 class Route(NamedTuple):
-    """The HTTP method of a path, and what a call of it does."""
+    """The HTTP method that a path accepts, and the function that carries the call out."""
 
     method: str
     handler: Callable[[], Reply]
 
 
 class AdminApi:
-    """Serves operators' calls: readiness, and the start and stop of a drain.
+    """Serves the calls for readiness and for the start and stop of a drain, one call per connection.
 
     Args:
         lifecycle: the node's lifecycle state.
-        drain: starts to release sessions, called once the state is draining.
-        counters: where calls are counted.
+        drain: starts to release sessions; called after the lifecycle state has changed to draining.
+        counters: the counters of calls.
 
     """
 
@@ -92,7 +92,7 @@
         self._callers: dict[anyio.CancelScope, None] = {}  # oldest first
 
     async def run(self, listener: Listener) -> None:
-        """Serve the callers of this listener until cancelled."""
+        """Accept connections on a listener and serve their calls until cancelled."""
         async with anyio.create_task_group() as tasks:
             await self._accept(listener, tasks)
 
@@ -108,7 +108,7 @@
             scope = anyio.CancelScope()
             self._callers[scope] = None
             tasks.start_soon(self._serve, await stream_of(sock), scope)
-            # While many callers wait to be accepted, the accepted ones have to be served too.
+            # `accept` does not wait while connections are queued: accepted callers are served here meanwhile.
             await anyio.lowlevel.checkpoint()
 
     def _evict_oldest(self) -> None:
@@ -118,7 +118,7 @@
         self._counters.add(AdminCounter.CALLER_EVICTED)
 
     async def _serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
-        """Serve one connection, until its call is answered or its scope is cancelled."""
+        """Serve one connection until its call is answered or its scope is cancelled."""
         connection = Lines(stream)
         try:
             barrier = FaultBarrier(self._counters, counter=AdminCounter.CALL_ERROR, event="admin_call_error")
@@ -132,7 +132,7 @@
             await connection.close()
 
     async def _answer(self, connection: Lines) -> None:
-        """Read one call and send its response, unless the caller has left."""
+        """Read one call and send its response, unless the caller has left before."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
             reply = await self._reply(http, connection)
@@ -145,7 +145,7 @@
             await connection.finish(Ending.END)
 
     async def _reply(self, http: h11.Connection, connection: Lines) -> Reply | None:
-        """Read one call completely and carry it out; return None if the caller has left before."""
+        """Read one call, carry it out and return its response, or None if the caller has left before."""
         request: h11.Request | None = None
         body_size = 0
         while (event := await receive_event(http, connection)) is not None:
@@ -165,19 +165,19 @@
         return None
 
     def _rejection(self, request: h11.Request) -> Reply | None:
-        """Return the response to a call that can be rejected by its head, or None."""
+        """Return the response to a call that is rejected by its head, or None if the head is valid."""
         route = self._routes.get(path_of(request))
         if route is None:
             return Reply(404, {"error": "no such call", "calls": sorted(self._routes)})
         if request.method.decode() != route.method:
-            return Reply(405, {"error": f"this call is a {route.method}"}, (("Allow", route.method),))
+            return Reply(405, {"error": f"this call requires {route.method}"}, (("Allow", route.method),))
         length = dict(request.headers).get(b"content-length", b"0")
-        if int(length) > MAX_BODY_BYTES:  # h11 has checked that it is a number
+        if int(length) > MAX_BODY_BYTES:  # h11 has checked that the header is a number
             return Reply(413, {"error": "the body is too large"})
         return None
 
     def _readiness(self) -> Reply:
-        # Readiness concerns the process: a drained node works, though no clients are sent to it.
+        # Readiness is a state of the process: a draining node is ready, though no clients are sent to it.
         return Reply(200 if self._lifecycle.ready else 503, self._state())
 
     def _start_drain(self) -> Reply:
@@ -202,10 +202,10 @@
 
 
 async def receive_event(http: h11.Connection, connection: Lines) -> HttpEvent | None:
-    """Return the next h11 event of a call; None if the connection is broken.
+    """Return the next h11 event of a call, or None if the connection is broken.
 
     Raises:
-        h11.RemoteProtocolError: the caller violates HTTP/1.1.
+        h11.RemoteProtocolError: the caller has violated HTTP/1.1.
 
     """
     try:
@@ -215,7 +215,7 @@
 
 
 def encode_response(http: h11.Connection, reply: Reply) -> bytes:
-    """Return the bytes of a response, after which the connection is closed."""
+    """Return the bytes of a response, whose headers say that the connection is closed after it."""
     body = orjson.dumps(reply.body) + b"\n"
     headers = [
         ("Content-Type", "application/json"),
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -1,4 +1,4 @@
-"""Follows the endpoint list by a watch on its changes, which is opened again with backoff when it ends."""
+"""Follows the endpoint list through a watch for its changes, and opens a new watch when one ends."""
 
 from __future__ import annotations
 
@@ -22,23 +22,25 @@
 
 PATH = "/catalog/members"
 
-# Both kinds of discovery. A change counts as known to this node 6 s after discovery had it and could be
-# reached. In the worst case it comes right after a failing call has begun: the next call begins at most
-# MAX_CYCLE_S after that one, and needs connect_s. The rest of the 6 s allows for delays in this node.
-WATCH_SILENCE_S = 2.6  # a watch sends a keep-alive every 2 s; if silent for longer it counts as broken
+# Both kinds of discovery. This node is expected to know a change 6 s after discovery had it and could be
+# reached. In the worst case the change comes right after the start of a call that fails: the next call starts
+# at most MAX_CYCLE_S after that one, and needs connect_s. The rest of the 6 s allows for delays in this node.
+WATCH_SILENCE_S = 2.6  # a watch sends a keep-alive every 2 s, and counts as broken if silent for this long
 MAX_CYCLE_S = 4.0  # from the last progress, or from the start of a call without progress, to the next call
 
 # Discovery that pushes changes: an agent on this machine, which answers at once and serves this node alone.
-# What it has counts as known at once, whether or not a watch is open, so a call without an answer is repeated
-# soon: answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S are shorter than the grace period of a drain.
+# The node is expected to know a change as soon as the agent has it, whether or not a watch is open. So a call
+# without an answer is repeated soon: the sum of answer_s, UNREAD_GRACE_S and MAX_AGENT_PAUSE_S is less than
+# the grace period of a drain.
 AGENT_TIMEOUTS = CallTimeouts(connect_s=0.12, answer_s=0.12, silence_s=WATCH_SILENCE_S)
-MAX_AGENT_PAUSE_S = 0.05  # longest pause before an agent is called again
+MAX_AGENT_PAUSE_S = 0.05  # the longest pause before an agent is called again
 
-# Discovery that is polled: one service for all nodes, where calls queue. Pauses double up to MAX_CYCLE_S.
+# Discovery that is polled: one service for all nodes, where calls queue. The longest pause doubles with each
+# failed call, up to MAX_CYCLE_S.
 SERVICE_TIMEOUTS = CallTimeouts(connect_s=0.5, answer_s=WATCH_SILENCE_S, silence_s=WATCH_SILENCE_S)
-FIRST_SERVICE_PAUSE_S = 0.5  # longest first pause, also before a call of an agent that has refused one
+FIRST_SERVICE_PAUSE_S = 0.5  # the longest first pause, also after a refusal by an agent
 
-# How a call ends if discovery can't be reached, or breaks off its answer.
+# What a call raises if discovery can't be reached, or if its response breaks off.
 CONNECTION_FAILURES = (OSError, anyio.BrokenResourceError, anyio.EndOfStream, h11.RemoteProtocolError)
 
 log = structlog.get_logger()
@@ -49,22 +51,22 @@
 
     LIST_FULL = "endpoint_list_full"  # complete lists that were received
     LIST_CHANGE = "endpoint_list_change"  # changes to the list that were received
-    LIST_INVALID = "endpoint_list_invalid"  # answers that were no endpoint list
-    LIST_WENT_BACK = "endpoint_list_went_back"  # changes with a lower revision than the one before
-    ENTRY_INVALID = "endpoint_entry_invalid"  # entries of lists that could not be read
-    CALL_FAILED = "discovery_call_failed"  # no connection or answer, a refusal, or a watch that ended
+    LIST_INVALID = "endpoint_list_invalid"  # responses that were not an endpoint list
+    LIST_WENT_BACK = "endpoint_list_went_back"  # changes with a lower revision than the previous one
+    ENTRY_INVALID = "endpoint_entry_invalid"  # invalid entries of lists, which were left out
+    CALL_FAILED = "discovery_call_failed"  # no connection, no response, a refusal, or a watch that ended
 
 
 class EndpointSource:
-    """An address of discovery with the state of the list that was received from there.
+    """An address of discovery, with the state of the endpoint list that was received from there.
 
-    A call keeps the source that it began with: if the address changes during the call, what is still received
-    changes only the state of the former source.
+    A call keeps the source with which it began: if the address changes during the call, data that is
+    still received changes only the state of the previous source.
 
     Attributes:
         address: host and port.
         revision: the revision up to which the list is known.
-        needs_full_list: whether the next call has to fetch the complete list before it watches.
+        needs_full_list: whether the next call has to fetch the complete list before it opens a watch.
 
     """
 
@@ -77,24 +79,25 @@
 class DiscoveryClient:
     """Follows the endpoint list and posts each update to the balancer actor.
 
-    It begins at once if the deployment settings say that changes are pushed, otherwise once `start` was
-    called. From then on it keeps a watch open for as long as the node runs.
+    If discovery pushes changes, `run` calls it at once, otherwise when `start` has been called. From then on
+    the client keeps a watch open, and replaces it when it ends, for as long as the node runs.
 
     Args:
         address: host and port of discovery.
         revision: the revision of the list that the node already has.
         pushed: whether discovery is an agent that pushes changes; otherwise it is a shared service.
-        counters: where calls and updates are counted.
+        counters: the counters of calls and updates.
         post: sends a message to the balancer actor.
-        uniform: draws a number between two bounds, as `random.Random.uniform`.
+        uniform: draws a random number between two bounds, like `random.Random.uniform`.
 
     Attributes:
-        source: the address that is followed now.
-        first_update: set once an update has come from discovery itself.
-        refused: whether the last call was answered, with a refusal or with an invalid list.
-        last_progress_at: when the last complete object or keep-alive came, or the last call began; in
+        source: the address of discovery that is called now, and the state of its list.
+        first_update: set once the first update has been received from discovery.
+        refused: whether discovery answered the last call with a refusal or with an invalid list.
+        last_progress_at: when the last complete object or keep-alive was received, or the last call began; in
             seconds of `anyio.current_time`.
-        max_pause_s: seconds, the longest pause after the next call that fails at a shared service.
+        max_pause_s: the longest pause, in seconds, after the next call that fails at a shared service or that
+            an agent refuses.
 
     """
 
@@ -118,8 +121,8 @@
         self._uniform = uniform
         self._pushed = pushed
         self._timeouts = AGENT_TIMEOUTS if pushed else SERVICE_TIMEOUTS
-        self._failed_calls = 0  # since the last progress
-        self._call_scope: anyio.CancelScope | None = None  # of the present call and of the pause after it
+        self._failed_calls = 0  # consecutive, since the last progress
+        self._call_scope: anyio.CancelScope | None = None  # the present call and the pause after it
         self._started = anyio.Event()
         if pushed:
             self.start()
@@ -134,13 +137,13 @@
         self.source.revision = revision
 
     def start(self) -> None:
-        """Let `run` begin to call discovery."""
+        """Let `run` start to call discovery."""
         self._started.set()
 
     def change_address(self, address: tuple[str, int]) -> None:
-        """Follow the list at another address from now on; the present call is cancelled."""
-        # Revisions at the new address may be unrelated to those known here, and by changes alone an upstream
-        # that the new list lacks would stay. So the complete list is fetched first.
+        """Follow the list at another address from now on, and cancel the present call."""
+        # Revisions at the new address may be unrelated to the known ones, and changes alone would not remove
+        # an upstream that the new list lacks. So the complete list is fetched first.
         self.source = EndpointSource(address, revision=0, needs_full_list=True)
         self.max_pause_s = FIRST_SERVICE_PAUSE_S
         if self._call_scope is not None:
@@ -150,28 +153,31 @@
         """Call discovery repeatedly, with a pause after each call, until cancelled."""
         await self._started.wait()
         while True:
-            # Only `change_address` cancels this scope, also in the pause, to call the new address at once.
+            # Only `change_address` cancels this scope, even in the pause, to call the new address at once.
             with anyio.CancelScope() as self._call_scope:
                 await self._call(self.source)
                 await self._post(DiscoveryFailed())
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
-        """Draw the pause before the next call in seconds, and double the bound of the one after it.
+        """Draw the pause before the next call, in seconds, and double the upper bound of the pause after it.
+
+        The pause after an agent that has not refused the call has a constant bound.
 
         Args:
-            now: seconds of `anyio.current_time`.
+            now: the present time in seconds of `anyio.current_time`.
 
         """
         if self._pushed and not self.refused:
             return self._uniform(0, MAX_AGENT_PAUSE_S)
-        # All nodes lose a shared service at the same time, and would call it again at the same time.
+        # All nodes lose a shared service at the same time, and without a random pause they would all call it
+        # again at the same time.
         pause_s = self._uniform(0, self.max_pause_s)
         self.max_pause_s = min(MAX_CYCLE_S, 2 * self.max_pause_s)
         return max(0.0, min(pause_s, self.last_progress_at + MAX_CYCLE_S - now))
 
     async def _call(self, source: EndpointSource) -> None:
-        """Follow the list by one call until the call ends, and record how it ended."""
+        """Follow the list by one call until it ends, and record how it ended."""
         self.last_progress_at, self.refused = anyio.current_time(), False
         with FaultBarrier(self._counters, counter=DiscoveryCounter.CALL_FAILED, event="discovery_call_error"):
             try:
@@ -180,7 +186,7 @@
                 self.refused = True
                 self._record_failure(error)
             except InvalidInputError as error:
-                # Discovery could be reached, and would probably answer the same if it were called at once.
+                # Discovery was reached, and would probably give the same answer to an immediate second call.
                 self.refused = True
                 self._counters.add(DiscoveryCounter.LIST_INVALID)
                 log.warning("endpoint_list_invalid", reason=str(error))
@@ -188,7 +194,7 @@
                 self._record_failure(error)
 
     async def _follow(self, source: EndpointSource) -> None:
-        """Fetch the complete list if that is necessary, then watch it."""
+        """Fetch the complete list if that is necessary, then watch it for changes."""
         if source.needs_full_list:
             update = await discovery_client.fetch_list(source.address, PATH, self._timeouts)
             await self._publish(source, update)
@@ -199,16 +205,17 @@
             await self._consume(source, Watch(body, self._timeouts.silence_s))
 
     async def _consume(self, source: EndpointSource, watch: Watch) -> None:
-        """Publish the changes of a watch until the complete list is needed."""
+        """Publish the changes of a watch; return when the complete list has to be fetched."""
         while True:
             update = await watch.next()
             self._record_progress()
             if update is None:
                 continue
-            # A line has all changes since the line before, even if the revision jumps. Fetching the list
-            # after each jump would be one more call to a shared service, during which the watch is not read.
+            # Each object has all changes since the previous object, even if revisions are skipped. To fetch
+            # the complete list after each gap would cost one more call to a shared service, during which the
+            # watch is not read.
             if update.endpoints.revision < source.revision and not update.endpoints.complete:
-                # Revisions have been reset: changes alone would not tell which known endpoints are gone.
+                # The revisions were reset: changes alone would not show which known endpoints are gone.
                 source.needs_full_list = True
                 self._counters.add(DiscoveryCounter.LIST_WENT_BACK)
                 return
@@ -227,15 +234,15 @@
 
     def _record_progress(self) -> None:
         """Record that a complete object or a keep-alive was received."""
-        # A single failed call that is followed by a successful one is not logged.
+        # The recovery from a single failed call is not logged.
         if self._failed_calls > 1:
             log.info("discovery_recovered", failed_calls=self._failed_calls)
         self.last_progress_at, self._failed_calls = anyio.current_time(), 0
 
     def _record_failure(self, error: Exception) -> None:
-        """Count a failed call, and log it if the call before did not fail."""
+        """Count a failed call, and log it if it is the first one since the last progress."""
         self._counters.add(DiscoveryCounter.CALL_FAILED)
-        # While an agent is silent, several calls a second fail.
+        # While an agent does not answer, several calls a second fail, and only the first one is logged.
         if not self._failed_calls:
             log.info("discovery_call_failed", reason=repr(error))
         self._failed_calls += 1
--- a/larchlatch/node/wire/__init__.py
+++ b/larchlatch/node/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols and sockets: lines with clients and upstreams, HTTP with discovery and for the admin API."""
+"""Sockets, the line protocol with clients and upstreams, and HTTP for discovery and the admin API."""
--- a/larchlatch/node/wire/dialing.py
+++ b/larchlatch/node/wire/dialing.py
@@ -1,4 +1,4 @@
-"""Connecting to upstreams and to discovery; a failed connection is a value, never an exception."""
+"""Opens connections to upstreams and to discovery; a failure to connect is returned, never raised."""
 
 from __future__ import annotations
 
@@ -16,18 +16,22 @@
 
 
 class Unconnected(Enum):
-    """Why there is no connection."""
+    """Why no connection could be established."""
 
     CONNECT_FAILED = "connect failed"
     NO_DESCRIPTOR = "no descriptor"
 
 
 async def dial(address: tuple[str, int], within_s: float) -> socket.socket | Unconnected:
-    """Connect to an address within a time in seconds.
+    """Connect to an address.
+
+    Args:
+        address: host and port; the host is a name or a numeric address.
+        within_s: the timeout in seconds, which includes the resolution of the name.
 
     Returns:
-        The connected socket, which the caller owns, or why there is none. A cancelled call leaves no socket
-        behind.
+        The connected socket, which the caller owns, or the reason why there is none. A cancelled call closes
+        its socket.
 
     """
     sock: socket.socket | None = None
@@ -41,7 +45,7 @@
             connected, sock = sock, None
             return connected
     except TimeoutError:
-        # Where this node's event loop was late, the connection may be there unnoticed.
+        # If this node's event loop was late, the connection may be established without having been noticed.
         if sock is None or not _is_connected(sock):
             return Unconnected.CONNECT_FAILED
         connected, sock = sock, None
@@ -55,25 +59,26 @@
 
 
 async def connect(address: tuple[str, int], within_s: float) -> Lines | Unconnected:
-    """Connect to an address; return the connection by lines, or why there is none."""
+    """Connect to an address within a timeout; return the connection, or the reason why there is none."""
     sock = await dial(address, within_s)
     return sock if isinstance(sock, Unconnected) else await lines_of(sock)
 
 
 async def lines_of(sock: socket.socket) -> Lines:
-    """Wrap a connected socket; it is closed if that fails."""
+    """Wrap a connected socket in `Lines`; the socket is closed if that fails."""
     try:
         return Lines(await stream_of(sock))
-    except BaseException:  # cancellation included: nobody else owns the socket yet
+    except BaseException:  # cancellation included: nothing else owns the socket yet
         sock.close()
         raise
 
 
 async def send_all(sock: socket.socket, data: bytes) -> bool:
-    """Hand data to the system; return whether it took all of it.
+    """Send data on a non-blocking socket; return whether the operating system accepted all of it.
 
-    A transport would keep what the system does not take at once. If the connection broke then, it would be
-    unknown how much was sent, and an attempt is repeated only if its line can't have arrived whole.
+    A transport would buffer the data that the operating system does not accept at once. If the connection
+    broke then, it would be unknown how much was sent, and an attempt may be repeated only if its line can't
+    have arrived complete.
     """
     try:
         while data:
@@ -90,7 +95,7 @@
     """Return the family and the numeric form of an address.
 
     Raises:
-        OSError: Its name is not known.
+        OSError: the host name could not be resolved.
 
     """
     host, port = address
@@ -104,7 +109,7 @@
 
 
 async def _connect(sock: socket.socket, address: tuple[str, int]) -> int:
-    """Connect a new socket; return the system's error number, 0 for none."""
+    """Connect a new socket; return the operating system's error number, or 0 if it is connected."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     error = sock.connect_ex(address)
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -1,4 +1,4 @@
-"""The HTTP client of discovery: fetches the complete endpoint list, or watches its changes."""
+"""The HTTP client of discovery: fetches the complete endpoint list, or watches it for changes."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
     from anyio.abc import SocketStream
 
-READ_BYTES = 65536  # read at a time: enough for a list of usual size in a few reads
+READ_BYTES = 65536  # per read: a list of usual size takes a few reads
 HTTP_OK = 200
-UNREAD_GRACE_S = 0.02  # for the event loop to read what has arrived already
+UNREAD_GRACE_S = 0.02  # time for a late event loop to read data that has already arrived
 
 
 class DiscoveryRefusedError(LarchlatchError):
-    """Discovery has answered a call with an HTTP status other than OK."""
+    """Discovery answered a call with an HTTP status other than 200."""
 
 
 class CallTimeouts(NamedTuple):
     """How long each step of a call to discovery may take.
 
     Attributes:
-        connect_s: seconds for connecting.
-        answer_s: seconds from then until the response begins.
-        silence_s: seconds until the next complete object or keep-alive line, each time anew.
+        connect_s: seconds to establish the connection.
+        answer_s: seconds from then until the head of the response is complete.
+        silence_s: seconds to read a complete list, or to wait for each object or keep-alive line of a watch.
 
     """
 
@@ -46,11 +46,11 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """An endpoint list or a change to one, as far as it could be read.
+    """An endpoint list or a change to one; invalid entries are left out of it.
 
     Attributes:
-        endpoints: the entries that could be read.
-        faults: what is wrong with each of the other entries.
+        endpoints: the list or the change, with its valid entries.
+        faults: what is wrong with each invalid entry.
 
     """
 
@@ -59,14 +59,14 @@
 
 
 class ResponseBody:
-    """The response to one GET, read in parts as it arrives."""
+    """One GET request and its response, whose body is read in parts as it arrives."""
 
     def __init__(self, stream: SocketStream) -> None:
         self._stream = stream
         self._http = h11.Connection(h11.CLIENT)
 
     async def send_request(self, target: str, host: str) -> None:
-        """Send a GET for this target."""
+        """Send the GET request for a target, with the value of its Host header."""
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         head = self._http.send(request) or b""
         await self._stream.send(head + (self._http.send(h11.EndOfMessage()) or b""))
@@ -75,21 +75,21 @@
         """Wait for the head of the response.
 
         Raises:
-            TimeoutError: no head came in time.
-            ConnectionError: the connection ended before.
-            DiscoveryRefusedError: its status is not OK.
+            TimeoutError: the head was not complete in time.
+            ConnectionError: the connection ended before the head.
+            DiscoveryRefusedError: the status of the response is not 200.
 
         """
         event = await self._first_event(timeout_s)
         if event is None:
-            raise TimeoutError("no answer")
+            raise TimeoutError(f"no response within {timeout_s:g} s")
         if not isinstance(event, h11.Response):
-            raise ConnectionError("no answer")
+            raise ConnectionError("the connection ended before the response")
         if event.status_code != HTTP_OK:
-            raise DiscoveryRefusedError(f"status {event.status_code}")
+            raise DiscoveryRefusedError(f"HTTP status {event.status_code}")
 
     async def read_some(self) -> bytes | None:
-        """Return the next part of the body; None at its end."""
+        """Return the next part of the body, or None at its end."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Data):
@@ -98,8 +98,9 @@
                 return None
 
     async def _first_event(self, timeout_s: float) -> HttpEvent | None:
-        """Return the first event of the response; None if none came in time."""
-        # A second, short wait: if this node's own event loop was late, the answer has arrived and is unread.
+        """Return the first event of the response, or None if there was none in time."""
+        # The second, short wait is for the case that this node's event loop was late: the response may have
+        # arrived in time without having been read.
         for wait_s in (timeout_s, UNREAD_GRACE_S):
             with anyio.move_on_after(wait_s):
                 return await self._next_event()
@@ -113,16 +114,16 @@
 async def open_get(
     address: tuple[str, int], target: str, timeouts: CallTimeouts
 ) -> AsyncIterator[ResponseBody]:
-    """Send one GET and yield the body of its response; the connection is closed with the block.
+    """Send one GET request and yield its response; the connection is closed when the block is left.
 
     Raises:
-        OSError: no connection, or no answer in time.
-        DiscoveryRefusedError: the status of the response is not OK.
+        OSError: no connection could be established, or no response came in time.
+        DiscoveryRefusedError: the status of the response is not 200.
 
     """
     sock = await dial(address, timeouts.connect_s)
     if isinstance(sock, Unconnected):
-        raise ConnectionError(f"no connection ({sock.value})")
+        raise ConnectionError(f"no connection to {address[0]}:{address[1]} ({sock.value})")
     async with await stream_of(sock) as stream:
         body = ResponseBody(stream)
         await body.send_request(target, host=f"{address[0]}:{address[1]}")
@@ -134,9 +135,9 @@
     """Fetch the complete endpoint list.
 
     Raises:
-        OSError: no connection, or not complete in time (TimeoutError).
-        DiscoveryRefusedError: the status of the response is not OK.
-        ProtocolError: the response is no endpoint list, or too long.
+        OSError: no connection could be established, or the response was not complete in time (TimeoutError).
+        DiscoveryRefusedError: the status of the response is not 200.
+        ProtocolError: the response is not an endpoint list, or longer than `MAX_LIST_BYTES`.
 
     """
     text = b""
@@ -145,12 +146,12 @@
             while (chunk := await body.read_some()) is not None:
                 text += chunk
                 if len(text) > MAX_LIST_BYTES:
-                    raise ProtocolError("list", "too long")
+                    raise ProtocolError("list", f"longer than {MAX_LIST_BYTES} bytes")
     return EndpointUpdate(*decode_endpoint_list(text))
 
 
 class Watch:
-    """The changes to the endpoint list, read from the body of a GET that does not end."""
+    """Reads the changes to the endpoint list from a response that does not end."""
 
     def __init__(self, body: ResponseBody, silence_s: float) -> None:
         self._body = body
@@ -159,16 +160,16 @@
         self._pieces: deque[bytes] = deque()
 
     async def next(self) -> EndpointUpdate | None:
-        """Return the next change; None for a keep-alive line.
+        """Return the next change, or None for a keep-alive line.
 
         Raises:
-            TimeoutError: nothing complete came in time.
-            anyio.EndOfStream: the watch has ended.
-            ProtocolError: what was received is no endpoint list.
+            TimeoutError: no object or keep-alive line was complete in time.
+            anyio.EndOfStream: discovery has ended the response.
+            ProtocolError: the received data is not a change to an endpoint list.
 
         """
-        # Only a complete object or line restarts the timeout: a watch that stops in the middle of a line
-        # brings no changes.
+        # Only a complete object or keep-alive line restarts the timeout: a watch that completes none brings
+        # no changes, even if single bytes still arrive.
         with anyio.fail_after(self._silence_s):
             while not self._pieces:
                 chunk = await self._body.read_some()
@@ -180,5 +181,5 @@
 
 
 def watch_target(path: str, revision: int) -> str:
-    """Return the request target of a watch on all changes after a revision."""
+    """Return the request target of a watch for all changes after a revision."""
     return f"{path}?watch=1&from={revision}"
--- a/larchlatch/node/wire/http.py
+++ b/larchlatch/node/wire/http.py
@@ -1,4 +1,4 @@
-"""Reads the events of an HTTP/1.1 connection from its stream."""
+"""Reads HTTP/1.1 events from a socket stream, for the discovery client and the admin API."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 if TYPE_CHECKING:
     from anyio.abc import SocketStream
 
-# What h11 returns: an event, or one of its two markers for a connection that has none.
+# What h11 returns as the next event: an event, or one of its two markers that none is available.
 HttpEvent = h11.Event | type[h11.NEED_DATA] | type[h11.PAUSED]
 
 
 async def next_event(http: h11.Connection, stream: SocketStream, max_bytes: int) -> HttpEvent:
-    """Return the next h11 event, after reading from the stream what it needs.
+    """Return the next h11 event; data is read from the stream until one is available.
 
     Args:
-        http: the state of the HTTP connection.
-        stream: the stream below it.
-        max_bytes: how many bytes are read at a time.
+        http: the h11 state of the connection.
+        stream: the socket stream of the connection.
+        max_bytes: the most bytes per read.
 
     Raises:
-        h11.RemoteProtocolError: the other side violates HTTP/1.1.
+        h11.RemoteProtocolError: the other side has violated HTTP/1.1.
         anyio.BrokenResourceError, anyio.ClosedResourceError: the connection is broken.
 
     """
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -1,6 +1,6 @@
-"""The line protocol with clients and upstreams: lines to typed messages and back. No I/O.
+"""The line protocol with clients and upstreams: converts lines to typed messages and back; does no I/O.
 
-This is the one module that knows the words and keys of the protocol.
+The commands and keys of the protocol are defined in this module and used in no other.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MAX_LINE_BYTES = 4096  # with its end
+MAX_LINE_BYTES = 4096  # line ending included
 MICROSECONDS_PER_MS = 1000
 
 # Lines without arguments.
@@ -20,7 +20,7 @@
 MOVE = b"MOVE\r\n"
 FAILED = b"ERR\r\n"
 
-# A request: the word OPEN, the session's id, the client's key, and a list of values by key.
+# A request: the command OPEN, the session's id, the client's key, and a list of items `key=value`.
 REQUEST_COMMAND = "OPEN"
 REQUEST_FIELD_COUNT = 4
 TRAFFIC_CLASS = "c"
@@ -34,14 +34,14 @@
 AGAIN = "again"
 MAX_WAIT_DIGITS = 9
 
-# A load report: a list of figures by key.
+# A load report: a list of items `key=value` with numbers as values.
 UTILIZATION = "x0"
 SESSION_COUNT = "inflight"
-MAX_FIGURE = 1e15  # a larger one is ignored
+MAX_FIGURE = 1e15  # a number of this size or larger is treated as invalid
 
 
 class LineFault(StrEnum):
-    """Why a line is no request in the required form; the values are parts of counters' names."""
+    """Why a line is not a valid request; the values are parts of counter names."""
 
     NOT_UTF8 = "not_utf8"
     NOT_PRINTABLE = "not_printable"
@@ -57,7 +57,7 @@
     MID_FLOW_IS_NO_FLAG = "mid_is_no_flag"
 
 
-# The faults of requests that lack a required key, and of those where a flag is neither 0 nor 1.
+# The fault of a request that lacks a required key, and of one whose flag is neither 0 nor 1.
 FAULT_BY_REQUIRED_KEY = {
     TRAFFIC_CLASS: LineFault.TRAFFIC_CLASS_MISSING,
     WAIT_MS: LineFault.WAIT_MISSING,
@@ -70,27 +70,27 @@
 
 
 class BadLine(NamedTuple):
-    """A line that is no request in the required form, and why."""
+    """A line that is not a valid request, and the reason."""
 
     reason: LineFault
 
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """A client's request, its first line.
+    """A client's request for a session, which is the first line on its connection.
 
     Attributes:
         ident: the session's id, new with every connection.
-        before: the text of the line before the time that the client waits.
-        behind: the text of the line after that time.
+        before: the text of the line before the value of the client's wait.
+        behind: the text of the line after that value.
         key: the client's key.
-        traffic_class: the name of its traffic class.
-        tenant: the name of its tenant, if one is named.
-        wait_ms: how long the client waits for its answer, in milliseconds.
-        group: its affinity group, if one is named.
-        mid_flow: whether its packets passed through another node before.
-        established_upstream: the name of the upstream where it was established before, if it was.
-        load: its expected load in microseconds of work a second; 0 if unknown.
+        traffic_class: the name of the session's traffic class.
+        tenant: the name of the session's tenant, or None if the line names none.
+        wait_ms: how long the client waits for an answer, in milliseconds.
+        group: the session's affinity group, or None if the line names none.
+        mid_flow: whether the session's packets passed through another node before.
+        established_upstream: the name of the upstream where the session was established before, or None.
+        load: the session's expected load in microseconds of work a second; 0 if unknown.
 
     """
 
@@ -113,7 +113,7 @@
 
 
 def parse_opening(line: bytes) -> Opening | BadLine:
-    """Parse a client's first line."""
+    """Parse the first line that a client sent; return a `BadLine` if it is not a valid request."""
     text = _printable_text(line)
     if isinstance(text, BadLine):
         return text
@@ -146,7 +146,7 @@
 
 
 def _position_of_wait(text: str) -> int:
-    """Return where in a request the time begins that the client waits: a node puts its own time there."""
+    """Return where the value of the client's wait begins in a request; a node replaces it by its own wait."""
     behind_comma, first = f",{WAIT_MS}=", f" {WAIT_MS}="
     item = behind_comma if behind_comma in text else first
     return text.index(item) + len(item)
@@ -161,7 +161,7 @@
 
 
 def _parse_values(text: str) -> dict[str, str] | BadLine:
-    """Return the values of a request by their keys."""
+    """Return the values of a request by their keys, or a `BadLine` if they are invalid."""
     values: dict[str, str] = {}
     for item in text.split(","):
         name, equals, value = item.partition("=")
@@ -175,7 +175,7 @@
 
 
 def _fault_in(values: dict[str, str]) -> LineFault | None:
-    """Return what is wrong with the values of a request, or None."""
+    """Return what is wrong with the values of a request, or None if they are valid."""
     for key, fault in FAULT_BY_REQUIRED_KEY.items():
         if key not in values:
             return fault
@@ -189,18 +189,18 @@
 
 
 def attempt_line(opening: Opening, wait_us: int) -> bytes:
-    """Return the line that an attempt sends: the client's, with the time that this node waits."""
+    """Return the line of an attempt: the client's request with the client's wait replaced by this node's."""
     wait_ms = max(1, wait_us // MICROSECONDS_PER_MS)
     return f"{opening.before}{wait_ms}{opening.behind}\r\n".encode()
 
 
 def request_line(opening: Opening) -> bytes:
-    """Return the line as the client sent it."""
+    """Return the request line as the client sent it."""
     return attempt_line(opening, opening.wait_ms * MICROSECONDS_PER_MS)
 
 
 def shed_line(retry_after_us: int) -> bytes:
-    """Return the answer to a client that is shed, with the advised wait rounded up to milliseconds."""
+    """Return the answer to a client that is shed; the advised wait, if any, is rounded up to milliseconds."""
     if retry_after_us <= 0:
         return b"BUSY\r\n"
     retry_after_ms = -(-retry_after_us // MICROSECONDS_PER_MS)
@@ -212,11 +212,11 @@
 
 
 class Bye(NamedTuple):
-    """The session has ended in order."""
+    """The session has ended normally."""
 
 
 class Moved(NamedTuple):
-    """The upstream drains: the session has to be established at another one."""
+    """The upstream is draining: the session has to be established at another one."""
 
 
 class Fault(NamedTuple):
@@ -224,11 +224,11 @@
 
 
 class Busy(NamedTuple):
-    """The upstream has rejected the session: nothing has run."""
+    """The upstream has rejected the session without doing any work for it."""
 
 
 class Load(NamedTuple):
-    """The session's present load, in microseconds of work a second."""
+    """The present load of the session, in microseconds of work a second."""
 
     load: float
 
@@ -237,8 +237,8 @@
     """The answer to a probe.
 
     Attributes:
-        utilization: load over capacity, if the upstream reported it.
-        session_count: how many sessions it holds, if it reported that.
+        utilization: the upstream's load divided by its capacity, or None if it did not report that.
+        session_count: how many sessions the upstream holds, or None if it did not report that.
 
     """
 
@@ -247,7 +247,7 @@
 
 
 class Other(NamedTuple):
-    """Any other line."""
+    """A line of an upstream that is no other message."""
 
 
 UpstreamLine = Up | Bye | Moved | Fault | Busy | Load | Pong | Other
@@ -261,7 +261,7 @@
 
 
 def parse_upstream_line(line: bytes) -> UpstreamLine:
-    """Return the message that a line of an upstream stands for; `Other` for an unknown one."""
+    """Return the message in a line of an upstream; `Other` for an unknown command or an invalid load."""
     command, _, arguments = line.rstrip(b"\r\n").partition(b" ")
     if command == b"LOAD":
         load = _parse_figure(arguments.decode("latin-1"))
@@ -273,7 +273,7 @@
 
 
 def _parse_load_report(text: str) -> dict[str, float]:
-    """Return the figures of a load report by their keys, without what is no figure."""
+    """Return the numbers of a load report by their keys; items without a valid number are left out."""
     figures = {}
     for item in text.split(","):
         name, _, value = item.partition("=")
@@ -284,7 +284,7 @@
 
 
 def _parse_figure(text: str) -> float | None:
-    """Return a finite number of at least 0; None if the text is none."""
+    """Return the number in a text if it is at least 0 and below `MAX_FIGURE`, otherwise None."""
     try:
         figure = float(text)
     except ValueError:
--- a/larchlatch/node/wire/listen.py
+++ b/larchlatch/node/wire/listen.py
@@ -1,4 +1,4 @@
-"""A listening TCP socket that can be shared with another process, and the connections accepted on it."""
+"""Listens for TCP connections, on an address that another process may share, and accepts them."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from larchlatch.errors import LarchlatchError
 
-# Errors of accept that are temporary: no descriptor or memory, or a client that has left already.
+# Temporary errors of `accept`: no descriptor or memory was free, or the client has already left.
 TRANSIENT_ERRORS = (
     errno.EMFILE,
     errno.ENFILE,
@@ -22,15 +22,15 @@
 
 
 class AcceptError(LarchlatchError):
-    """No connection could be accepted now; a later call may succeed.
+    """A connection could not be accepted now; a later call may succeed.
 
     Attributes:
-        errno: the system's error number.
+        errno: the operating system's error number.
 
     """
 
     def __init__(self, number: int) -> None:
-        """Keep the system's error number."""
+        """Keep the operating system's error number."""
         super().__init__(number)
         self.errno = number
 
@@ -52,8 +52,8 @@
         """Listen at an address.
 
         Args:
-            address: host and port; port 0 for any that is free.
-            backlog: how many connections the system holds until they are accepted.
+            address: host and port; port 0 for any free port.
+            backlog: how many connections the operating system queues until they are accepted.
             shared: whether another process of the same user may listen there as well (SO_REUSEPORT).
 
         Raises:
@@ -80,7 +80,7 @@
         return str(host), int(port)
 
     def accept_nowait(self) -> socket.socket | None:
-        """Accept a connection that is waiting; return None if there is none or it can't be accepted."""
+        """Accept a connection that is queued; return None if there is none or it can't be accepted."""
         try:
             connection, _ = self.sock.accept()
         except OSError:
@@ -92,16 +92,16 @@
         """Wait for the next connection and accept it.
 
         Raises:
-            AcceptError: it could not be accepted now.
+            AcceptError: the connection could not be accepted now.
             OSError: the listening socket can no longer be used.
 
         """
-        # Only the wait can be cancelled: between accept and return, a cancellation would drop an accepted
+        # Only the wait can be cancelled: a cancellation between accept and return would drop an accepted
         # connection without an answer.
         while True:
             try:
                 connection, _ = self.sock.accept()
-            except BlockingIOError:  # none is waiting, or the process that shares the queue was faster
+            except BlockingIOError:  # none is queued, or another process accepted it first
                 await anyio.wait_readable(self.sock)
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRORS:
--- a/larchlatch/node/wire/raw_socket.py
+++ b/larchlatch/node/wire/raw_socket.py
@@ -1,4 +1,4 @@
-"""What is asked of a connected socket itself: beside its stream, or before a stream is made of it."""
+"""Operations on a connected socket itself, while a stream uses it or before a stream wraps it."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 from larchlatch.node.wire.lines import MAX_LINE_BYTES
 
-CHUNK_BYTES = 16384  # read at a time: many lines, and little memory for each of hundreds of sessions
-TCP_INFO_LAST_RECEIVED = 52  # offset in Linux's tcp_info of the milliseconds since data last arrived
+CHUNK_BYTES = 16384  # per read: holds many lines, and costs little memory for each of hundreds of sessions
+TCP_INFO_LAST_RECEIVED = 52  # offset of tcpi_last_data_recv (ms since data last arrived) in tcp_info
 MICROSECONDS_PER_MS = 1000
 HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
-# After this side has ended a connection, the other side's end is awaited for so long, and so much is read.
+# Limits for waiting, after this side has ended a connection, until the other side ends it: seconds and reads.
 LINGER_S = 0.5
 LINGER_CHUNKS = 32
 
@@ -46,7 +46,7 @@
 
 
 def receive_available(sock: socket.socket) -> bytes:
-    """Return what has arrived on a connection that has no task yet; nothing if it has ended."""
+    """Return the data that has arrived on a connection without a task yet; empty if there is none."""
     try:
         return sock.recv(MAX_LINE_BYTES)
     except OSError:
@@ -54,7 +54,7 @@
 
 
 def send_last_line(sock: socket.socket, line: bytes) -> None:
-    """Send a line on a connection that has no task yet, and end this side of it."""
+    """Send a line on a connection without a task yet, and end this side of the connection."""
     with suppress(OSError):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.send(line)
@@ -62,10 +62,15 @@
 
 
 async def discard_and_close(sock: socket.socket, linger_s: float) -> None:
-    """Close a connection that has had its answer, once its client has ended it or the time is over.
+    """Close a connection whose client was answered, once the client has ended it or the time is over.
+
+    Data that the client still sends is read and discarded: to close a connection with unread data would reset
+    it, and the answer would be lost.
+
+    Args:
+        sock: the connection.
+        linger_s: how long to wait for the client's end, in seconds.
 
-    What the client still sends is read: a close with unread data would reset the connection, and the answer
-    would be lost.
     """
     with sock, suppress(OSError, ValueError), anyio.move_on_after(linger_s):
         for _ in range(LINGER_CHUNKS):
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -1,4 +1,4 @@
-"""Connections that are read and written by whole lines; how one ends is a value, never an exception."""
+"""Connections that are read line by line; how a connection ends is returned, never raised."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# Seconds and number of keep-alive probes. With the system's own two hours, each client whose machine has
-# vanished would keep two descriptors for that time.
+# TCP keep-alive: seconds until the first probe, seconds between probes, and number of probes. With the
+# system default of two hours, each client whose machine has vanished would occupy two descriptors that long.
 KEEPALIVE = {socket.TCP_KEEPIDLE: 30, socket.TCP_KEEPINTVL: 10, socket.TCP_KEEPCNT: 3}
 
-# What a connection raises that has ended, also when it is only asked for its socket.
+# What a stream raises once its connection has ended, even if only its socket is requested.
 GONE = (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, ValueError)
 
 
 class Ending(Enum):
-    """How a connection ended, or why it can't continue; the values go into names of counters."""
+    """How a connection ended, or why it can't continue; the values are parts of counter names."""
 
     END = "end"
     RESET = "reset"
@@ -43,15 +43,15 @@
 
 
 class Lines:
-    """Both directions of one connection, by whole lines.
+    """One connection, which is read line by line and written to.
 
     Attributes:
-        stream: the stream that is read and written.
+        stream: the socket stream of the connection.
         tail: the received part of a line that is not complete yet.
         ready: complete lines that were received and not returned yet.
-        begun: called when data was received that completes no line.
-        closed: whether the connection was closed here, or handed to another process.
-        spoken_to: whether anything was sent.
+        begun: if set, called when received data completes no line.
+        closed: whether this process has closed the connection or given it up to another process.
+        spoken_to: whether this process has sent anything on the connection, or tried to.
 
     """
 
@@ -65,7 +65,7 @@
         self.spoken_to = False
 
     async def some(self) -> list[bytes] | Ending:
-        """Return the complete lines that have been received, at least one, or how the connection ended."""
+        """Wait for at least one line; return all complete lines received, or how the connection ended."""
         if self.ready:
             lines, self.ready = self.ready, []
             return lines
@@ -76,7 +76,7 @@
                 return Ending.END
             except GONE:
                 return Ending.RESET
-            # Only complete lines are passed on: what this node sends itself then falls between two lines.
+            # Only complete lines are returned, so that a line of this node never falls within a relayed one.
             lines = (self.tail + chunk).split(b"\n")
             self.tail = lines.pop()
             if len(self.tail) > MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
@@ -87,17 +87,17 @@
                 self.begun()
 
     def feed(self, early: bytes) -> None:
-        """Add data that was received before, here or by the predecessor, and not passed on."""
+        """Take over data that was received before, here or by the predecessor, and not returned as lines."""
         lines = early.split(b"\n")
         self.tail = lines.pop()
         self.ready = [line + b"\n" for line in lines]
 
     def detach(self) -> tuple[int, bytes] | None:
-        """Give the connection up for another process; the other side does not notice.
+        """Give the connection up so that another process can take it over; the other side does not notice.
 
         Returns:
-            The connection's descriptor, and the data that was received and not passed on. None if data waits
-            to be sent, or the connection has ended.
+            A duplicate of the connection's descriptor, and the data that was received and not returned yet.
+            None if data still has to be sent, or the connection has ended.
 
         """
         buffers = StreamBuffers(self.stream)
@@ -110,7 +110,7 @@
         return descriptor, unread
 
     async def reattach(self, descriptor: int, unread: bytes) -> None:
-        """Take a connection back that was given up and that no other process has taken."""
+        """Take back a connection that `detach` gave up and that no other process has taken over."""
         self.stream = await stream_of(socket.socket(fileno=descriptor))
         self.closed = False
         self.feed(unread)
@@ -124,14 +124,14 @@
         return lines[0]
 
     def us_since_received(self) -> int:
-        """Return how many microseconds ago data last arrived, which may have waited to be read."""
+        """Return how many microseconds ago data last arrived, even if it is still unread; 0 if unknown."""
         try:
             return us_since_received(self._socket())
         except GONE:
             return 0
 
     async def send(self, data: bytes) -> bool:
-        """Send data; return whether that was possible."""
+        """Send data; return False if the connection has ended."""
         self.spoken_to = True
         try:
             await self.stream.send(data)
@@ -140,18 +140,21 @@
         return True
 
     def hung_up(self) -> bool:
-        """Return whether the other side has ended or reset it; unread data may precede its end."""
+        """Return whether the connection is closed, or the other side has ended or reset it.
+
+        Unread data may precede the end.
+        """
         try:
             return self.closed or has_hung_up(self._socket())
         except GONE:
             return True
 
     async def finish(self, how: Ending, linger_s: float = LINGER_S) -> None:
-        """End the connection in this way.
+        """End the connection, in order or by a reset.
 
         Args:
-            how: an orderly end, or a reset for any other ending.
-            linger_s: for how long an orderly end waits for the other side's end, in seconds.
+            how: `Ending.END` for an orderly end; any other ending resets the connection.
+            linger_s: how long an orderly end waits for the other side to end the connection, in seconds.
 
         """
         with anyio.CancelScope(shield=True):
@@ -160,8 +163,8 @@
             await self.close(reset=how is not Ending.END)
 
     async def close(self, *, reset: bool = False) -> None:
-        """Close the connection; a second call changes nothing."""
-        # Once closed, its descriptor may belong to another connection, and uvloop does not tell it any more.
+        """Close the connection, if requested by a reset; a second call has no effect."""
+        # After a close, the descriptor may belong to another connection, and uvloop no longer reports that.
         if self.closed:
             return
         self.closed = True
@@ -171,9 +174,9 @@
             await self.stream.aclose()
 
     async def _linger(self, linger_s: float) -> None:
-        """End this side, and read what the other side still sends.
+        """End this side, and read and discard what the other side still sends.
 
-        A close with unread data would reset the connection, and what was just sent would be lost.
+        To close a connection with unread data would reset it, and the data that was sent last would be lost.
         """
         with anyio.move_on_after(linger_s), suppress(anyio.EndOfStream, *GONE):
             await self.stream.send_eof()
@@ -181,7 +184,7 @@
                 await self.stream.receive(CHUNK_BYTES)
 
     def _enable_keepalive(self) -> None:
-        """Have the system notice that the other side's machine has vanished."""
+        """Let the operating system notice when the other side's machine has vanished."""
         with suppress(*GONE):
             raw = self._socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -189,5 +192,5 @@
                 raw.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def _socket(self) -> socket.socket:
-        """Return the socket below the stream; one of `GONE` is raised if there is none any more."""
+        """Return the stream's socket; one of `GONE` is raised if the connection has ended."""
         return self.stream.extra(SocketAttribute.raw_socket)
--- a/larchlatch/node/wire/transport.py
+++ b/larchlatch/node/wire/transport.py
@@ -1,8 +1,9 @@
-"""Access to the buffers of an anyio socket stream, for a connection that passes to another process.
+"""Access to the buffers of an anyio socket stream, for a connection that is handed over to another process.
 
-anyio has no interface for what its stream has read ahead and for what it has not sent yet. A connection that
-is handed over without the former would lose lines. So two private attributes of its asyncio stream are read
-here, and nowhere else. The version of anyio is pinned, and the tests of a hot restart fail if these change.
+anyio has no interface for the data that a stream has read ahead, nor for the data that it has not sent yet.
+If the data read ahead were not handed over with the connection, lines would be lost. So this module, and no
+other, reads two private attributes of anyio's asyncio stream. The version of anyio is pinned, and the tests
+of hot restart fail if these attributes change.
 """
 
 from __future__ import annotations
@@ -27,13 +28,13 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether data waits to be sent."""
+        """Whether data still has to be sent."""
         return bool(self._transport.get_write_buffer_size())
 
     def unread(self) -> bytes:
-        """Return the data that was read from the socket and not from the stream."""
+        """Return the data that the stream has read from the socket and not returned yet."""
         return b"".join(self._protocol.read_queue)
 
     def abort(self) -> None:
-        """Close the stream's socket without a word to the other side; duplicates of it stay open."""
+        """Close the stream's descriptor at once; the connection stays open if a duplicate of it exists."""
         self._transport.abort()
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The admin API, the drain and the stop: what they may not hold up, lose or leave open."""
+"""Tests of the admin API, and of how a drain and a stop release the sessions of a node."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 
 def test_the_admin_api_answers_while_callers_finish_no_call() -> None:
-    """Each unfinished call holds a descriptor and a task: the oldest is evicted, and no call waits for it."""
+    """Callers that finish no call would use up the places for callers, and operators would get no answer.
+
+    So the oldest caller is evicted for a new one.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -60,7 +63,7 @@
             for _ in range(3):
                 status, text = await call_admin_api(admin_address, READY)
                 assert status == 200 and '"ready":true' in text
-            # All but the last few are evicted: the connections of the first ones have ended.
+            # All but the last few callers were evicted, so the connection of the first one has ended.
             assert isinstance(await idle[0].line(), Ending)
 
     run_on_loopback(body)
@@ -82,6 +85,8 @@
 def test_invalid_calls_are_rejected_with_a_reason_and_change_nothing(
     request_line: str, more_headers: str, status: int, expected: str
 ) -> None:
+    """If a call with a wrong method or an invalid head were carried out, it could start a drain."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
@@ -95,6 +100,7 @@
 def test_a_call_split_at_any_byte_is_answered_and_an_incomplete_one_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
+    """A call may arrive in any two parts; one whose end is missing would hold its connection for ever."""
     monkeypatch.setattr(admin_api, "CALL_TIMEOUT_S", 0.3)
     text = f"{READY} HTTP/1.1\r\nHost: door\r\n\r\n".encode()
 
@@ -116,7 +122,10 @@
 
 
 def test_readiness_is_false_until_the_node_can_serve(tmp_path: Path) -> None:
-    """It listens before anything slow: here a discovery service that never answers."""
+    """A node that reported readiness too early would be sent clients that it can't serve.
+
+    Here a discovery service that never answers delays the start. The admin API must answer meanwhile.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         silent = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -135,7 +144,10 @@
 def test_a_drain_moves_all_sessions_and_its_end_accepts_clients_again(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Sessions established, being established, and new ones; a node that drains stays up."""
+    """A drain that missed established, pending or new sessions would cut them off when the node stops.
+
+    The drain itself does not stop the node, which accepts clients again after the end of the drain.
+    """
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
     monkeypatch.setattr(admission, "DRAIN_GRACE_S", 0.3)
 
@@ -151,15 +163,19 @@
         assert (await call_admin_api(admin_address, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
         during = await open_session(port)
-        assert await during.line() == b"UP r3\r\n", "clients may still be sent for a moment, and are served"
-        assert (await call_admin_api(admin_address, START))[0] == 200, "called twice"
+        assert await during.line() == b"UP r3\r\n", (
+            "new clients are still served shortly after the start of a drain"
+        )
+        assert (await call_admin_api(admin_address, START))[0] == 200, "a second call is accepted too"
         with anyio.fail_after(3.0):
             for client in (*established, during):
                 assert await read_to_end(client) == [b"MOVE\r\n"]
             assert await read_to_end(setup) == [b"UP r2\r\n", b"MOVE\r\n"]
         late = await read_to_end(await open_session(port))
-        assert len(late) == 1 and late[0].startswith(b"BUSY "), "shed with advice: it would have to leave"
-        assert (await call_admin_api(admin_address, READY))[0] == 200, "the process is well"
+        assert len(late) == 1 and late[0].startswith(b"BUSY "), (
+            "a session that would have to leave at once is shed with advice"
+        )
+        assert (await call_admin_api(admin_address, READY))[0] == 200, "a draining node is ready"
         assert (await call_admin_api(admin_address, STOP))[0] == 200
         assert await ping(port) == b"PONG\r\n"
         assert await (await open_session(port)).line() == b"UP r3\r\n"
@@ -168,6 +184,7 @@
 
 
 def test_moves_of_a_drain_are_spread_and_end_with_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Sessions that move all at once are a burst at other nodes, and after the drain they must not move."""
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 2.0)
 
     async def body(tasks: TaskGroup) -> None:
@@ -189,14 +206,15 @@
         await call_admin_api(admin_address, STOP)
         await anyio.sleep(0.2)
         moved_before = moved
-        assert 0 < moved_before < 40, "all at once they would be a burst at other nodes"
+        assert 0 < moved_before < 40, "some sessions are moved, but not all at once"
         await anyio.sleep(1.2)
-        assert moved == moved_before, "moved though the drain was over"
+        assert moved == moved_before, "sessions were moved after the end of the drain"
 
     run_on_loopback(body)
 
 
 def test_a_client_that_reads_nothing_is_cut_off_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A client that reads nothing gets no MOVE line, and could keep its session beyond the end of a drain."""
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 1.5)
 
     async def body(tasks: TaskGroup) -> None:
@@ -205,7 +223,7 @@
         client = await open_session(port)
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
-        await anyio.sleep(0.3)  # it reads no more: what its upstream sends fills all buffers
+        await anyio.sleep(0.3)  # the client reads no more, so the data of its upstream fills all buffers
         await call_admin_api(admin_address, START)
         with anyio.fail_after(3.0):
             while not upstreams.ended:
@@ -216,6 +234,8 @@
 
 @pytest.mark.parametrize("first", ["drain", "stop"])
 def test_a_drain_and_a_stop_in_either_order_move_all_sessions_once(first: str, tmp_path: Path) -> None:
+    """If a drain and a stop interfered, sessions could get two MOVE lines or none, or the node not exit."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
@@ -289,6 +309,7 @@
 
 
 def test_sessions_leave_evenly() -> None:
+    """If a drain released many sessions in one step, the other nodes would have to accept them in a burst."""
     lifecycle = LifecycleState(3.3, sessions_outlive_node=False)
     lifecycle.start_drain(0.0)
     established, moved_per_step = 300, []
@@ -296,7 +317,9 @@
         due = lifecycle.release_sessions(step * 0.05, established)
         established -= due
         moved_per_step.append(due)
-    assert established == 0 and max(moved_per_step) <= 6, "a burst at the other nodes"
+    assert established == 0 and max(moved_per_step) <= 6, (
+        "the drain has to release all sessions, a few in each step"
+    )
 
 
 @pytest.mark.parametrize(
@@ -308,6 +331,7 @@
     ],
 )
 def test_an_invalid_admin_api_address_is_named(control_address: Any, expected: str, tmp_path: Path) -> None:
+    """If the error did not name the setting or variable in one line, operators could not find the mistake."""
     path = tmp_path / "node.json"
     raw = {**node_configuration([], 1), "listen": "127.0.0.1:3000", "control": control_address}
     path.write_bytes(orjson.dumps(raw))
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: after any fault the next call comes in time, and changes are acted on."""
+"""Tests of the discovery client: after any fault the next call begins in time and brings the changes."""
 
 from __future__ import annotations
 
@@ -37,11 +37,9 @@
 from tests.support.node import start_node
 from tests.support.stand_ins import UpstreamStubs
 
-KNOWN_WITHIN_S = (
-    6.0  # seconds after which a change that discovery has counts as known, while it can be reached
-)
-LATE_S = 1.0  # seconds that a node among many may be late by
-GRACE_S = 0.25 + 0.05  # the shortest grace of a drain that a page names, with the protocol's slack
+KNOWN_WITHIN_S = 6.0  # a node has to know a change this long after discovery, if reachable, has it
+LATE_S = 1.0  # the delay that is allowed to a busy node
+GRACE_S = 0.25 + 0.05  # the shortest documented grace of a drain, with the tolerance of the protocol
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
 FULL_LIST = {**CHANGE, "complete": True}
@@ -55,7 +53,7 @@
 
 
 class Service:
-    """A stand-in that serves each call by the next behaviour, and all later calls by the last one."""
+    """A stand-in for discovery that serves each call by the next behaviour, and further calls by the last."""
 
     def __init__(self, *behaviours: Callable[[SocketStream], Awaitable[None]]) -> None:
         self.behaviours = list(behaviours)
@@ -80,13 +78,13 @@
 
 
 async def wait_for_close(stream: SocketStream) -> None:
-    """Wait until the caller has closed the connection."""
+    """Read until the caller closes the connection, which raises `anyio.EndOfStream`."""
     while True:
         await stream.receive()
 
 
 def sends_and_stalls(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    """Return a behaviour that sends this and then nothing more."""
+    """Return a behaviour that sends these parts and then nothing, and keeps the connection open."""
 
     async def behaviour(stream: SocketStream) -> None:
         for part in parts:
@@ -105,7 +103,7 @@
 
 
 def trickles(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    """Return a behaviour that sends piece after piece until the caller has closed the connection."""
+    """Return a behaviour that sends the start, then the piece repeatedly until the caller closes."""
 
     async def send_pieces(stream: SocketStream) -> None:
         with suppress(anyio.BrokenResourceError):
@@ -117,7 +115,7 @@
         await stream.send(start)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send_pieces, stream)
-            # Read at all times: a close is noticed when it comes, not at the next piece.
+            # A read is always pending, so that a close by the caller is noticed at once.
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                 await wait_for_close(stream)
             tasks.cancel_scope.cancel()
@@ -155,12 +153,12 @@
 
 
 class Mailbox:
-    """Keeps what the discovery client has posted."""
+    """A stand-in for the balancer actor's mailbox that keeps the messages of the discovery client."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
         self.update_received = anyio.Event()
-        self.has_space = anyio.Event()  # not set: `post` waits as with a full mailbox
+        self.has_space = anyio.Event()  # if not set, `post` waits as it does with a full mailbox
         self.has_space.set()
 
     async def post(self, message: Message) -> None:
@@ -185,15 +183,18 @@
 
 
 def test_the_timeouts_of_discovery_stay_within_its_bounds() -> None:
-    """In the worst case a call has just begun when the change comes: it ends, and the next one brings it."""
+    """With timeouts that are too long in sum, a change would reach the node later than it is expected to.
+
+    The worst case is a change right after the start of a call that fails: only the next call brings it.
+    """
     for timeouts in (AGENT_TIMEOUTS, SERVICE_TIMEOUTS):
         assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
-            "a call that brings nothing ends within its cycle"
+            "a call without progress has to end within its cycle"
         )
         assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= KNOWN_WITHIN_S
-    assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends something every 2 s, and may be a little late"
+    assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends a keep-alive every 2 s, at most 0.5 s late"
     assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
-        "the node receives from an agent that is back within a drain's grace"
+        "a node has to receive changes from a recovered agent within the grace of a drain"
     )
 
 
@@ -236,6 +237,7 @@
 def test_after_any_fault_the_next_call_brings_the_changes(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A call that hangs after a fault of discovery, or is not repeated, would hide all later changes."""
     monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 0.3, 0.3))
     monkeypatch.setattr(discovery, "MAX_CYCLE_S", 0.5)
 
@@ -248,7 +250,7 @@
             (update,) = [message for message in mailbox.messages if isinstance(message, EndpointsChanged)]
             assert update.endpoints.endpoints[0].state is EndpointState.DRAINING
             assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
-            assert service.open == 1, "a call that is over is closed at once"
+            assert service.open == 1, "the connection of a call that has ended is closed at once"
             running.cancel_scope.cancel()
         await wait_until(lambda: service.open == 0)
 
@@ -259,7 +261,7 @@
 def test_a_new_address_is_called_at_once_whatever_the_old_one_does(
     before: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In the middle of a call, and of the pause after one: both would last beyond this test."""
+    """A call to the old address, or the pause after it, would delay the new list if it were not cancelled."""
     monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 1000.0, 1000.0))
     for name in ("MAX_CYCLE_S", "FIRST_SERVICE_PAUSE_S"):
         monkeypatch.setattr(discovery, name, 1000.0)
@@ -279,11 +281,11 @@
         mailbox.update_received = anyio.Event()
         client.change_address(("127.0.0.1", new.port))
         await mailbox.update_received.wait()
-        assert new.asked[0] == "/catalog/members", "the complete list first"
+        assert new.asked[0] == "/catalog/members", "the complete list is fetched first"
         assert client.revision == 7
         await wait_until(lambda: old.open == 0)
 
-    # The answer of a fetch ends with the list; the stand-in's goes on, as a watch does.
+    # The response to a fetch ends with the list; the stand-in's response does not end, as that of a watch.
     monkeypatch.setattr(discovery_client, "fetch_list", whole_of_watch)
     run_on_loopback(body)
 
@@ -296,7 +298,11 @@
 
 
 def test_a_second_new_address_is_asked_for_its_complete_list() -> None:
-    """What the first address still sends after the second was set must not count as the second's."""
+    """A list from the first address must not count as the complete list of the second.
+
+    The list is still being published when the address changes again. If it counted for the second address,
+    the client would only watch that one, and never learn the upstreams of its complete list.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         line = chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
@@ -304,7 +310,7 @@
         answer = HEAD + chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
         second = await Service(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
         mailbox = Mailbox()
-        mailbox.has_space = anyio.Event()  # the balancer actor's mailbox is full: the first list waits there
+        mailbox.has_space = anyio.Event()  # the mailbox is full, so `post` waits with the first list
         client = client_of(1, mailbox, lambda low, high: low)
         client.change_address(("127.0.0.1", first.port))
         tasks.start_soon(client.run)
@@ -319,7 +325,10 @@
 
 @pytest.mark.parametrize("nameless", [False, True])
 def test_one_invalid_entry_does_not_hide_the_changes_of_others(nameless: bool) -> None:
-    """A drain beside it is acted on; its own upstream stays as it was, also in a whole list."""
+    """If an invalid entry rejected the whole list, the drains in the other entries would be missed.
+
+    The upstream of the invalid entry stays as it was, even if the list is complete.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 3)
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""A real node follows the endpoint list of a discovery stand-in."""
+"""Tests of a node that follows the endpoint list of a discovery stand-in."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def test_the_list_is_followed_through_invalid_answers_and_broken_watches() -> None:
-    """By a list that is no longer followed, sessions would be placed on upstreams that are gone."""
+    """A node that stops following the list after a fault would place sessions on upstreams that are gone."""
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
@@ -37,8 +37,11 @@
 
 
 def test_a_jump_of_the_revision_causes_no_further_call() -> None:
-    """A line has all changes since the one before. A complete list for every node after each jump would
-    overload discovery, and meanwhile the drain in the next line would not be read."""
+    """A node that fetches the complete list when the watch skips revisions would miss a drain meanwhile.
+
+    Each object of a watch has all changes since the previous one, so the list is not necessary, and lists for
+    all nodes at the same time would overload discovery.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
@@ -59,6 +62,8 @@
 
 
 def test_the_complete_list_is_fetched_when_the_revision_goes_back() -> None:
+    """If discovery resets its revisions, changes alone would leave upstreams in use that are gone."""
+
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
         discovery = await DiscoveryStub(
@@ -79,6 +84,8 @@
 
 
 def test_an_upstream_replaced_at_its_address_gets_sessions_and_keeps_established_ones() -> None:
+    """A node that knew upstreams by address alone would end sessions here, or place none on the new one."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         gone, new_upstream = (
@@ -100,7 +107,10 @@
 
 
 def test_a_node_with_an_old_list_serves_by_the_upstreams_that_are_left() -> None:
-    """While discovery is silent, an upstream that is gone costs a refused connection or two."""
+    """While discovery is silent, each upstream that is gone may cost only a few refused connections.
+
+    Without a backoff after a refused connection, sessions would use up their attempts on such upstreams.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -111,8 +121,8 @@
         for number in range(20):
             client = await open_session(port, key=f"k{number}")
             answers.append(await client.line())
-        # Each upstream that is gone is tried once, and again after its backoff, which doubles: a slow machine
-        # makes more such attempts. After six of them a session has no answer.
+        # Each upstream that is gone gets one attempt, and a further one after its backoff, which doubles: the
+        # longer the test takes, the more such attempts are made. A session is shed after six of them.
         took_us = (time.monotonic() - began) * 1e6
         refused = sum(1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1])
         assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
