--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -135,7 +135,7 @@
         """Read one call and send its response, unless the caller has left before."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
-            reply = await self._reply(http, connection)
+            reply = await self._handle_call(http, connection)
         except h11.RemoteProtocolError as error:
             reply = Reply(error.error_status_hint, {"error": str(error)})
         if reply is None:
@@ -144,7 +144,7 @@
         if await connection.send(encode_response(http, reply)):
             await connection.finish(Ending.END)
 
-    async def _reply(self, http: h11.Connection, connection: Lines) -> Reply | None:
+    async def _handle_call(self, http: h11.Connection, connection: Lines) -> Reply | None:
         """Read one call, carry it out and return its response, or None if the caller has left before."""
         request: h11.Request | None = None
         body_size = 0
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -201,8 +201,8 @@
             source.needs_full_list = False
             self._record_progress()
         target = discovery_client.watch_target(PATH, source.revision)
-        async with discovery_client.open_get(source.address, target, self._timeouts) as body:
-            await self._consume(source, Watch(body, self._timeouts.silence_s))
+        async with discovery_client.open_get(source.address, target, self._timeouts) as response:
+            await self._consume(source, Watch(response, self._timeouts.silence_s))
 
     async def _consume(self, source: EndpointSource, watch: Watch) -> None:
         """Publish the changes of a watch; return when the complete list has to be fetched."""
--- a/larchlatch/node/wire/dialing.py
+++ b/larchlatch/node/wire/dialing.py
@@ -50,8 +50,8 @@
             return Unconnected.CONNECT_FAILED
         connected, sock = sock, None
         return connected
-    except OSError as failed:
-        error = failed.errno or 0
+    except OSError as os_error:
+        error = os_error.errno or 0
     finally:
         if sock is not None:
             sock.close()
--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -58,7 +58,7 @@
     faults: list[str]
 
 
-class ResponseBody:
+class HttpGet:
     """One GET request and its response, whose body is read in parts as it arrives."""
 
     def __init__(self, stream: SocketStream) -> None:
@@ -111,9 +111,7 @@
 
 
 @asynccontextmanager
-async def open_get(
-    address: tuple[str, int], target: str, timeouts: CallTimeouts
-) -> AsyncIterator[ResponseBody]:
+async def open_get(address: tuple[str, int], target: str, timeouts: CallTimeouts) -> AsyncIterator[HttpGet]:
     """Send one GET request and yield its response; the connection is closed when the block is left.
 
     Raises:
@@ -125,10 +123,10 @@
     if isinstance(sock, Unconnected):
         raise ConnectionError(f"no connection to {address[0]}:{address[1]} ({sock.value})")
     async with await stream_of(sock) as stream:
-        body = ResponseBody(stream)
-        await body.send_request(target, host=f"{address[0]}:{address[1]}")
-        await body.read_head(timeouts.answer_s)
-        yield body
+        response = HttpGet(stream)
+        await response.send_request(target, host=f"{address[0]}:{address[1]}")
+        await response.read_head(timeouts.answer_s)
+        yield response
 
 
 async def fetch_list(address: tuple[str, int], path: str, timeouts: CallTimeouts) -> EndpointUpdate:
@@ -141,9 +139,9 @@
 
     """
     text = b""
-    async with open_get(address, path, timeouts) as body:
+    async with open_get(address, path, timeouts) as response:
         with anyio.fail_after(timeouts.silence_s):
-            while (chunk := await body.read_some()) is not None:
+            while (chunk := await response.read_some()) is not None:
                 text += chunk
                 if len(text) > MAX_LIST_BYTES:
                     raise ProtocolError("list", f"longer than {MAX_LIST_BYTES} bytes")
@@ -153,8 +151,8 @@
 class Watch:
     """Reads the changes to the endpoint list from a response that does not end."""
 
-    def __init__(self, body: ResponseBody, silence_s: float) -> None:
-        self._body = body
+    def __init__(self, response: HttpGet, silence_s: float) -> None:
+        self._response = response
         self._silence_s = silence_s
         self._framer = JsonObjectFramer()
         self._pieces: deque[bytes] = deque()
@@ -172,7 +170,7 @@
         # no changes, even if single bytes still arrive.
         with anyio.fail_after(self._silence_s):
             while not self._pieces:
-                chunk = await self._body.read_some()
+                chunk = await self._response.read_some()
                 if chunk is None:
                     raise anyio.EndOfStream
                 self._pieces.extend(self._framer.feed(chunk))
--- a/larchlatch/node/wire/lines.py
+++ b/larchlatch/node/wire/lines.py
@@ -81,8 +81,8 @@
 
     Attributes:
         ident: the session's id, new with every connection.
-        before: the text of the line before the value of the client's wait.
-        behind: the text of the line after that value.
+        text_before_wait: the text of the line before the value of the client's wait.
+        text_after_wait: the text of the line after that value.
         key: the client's key.
         traffic_class: the name of the session's traffic class.
         tenant: the name of the session's tenant, or None if the line names none.
@@ -95,8 +95,8 @@
     """
 
     ident: str
-    before: str
-    behind: str
+    text_before_wait: str
+    text_after_wait: str
     key: str
     traffic_class: str
     tenant: str | None
@@ -132,8 +132,8 @@
     wait_at = _position_of_wait(text)
     return Opening(
         ident=ident,
-        before=text[:wait_at],
-        behind=text[wait_at + len(values[WAIT_MS]) :],
+        text_before_wait=text[:wait_at],
+        text_after_wait=text[wait_at + len(values[WAIT_MS]) :],
         key=key,
         traffic_class=values[TRAFFIC_CLASS],
         tenant=values.get(TENANT),
@@ -147,8 +147,8 @@
 
 def _position_of_wait(text: str) -> int:
     """Return where the value of the client's wait begins in a request; a node replaces it by its own wait."""
-    behind_comma, first = f",{WAIT_MS}=", f" {WAIT_MS}="
-    item = behind_comma if behind_comma in text else first
+    later_item, first_item = f",{WAIT_MS}=", f" {WAIT_MS}="
+    item = later_item if later_item in text else first_item
     return text.index(item) + len(item)
 
 
@@ -191,7 +191,7 @@
 def attempt_line(opening: Opening, wait_us: int) -> bytes:
     """Return the line of an attempt: the client's request with the client's wait replaced by this node's."""
     wait_ms = max(1, wait_us // MICROSECONDS_PER_MS)
-    return f"{opening.before}{wait_ms}{opening.behind}\r\n".encode()
+    return f"{opening.text_before_wait}{wait_ms}{opening.text_after_wait}\r\n".encode()
 
 
 def request_line(opening: Opening) -> bytes:
--- a/larchlatch/node/wire/listen.py
+++ b/larchlatch/node/wire/listen.py
@@ -29,10 +29,10 @@
 
     """
 
-    def __init__(self, number: int) -> None:
+    def __init__(self, error_number: int) -> None:
         """Keep the operating system's error number."""
-        super().__init__(number)
-        self.errno = number
+        super().__init__(error_number)
+        self.errno = error_number
 
 
 class Listener:
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -86,9 +86,9 @@
             if self.begun is not None:
                 self.begun()
 
-    def feed(self, early: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         """Take over data that was received before, here or by the predecessor, and not returned as lines."""
-        lines = early.split(b"\n")
+        lines = data.split(b"\n")
         self.tail = lines.pop()
         self.ready = [line + b"\n" for line in lines]
 
@@ -149,18 +149,18 @@
         except GONE:
             return True
 
-    async def finish(self, how: Ending, linger_s: float = LINGER_S) -> None:
+    async def finish(self, ending: Ending, linger_s: float = LINGER_S) -> None:
         """End the connection, in order or by a reset.
 
         Args:
-            how: `Ending.END` for an orderly end; any other ending resets the connection.
+            ending: `Ending.END` for an orderly end; any other ending resets the connection.
             linger_s: how long an orderly end waits for the other side to end the connection, in seconds.
 
         """
         with anyio.CancelScope(shield=True):
-            if how is Ending.END:
+            if ending is Ending.END:
                 await self._linger(linger_s)
-            await self.close(reset=how is not Ending.END)
+            await self.close(reset=ending is not Ending.END)
 
     async def close(self, *, reset: bool = False) -> None:
         """Close the connection, if requested by a reset; a second call has no effect."""
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -38,10 +38,10 @@
 
 
 async def ping(port: int) -> bytes | Ending:
-    front = await connect(port)
-    await front.send(b"PING\r\n")
-    answer = await front.line()
-    await front.close()
+    client = await connect(port)
+    await client.send(b"PING\r\n")
+    answer = await client.line()
+    await client.close()
     return answer
 
 
@@ -55,8 +55,10 @@
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         _, admin_address = await node_with_admin_api(tasks, upstreams)
         host, _, port = admin_address.rpartition(":")
-        idle = [Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)]
-        for number, caller in enumerate(idle):
+        unfinished = [
+            Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)
+        ]
+        for number, caller in enumerate(unfinished):
             if number % 2:
                 await caller.send(b"GET /ops/readiness HTTP/1.1\r\nHo")
         with anyio.fail_after(admin_api.CALL_TIMEOUT_S / 2):
@@ -64,7 +66,7 @@
                 status, text = await call_admin_api(admin_address, READY)
                 assert status == 200 and '"ready":true' in text
             # All but the last few callers were evicted, so the connection of the first one has ended.
-            assert isinstance(await idle[0].line(), Ending)
+            assert isinstance(await unfinished[0].line(), Ending)
 
     run_on_loopback(body)
 
@@ -90,8 +92,8 @@
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
         port, admin_address = await node_with_admin_api(tasks, upstreams)
-        got, text = await call_admin_api(admin_address, request_line, more_headers)
-        assert got == status and expected.lower() in text.lower()
+        received_status, text = await call_admin_api(admin_address, request_line, more_headers)
+        assert received_status == status and expected.lower() in text.lower()
         assert await ping(port) == b"PONG\r\n"
 
     run_on_loopback(body)
@@ -157,22 +159,22 @@
         established = [await open_session(port, key=f"k{n}") for n in range(8)]
         for client in established:
             assert await client.line() == b"UP r1\r\n"
-        setup = await open_session(port)
+        pending = await open_session(port)
         while len(upstreams.lines) < 9:
             await anyio.sleep(0.01)
         assert (await call_admin_api(admin_address, START))[0] == 200
         assert await ping(port) == b"NO\r\n"
-        during = await open_session(port)
-        assert await during.line() == b"UP r3\r\n", (
+        new_during_drain = await open_session(port)
+        assert await new_during_drain.line() == b"UP r3\r\n", (
             "new clients are still served shortly after the start of a drain"
         )
         assert (await call_admin_api(admin_address, START))[0] == 200, "a second call is accepted too"
         with anyio.fail_after(3.0):
-            for client in (*established, during):
+            for client in (*established, new_during_drain):
                 assert await read_to_end(client) == [b"MOVE\r\n"]
-            assert await read_to_end(setup) == [b"UP r2\r\n", b"MOVE\r\n"]
-        late = await read_to_end(await open_session(port))
-        assert len(late) == 1 and late[0].startswith(b"BUSY "), (
+            assert await read_to_end(pending) == [b"UP r2\r\n", b"MOVE\r\n"]
+        shed = await read_to_end(await open_session(port))
+        assert len(shed) == 1 and shed[0].startswith(b"BUSY "), (
             "a session that would have to leave at once is shed with advice"
         )
         assert (await call_admin_api(admin_address, READY))[0] == 200, "a draining node is ready"
@@ -193,13 +195,13 @@
         established = [await open_session(port, key=f"k{n}") for n in range(40)]
         moved = 0
 
-        async def watched(client: Lines) -> None:
+        async def count_if_moved(client: Lines) -> None:
             nonlocal moved
             moved += await read_to_end(client) == [b"MOVE\r\n"]
 
         for client in established:
             assert await client.line() == b"UP r1\r\n"
-            tasks.start_soon(watched, client)
+            tasks.start_soon(count_if_moved, client)
         await call_admin_api(admin_address, START)
         while not moved:
             await anyio.sleep(0.01)
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -38,30 +38,30 @@
 from tests.support.stand_ins import UpstreamStubs
 
 KNOWN_WITHIN_S = 6.0  # a node has to know a change this long after discovery, if reachable, has it
-LATE_S = 1.0  # the delay that is allowed to a busy node
-GRACE_S = 0.25 + 0.05  # the shortest documented grace of a drain, with the tolerance of the protocol
+NODE_DELAY_S = 1.0  # the delay that is allowed to a busy node
+SHORTEST_DRAIN_GRACE_S = 0.25 + 0.05  # as documented, with the protocol's tolerance
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
 FULL_LIST = {**CHANGE, "complete": True}
 
 
-def chunk(data: bytes) -> bytes:
+def http_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 TRICKLE_INTERVAL_S = 0.02
 
 
-class Service:
+class ScriptedDiscovery:
     """A stand-in for discovery that serves each call by the next behaviour, and further calls by the last."""
 
     def __init__(self, *behaviours: Callable[[SocketStream], Awaitable[None]]) -> None:
         self.behaviours = list(behaviours)
-        self.asked: list[str] = []
-        self.open = 0
+        self.targets: list[str] = []
+        self.open_calls = 0
         self.port = 0
 
-    async def start(self, tasks: TaskGroup) -> Service:
+    async def start(self, tasks: TaskGroup) -> ScriptedDiscovery:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = port_of(listener)
         tasks.start_soon(listener.serve, self.serve)
@@ -69,12 +69,12 @@
 
     async def serve(self, stream: SocketStream) -> None:
         behaviour = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
-        self.open += 1
+        self.open_calls += 1
         async with stream:
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
-                self.asked.append((await stream.receive()).split(b" ")[1].decode())
+                self.targets.append((await stream.receive()).split(b" ")[1].decode())
                 await behaviour(stream)
-        self.open -= 1
+        self.open_calls -= 1
 
 
 async def wait_for_close(stream: SocketStream) -> None:
@@ -128,27 +128,31 @@
 
 
 def streams_updates(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
-    return trickles(HEAD + chunk(orjson.dumps(update) + b"\n"), chunk(b"\n"))
+    return trickles(HEAD + http_chunk(orjson.dumps(update) + b"\n"), http_chunk(b"\n"))
 
 
 REFUSAL = sends_and_ends(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
 FAULTS = {
     "silent at once": sends_and_stalls(),
     "silent after its head": sends_and_stalls(HEAD),
-    "silent in mid-line": sends_and_stalls(HEAD, chunk(b'{"revision":6,"comp')),
-    "silent within an indented list": sends_and_stalls(HEAD, chunk(b'{\n "revision": 6,\n "members": [\n')),
-    "trickles bytes without a line": trickles(HEAD + chunk(b'{"revision":6,"complete":"'), chunk(b"x")),
+    "silent in mid-line": sends_and_stalls(HEAD, http_chunk(b'{"revision":6,"comp')),
+    "silent within an indented list": sends_and_stalls(
+        HEAD, http_chunk(b'{\n "revision": 6,\n "members": [\n')
+    ),
+    "trickles bytes without a line": trickles(
+        HEAD + http_chunk(b'{"revision":6,"complete":"'), http_chunk(b"x")
+    ),
     "trickles a head without an end": trickles(b"HTTP/1.1 200 OK\r\nX: ", b"x"),
     "reset": resets,
     "refused": REFUSAL,
     "ends": sends_and_ends(HEAD, b"0\r\n\r\n"),
     "no HTTP": sends_and_ends(b"nonsense\r\n\r\n"),
-    "nonsense": sends_and_stalls(HEAD, chunk(b"{nonsense\n")),
+    "nonsense": sends_and_stalls(HEAD, http_chunk(b"{nonsense\n")),
     "a line cut short, then another": sends_and_stalls(
-        HEAD, chunk(b'{"revision":6,"complete":false,"members":[\n'), chunk(b"\n")
+        HEAD, http_chunk(b'{"revision":6,"complete":false,"members":[\n'), http_chunk(b"\n")
     ),
-    "a string without an end": sends_and_stalls(HEAD, chunk(b'{"revision":"6\n')),
-    "no list": sends_and_stalls(HEAD, chunk(b"[1]\n")),
+    "a string without an end": sends_and_stalls(HEAD, http_chunk(b'{"revision":"6\n')),
+    "no list": sends_and_stalls(HEAD, http_chunk(b"[1]\n")),
 }
 
 
@@ -170,11 +174,11 @@
 
 
 def client_of(
-    port: int, mailbox: Mailbox, uniform: Callable[[float, float], float], at: int = 1
+    port: int, mailbox: Mailbox, uniform: Callable[[float, float], float], revision: int = 1
 ) -> DiscoveryClient:
     return DiscoveryClient(
         ("127.0.0.1", port),
-        revision=at,
+        revision=revision,
         pushed=True,
         counters=Counters(),
         post=mailbox.post,
@@ -191,9 +195,9 @@
         assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
             "a call without progress has to end within its cycle"
         )
-        assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= KNOWN_WITHIN_S
+        assert MAX_CYCLE_S + timeouts.connect_s + NODE_DELAY_S <= KNOWN_WITHIN_S
     assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends a keep-alive every 2 s, at most 0.5 s late"
-    assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
+    assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < SHORTEST_DRAIN_GRACE_S, (
         "a node has to receive changes from a recovered agent within the grace of a drain"
     )
 
@@ -242,17 +246,17 @@
     monkeypatch.setattr(discovery, "MAX_CYCLE_S", 0.5)
 
     async def body(tasks: TaskGroup) -> None:
-        service = await Service(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
+        service = await ScriptedDiscovery(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
         mailbox = Mailbox()
         async with anyio.create_task_group() as running:
             running.start_soon(client_of(service.port, mailbox, lambda low, high: high).run)
             await mailbox.update_received.wait()
             (update,) = [message for message in mailbox.messages if isinstance(message, EndpointsChanged)]
             assert update.endpoints.endpoints[0].state is EndpointState.DRAINING
-            assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
-            assert service.open == 1, "the connection of a call that has ended is closed at once"
+            assert service.targets == ["/catalog/members?watch=1&from=1"] * 3
+            assert service.open_calls == 1, "the connection of a call that has ended is closed at once"
             running.cancel_scope.cancel()
-        await wait_until(lambda: service.open == 0)
+        await wait_until(lambda: service.open_calls == 0)
 
     run_on_loopback(body)
 
@@ -268,29 +272,29 @@
 
     async def body(tasks: TaskGroup) -> None:
         behaviour = streams_updates({**CHANGE, "revision": 99}) if before == "told" else FAULTS[before]
-        old = await Service(behaviour).start(tasks)
-        new = await Service(streams_updates(FULL_LIST)).start(tasks)
+        old = await ScriptedDiscovery(behaviour).start(tasks)
+        new = await ScriptedDiscovery(streams_updates(FULL_LIST)).start(tasks)
         mailbox = Mailbox()
         client = client_of(old.port, mailbox, lambda low, high: high)
         tasks.start_soon(client.run)
         await wait_until(
-            lambda: bool(old.asked) and (before not in ("refused", "no list") or bool(mailbox.messages))
+            lambda: bool(old.targets) and (before not in ("refused", "no list") or bool(mailbox.messages))
         )
         if before == "told":
             await mailbox.update_received.wait()
         mailbox.update_received = anyio.Event()
         client.change_address(("127.0.0.1", new.port))
         await mailbox.update_received.wait()
-        assert new.asked[0] == "/catalog/members", "the complete list is fetched first"
+        assert new.targets[0] == "/catalog/members", "the complete list is fetched first"
         assert client.revision == 7
-        await wait_until(lambda: old.open == 0)
+        await wait_until(lambda: old.open_calls == 0)
 
     # The response to a fetch ends with the list; the stand-in's response does not end, as that of a watch.
-    monkeypatch.setattr(discovery_client, "fetch_list", whole_of_watch)
+    monkeypatch.setattr(discovery_client, "fetch_list", first_update_of_watch)
     run_on_loopback(body)
 
 
-async def whole_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
+async def first_update_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
     async with discovery_client.open_get(address, path, timeouts) as body:
         while (update := await discovery_client.Watch(body, timeouts.silence_s).next()) is None:
             pass
@@ -305,10 +309,10 @@
     """
 
     async def body(tasks: TaskGroup) -> None:
-        line = chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
-        first = await Service(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
-        answer = HEAD + chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
-        second = await Service(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
+        line = http_chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
+        first = await ScriptedDiscovery(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
+        answer = HEAD + http_chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
+        second = await ScriptedDiscovery(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
         mailbox = Mailbox()
         mailbox.has_space = anyio.Event()  # the mailbox is full, so `post` waits with the first list
         client = client_of(1, mailbox, lambda low, high: low)
@@ -317,8 +321,8 @@
         await mailbox.update_received.wait()
         client.change_address(("127.0.0.1", second.port))
         mailbox.has_space.set()
-        await wait_until(lambda: len(second.asked) >= 2)
-        assert second.asked[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
+        await wait_until(lambda: len(second.targets) >= 2)
+        assert second.targets[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
 
     run_on_loopback(body)
 
@@ -338,9 +342,9 @@
             *([{"host_port": 7}] if nameless else []),
             endpoint_row(2, upstreams.addresses[2], "terminating"),
         ]
-        service = await Service(streams_updates({"revision": 9, "complete": True, "members": rows})).start(
-            tasks
-        )
+        service = await ScriptedDiscovery(
+            streams_updates({"revision": 9, "complete": True, "members": rows})
+        ).start(tasks)
         port = await start_node(tasks, node_configuration(upstreams.addresses, service.port))
         for number in range(20):
             assert await (await open_session(port, key=f"key{number}")).line() == b"UP r1\r\n"
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -22,11 +22,11 @@
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
-        gone = endpoint_row(0, old.addresses[0], "terminated")
+        gone_row = endpoint_row(0, old.addresses[0], "terminated")
         discovery = await DiscoveryStub(
             [],
             None,
-            [{"revision": 2, "complete": False, "members": [gone, endpoint_row(1, new.addresses[0])]}],
+            [{"revision": 2, "complete": False, "members": [gone_row, endpoint_row(1, new.addresses[0])]}],
         ).start(tasks)
         port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
         await wait_until(lambda: len(discovery.asked) >= 3)
@@ -45,12 +45,12 @@
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP old").start(tasks), await UpstreamStubs("UP new").start(tasks)
-        gone = endpoint_row(0, old.addresses[0], "terminated")
+        gone_row = endpoint_row(0, old.addresses[0], "terminated")
         discovery = await DiscoveryStub(
             [
                 {"revision": 2, "complete": False, "members": []},
                 {"revision": 5, "complete": False, "members": [endpoint_row(1, new.addresses[0])]},
-                {"revision": 9, "complete": False, "members": [gone]},
+                {"revision": 9, "complete": False, "members": [gone_row]},
             ]
         ).start(tasks)
         port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
@@ -88,11 +88,11 @@
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
-        gone, new_upstream = (
+        gone_row, new_row = (
             endpoint_row(0, upstreams.addresses[0], "terminated"),
             endpoint_row(7, upstreams.addresses[0]),
         )
-        replaced = {"revision": 3, "complete": False, "members": [gone, new_upstream]}
+        replaced = {"revision": 3, "complete": False, "members": [gone_row, new_row]}
         discovery = await DiscoveryStub([EMPTY_CHANGE], [replaced], []).start(tasks)
         port = await start_node(tasks, node_configuration(upstreams.addresses, discovery.port))
         established = await open_session(port, key="stands")
@@ -124,9 +124,11 @@
         # Each upstream that is gone gets one attempt, and a further one after its backoff, which doubles: the
         # longer the test takes, the more such attempts are made. A session is shed after six of them.
         took_us = (time.monotonic() - began) * 1e6
-        refused = sum(1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1])
+        expected_refusals = sum(
+            1 + int(math.log2(took_us / BACKOFF_US + 1)) for _ in upstreams.addresses[:-1]
+        )
         assert set(answers) <= {b"UP echo\r\n", b"BUSY\r\n"}
-        assert answers.count(b"BUSY\r\n") <= refused // 6, (answers, took_us)
+        assert answers.count(b"BUSY\r\n") <= expected_refusals // 6, (answers, took_us)
         assert upstreams.most_out == 1
 
     run_on_loopback(body)
