--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -13,7 +13,7 @@
 from larchlatch.node.fault_barrier import FaultBarrier
 from larchlatch.node.wire.http import next_event
 from larchlatch.node.wire.listen import AcceptError, Listener, stream_of
-from larchlatch.node.wire.stream import GONE, Ending, Lines
+from larchlatch.node.wire.stream import CONNECTION_ENDED_ERRORS, Ending, LineConnection
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -119,7 +119,7 @@
 
     async def _serve(self, stream: SocketStream, scope: anyio.CancelScope) -> None:
         """Serve one connection until its call is answered or its scope is cancelled."""
-        connection = Lines(stream)
+        connection = LineConnection(stream)
         try:
             barrier = FaultBarrier(self._counters, counter=AdminCounter.CALL_ERROR, event="admin_call_error")
             with barrier, scope:
@@ -131,7 +131,7 @@
             self._callers.pop(scope, None)
             await connection.close()
 
-    async def _answer(self, connection: Lines) -> None:
+    async def _answer(self, connection: LineConnection) -> None:
         """Read one call and send its response, unless the caller has left before."""
         http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         try:
@@ -144,7 +144,7 @@
         if await connection.send(encode_response(http, reply)):
             await connection.finish(Ending.END)
 
-    async def _handle_call(self, http: h11.Connection, connection: Lines) -> Reply | None:
+    async def _handle_call(self, http: h11.Connection, connection: LineConnection) -> Reply | None:
         """Read one call, carry it out and return its response, or None if the caller has left before."""
         request: h11.Request | None = None
         body_size = 0
@@ -201,7 +201,7 @@
     return request.target.decode("latin-1").partition("?")[0]
 
 
-async def receive_event(http: h11.Connection, connection: Lines) -> HttpEvent | None:
+async def receive_event(http: h11.Connection, connection: LineConnection) -> HttpEvent | None:
     """Return the next h11 event of a call, or None if the connection is broken.
 
     Raises:
@@ -210,7 +210,7 @@
     """
     try:
         return await next_event(http, connection.stream, READ_BYTES)
-    except GONE:
+    except CONNECTION_ENDED_ERRORS:
         return None
 
 
--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -13,8 +13,8 @@
 from larchlatch.node.messages import AttemptFinished, LoadReported, SessionAdopted
 from larchlatch.node.session_record import Delivered, Failed
 from larchlatch.node.wire import lines as wire
-from larchlatch.node.wire.dialing import Unconnected, dial, lines_of, send_all
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.dialing import Unconnected, dial, line_connection_of, send_all
+from larchlatch.node.wire.stream import Ending, LineConnection
 from larchlatch.policy.types import Outcome
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
             return Outcome.NOT_SENT
         if not await self._send_request(sock, record, give_up_at):
             return Outcome.CONNECT_FAILED
-        connection = await lines_of(sock)
+        connection = await line_connection_of(sock)
         outcome: Outcome | None = None
         try:
             outcome = await self._read_answer(record, connection)
@@ -216,7 +216,7 @@
                 sock.close()
         return whole
 
-    async def _read_answer(self, record: SessionRecord, connection: Lines) -> Outcome:
+    async def _read_answer(self, record: SessionRecord, connection: LineConnection) -> Outcome:
         """Read lines until one determines the outcome of the request."""
         while True:
             line = await connection.line()
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -20,7 +20,7 @@
     send_last_line,
     us_since_received,
 )
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from larchlatch.policy import admission
 from larchlatch.policy.retries import RETRY_AFTER_US
 
@@ -125,13 +125,13 @@
 
     async def serve(self, sock: socket.socket, request: UnreadRequest | None = None) -> None:
         """Serve one connection until it is closed; no exception is raised except cancellation."""
-        client: Lines | None = None
+        client: LineConnection | None = None
         self.connection_count += 1
         try:
             with self._fault_barrier("connection_failed") as barrier:
-                client = Lines(await stream_of(sock))
+                client = LineConnection(await stream_of(sock))
                 await self._serve(client, request)
-            if barrier.caught and client is not None and not client.spoken_to:
+            if barrier.caught and client is not None and not client.has_sent:
                 await client.send(lines.FAILED)
                 await client.finish(Ending.END)
         finally:
@@ -145,7 +145,7 @@
     def _fault_barrier(self, event: str) -> FaultBarrier:
         return FaultBarrier(self.counters, counter=ConnectionCounter.FAILED, event=event)
 
-    async def _serve(self, client: Lines, request: UnreadRequest | None) -> None:
+    async def _serve(self, client: LineConnection, request: UnreadRequest | None) -> None:
         if request is not None and request.opening is not None:
             await self._handle_request(client, request.opening, request.received_us)
             return
@@ -167,19 +167,19 @@
             await self._handle_request(client, lines.parse_opening(line), received_us)
 
     async def _handle_request(
-        self, client: Lines, opening: lines.Opening | lines.BadLine, received_us: int
+        self, client: LineConnection, opening: lines.Opening | lines.BadLine, received_us: int
     ) -> None:
         if isinstance(opening, lines.BadLine):
             await self._reject(client, opening.reason)
         elif (reason := self.requests.rejection_reason(opening)) is not None:
             await self._reject(client, reason)
-        elif client.ready and not opening.may_continue:
+        elif client.unread_lines and not opening.may_continue:
             await self._reject(client, RejectionReason.MORE_THAN_ONE_LINE)
         else:
             record = self.requests.make_record(opening, received_us)
             await self.sessions.run(client, record, received_us)
 
-    async def _reject(self, client: Lines, reason: str) -> None:
+    async def _reject(self, client: LineConnection, reason: str) -> None:
         """Answer a request with an error, and end the connection."""
         self.counters.add(f"{REJECTED_PREFIX}{reason}")
         log.debug("request_rejected", reason=reason)
@@ -202,11 +202,11 @@
             sockets: the connections to its client and to its upstream, in this order; they are closed here.
 
         """
-        sides: list[Lines] = []
+        sides: list[LineConnection] = []
         try:
             with self._fault_barrier("session_adoption_failed"):
                 for sock, unread in zip(sockets, (packet.client_unread, packet.upstream_unread), strict=True):
-                    sides.append(Lines(await stream_of(sock)))
+                    sides.append(LineConnection(await stream_of(sock)))
                     sides[-1].feed(unread)
                 client, upstream = sides
                 await self.sessions.adopt(packet, client, upstream)
--- a/larchlatch/node/clients/request_reader.py
+++ b/larchlatch/node/clients/request_reader.py
@@ -17,7 +17,7 @@
     from larchlatch.node.descriptor_budget import DescriptorBudget
     from larchlatch.node.lifecycle_state import LifecycleState
     from larchlatch.node.metrics import Counters
-    from larchlatch.node.wire.stream import Ending, Lines
+    from larchlatch.node.wire.stream import Ending, LineConnection
 
 # How long the node waits for a complete line on a connection, in seconds.
 FIRST_LINE_S = 2.5  # a client gets an answer within 3 s after it has connected, even if it sends nothing
@@ -60,7 +60,7 @@
         for scope in list(self.waiting):
             scope.cancel()
 
-    async def read(self, client: Lines) -> bytes | Ending | None:
+    async def read(self, client: LineConnection) -> bytes | Ending | None:
         """Wait for the request line of a connection.
 
         Returns:
@@ -81,7 +81,7 @@
         return None
 
     async def _next_request(
-        self, client: Lines, idle: IdleConnection, scope: anyio.CancelScope
+        self, client: LineConnection, idle: IdleConnection, scope: anyio.CancelScope
     ) -> bytes | Ending:
         self.without_line += 1
         pinged = False
@@ -100,20 +100,20 @@
             self.without_line -= not pinged
 
     @contextmanager
-    def _evictable(self, client: Lines, idle: IdleConnection, began: float) -> Iterator[None]:
+    def _evictable(self, client: LineConnection, idle: IdleConnection, began: float) -> Iterator[None]:
         """Let the descriptor budget evict the connection while the block runs; count it if it was evicted."""
 
         def fragment_received() -> None:
             self._descriptors.record_received(idle, anyio.current_time())
 
         self._descriptors.add_idle(idle, began)
-        client.begun = fragment_received
-        if client.tail:  # part of a line was read before the connection had a task
+        client.on_partial_line = fragment_received
+        if client.partial_line:  # part of a line was read before the connection had a task
             fragment_received()
         try:
             yield
         finally:
-            client.begun = None
+            client.on_partial_line = None
             if not self._descriptors.remove_idle(idle):
                 self._counters.add(
                     ReaderCounter.EVICTED_INCOMPLETE_LINE if idle.fragments else ReaderCounter.EVICTED_SILENT
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -16,7 +16,7 @@
 from larchlatch.node.upstream_actor import StartAttempt
 from larchlatch.node.wire import lines
 from larchlatch.node.wire.raw_socket import LINGER_S
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from larchlatch.policy import admission
 from larchlatch.policy.retries import RETRY_AFTER_US
 from larchlatch.policy.types import Outcome
@@ -60,7 +60,12 @@
     """Callback that hands an established session over to the successor."""
 
     async def __call__(
-        self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
+        self,
+        record: SessionRecord,
+        *,
+        client: LineConnection,
+        upstream: LineConnection,
+        outcome_at_end: Outcome,
     ) -> bool:
         """Hand the session over; return False if that failed and the session is still at this process."""
         ...
@@ -101,7 +106,7 @@
         """How long a connection stays open for its client's end after the answer, in seconds."""
         return SHORT_LINGER_S if self._descriptors.scarce else LINGER_S
 
-    async def run(self, client: Lines, record: SessionRecord, received_us: int) -> None:
+    async def run(self, client: LineConnection, record: SessionRecord, received_us: int) -> None:
         """Run a session whose request was accepted, until it is over."""
         self._counters.add(SessionCounter.ACCEPTED)
         opening = record.opening
@@ -118,7 +123,7 @@
             await self._wait_for_answer(client, record)
             await self._carry_out(client, record)
 
-    async def adopt(self, packet: SessionHandover, client: Lines, upstream: Lines) -> None:
+    async def adopt(self, packet: SessionHandover, client: LineConnection, upstream: LineConnection) -> None:
         """Continue an established session of the predecessor, on the same connections."""
         opening = lines.parse_opening(packet.request_line)
         number = self._balancer_actor.upstreams.number_of(packet.upstream)
@@ -157,7 +162,7 @@
                 record.attempt_scope.cancel()
             await self._balancer_actor.mailbox.post(ClientLeft(record))
 
-    async def _wait_for_answer(self, client: Lines, record: SessionRecord) -> None:
+    async def _wait_for_answer(self, client: LineConnection, record: SessionRecord) -> None:
         """Wait until the session has its final answer, or its client has left."""
         wait_us = self._requests.wait_us(record.opening)
         answer_by = admission.answer_by(deadline=record.session.deadline, wait_us=wait_us)
@@ -198,12 +203,12 @@
         if number is None or not upstreams.actors[number].offer(attempt):
             record.set_final_answer(Failed())
 
-    async def _watch_client(self, client: Lines, record: SessionRecord) -> None:
+    async def _watch_client(self, client: LineConnection, record: SessionRecord) -> None:
         """Watch a client until its answer: it may leave, and only a continued session may send more."""
         early: list[bytes] = []
         try:
             while sum(map(len, early)) < MAX_EARLY_BYTES:
-                received = await client.some()
+                received = await client.receive_lines()
                 if received is Ending.END or received is Ending.RESET:
                     record.mark_client_gone()
                     return
@@ -214,11 +219,11 @@
                     return
                 early += received  # relayed once the continued session has its upstream again
         finally:
-            client.ready = early + client.ready
+            client.unread_lines = early + client.unread_lines
 
     # After the final answer.
 
-    async def _carry_out(self, client: Lines, record: SessionRecord) -> None:
+    async def _carry_out(self, client: LineConnection, record: SessionRecord) -> None:
         """Pass the final answer on to the client; relay the session if it was established."""
         match record.final_answer:
             case Delivered() as delivered:
@@ -237,12 +242,12 @@
                 self._counters.add(SessionCounter.FAILED)
                 await self._answer(client, lines.FAILED)
 
-    async def _answer(self, client: Lines, line: bytes) -> None:
+    async def _answer(self, client: LineConnection, line: bytes) -> None:
         await client.send(line)
         await client.finish(Ending.END, self.linger_s)
 
     async def _relay(
-        self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
+        self, client: LineConnection, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
     ) -> None:
         """Relay a session until it is over.
 
@@ -269,7 +274,7 @@
             del self.established[number]
 
     async def _relay_until_end(
-        self, client: Lines, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
+        self, client: LineConnection, record: SessionRecord, delivered: Delivered, outcome_at_end: Outcome
     ) -> RelayEnd | None:
         """Relay a session; return how it ended at this node, or None if the successor continues it."""
         if delivered.line and not await client.send(delivered.line):
@@ -290,7 +295,9 @@
             return None
         return RelayEnd(Side.NODE, Ending.END, Outcome.CANCELLED)
 
-    async def _end(self, client: Lines, record: SessionRecord, delivered: Delivered, end: RelayEnd) -> None:
+    async def _end(
+        self, client: LineConnection, record: SessionRecord, delivered: Delivered, end: RelayEnd
+    ) -> None:
         """Report how a session has ended, and end both its connections in that way."""
         self._counters.add(f"sessions_ended_by_{end.side.value}_{end.ending.value}")
         log.debug(
--- a/larchlatch/node/hot_restart/channel.py
+++ b/larchlatch/node/hot_restart/channel.py
@@ -10,7 +10,7 @@
 
 from larchlatch.errors import ProtocolError
 from larchlatch.node.hot_restart.packets import Packet, decode_packet, encode_packet
-from larchlatch.node.wire.stream import GONE
+from larchlatch.node.wire.stream import CONNECTION_ENDED_ERRORS
 
 if TYPE_CHECKING:
     from anyio.abc import UNIXSocketStream
@@ -81,7 +81,7 @@
                         await self.stream.send(data[HEADER.size :])
                     else:
                         await self.stream.send(data)
-                except GONE:
+                except CONNECTION_ENDED_ERRORS:
                     return False
         return True
 
@@ -95,7 +95,7 @@
         descriptors: list[int] = []
         try:
             packet = await self._receive_packet(descriptors)
-        except (anyio.EndOfStream, *GONE):
+        except (anyio.EndOfStream, *CONNECTION_ENDED_ERRORS):
             _close_all(descriptors)
             return None
         except BaseException:  # also when cancelled: the descriptors received so far have no other owner
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -28,7 +28,7 @@
     from larchlatch.node.components import NodeComponents
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.session_record import SessionRecord
-    from larchlatch.node.wire.stream import Lines
+    from larchlatch.node.wire.stream import LineConnection
     from larchlatch.policy.types import Outcome
 
 START_TIMEOUT_S = 30.0  # for a successor until it serves; then the descriptors lent to it are taken back
@@ -53,7 +53,7 @@
 
     """
 
-    lines: Lines
+    lines: LineConnection
     descriptor: int
     unread: bytes
 
@@ -173,7 +173,12 @@
         self._one_at_a_time = anyio.Lock()
 
     async def send(
-        self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
+        self,
+        record: SessionRecord,
+        *,
+        client: LineConnection,
+        upstream: LineConnection,
+        outcome_at_end: Outcome,
     ) -> bool:
         """Hand a session over.
 
@@ -231,7 +236,7 @@
     return sock
 
 
-def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
+def _detach(lines: LineConnection, detached: list[DetachedConnection]) -> bool:
     """Detach a connection from its transport; False if it has ended or data waits to be sent."""
     released = lines.detach()
     if released is None:
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -12,7 +12,7 @@
 from larchlatch.node.messages import ProbeFinished
 from larchlatch.node.wire import lines as wire
 from larchlatch.node.wire.dialing import Unconnected, connect
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 
 if TYPE_CHECKING:
     from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
@@ -40,7 +40,7 @@
         self._counters = context.counters
         self._post = context.post
         self._running = False
-        self._connection: Lines | None = None
+        self._connection: LineConnection | None = None
 
     async def run(self) -> None:
         """Probe once and report the result; do nothing while a probe is under way."""
@@ -85,7 +85,7 @@
         answer = await self._exchange(connection)
         return None if isinstance(answer, Ending) else answer
 
-    async def _connect(self) -> Lines | None:
+    async def _connect(self) -> LineConnection | None:
         connection = await connect(self._target.address, self._settings.connect_timeout_us / 1e6)
         if isinstance(connection, Unconnected):
             return None
@@ -94,7 +94,7 @@
         self._descriptors.reduce_capacity(1)
         return connection
 
-    async def _exchange(self, connection: Lines) -> wire.Pong | Ending | None:
+    async def _exchange(self, connection: LineConnection) -> wire.Pong | Ending | None:
         """Probe over a connection, and close it if the answer is not a report.
 
         Returns:
@@ -109,7 +109,7 @@
         await connection.close()
         return answer if isinstance(answer, Ending) else None
 
-    async def _send_and_receive(self, connection: Lines) -> wire.UpstreamLine | Ending | None:
+    async def _send_and_receive(self, connection: LineConnection) -> wire.UpstreamLine | Ending | None:
         with anyio.move_on_after(ANSWER_TIMEOUT_S):
             request = wire.STATS if self._settings.probes_report_load else wire.PING
             if not await connection.send(request):
--- a/larchlatch/node/relay.py
+++ b/larchlatch/node/relay.py
@@ -18,7 +18,7 @@
 
     from larchlatch.node.session_record import SessionRecord
     from larchlatch.node.upstream_actor import UpstreamActor
-    from larchlatch.node.wire.stream import Lines
+    from larchlatch.node.wire.stream import LineConnection
 
 
 class Side(Enum):
@@ -58,8 +58,8 @@
         record: SessionRecord,
         upstream_actor: UpstreamActor,
         *,
-        client: Lines,
-        upstream: Lines,
+        client: LineConnection,
+        upstream: LineConnection,
         outcome_at_end: Outcome,
     ) -> None:
         self.outcome_at_end = outcome_at_end
@@ -108,12 +108,12 @@
         if self._stopped == {Side.CLIENT, Side.UPSTREAM}:
             self._finish(RelayEnd(Side.SUCCESSOR, Ending.END, Outcome.CANCELLED))
 
-    async def _next_lines(self, side: Side, source: Lines) -> list[bytes] | Ending | None:
+    async def _next_lines(self, side: Side, source: LineConnection) -> list[bytes] | Ending | None:
         """Return the next lines of a side, or how it ended; None if the direction has to stop."""
         if self._stopping:
             return None
         with anyio.CancelScope() as self._read_scopes[side]:
-            return await source.some()
+            return await source.receive_lines()
         return None
 
     async def _relay_to_upstream(self) -> RelayEnd | None:
--- a/larchlatch/node/session_record.py
+++ b/larchlatch/node/session_record.py
@@ -11,7 +11,7 @@
     from collections.abc import Callable
 
     from larchlatch.node.wire.lines import Opening
-    from larchlatch.node.wire.stream import Lines
+    from larchlatch.node.wire.stream import LineConnection
     from larchlatch.policy.types import Session
 
 
@@ -25,7 +25,7 @@
 
     """
 
-    connection: Lines
+    connection: LineConnection
     line: bytes
     upstream: int
 
--- a/larchlatch/node/wire/dialing.py
+++ b/larchlatch/node/wire/dialing.py
@@ -10,7 +10,7 @@
 import anyio
 
 from larchlatch.node.wire.listen import stream_of
-from larchlatch.node.wire.stream import Lines
+from larchlatch.node.wire.stream import LineConnection
 
 NO_DESCRIPTOR_ERRORS = (errno.EMFILE, errno.ENFILE)
 
@@ -58,16 +58,16 @@
     return Unconnected.NO_DESCRIPTOR if error in NO_DESCRIPTOR_ERRORS else Unconnected.CONNECT_FAILED
 
 
-async def connect(address: tuple[str, int], within_s: float) -> Lines | Unconnected:
+async def connect(address: tuple[str, int], within_s: float) -> LineConnection | Unconnected:
     """Connect to an address within a timeout; return the connection, or the reason why there is none."""
     sock = await dial(address, within_s)
-    return sock if isinstance(sock, Unconnected) else await lines_of(sock)
+    return sock if isinstance(sock, Unconnected) else await line_connection_of(sock)
 
 
-async def lines_of(sock: socket.socket) -> Lines:
-    """Wrap a connected socket in `Lines`; the socket is closed if that fails."""
+async def line_connection_of(sock: socket.socket) -> LineConnection:
+    """Wrap a connected socket in a `LineConnection`; the socket is closed if that fails."""
     try:
-        return Lines(await stream_of(sock))
+        return LineConnection(await stream_of(sock))
     except BaseException:  # cancellation included: nothing else owns the socket yet
         sock.close()
         raise
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -31,7 +31,7 @@
 KEEPALIVE = {socket.TCP_KEEPIDLE: 30, socket.TCP_KEEPINTVL: 10, socket.TCP_KEEPCNT: 3}
 
 # What a stream raises once its connection has ended, even if only its socket is requested.
-GONE = (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, ValueError)
+CONNECTION_ENDED_ERRORS = (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError, ValueError)
 
 
 class Ending(Enum):
@@ -42,55 +42,55 @@
     TOO_LONG = "line_too_long"
 
 
-class Lines:
+class LineConnection:
     """One connection, which is read line by line and written to.
 
     Attributes:
         stream: the socket stream of the connection.
-        tail: the received part of a line that is not complete yet.
-        ready: complete lines that were received and not returned yet.
-        begun: if set, called when received data completes no line.
+        partial_line: the received part of a line that is not complete yet.
+        unread_lines: complete lines that were received and not returned yet.
+        on_partial_line: if set, called when received data completes no line.
         closed: whether this process has closed the connection or given it up to another process.
-        spoken_to: whether this process has sent anything on the connection, or tried to.
+        has_sent: whether this process has sent anything on the connection, or tried to.
 
     """
 
     def __init__(self, stream: SocketStream) -> None:
         self.stream = stream
         self._enable_keepalive()
-        self.tail = b""
-        self.ready: list[bytes] = []
-        self.begun: Callable[[], None] | None = None
+        self.partial_line = b""
+        self.unread_lines: list[bytes] = []
+        self.on_partial_line: Callable[[], None] | None = None
         self.closed = False
-        self.spoken_to = False
+        self.has_sent = False
 
-    async def some(self) -> list[bytes] | Ending:
+    async def receive_lines(self) -> list[bytes] | Ending:
         """Wait for at least one line; return all complete lines received, or how the connection ended."""
-        if self.ready:
-            lines, self.ready = self.ready, []
+        if self.unread_lines:
+            lines, self.unread_lines = self.unread_lines, []
             return lines
         while True:
             try:
                 chunk = await self.stream.receive(CHUNK_BYTES)
             except anyio.EndOfStream:
                 return Ending.END
-            except GONE:
+            except CONNECTION_ENDED_ERRORS:
                 return Ending.RESET
             # Only complete lines are returned, so that a line of this node never falls within a relayed one.
-            lines = (self.tail + chunk).split(b"\n")
-            self.tail = lines.pop()
-            if len(self.tail) > MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
+            lines = (self.partial_line + chunk).split(b"\n")
+            self.partial_line = lines.pop()
+            if len(self.partial_line) > MAX_LINE_BYTES or any(len(line) >= MAX_LINE_BYTES for line in lines):
                 return Ending.TOO_LONG
             if lines:
                 return [line + b"\n" for line in lines]
-            if self.begun is not None:
-                self.begun()
+            if self.on_partial_line is not None:
+                self.on_partial_line()
 
     def feed(self, data: bytes) -> None:
         """Take over data that was received before, here or by the predecessor, and not returned as lines."""
         lines = data.split(b"\n")
-        self.tail = lines.pop()
-        self.ready = [line + b"\n" for line in lines]
+        self.partial_line = lines.pop()
+        self.unread_lines = [line + b"\n" for line in lines]
 
     def detach(self) -> tuple[int, bytes] | None:
         """Give the connection up so that another process can take it over; the other side does not notice.
@@ -104,7 +104,7 @@
         if self.closed or buffers.has_ended or buffers.has_unsent:
             return None
         descriptor = os.dup(self._socket().fileno())
-        unread = b"".join(self.ready) + self.tail + buffers.unread()
+        unread = b"".join(self.unread_lines) + self.partial_line + buffers.unread()
         self.closed = True
         buffers.abort()
         return descriptor, unread
@@ -117,25 +117,25 @@
 
     async def line(self) -> bytes | Ending:
         """Return the next line, or how the connection ended."""
-        lines = await self.some()
+        lines = await self.receive_lines()
         if isinstance(lines, Ending):
             return lines
-        self.ready = lines[1:]
+        self.unread_lines = lines[1:]
         return lines[0]
 
     def us_since_received(self) -> int:
         """Return how many microseconds ago data last arrived, even if it is still unread; 0 if unknown."""
         try:
             return us_since_received(self._socket())
-        except GONE:
+        except CONNECTION_ENDED_ERRORS:
             return 0
 
     async def send(self, data: bytes) -> bool:
         """Send data; return False if the connection has ended."""
-        self.spoken_to = True
+        self.has_sent = True
         try:
             await self.stream.send(data)
-        except GONE:
+        except CONNECTION_ENDED_ERRORS:
             return False
         return True
 
@@ -146,7 +146,7 @@
         """
         try:
             return self.closed or has_hung_up(self._socket())
-        except GONE:
+        except CONNECTION_ENDED_ERRORS:
             return True
 
     async def finish(self, ending: Ending, linger_s: float = LINGER_S) -> None:
@@ -168,7 +168,7 @@
         if self.closed:
             return
         self.closed = True
-        with anyio.CancelScope(shield=True), suppress(*GONE):
+        with anyio.CancelScope(shield=True), suppress(*CONNECTION_ENDED_ERRORS):
             if reset:
                 self._socket().setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             await self.stream.aclose()
@@ -178,19 +178,19 @@
 
         To close a connection with unread data would reset it, and the data that was sent last would be lost.
         """
-        with anyio.move_on_after(linger_s), suppress(anyio.EndOfStream, *GONE):
+        with anyio.move_on_after(linger_s), suppress(anyio.EndOfStream, *CONNECTION_ENDED_ERRORS):
             await self.stream.send_eof()
             for _ in range(LINGER_CHUNKS):
                 await self.stream.receive(CHUNK_BYTES)
 
     def _enable_keepalive(self) -> None:
         """Let the operating system notice when the other side's machine has vanished."""
-        with suppress(*GONE):
+        with suppress(*CONNECTION_ENDED_ERRORS):
             raw = self._socket()
             raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
             for option, value in KEEPALIVE.items():
                 raw.setsockopt(socket.IPPROTO_TCP, option, value)
 
     def _socket(self) -> socket.socket:
-        """Return the stream's socket; one of `GONE` is raised if the connection has ended."""
+        """Return the stream's socket; raise one of `CONNECTION_ENDED_ERRORS` if the connection has ended."""
         return self.stream.extra(SocketAttribute.raw_socket)
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -17,7 +17,7 @@
 from larchlatch.__main__ import cli
 from larchlatch.node import admin_api, lifecycle_state
 from larchlatch.node.lifecycle_state import LifecycleState
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from larchlatch.policy import admission
 from tests.support.clients import connect, open_session, read_to_end
 from tests.support.configuration import node_configuration
@@ -56,7 +56,7 @@
         _, admin_address = await node_with_admin_api(tasks, upstreams)
         host, _, port = admin_address.rpartition(":")
         unfinished = [
-            Lines(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)
+            LineConnection(await anyio.connect_tcp(host, int(port))) for _ in range(3 * admin_api.MAX_CALLERS)
         ]
         for number, caller in enumerate(unfinished):
             if number % 2:
@@ -111,12 +111,12 @@
         _, admin_address = await node_with_admin_api(tasks, upstreams)
         host, _, port = admin_address.rpartition(":")
         for cut in range(1, len(text), 3):
-            caller = Lines(await anyio.connect_tcp(host, int(port)))
+            caller = LineConnection(await anyio.connect_tcp(host, int(port)))
             await caller.send(text[:cut])
             await anyio.sleep(0.005)
             await caller.send(text[cut:])
             assert (await read_http_answer(caller))[0] == 200
-        caller = Lines(await anyio.connect_tcp(host, int(port)))
+        caller = LineConnection(await anyio.connect_tcp(host, int(port)))
         await caller.send(text[:-1])
         assert isinstance(await caller.line(), Ending)
 
@@ -195,7 +195,7 @@
         established = [await open_session(port, key=f"k{n}") for n in range(40)]
         moved = 0
 
-        async def count_if_moved(client: Lines) -> None:
+        async def count_if_moved(client: LineConnection) -> None:
             nonlocal moved
             moved += await read_to_end(client) == [b"MOVE\r\n"]
 
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -257,15 +257,15 @@
 
         upstream = await ScriptedUpstream().start(tasks, answer)
         harness, record = ActorHarness(upstream.named), make_record("rerun")
-        real = stream.Lines.line
+        real = stream.LineConnection.line
 
-        async def line(lines: stream.Lines) -> Any:
+        async def line(lines: stream.LineConnection) -> Any:
             got = await real(lines)
             assert record.attempt_scope is not None
             record.attempt_scope.cancel()
             return got
 
-        monkeypatch.setattr(stream.Lines, "line", line)
+        monkeypatch.setattr(stream.LineConnection, "line", line)
         outcome = await harness.attempt(record)
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
         if isinstance(record.final_answer, Delivered):
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -52,13 +52,13 @@
     """
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 0.2)
     clients: list[socket.socket] = []
-    original = stream.Lines.send
+    original = stream.LineConnection.send
 
-    async def send(lines: stream.Lines, data: bytes) -> bool:
+    async def send(lines: stream.LineConnection, data: bytes) -> bool:
         clients[0].sendall(b"more and more\r\n" * 100)
         return await original(lines, data)
 
-    monkeypatch.setattr(stream.Lines, "send", send)
+    monkeypatch.setattr(stream.LineConnection, "send", send)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -29,7 +29,7 @@
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import UNREAD_GRACE_S, CallTimeouts
 from larchlatch.node.wire.json_framing import JsonObjectFramer
-from larchlatch.node.wire.stream import Lines
+from larchlatch.node.wire.stream import LineConnection
 from larchlatch.policy.types import EndpointState
 from tests.support.clients import open_session
 from tests.support.configuration import endpoint_row, node_configuration
@@ -124,7 +124,7 @@
 
 
 async def resets(stream: SocketStream) -> None:
-    await Lines(stream).close(reset=True)
+    await LineConnection(stream).close(reset=True)
 
 
 def streams_updates(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -26,7 +26,7 @@
     Welcome,
 )
 from larchlatch.node.hot_restart.rendezvous import Rendezvous, hello_of
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from tests.support.balancer_harness import SECOND_US
 from tests.support.configuration import endpoint_row, node_configuration
 from tests.support.hot_restart import READY, RestartedNode, connect_to_rendezvous
@@ -135,7 +135,7 @@
                 first.signal(signal.SIGTERM)
                 assert '"draining":true' in (await call_admin_api(second.admin_address, READY))[1]
                 host, _, port = node.raw["listen"].rpartition(":")
-                front = Lines(await anyio.connect_tcp(host, int(port)))
+                front = LineConnection(await anyio.connect_tcp(host, int(port)))
                 await front.send(b"PING\r\n")
                 assert await front.line() == b"NO\r\n"
                 assert await first.ended() == 0
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -126,7 +126,7 @@
         assert await client.line() == b"UP half\r\n"
         await client.send(b"hello\r\n")
         assert await read_to_end(client) == [b"MOVE\r\n"]
-        assert not client.tail
+        assert not client.partial_line
         await wait_until(lambda: upstreams.ended == 1)
 
     run_on_loopback(body)
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -108,7 +108,7 @@
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
             await session.send(b"UP r1\r\n")
             await session_established.wait()
-            await stream.Lines(session).close(reset=True)
+            await stream.LineConnection(session).close(reset=True)
 
         upstream = await ScriptedUpstream().start(tasks, answer)
         discovery = await DiscoveryStub([]).start(tasks)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -13,7 +13,7 @@
 from click.testing import CliRunner
 
 from larchlatch.__main__ import cli
-from larchlatch.node.wire.stream import Lines
+from larchlatch.node.wire.stream import LineConnection
 from tests.support.clients import connect, open_session, read_to_end
 from tests.support.configuration import endpoint_row, node_configuration
 from tests.support.loopback import run_on_loopback, wait_until
@@ -42,7 +42,7 @@
             assert await late.line() == b"UP echo\r\n"
             moved = []
 
-            async def record_move(client: Lines) -> None:
+            async def record_move(client: LineConnection) -> None:
                 assert await read_to_end(client) == [b"MOVE\r\n"]
                 moved.append(anyio.current_time())
 
--- a/tests/support/clients.py
+++ b/tests/support/clients.py
@@ -6,18 +6,18 @@
 
 import anyio
 
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 
 CLIENT_IDS = count(1)  # each connection has a new client id
 
 
-async def connect(port: int) -> Lines:
-    return Lines(await anyio.connect_tcp("127.0.0.1", port))
+async def connect(port: int) -> LineConnection:
+    return LineConnection(await anyio.connect_tcp("127.0.0.1", port))
 
 
 async def open_session(
     port: int, wait_ms: int = 2000, traffic_class: str = "rerun", key: str = "k1", ident: str = ""
-) -> Lines:
+) -> LineConnection:
     """Return a connected client that has sent its request."""
     client = await connect(port)
     client_id = ident or f"id{next(CLIENT_IDS)}"
@@ -25,7 +25,7 @@
     return client
 
 
-async def read_to_end(client: Lines) -> list[bytes]:
+async def read_to_end(client: LineConnection) -> list[bytes]:
     """Return all lines up to the end of the connection."""
     lines = []
     while not isinstance(line := await client.line(), Ending):
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -17,7 +17,7 @@
 from larchlatch.node.hot_restart.channel import Channel
 from larchlatch.node.hot_restart.rendezvous import Rendezvous
 from larchlatch.node.wire.lines import MOVE
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from tests.support.configuration import node_configuration
 from tests.support.node import EMPTY_CHANGE
 from tests.support.node_process import NodeProcess, admin_address, node_process
@@ -62,9 +62,9 @@
             running.admin_address = admin_api
             yield running
 
-    async def open_session(self) -> Lines:
+    async def open_session(self) -> LineConnection:
         host, _, port = self.raw["listen"].rpartition(":")
-        client = Lines(await anyio.connect_tcp(host, int(port)))
+        client = LineConnection(await anyio.connect_tcp(host, int(port)))
         self.number += 1
         await client.send(f"OPEN id{self.number} k{self.number} c=once,t=acme,d=3000,g=g\r\n".encode())
         return client
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -17,7 +17,7 @@
 from anyio.abc import Process
 from anyio.streams.buffered import BufferedByteReceiveStream
 
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 
 
 class NodeProcess:
@@ -73,14 +73,14 @@
 async def call_admin_api(address: str, what: str, more: str = "") -> tuple[int, str]:
     """Make one call to an admin API and return its status and the whole answer."""
     host, _, port = address.rpartition(":")
-    caller = Lines(await anyio.connect_tcp(host, int(port)))
+    caller = LineConnection(await anyio.connect_tcp(host, int(port)))
     await caller.send(f"{what} HTTP/1.1\r\nHost: admin\r\n{more}\r\n".encode())
     return await read_http_answer(caller)
 
 
-async def read_http_answer(caller: Lines) -> tuple[int, str]:
+async def read_http_answer(caller: LineConnection) -> tuple[int, str]:
     text = ""
-    while not isinstance(some := await caller.some(), Ending):
+    while not isinstance(some := await caller.receive_lines(), Ending):
         text += b"".join(some).decode()
     await caller.close()
     return int(text.split()[1]) if text else 0, text
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -10,7 +10,7 @@
 import orjson
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.node.wire.stream import Ending, Lines
+from larchlatch.node.wire.stream import Ending, LineConnection
 from tests.support.loopback import port_of
 
 
@@ -33,7 +33,7 @@
         return self
 
     async def serve(self, upstream: int, stream: SocketStream) -> None:
-        session = Lines(stream)
+        session = LineConnection(stream)
         line = await session.line()
         if isinstance(line, Ending):
             return
