--- a/larchlatch/node/wire/discovery_client.py
+++ b/larchlatch/node/wire/discovery_client.py
@@ -66,7 +66,7 @@
         self._http = h11.Connection(h11.CLIENT)
 
     async def send_request(self, target: str, host: str) -> None:
-        """Send the GET request for a target, with the value of its Host header."""
+        """Send the GET request for a target, with a Host header."""
         request = h11.Request(method="GET", target=target, headers=[("Host", host)])
         head = self._http.send(request) or b""
         await self._stream.send(head + (self._http.send(h11.EndOfMessage()) or b""))
@@ -76,7 +76,7 @@
 
         Raises:
             TimeoutError: the head was not complete in time.
-            ConnectionError: the connection ended before the head.
+            ConnectionError: the connection ended before the head of a final response.
             DiscoveryRefusedError: the status of the response is not 200.
 
         """
@@ -84,7 +84,7 @@
         if event is None:
             raise TimeoutError(f"no response within {timeout_s:g} s")
         if not isinstance(event, h11.Response):
-            raise ConnectionError("the connection ended before the response")
+            raise ConnectionError("no final HTTP response")
         if event.status_code != HTTP_OK:
             raise DiscoveryRefusedError(f"HTTP status {event.status_code}")
 
--- a/larchlatch/node/wire/stream.py
+++ b/larchlatch/node/wire/stream.py
@@ -163,8 +163,13 @@
             await self.close(reset=ending is not Ending.END)
 
     async def close(self, *, reset: bool = False) -> None:
-        """Close the connection, if requested by a reset; a second call has no effect."""
-        # After a close, the descriptor may belong to another connection, and uvloop no longer reports that.
+        """Close the connection; a second call has no effect.
+
+        Args:
+            reset: whether to reset the connection instead of an orderly end.
+
+        """
+        # After a close, the descriptor may belong to another connection, and uvloop does not detect that.
         if self.closed:
             return
         self.closed = True
