--- a/larchlatch/config/reading.py
+++ b/larchlatch/config/reading.py
@@ -1,8 +1,8 @@
-"""Checked reading of JSON objects.
+"""Reads values from JSON objects and validates their types.
 
-Each function takes the object, the key, and the place of the object for error messages. A missing or wrong
-value raises one error that names the place, the key and what is wrong. Callers that read messages of other
-processes instead of files pass `error=ProtocolError`.
+The functions that read a key take the object, the key, and the location of the object for error messages. A
+missing or invalid value raises an error that names the location, the key and the problem. Callers that read
+messages of other processes instead of files pass `error=ProtocolError`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 def required(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     kind: type[Value] | tuple[type[Value], ...],
     where: str,
@@ -34,27 +34,27 @@
     """Return the value of a key that must be present.
 
     Args:
-        holder: The JSON object.
+        json_object: The JSON object to read from.
         key: The key to read.
-        kind: The type or types that the value may have. A boolean is no `int` here.
-        where: The place of the object, for the message.
-        error: The exception to raise.
+        kind: The type or types that the value may have. A boolean does not count as an `int`.
+        where: The location of the object, for error messages.
+        error: The type of the exception to raise.
 
     Raises:
         InvalidInputError: The key is missing, or its value is of another type.
 
     """
-    if key not in holder:
+    if key not in json_object:
         raise error(where, f"{key} is missing")
-    value = holder[key]
-    # bool is a subclass of int, but `true` where a number is expected is a mistake.
+    value = json_object[key]
+    # bool is a subclass of int, but `true` in place of a number is an error.
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
         raise error(where, f"{key} has the wrong type ({type(value).__name__})")
     return value
 
 
 def optional(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     kind: type[Value] | tuple[type[Value], ...],
     where: str,
@@ -62,38 +62,38 @@
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> Value | Default:
-    """Return the value of a key, or the default where the key is missing or null.
+    """Return the value of a key, or the default if the key is missing or its value is null.
 
     Raises:
         InvalidInputError: The value is of another type.
 
     """
-    if holder.get(key) is None:
+    if json_object.get(key) is None:
         return default
-    return required(holder, key, kind, where, error=error)
+    return required(json_object, key, kind, where, error=error)
 
 
 def non_negative_int(
-    holder: dict[str, Any],
+    json_object: dict[str, Any],
     key: str,
     where: str,
     default: int | None = None,
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> int:
-    """Return a count or a length of time; a fraction is cut off.
+    """Return the value of a key that holds a count or a duration; a fraction is truncated.
 
-    Without a default the key must be present; with one, a missing key and null give the default.
+    Without a default the key must be present. With a default, it replaces a missing key and null.
 
     Raises:
-        InvalidInputError: The value is missing, no number, negative, or too large to be exact in JSON.
+        InvalidInputError: The value is missing, not a number, negative, or too large to be exact in JSON.
 
     """
     value: float
     if default is None:
-        value = required(holder, key, NUMBER, where, error=error)
+        value = required(json_object, key, NUMBER, where, error=error)
     else:
-        value = optional(holder, key, NUMBER, where, default, error=error)
+        value = optional(json_object, key, NUMBER, where, default, error=error)
     if not 0 <= value < EXACT_INTEGER_LIMIT:
         raise error(where, f"{key} is out of range ({value})")
     return int(value)
@@ -106,10 +106,16 @@
     *,
     error: type[InvalidInputError] = ConfigurationError,
 ) -> Choice:
-    """Return the choice that a word of the file or the wire stands for.
+    """Return the choice that a string in a file or a message stands for.
+
+    Args:
+        value: The string.
+        choices: The choice for each permitted string.
+        where: The location of the string, for error messages.
+        error: The type of the exception to raise.
 
     Raises:
-        InvalidInputError: The word is none of the choices.
+        InvalidInputError: The string is not among the choices.
 
     """
     if value not in choices:
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -269,15 +269,15 @@
 
         upstream = await ScriptedUpstream().start(tasks, answer)
         harness, record = ActorHarness(upstream.named), make_record("rerun")
-        original_line = stream.Lines.line
+        original_line = stream.LineConnection.line
 
-        async def line_then_cancel(lines: stream.Lines) -> Any:
+        async def line_then_cancel(lines: stream.LineConnection) -> Any:
             result = await original_line(lines)
             assert record.attempt_scope is not None
             record.attempt_scope.cancel()
             return result
 
-        monkeypatch.setattr(stream.Lines, "line", line_then_cancel)
+        monkeypatch.setattr(stream.LineConnection, "line", line_then_cancel)
         outcome = await harness.attempt(record)
         assert (outcome is Outcome.ESTABLISHED) == isinstance(record.final_answer, Delivered)
         if isinstance(record.final_answer, Delivered):
