--- a/larchlatch/loadtest/cluster.py
+++ b/larchlatch/loadtest/cluster.py
@@ -12,8 +12,8 @@
 from larchlatch.loadtest.injected_faults import InjectedFaults
 from larchlatch.loadtest.node_process import NodeCommand
 from larchlatch.loadtest.node_settings import node_name
-from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE
-from larchlatch.scenario.faults import SELF_INFLICTED
+from larchlatch.scenario.byzantine_exchange import INJECTED_FAULTS_VARIABLE
+from larchlatch.scenario.faults import NODE_INTERNAL_FAULTS
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -93,7 +93,7 @@
     def command(self, number: int) -> NodeCommand:
         """Return how a node is started, apart from its own configuration."""
         faults_file = str(self.injected_faults_file(number))
-        return NodeCommand(self._module(), self.arguments(number), {ORDERS_VARIABLE: faults_file})
+        return NodeCommand(self._module(), self.arguments(number), {INJECTED_FAULTS_VARIABLE: faults_file})
 
     def arguments(self, number: int) -> list[str]:
         """Return the arguments of `serve` that make a node take part."""
@@ -103,7 +103,7 @@
     def _module(self) -> str:
         """Return what is run as a node: if the scenario needs it, one that commits faults and logs more."""
         scenario = self._scenario
-        commits_faults = any(isinstance(fault, SELF_INFLICTED) for fault in scenario.faults)
+        commits_faults = any(isinstance(fault, NODE_INTERNAL_FAULTS) for fault in scenario.faults)
         return FAULT_INJECTING_NODE_MODULE if scenario.cluster.token_issuer or commits_faults else NODE_MODULE
 
     # Faults.
--- a/larchlatch/loadtest/fault_injecting_node.py
+++ b/larchlatch/loadtest/fault_injecting_node.py
@@ -19,7 +19,7 @@
 from larchlatch.cluster import service
 from larchlatch.cluster.election.electorate import TOKEN_ISSUER
 from larchlatch.loadtest.injected_faults import InjectedFaults
-from larchlatch.scenario.byzantine_exchange import ORDERS_VARIABLE, ByzantineExchange
+from larchlatch.scenario.byzantine_exchange import INJECTED_FAULTS_VARIABLE, ByzantineExchange
 from larchlatch.scenario.drifting_clock import DriftingClock
 
 if TYPE_CHECKING:
@@ -57,7 +57,7 @@
 
 def read_faults(*_: object) -> None:
     """Commit the faults of the file from now on."""
-    faults = msgspec.json.decode(Path(os.environ[ORDERS_VARIABLE]).read_bytes(), type=InjectedFaults)
+    faults = msgspec.json.decode(Path(os.environ[INJECTED_FAULTS_VARIABLE]).read_bytes(), type=InjectedFaults)
     clock.set_gain(true_time_us(), faults.skew)
     for exchange in exchanges:
         exchange.false_subject = faults.about
--- a/larchlatch/scenario/byzantine_exchange.py
+++ b/larchlatch/scenario/byzantine_exchange.py
@@ -21,7 +21,7 @@
     from collections.abc import Iterable, Sequence
 
 # The environment variable that holds the path of the file from which a node process reads its faults.
-ORDERS_VARIABLE = "LARCHLATCH_PUPPET"
+INJECTED_FAULTS_VARIABLE = "LARCHLATCH_PUPPET"
 
 FALSE_SESSION_COUNT = 1_000_000  # sessions per window that false reports and loan requests state
 FALSE_FAILURE_COUNT = 9  # consecutive failures that a false health observation states
--- a/larchlatch/scenario/faults.py
+++ b/larchlatch/scenario/faults.py
@@ -413,10 +413,10 @@
     | RemoveNode
 )
 
-# Faults that a node must inflict on itself; the load test runs a special node process for them.
-SELF_INFLICTED = (ClockSkew, ByzantineNode)
+# Faults inside a node's process; the load test runs a fault-injecting process as the node for them.
+NODE_INTERNAL_FAULTS = (ClockSkew, ByzantineNode)
 # Faults that are possible only in scenarios with a cluster of nodes.
-CLUSTER_FAULTS = (Partition, LossyNetwork, RemoveNode, *SELF_INFLICTED)
+CLUSTER_FAULTS = (Partition, LossyNetwork, RemoveNode, *NODE_INTERNAL_FAULTS)
 
 
 def trace_name(fault: Fault) -> str:
--- a/larchlatch/scenario/scenario.py
+++ b/larchlatch/scenario/scenario.py
@@ -83,8 +83,8 @@
         message_interval_s: The time between two messages of a client, in seconds.
         idempotencies: The idempotency of each traffic class, that is, whether an attempt may be repeated.
         dedup_window_s: How long upstreams recognize the repeat of a keyed session, in seconds.
-        max_retries: How many consecutive rejections a client follows by a retry before it gives up; an
-            established session resets the count.
+        max_retries: The largest number of consecutive rejections after which a client retries; an established
+            session resets the count.
         imbalance: How unevenly clients are distributed over the nodes of their zone; 0 is evenly.
         retry_pause_ms: The mean pause of a client before a retry if the node advises none, in milliseconds.
 
