--- a/larchlatch/cli/__init__.py
+++ b/larchlatch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: one module for each group of commands."""
+"""The command line, with one module for each group of commands."""
--- a/larchlatch/cli/inspect.py
+++ b/larchlatch/cli/inspect.py
@@ -1,4 +1,4 @@
-"""Commands that check or make an operator's files, and `version`. None of them needs a running node."""
+"""The commands `check`, `cluster-key` and `version`, none of which needs a running node."""
 
 from __future__ import annotations
 
@@ -15,11 +15,15 @@
     "--out",
     type=click.Path(path_type=Path),
     required=True,
-    help="The file for the secret key; it must not exist.",
+    help="The file to create for the secret key; it must not exist yet.",
 )
 def cluster_key(out: Path) -> None:
-    """Create a node's key: write the secret key to a file, print the public key for the cluster file."""
-    # A node without a cluster must not load this package.
+    """Create the key pair of a node in a cluster.
+
+    Writes the secret key to a new file, for the option --cluster-key of `serve`. Prints the public key, for
+    the node's entry in the cluster file.
+    """
+    # Imported only here: a node without a cluster must not load this package.
     from larchlatch.cluster.keys import create_secret
 
     click.echo(create_secret(out))
@@ -30,14 +34,17 @@
     "--config",
     envvar="EDGE_CONFIG",
     type=click.Path(path_type=Path),
-    help="A node's configuration, in JSON.  [env: EDGE_CONFIG]",
+    help="The configuration of a node, a JSON file.  [env: EDGE_CONFIG]",
 )
-@click.option("--contracts", type=click.Path(path_type=Path), help="Contracts of teams, in TOML.")
+@click.option("--contracts", type=click.Path(path_type=Path), help="The contracts of teams, a TOML file.")
 @click.option("--cluster", type=click.Path(path_type=Path), help="A cluster file, in TOML.")
 def check(config: Path | None, contracts: Path | None, cluster: Path | None) -> None:
-    r"""Check a node's configuration, contracts or a cluster file, and name the key that is wrong.
+    """Check a node's configuration, contracts or a cluster file.
+
+    Prints a summary of a valid file. For a file that is not valid, names the key that is wrong, and ends with
+    exit code 2. Checks only one file: --cluster comes before --contracts, and both come before --config.
 
-    \b
+    \u0008
     Example:
       python -m larchlatch check --config node.json
     """
@@ -48,43 +55,43 @@
     elif config is not None:
         click.echo(describe_configuration(config))
     else:
-        raise click.UsageError("Missing option '--config', '--contracts' or '--cluster'.")
+        raise click.UsageError("Missing option '--config', '--contracts' or '--cluster': one is required.")
 
 
 def describe_cluster_file(path: Path) -> str:
-    """Return a summary of a valid cluster file, in one line.
+    """Return a one-line summary of a valid cluster file.
 
     Raises:
         InvalidInputError: The file is not valid.
 
     """
-    # A node without a cluster must not load this package.
+    # Imported only here: a node without a cluster must not load this package.
     from larchlatch.cluster.cluster_file import read_cluster_file
 
     cluster = read_cluster_file(path)
     nodes = len(cluster.nodes)
     sites = len({node.site for node in cluster.nodes.values()})
     electors = len(cluster.electorate.electors)
-    budgets = len(cluster.quota_settings.quotas)
-    return f"cluster: in order; {nodes} nodes, {sites} sites, {electors} electors, {budgets} budgets"
+    quotas = len(cluster.quota_settings.quotas)
+    return f"cluster: valid; {nodes} nodes, {sites} sites, {electors} electors, {quotas} quotas"
 
 
 def describe_contracts(path: Path) -> str:
-    """Return a summary of valid contracts, in one line.
+    """Return a one-line summary of valid contracts.
 
     Raises:
         InvalidInputError: The file is not valid.
 
     """
-    # Contracts are read with msgspec, which a node need not have.
+    # Contracts are read with msgspec, which need not be installed for a node without a cluster.
     from larchlatch.broker.contracts import read_contracts
 
     contracts = read_contracts(path)
-    return f"contracts: in order; {len(contracts.teams)} teams, {len(contracts.pools)} pools"
+    return f"contracts: valid; {len(contracts.teams)} teams, {len(contracts.pools)} pools"
 
 
 def describe_configuration(path: Path) -> str:
-    """Return a summary of a node's valid configuration, in one line.
+    """Return a one-line summary of a node's valid configuration.
 
     Raises:
         InvalidInputError: The file is not valid.
@@ -95,11 +102,12 @@
     traffic_classes = len(configuration.traffic_class_names)
     zones = len(configuration.zones)
     return (
-        f"{configuration.name}: in order; {upstreams} hosts known, {traffic_classes} tariffs, {zones} zones"
+        f"{configuration.name}: valid; "
+        f"{upstreams} known upstreams, {traffic_classes} traffic classes, {zones} zones"
     )
 
 
 @click.command()
 def version() -> None:
-    """Print the version."""
+    """Print the version of larchlatch."""
     click.echo(VERSION)
--- a/larchlatch/cli/load.py
+++ b/larchlatch/cli/load.py
@@ -1,4 +1,4 @@
-"""The command of the load tool, which plays a scenario on sockets."""
+"""The command `load`, which plays a scenario on sockets."""
 
 from __future__ import annotations
 
@@ -29,16 +29,25 @@
 @SEED
 @DRAW
 @click.option(
-    "--address", default="127.0.0.1", show_default=True, help="A loopback address; any other one is refused."
+    "--address",
+    default="127.0.0.1",
+    show_default=True,
+    help="The loopback address of IPv4 to play on; other addresses are rejected.",
 )
 def load(*, day: Path, changes: tuple[str, ...], seed: int | None, draw: int, address: str) -> None:
-    r"""Play a scenario on sockets, with nodes as processes; exit code 3 if a rule was broken, 4 if void.
+    """Play a scenario on loopback sockets, with nodes as processes.
 
-    \b
+    Prints the result to standard output as one line of JSON, and violations of rules to standard error.
+
+    Exit code 3 means that a rule was broken, that a shared quota was exceeded, or that a node reported a
+    wrong range for the use of a shared quota. Exit code 4 means that the run is void: the load test itself
+    started clients too late, so its figures are not reliable.
+
+    \u0008
     Example:
       python -m larchlatch load scenarios/eight.toml --seed 7
     """
-    # Imported only to run the command: the list of commands in `--help` must not load the load test.
+    # Imported only when the command runs: listing the commands for `--help` must not import the load test.
     from larchlatch.loadtest.errors import LoadTestError
     from larchlatch.loadtest.limits import check_address, check_playable
     from larchlatch.loadtest.run import run_load_test
@@ -52,22 +61,27 @@
     for line in (*violations, *describe_cluster_figures(result)):
         click.echo(line, err=True)
     broken = any(result["broken"].values()) or is_overspent(result)
-    click.echo("a rule was broken" if broken else "rules kept", err=True)
+    click.echo(
+        "a rule was broken: see `broken`, `over_budget` and `outside` in the row"
+        if broken
+        else "no rule was broken",
+        err=True,
+    )
     if result["void"]:
-        click.echo("void: this tool itself was too late for its figures to be trusted", err=True)
+        click.echo("void: the load test started clients too late, so its figures are not reliable", err=True)
         sys.exit(EXIT_VOID)
     if broken:
         sys.exit(EXIT_RULE_BROKEN)
 
 
 def describe_cluster_figures(result: dict[str, Any]) -> list[str]:
-    """Return a line on the nodes' agreement and one on shared quotas, where the scenario has them."""
+    """Return a line on the nodes' agreement and one on the shared quota, as far as the result has them."""
     lines = []
     if "agreed_s" in result:
         agreed_s = result["agreed_s"]
-        took = "they did not agree" if agreed_s is None else f"{agreed_s:.1f} s at the longest"
-        lines.append(f"nodes, after each fault and its end, until all agreed on who is there: {took}")
+        took = "no agreement at the end" if agreed_s is None else f"{agreed_s:.1f} s at most"
+        lines.append(f"time until all nodes agreed on the members, after each fault and its end: {took}")
     if "over_budget" in result:
-        used = f"{result['budget_used']:.2f} of what could be used was"
-        lines.append(f"shared budget: {used}, {result['over_budget']} links over it")
+        used = f"{result['budget_used']:.2f} of the usable quota was used"
+        lines.append(f"shared quota: {used}, largest excess in a window: {result['over_budget']} sessions")
     return lines
--- a/larchlatch/cli/main.py
+++ b/larchlatch/cli/main.py
@@ -15,9 +15,9 @@
 
 
 class LazyGroup(click.Group):
-    """A group that imports the commands of the tools only when they are called.
+    """A command group that imports the commands of the tools only when they are called.
 
-    A node must start fast and use no memory for the tools, and their packages need not be installed with it.
+    A node must start fast and use no memory for the tools, whose packages need not be installed with a node.
     """
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -25,13 +25,13 @@
         return [*super().list_commands(ctx), *TOOL_COMMANDS]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of that name; None where there is none."""
+        """Return the command of that name; None if there is none."""
         if cmd_name in TOOL_COMMANDS:
             return load_tool_command(cmd_name)
         return super().get_command(ctx, cmd_name)
 
     def invoke(self, ctx: click.Context) -> object:
-        """Run a command; wrong input ends it with one line on standard error and exit code 2."""
+        """Run a command; invalid input ends it with one line on standard error and exit code 2."""
         try:
             return super().invoke(ctx)
         except InvalidInputError as error:
@@ -41,7 +41,7 @@
 
 @click.group(cls=LazyGroup)
 def cli() -> None:
-    """A balancer for long-lived connections."""
+    """A balancer for long-lived client connections."""
 
 
 for command in (serve, check, cluster_key, version):
--- a/larchlatch/cli/scenario_options.py
+++ b/larchlatch/cli/scenario_options.py
@@ -1,4 +1,4 @@
-"""Options, exit codes and output that the commands playing a scenario share."""
+"""Options, exit codes and output that all commands which play a scenario share."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     from larchlatch.scenario.scenario import Scenario
 
 EXIT_RULE_BROKEN = 3
-EXIT_VOID = 4  # the tool itself was late, so that its figures don't count
+EXIT_VOID = 4  # the load test itself was late, so its figures are not reliable
 
 MAX_DRAWN_FAULTS = 1000
 
@@ -26,28 +26,28 @@
     "changes",
     multiple=True,
     metavar="KEY=VALUE",
-    help="Replace a value of the scenario file, as `links.rate=40`.",
+    help="Replace a value of the scenario file, for example `links.rate=40`; may be repeated.",
 )
-SEED = click.option("--seed", type=int, help="Use this seed instead of the scenario's.")
+SEED = click.option("--seed", type=int, help="The seed to use instead of that of the scenario file.")
 DRAW = click.option(
     "--draw",
     type=click.IntRange(0, MAX_DRAWN_FAULTS),
     default=0,
-    help="Add this many random faults, drawn from the seed.",
+    help="Add this many faults at random, determined by the seed.",
 )
 
 
 def read_scenario(path: Path, changes: tuple[str, ...], seed: int | None, draw: int) -> Scenario:
-    """Return the scenario of a file.
+    """Return the scenario that a file describes, with changes.
 
     Args:
-        path: The file.
-        changes: `KEY=VALUE`, each another value of the file.
-        seed: Another seed than the file's.
-        draw: How many faults to draw in addition.
+        path: The scenario file.
+        changes: Texts of the form `KEY=VALUE`; each replaces a value of the file.
+        seed: Replaces the seed of the file; None keeps it.
+        draw: The number of faults to add at random.
 
     Raises:
-        InvalidInputError: The file or a change is wrong.
+        InvalidInputError: The file or a change is not valid.
 
     """
     values = {key: alternatives[0] for key, alternatives in map(parse_variation, changes)}
@@ -57,10 +57,10 @@
 
 
 def result_line(result: dict[str, Any]) -> str:
-    """Return a result as a line of JSON."""
+    """Return a result as one line of JSON."""
     return json.dumps(result, separators=(",", ":"))
 
 
 def is_overspent(result: dict[str, Any]) -> bool:
-    """Return whether nodes together spent more than a shared quota, or reported a false range."""
+    """Return whether nodes together exceeded a shared quota, or a node reported a wrong range for its use."""
     return bool(result.get("over_budget") or result.get("outside"))
--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -23,20 +23,25 @@
     envvar="EDGE_CONFIG",
     required=True,
     type=click.Path(path_type=Path),
-    help="The configuration, a JSON file.  [env: EDGE_CONFIG]",
+    help="The configuration of the node, a JSON file.  [env: EDGE_CONFIG]",
+)
+@click.option("--verbose", is_flag=True, help="Also log the events of individual sessions.")
+@click.option(
+    "--cluster", type=click.Path(path_type=Path), help="The cluster file, in TOML; requires --cluster-key."
 )
-@click.option("--verbose", is_flag=True, help="Also log what happens to single sessions.")
-@click.option("--cluster", type=click.Path(path_type=Path), help="The cluster file, in TOML.")
 @click.option(
     "--cluster-key",
     envvar="LARCHLATCH_CLUSTER_KEY",
     type=click.Path(path_type=Path),
-    help="This node's secret key, written by `cluster-key`.  [env: LARCHLATCH_CLUSTER_KEY]",
+    help="The file with this node's secret key, written by `cluster-key`.  [env: LARCHLATCH_CLUSTER_KEY]",
 )
 def serve(*, config: Path, verbose: bool, cluster: Path | None, cluster_key: Path | None) -> None:
-    r"""Run one node until SIGTERM; SIGHUP rereads its configuration, SIGUSR1 logs its counters.
+    """Run one node until SIGTERM or SIGINT.
+
+    SIGHUP makes the node read its configuration and its cluster file again; SIGUSR1 makes it log its
+    counters and its state.
 
-    \b
+    \u0008
     Example:
       python -m larchlatch serve --config node.json
     """
@@ -47,7 +52,7 @@
 
 
 def configure_log(*, verbose: bool) -> None:
-    """Log to standard output, one line of JSON for each event."""
+    """Configure the log: one line of JSON per event, on standard output."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
@@ -61,23 +66,24 @@
 
 
 def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> ClusterFactory:
-    """Return a factory that makes the node's part in its cluster once the node runs.
+    """Return a factory of the cluster service, which the node calls when it starts.
 
-    The cluster file and the key are read now, so that a fault in them prevents the start.
+    The cluster file and the key are read now, so that the node does not start if one of them is not valid.
 
     Raises:
-        click.UsageError: No key was named.
-        InvalidInputError: The file or the key is wrong, or they do not match each other or the configuration.
+        click.UsageError: The option for the key is missing.
+        InvalidInputError: The cluster file or the key is not valid, or they do not match each other or the
+            configuration.
 
     """
-    # A node without a cluster must not load this package.
+    # Imported only here: a node without a cluster must not load this package.
     from larchlatch.cluster.cluster_file import check_traffic_classes, read_cluster_file
     from larchlatch.cluster.keys import own_signer, read_secret
     from larchlatch.cluster.local_node import LocalNode
     from larchlatch.cluster.service import ClusterService
 
     if key_path is None:
-        raise click.UsageError("--cluster wants '--cluster-key' as well")
+        raise click.UsageError("Missing option '--cluster-key': it is required with '--cluster'.")
     name, traffic_classes = configuration.name, configuration.traffic_class_names
     cluster = read_cluster_file(path)
     signer = own_signer(cluster, name, read_secret(key_path))
--- a/larchlatch/cli/tools.py
+++ b/larchlatch/cli/tools.py
@@ -1,4 +1,4 @@
-"""The commands of the tools for trying designs, imported only when one of them is called."""
+"""The commands of the emulator, the load test and the model checker, imported only when one is called."""
 
 from __future__ import annotations
 
@@ -17,20 +17,22 @@
 
 
 def load_tool_command(name: str) -> click.Command:
-    """Return a command of the tools, importing its module.
+    """Import the module of a tool command, and return the command.
 
     Raises:
-        click.ClickException: A package that the tools need is not installed.
+        click.ClickException: A package that the tools require is not installed.
 
     """
     try:
         module = import_module(TOOL_COMMANDS[name])
     except ModuleNotFoundError as error:
-        # A module of larchlatch that is missing is a fault of the program, not of the installation.
+        # A missing module of larchlatch itself is a fault of the program, which must not be reported as a
+        # missing package.
         if (error.name or "").startswith("larchlatch"):
             raise
         raise click.ClickException(
-            f"{name} wants {error.name}: pip install -r requirements-tools.txt"
+            f"{name} requires the package {error.name}, which is not installed: "
+            "run pip install -r requirements-tools.txt"
         ) from None
     command: click.Command = getattr(module, name)
     return command
--- a/larchlatch/simulator_adapter/__init__.py
+++ b/larchlatch/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that plays nodes on the simulator's wire; it decides nothing."""
+"""The adapter that connects nodes to the simulator; all decisions are made by their balancers."""
--- a/larchlatch/simulator_adapter/main.py
+++ b/larchlatch/simulator_adapter/main.py
@@ -1,4 +1,7 @@
-"""The adapter's process: batches of messages on standard input, a reply for each on standard output."""
+"""The adapter's process, which reads batches of messages from standard input and writes a reply to each.
+
+A batch and its reply are one line of JSON each. Replies go to standard output, errors to standard error.
+"""
 
 from __future__ import annotations
 
@@ -28,24 +31,24 @@
 
 
 class BatchProcessor:
-    """All nodes that this process plays, and the endpoint lists that messages to any of them refer to."""
+    """Processes batches of messages to all nodes of this process, which share the defined endpoint lists."""
 
     def __init__(self) -> None:
         self._instances: dict[str, NodeInstance] = {}
         self._endpoint_lists: dict[int, list[EndpointRow]] = {}
 
     def process(self, line: bytes) -> bytes:
-        """Return the reply to a batch.
+        """Return the reply to a batch, both as lines of JSON.
 
         Raises:
-            InvalidInputError: The batch is wrong; nothing can be replied to it.
+            InvalidInputError: The batch is not valid, so that there is no reply.
         """
         try:
             batch = orjson.loads(line)
         except orjson.JSONDecodeError as error:
-            raise ProtocolError("batch", f"no JSON ({error})") from None
+            raise ProtocolError("batch", f"not valid JSON ({error})") from None
         if not isinstance(batch, dict):
-            raise ProtocolError("batch", "not an object")
+            raise ProtocolError("batch", f"must be a JSON object, not {type(batch).__name__}")
         now = required(batch, "sim_time_us", int, "batch", error=ProtocolError)
         parts = required(batch, "parts", list, "batch", error=ProtocolError)
         replies = [self._process_part(now, part) for part in parts]
@@ -54,7 +57,9 @@
     def _process_part(self, now: int, part: Any) -> dict[str, Any] | None:
         """Return one node's reply to its part of a batch; None if it has no action to take."""
         if not isinstance(part, dict):
-            raise ProtocolError("batch", "a part is not an object")
+            raise ProtocolError(
+                "batch", f"each of its parts must be a JSON object, not {type(part).__name__}"
+            )
         name = required(part, "i", str, "batch: part", error=ProtocolError)
         rows = required(part, "msgs", list, "batch: part", error=ProtocolError)
         try:
@@ -62,15 +67,16 @@
         except InvalidInputError:
             raise
         except Exception as error:
-            # A fault in the decisions ends neither the process nor the other nodes, and must not be hidden.
+            # A fault of the program while one node decides must not end the process or its other nodes, but
+            # must be visible: it is logged and reported as an action.
             log.exception("%s: the decisions failed", name)
             actions = [protocol.crash_action(error)]
         return {"i": name, "actions": actions} if actions else None
 
     def _actions_of(self, now: int, name: str, rows: list[Any]) -> list[Action]:
-        """Handle the messages of a batch to one node, and return the actions that it takes.
+        """Handle the messages of a batch to one node, and return the actions that the node takes.
 
-        A node takes no action if it has been killed, or if the batch only defines endpoint lists.
+        There are no actions if the node has been killed or if the messages only define endpoint lists.
         """
         instance = None
         for row in rows:
@@ -83,7 +89,7 @@
                 self._instances.pop(name, None)
                 instance = None
             elif name not in self._instances:
-                raise ProtocolError(row[0], f"{name} has had no POWER_ON")
+                raise ProtocolError(row[0], f"node {name} has received no POWER_ON, or was killed since")
             else:
                 instance = self._instances[name]
                 instance.handle(now, message)
@@ -94,7 +100,7 @@
 
 
 def main() -> None:
-    """Reply to batches until standard input ends; a batch that is wrong ends the process with exit code 2."""
+    """Reply to batches until standard input ends; an invalid batch ends the process with exit code 2."""
     logging.basicConfig(stream=sys.stderr, level=logging.WARNING, format="larchlatch: %(message)s")
     processor = BatchProcessor()
     for line in sys.stdin.buffer:
--- a/larchlatch/simulator_adapter/messages.py
+++ b/larchlatch/simulator_adapter/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages of the simulator to a node. `protocol` makes them of the rows of the wire."""
+"""Typed messages from the simulator to a node, which `protocol` decodes from rows of JSON."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class EndpointListKind(Enum):
-    """Where an announced endpoint list comes from, and whether it is complete."""
+    """Where a received endpoint list comes from, and whether it is complete."""
 
-    CHANGES = "changes"
-    COMPLETE = "complete"
-    STORED = "stored"
+    CHANGES = "changes"  # from discovery: only the entries that have changed
+    COMPLETE = "complete"  # from discovery: all entries
+    STORED = "stored"  # all entries, as the node stored them earlier
 
 
 class NodeStarted(NamedTuple):
     """A node starts.
 
     Attributes:
-        seed: The seed of its random choices.
-        settings: The deployment's settings, not yet checked.
+        seed: The seed of the node's random source.
+        settings: The settings of the deployment, not yet checked.
     """
 
     seed: int
@@ -34,7 +34,16 @@
 
 
 class EndpointRow(NamedTuple):
-    """An upstream's entry in an endpoint list; `protocol.endpoint_state` reads the name of its state."""
+    """An upstream's entry in an endpoint list.
+
+    Attributes:
+        upstream: The name of the upstream.
+        zone: The name of its zone; None if unknown.
+        cell: The number of its cell; None if unknown.
+        state_name: The name of its state on the wire, which `protocol.endpoint_state` decodes.
+        size: Its capacity, in units of a standard upstream's capacity; None if unknown.
+        started_at: When it started, in microseconds; None if unknown.
+    """
 
     upstream: str
     zone: str | None
@@ -45,14 +54,14 @@
 
 
 class EndpointListDefined(NamedTuple):
-    """The content of a list, which later messages to any node refer to by its slot."""
+    """An endpoint list, defined under a slot number by which later messages to any node refer to it."""
 
     slot: int
     endpoints: list[EndpointRow]
 
 
 class EndpointListReceived(NamedTuple):
-    """A node has received the endpoint list that was defined under a slot."""
+    """A node has received the endpoint list that is defined under a slot."""
 
     slot: int | None
     kind: EndpointListKind
@@ -63,16 +72,16 @@
 
 
 class SessionDescription(NamedTuple):
-    """What the wire tells of a session.
+    """A session as the simulator describes it.
 
     Attributes:
-        handle: The simulator's name for it.
+        handle: The simulator's identifier of the session.
         traffic_class: The name of its traffic class.
         key: The client's key, if any.
-        group: The group that it shares work with, if any.
+        group: The group whose sessions share work on an upstream, if any.
         deadline: When its client must have its final answer, in microseconds; 0 if there is none.
-        mid_flow: Whether it was established at another node before.
-        load: The hint at its load, in microseconds of work a second; 0 if there is none.
+        mid_flow: Whether another node has handed it over after it was established.
+        load: The work that it is expected to cause, in microseconds per second; 0 if unknown.
     """
 
     handle: str
@@ -114,8 +123,8 @@
 
     Attributes:
         handle: The session's handle.
-        outcome: How it ended.
-        answered: Whether the client has its final answer by that.
+        outcome: How the attempt or the session ended.
+        answered: Whether the client has its final answer already, so that no further attempt is made.
     """
 
     handle: str
@@ -124,14 +133,14 @@
 
 
 class LoadMeasured(NamedTuple):
-    """An established session's present load, in microseconds of work a second."""
+    """The present load of an established session was measured, in microseconds of work per second."""
 
     handle: str
     load: float
 
 
 class DelayMeasured(NamedTuple):
-    """The present delay of messages at an established session's upstream, in microseconds."""
+    """The present delay of messages at an established session's upstream was measured, in microseconds."""
 
     handle: str
     delay_us: int
@@ -145,7 +154,7 @@
 
 
 class Ignored(NamedTuple):
-    """A message that the balancer has no use for."""
+    """A message that is not reported to the balancer, such as one that only wakes the node."""
 
 
 Message = (
--- a/larchlatch/simulator_adapter/node_instance.py
+++ b/larchlatch/simulator_adapter/node_instance.py
@@ -1,4 +1,4 @@
-"""One simulated node: typed messages in, calls of the balancer, actions out."""
+"""One simulated node: translates typed messages to calls of its balancer, and the answers to actions."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 if TYPE_CHECKING:
     from larchlatch.simulator_adapter.protocol import Action
 
-SETTINGS_PLACE = "POWER_ON: conf"  # as error messages name the settings
+SETTINGS_PLACE = "POWER_ON: conf"  # the place of the settings, for error messages
 
-# Unknown zones and cells have this number.
+# The number that the balancer has for an unknown zone or cell.
 UNKNOWN = -1
 
 EndpointLists = Mapping[int, Sequence[EndpointRow]]
@@ -44,15 +44,17 @@
 
 
 class NodeInstance(Driver):
-    """A balancer and the sessions of one simulated node; it shares nothing with another node.
+    """One simulated node: its balancer, its sessions, and the actions that it takes.
 
-    The simulator names sessions by handles and upstreams by names. The balancer has numbers for both.
+    The simulator identifies sessions by handles and upstreams by names, the balancer both by numbers; this
+    class translates between them. Nodes share only the endpoint lists, which they do not change.
 
     Attributes:
+        balancer: The balancer that decides for this node.
         actions: The actions of the current batch, in order.
 
     Raises:
-        InvalidInputError: The settings are wrong.
+        InvalidInputError: The settings are not valid.
     """
 
     def __init__(self, start: NodeStarted, endpoint_lists: EndpointLists) -> None:
@@ -85,15 +87,18 @@
         }
 
     def handle(self, now: int, message: Message) -> None:
-        """Pass a message on to the balancer and carry its answer out.
+        """Report a message to the balancer and execute the balancer's answer.
 
         Raises:
-            ProtocolError: The message names something that does not exist.
+            ProtocolError: The message refers to an endpoint list, a traffic class or a state that is unknown.
         """
         self._handlers[type(message)](now, message)
 
     def due(self, now: int) -> int:
-        """Carry out what has fallen due after a batch's messages, and ask to be woken for the rest."""
+        """Execute the actions that are due after the messages of a batch, and ask to be woken for later ones.
+
+        There is no new request if an earlier one wakes the node in time.
+        """
         wake = super().due(now)
         if wake < self._wake_at or self._wake_at <= now:
             self._wake_at = max(wake, now + 1)
@@ -101,14 +106,14 @@
         return wake
 
     def take_actions(self) -> list[Action]:
-        """Return the actions of the batch, and begin an empty list for the next one."""
+        """Return the actions of the current batch, and start an empty list for the next one."""
         actions, self.actions = self.actions, []
         return actions
 
-    # The balancer's answers, as the driver carries them out.
+    # Answers of the balancer, which the base class executes by calling these methods.
 
     def session(self, number: int) -> Session | None:
-        """Return the session of this number; None if it is over."""
+        """Return the session with this number; None if it has ended."""
         handle = self._handles.get(number)
         return None if handle is None else self._sessions[handle]
 
@@ -118,13 +123,13 @@
         self.actions.append(protocol.attempt_action(handle, self._upstream_names[upstream], until))
 
     def shed(self, now: int, session: Session, retry_after_us: int) -> None:
-        """Answer that nothing has run, and advise when to try again; 0 for no advice."""
+        """Answer the client that nothing has run, with an advised wait before it retries; 0 for no advice."""
         handle = self._handles[session.number]
         self.actions.append(protocol.shed_action(handle, retry_after_us))
         self._forget_session(handle)
 
     def fail(self, now: int, session: Session) -> None:
-        """Answer without a promise: an attempt may have run."""
+        """Answer the client that the session failed and that an attempt may have run."""
         handle = self._handles[session.number]
         self.actions.append(protocol.fail_action(handle))
         self._forget_session(handle)
@@ -147,12 +152,12 @@
         """Poll the endpoint list."""
         self.actions.append(protocol.poll_endpoints_action())
 
-    # Messages of the simulator, one handler each.
+    # Handlers of the simulator's messages, one for each type.
 
     def _endpoint_list_received(self, now: int, message: EndpointListReceived) -> None:
         rows = None if message.slot is None else self._endpoint_lists.get(message.slot)
         if rows is None:
-            raise ProtocolError("TOPOLOGY", f"slot {message.slot} names no INVENTORY")
+            raise ProtocolError("TOPOLOGY", f"slot {message.slot} has not been defined by an INVENTORY")
         self.balancer.update_endpoints(
             now,
             [self._endpoint(row) for row in rows],
@@ -208,12 +213,15 @@
     def _ignored(self, now: int, message: Ignored) -> None:
         pass
 
-    # Sessions and upstreams by handle, name and number.
+    # Translation of handles and names to the sessions, numbers and endpoints of the balancer.
 
     def _add_session(self, description: SessionDescription) -> Session:
         name = description.traffic_class
         if name not in self._traffic_classes:
-            raise ProtocolError("ASK", f"grade names no tariff of the settings ({name!r})")
+            raise ProtocolError(
+                "ASK or EXISTING",
+                f"grade: unknown traffic class {name!r}, expected one of {', '.join(self._traffic_classes)}",
+            )
         session = Session(
             self._session_count,
             self._traffic_classes[name],
--- a/larchlatch/simulator_adapter/protocol.py
+++ b/larchlatch/simulator_adapter/protocol.py
@@ -1,7 +1,8 @@
-"""The simulator's wire: rows of JSON in the users' names, to and from typed messages.
+"""The simulator's wire protocol: decodes rows of JSON to typed messages, and encodes actions.
 
-No other module knows the names of the wire. A row is checked against its fields first, then turned into a
-message. A row that ends early has None for the rest; further values at its end are ignored.
+Only this module and the envelope of a batch in `main` use the names of the wire. A row is an array: the name
+of its message, then the values of its fields. It is checked against its fields before it is decoded. Fields
+that are left off at the end of a row are None; surplus values at its end are ignored.
 """
 
 from __future__ import annotations
@@ -57,18 +58,18 @@
     "disk": EndpointListKind.STORED,
 }
 
-# Bits of a session's flags.
-LOAD_HINT_VALID = 1
-MID_FLOW = 8
+# Bits of the flags of a session.
+LOAD_HINT_VALID = 1  # the load hint applies
+MID_FLOW = 8  # another node has handed the session over after it was established
 
-# Kinds of a measurement on an established session.
-LOAD_MEASUREMENT = 1
-DELAY_MEASUREMENT = 2
+# Kinds of measurements of an established session.
+LOAD_MEASUREMENT = 1  # in microseconds of work per second
+DELAY_MEASUREMENT = 2  # in milliseconds
 
 MICROSECONDS_PER_MILLISECOND = 1000
 
 
-# One action of a reply, as the wire has it.
+# One action in a reply: the name of the action, then its values.
 Action = list[str | int | bool]
 
 Kind = type | tuple[type, ...]
@@ -76,14 +77,14 @@
 
 
 class Field(NamedTuple):
-    """A field of a row: its name in error messages and the types that its value may have."""
+    """A field of a row: its name, for error messages, and the type or types that its value may have."""
 
     name: str
     kind: Kind
 
 
 class Form(NamedTuple):
-    """How the rows of one message are read: their fields in order, and what makes the message of them."""
+    """The format of one message: the fields of its row in order, and the function that decodes them."""
 
     fields: tuple[Field, ...]
     decode: Callable[[Row], Message]
@@ -107,40 +108,49 @@
 
 
 def checked_row(row: Any, fields: tuple[Field, ...], where: str) -> Row:
-    """Return a row's values, with None for those left off at its end.
+    """Return the values of a row, with None for fields that are left off at its end.
+
+    Args:
+        row: The row, without the name of its message.
+        fields: The fields that the row must have.
+        where: The place of the row, for error messages.
 
     Raises:
-        ProtocolError: The row is no array, or a value has a type that its field may not have.
+        ProtocolError: The row is not an array, or a value has a type that its field may not have.
     """
     if not isinstance(row, list):
-        raise ProtocolError(where, "not an array")
+        raise ProtocolError(where, f"must be an array, not {type(row).__name__}")
     values = row[: len(fields)] + [None] * (len(fields) - len(row))
     for value, (name, kind) in zip(values, fields, strict=True):
         if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
             problem = "is missing" if value is None else f"has the wrong type ({type(value).__name__})"
-            raise ProtocolError(where, f"{name} {problem}")
+            raise ProtocolError(
+                where,
+                f"{name} {problem}, expected "
+                + " or ".join(allowed.__name__ for allowed in (kind if isinstance(kind, tuple) else (kind,))),
+            )
     return values
 
 
 def decode_message(raw: Any) -> Message:
-    """Return the typed message of a row.
+    """Return the typed message that a row encodes.
 
     Raises:
-        ProtocolError: The row is no message of the wire, or one of its values is wrong.
+        ProtocolError: The row is not a message of the wire protocol, or one of its values is not valid.
     """
     if not isinstance(raw, list) or not raw or not isinstance(raw[0], str):
-        raise ProtocolError("message", "not an array that opens with a name")
+        raise ProtocolError("message", "must be an array that begins with the name of a message")
     form = FORMS.get(raw[0])
     if form is None:
-        raise ProtocolError("message", f"unknown name {raw[0]!r}")
+        raise ProtocolError("message", f"unknown name {raw[0]!r}, expected one of {', '.join(FORMS)}")
     return form.decode(checked_row(raw[1:], form.fields, raw[0]))
 
 
 def endpoint_state(row: EndpointRow) -> EndpointState:
-    """Return the state that an entry names; a wrong one only matters when its list is used.
+    """Return the state of an endpoint list's entry, which is checked only when a node receives the list.
 
     Raises:
-        ProtocolError: The wire knows no such state.
+        ProtocolError: The name of the state is unknown.
     """
     return one_of(row.state_name, ENDPOINT_STATES, "INVENTORY: lifecycle", error=ProtocolError)
 
@@ -174,7 +184,9 @@
     if mode == "error":
         return DiscoveryFailed()
     if mode not in ENDPOINT_LIST_KINDS:
-        raise ProtocolError("TOPOLOGY", f"unknown mode {mode!r}")
+        raise ProtocolError(
+            "TOPOLOGY", f"unknown mode {mode!r}, expected one of {', '.join(ENDPOINT_LIST_KINDS)}, error"
+        )
     return EndpointListReceived(slot, ENDPOINT_LIST_KINDS[mode])
 
 
@@ -322,12 +334,12 @@
 
 
 def attempt_action(handle: str, upstream: str, give_up_at: int) -> Action:
-    """Return the action that sends a session's attempt to an upstream, to be given up at a time."""
+    """Return the action that sends a session's attempt to an upstream, and the time at which it times out."""
     return ["TRANSMIT", handle, upstream, give_up_at]
 
 
 def shed_action(handle: str, retry_after_us: int) -> Action:
-    """Return the action that sheds a session, with when to come back; 0 for no advice."""
+    """Return the action that sheds a session and advises when its client may retry; 0 for no advice."""
     return ["PUSH_BACK", handle, retry_after_us]
 
 
@@ -347,7 +359,7 @@
 
 
 def cancel_action(handle: str, attempt: int) -> Action:
-    """Return the action that cancels a session's attempt, counted from 0."""
+    """Return the action that cancels a session's attempt; attempts are numbered from 0."""
     return ["REVOKE", handle, attempt]
 
 
@@ -357,10 +369,10 @@
 
 
 def wake_action(delay_us: int) -> Action:
-    """Return the action that has the node woken after a time."""
+    """Return the action that asks the simulator to wake the node after a delay."""
     return ["WAKE_ME", delay_us, 0]
 
 
 def crash_action(error: Exception) -> Action:
-    """Return the action that reports a fault of the program in place of a decision."""
+    """Return the action that reports an unexpected exception in place of a node's decisions."""
     return ["CRASH", f"{type(error).__name__}: {error}"]
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what it imports when, and how it reports wrong input."""
+"""Tests of the command line: what it imports when, and how it reports invalid input."""
 
 from __future__ import annotations
 
@@ -17,6 +17,7 @@
 
 
 def test_all_commands_are_listed() -> None:
+    """A command of the tools that is missing in `TOOL_COMMANDS` could not be called."""
     result = CliRunner().invoke(cli, ["--help"])
     assert result.exit_code == 0
     for name in ("check", "cluster-key", "emulate", "load", "plot", "search", "serve", "sweep", "version"):
@@ -26,11 +27,13 @@
 
 @pytest.mark.parametrize("name", TOOL_COMMANDS)
 def test_a_command_of_the_tools_is_found_by_its_name(name: str) -> None:
+    """A wrong module in `TOOL_COMMANDS` would show only when the command is called."""
     assert load_tool_command(name).name == name
 
 
 @pytest.mark.parametrize("options", [["check"], ["serve"]])
 def test_wrong_input_ends_a_command_with_one_line_and_exit_code_2(options: list[str], tmp_path: Path) -> None:
+    """An operator who names a wrong file would see a traceback if the error were not caught."""
     result = CliRunner().invoke(cli, [*options, "--config", str(tmp_path / "none")])
     assert result.exit_code == EXIT_INVALID_INPUT == 2
     assert result.stderr.startswith("larchlatch: configuration: can't be read (")
@@ -39,6 +42,11 @@
 
 @pytest.mark.parametrize("missing", ["numpy", "larchlatch.scenario"])
 def test_a_package_that_the_tools_lack_is_named(missing: str, monkeypatch: pytest.MonkeyPatch) -> None:
+    """A tool without its package must say what to install; a missing module of larchlatch must be raised.
+
+    Reported as a missing package, a module that is missing by mistake would send the user to pip in vain.
+    """
+
     def import_module(name: str) -> ModuleType:
         raise ModuleNotFoundError(f"No module named {missing!r}", name=missing)
 
@@ -47,4 +55,7 @@
     expected: Any = ModuleNotFoundError if own else click.ClickException
     with pytest.raises(expected) as caught:
         load_tool_command("emulate")
-    assert own or "emulate wants numpy: pip install -r requirements-tools.txt" in str(caught.value)
+    assert own or (
+        "emulate requires the package numpy, which is not installed: "
+        "run pip install -r requirements-tools.txt"
+    ) in str(caught.value)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -98,7 +98,7 @@
         result = CliRunner().invoke(cli, ["check", "--config", str(path)])
         return result.exit_code, result.output
 
-    assert checked({}) == (0, "n0: in order; 1 hosts known, 3 tariffs, 2 zones\n")
+    assert checked({}) == (0, "n0: valid; 1 known upstreams, 3 traffic classes, 2 zones\n")
     known = {"revision": 1, "complete": True, "members": [endpoint_row(0, "nowhere")]}
     for change, key in (
         ({"listen": "here"}, "listen"),
--- a/tests/simulator_adapter/test_adapter.py
+++ b/tests/simulator_adapter/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the simulator's wire: batches in, replies out, and what becomes of wrong input."""
+"""Tests of the simulator adapter: decoding of batches, the replies to them, and errors on invalid input."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def reply_to(processor: BatchProcessor, *messages: list[Any], now: int = NOW_US) -> list[list[Any]]:
-    """Return the actions of the node n0 after these messages, without its requests to be woken."""
+    """Return the actions of node n0 in reply to these messages, except its requests to be woken."""
     batch = {"sim_time_us": now, "parts": [{"i": "n0", "msgs": list(messages)}]}
     parts: list[dict[str, Any]] = orjson.loads(processor.process(orjson.dumps(batch)))["parts"]
     return [action for part in parts for action in part["actions"] if action[0] != "WAKE_ME"]
@@ -51,6 +51,7 @@
 
 
 def test_rejected_attempt_is_repeated_until_it_establishes_the_session() -> None:
+    """A session would be lost if the outcome of its attempt did not lead to a further attempt."""
     processor = BatchProcessor()
     [[_, _, upstream, _]] = reply_to(processor, START, *LIST, REQUEST)
     rejected = ["ATTEMPT_END", "q1", 0, upstream, "no_room", 100, False, None]
@@ -63,6 +64,7 @@
 
 
 def test_messages_on_a_session_that_is_over_are_ignored() -> None:
+    """Messages that were under way when the client left would otherwise refer to an unknown session."""
     processor = BatchProcessor()
     [[_, _, upstream, _]] = reply_to(processor, START, *LIST, REQUEST)
     late = [
@@ -75,13 +77,15 @@
 
 
 def test_killed_node_takes_no_action_and_needs_a_new_start() -> None:
+    """A node that was killed in the same batch would otherwise act on the messages before that."""
     processor = BatchProcessor()
     assert reply_to(processor, START, *LIST, REQUEST, ["KILLED"]) == []
-    with pytest.raises(ProtocolError, match="ASK: n0 has had no POWER_ON"):
+    with pytest.raises(ProtocolError, match="ASK: node n0 has received no POWER_ON, or was killed since"):
         reply_to(processor, REQUEST)
 
 
 def test_endpoint_list_serves_all_nodes_of_the_process() -> None:
+    """The simulator defines a list in the messages to one node; the others would lack it if kept by node."""
     processor = BatchProcessor()
     defined = {"sim_time_us": NOW_US, "parts": [{"i": "n1", "msgs": [START, LIST[0]]}]}
     processor.process(orjson.dumps(defined))
@@ -89,6 +93,7 @@
 
 
 def test_fault_in_the_decisions_is_reported_and_the_process_goes_on() -> None:
+    """An exception in the decisions of one node would otherwise end the other nodes of the process too."""
     processor = BatchProcessor()
     probe_of_unlisted = ["ECHO", "pass", 100, "h7", None]
     assert reply_to(processor, START, *LIST, probe_of_unlisted)[0][0] == "CRASH"
@@ -131,6 +136,7 @@
 
 
 def test_state_of_an_entry_is_checked_when_the_list_is_used() -> None:
+    """A list with an unknown state would otherwise end the process even if no node receives it."""
     draining = EndpointRow("h0", None, None, "DRAINING", None, None)
     assert endpoint_state(draining) is EndpointState.DRAINING
     processor = BatchProcessor()
@@ -143,24 +149,34 @@
 @pytest.mark.parametrize(
     ("line", "complaint"),
     [
-        (b"nonsense", "batch: no JSON"),
-        (b"[]", "batch: not an object"),
+        (b"nonsense", "batch: not valid JSON ("),
+        (b"[]", "batch: must be a JSON object, not list"),
         (b'{"parts":[]}', "batch: sim_time_us is missing"),
         (b'{"sim_time_us":1,"parts":[{"i":"a"}]}', "batch: part: msgs is missing"),
         (
             b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[[]]}]}',
-            "message: not an array that opens with a name",
+            "message: must be an array that begins with the name of a message",
+        ),
+        (
+            b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["NOPE"]]}]}',
+            "message: unknown name 'NOPE', expected one of POWER_ON, KILLED, ",
+        ),
+        (
+            b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["ASK",1]]}]}',
+            "ASK: handle has the wrong type (int), expected str",
+        ),
+        (
+            b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["ASK","q"]]}]}',
+            "ASK: grade is missing, expected str",
         ),
-        (b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["NOPE"]]}]}', "message: unknown name 'NOPE'"),
-        (b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["ASK",1]]}]}', "ASK: handle has the wrong type (int)"),
-        (b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["ASK","q"]]}]}', "ASK: grade is missing"),
         (
             b'{"sim_time_us":1,"parts":[{"i":"a","msgs":[["TOPOLOGY",1,"new"]]}]}',
-            "TOPOLOGY: unknown mode 'new'",
+            "TOPOLOGY: unknown mode 'new', expected one of diff, snapshot, disk, error",
         ),
     ],
 )
 def test_wrong_batch_ends_the_process_with_one_line(line: bytes, complaint: str) -> None:
+    """An invalid batch would otherwise end the process with a traceback that does not name the wrong key."""
     command = [sys.executable, "-B", "-m", "larchlatch.simulator_adapter"]
     ended = subprocess.run(command, input=line + b"\n", capture_output=True)
     assert ended.returncode == 2
