--- a/larchlatch/cli/emulator.py
+++ b/larchlatch/cli/emulator.py
@@ -16,9 +16,9 @@
     EXIT_RULE_BROKEN,
     SCENARIO,
     SEED,
-    is_overspent,
     read_scenario,
     result_line,
+    violates_quota,
 )
 from larchlatch.emulator import sweep as sweeps
 from larchlatch.emulator.baselines import POLICIES
@@ -58,14 +58,14 @@
       python -m larchlatch emulate scenarios/hosts.toml --seed 7 --set links.rate=40
     """
     scenario = read_scenario(day, changes, seed, draw)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     simulation, result = play_scenario(scenario, policy, trace)
-    elapsed_s = time.perf_counter() - began
+    elapsed_s = time.perf_counter() - started_at
     click.echo(result_line({"day": scenario.name, "policy": policy, "seed": scenario.seed, **result}))
     for violation in simulation.context.rules.descriptions:
         click.echo(violation, err=True)
     click.echo(f"{result['events'] / elapsed_s:.0f} events per second", err=True)
-    if not simulation.context.rules.all_hold or is_overspent(result):
+    if not simulation.context.rules.all_hold or violates_quota(result):
         sys.exit(EXIT_RULE_BROKEN)
 
 
@@ -193,19 +193,19 @@
 
     sound = (*SOUND_CASES, *(DEEP_CASES if deep else ()))
     planted = (*PLANTED_FAULTS, *(DEEP_PLANTED_FAULTS if deep else ()))
-    wrong = False
+    has_unexpected_result = False
     for case in (*sound, *planted):
-        began = time.perf_counter()
-        found = search_case(case, most)
-        elapsed_s = time.perf_counter() - began
-        extent = "whole" if found.complete else "first part"
+        started_at = time.perf_counter()
+        result = search_case(case, most)
+        elapsed_s = time.perf_counter() - started_at
+        extent = "whole" if result.complete else "first part"
         click.echo(
-            f"{case.name}: {found.states} states, depth {found.depth}, "
+            f"{case.name}: {result.states} states, depth {result.depth}, "
             f"the {extent} of the state space, {elapsed_s:.1f} s"
         )
-        for number, step in enumerate(found.trace or (), 1):
+        for number, step in enumerate(result.trace or (), 1):
             click.echo(f"  {number}. {step}")
         # A trace leads to a violation: sound rules must have none, and a planted fault must have one.
-        wrong |= (found.trace is None) is (case in planted)
-    if wrong:
+        has_unexpected_result |= (result.trace is None) is (case in planted)
+    if has_unexpected_result:
         sys.exit(EXIT_RULE_BROKEN)
--- a/larchlatch/cli/load.py
+++ b/larchlatch/cli/load.py
@@ -14,9 +14,9 @@
     EXIT_VOID,
     SCENARIO,
     SEED,
-    is_overspent,
     read_scenario,
     result_line,
+    violates_quota,
 )
 
 if TYPE_CHECKING:
@@ -60,7 +60,7 @@
     click.echo(result_line({"day": scenario.name, "policy": "sockets", "seed": scenario.seed, **result}))
     for line in (*violations, *describe_cluster_figures(result)):
         click.echo(line, err=True)
-    broken = any(result["broken"].values()) or is_overspent(result)
+    broken = any(result["broken"].values()) or violates_quota(result)
     click.echo(
         "a rule was broken: see `broken`, `over_budget` and `outside` in the row"
         if broken
@@ -79,8 +79,8 @@
     lines = []
     if "agreed_s" in result:
         agreed_s = result["agreed_s"]
-        took = "no agreement at the end" if agreed_s is None else f"{agreed_s:.1f} s at most"
-        lines.append(f"time until all nodes agreed on the members, after each fault and its end: {took}")
+        agreement = "no agreement at the end" if agreed_s is None else f"{agreed_s:.1f} s at most"
+        lines.append(f"time until all nodes agreed on the members, after each fault and its end: {agreement}")
     if "over_budget" in result:
         used = f"{result['budget_used']:.2f} of the usable quota was used"
         lines.append(f"shared quota: {used}, largest excess in a window: {result['over_budget']} sessions")
--- a/larchlatch/cli/scenario_options.py
+++ b/larchlatch/cli/scenario_options.py
@@ -61,6 +61,6 @@
     return json.dumps(result, separators=(",", ":"))
 
 
-def is_overspent(result: dict[str, Any]) -> bool:
+def violates_quota(result: dict[str, Any]) -> bool:
     """Return whether nodes together exceeded a shared quota, or a node reported a wrong range for its use."""
     return bool(result.get("over_budget") or result.get("outside"))
--- a/larchlatch/cli/serve.py
+++ b/larchlatch/cli/serve.py
@@ -46,9 +46,9 @@
       python -m larchlatch serve --config node.json
     """
     configuration = read_node_configuration(config)
-    join = None if cluster is None else prepare_join(configuration, cluster, cluster_key)
+    cluster_factory = None if cluster is None else make_cluster_factory(configuration, cluster, cluster_key)
     configure_log(verbose=verbose)
-    anyio.run(run_node, configuration, config, join, backend_options={"use_uvloop": True})
+    anyio.run(run_node, configuration, config, cluster_factory, backend_options={"use_uvloop": True})
 
 
 def configure_log(*, verbose: bool) -> None:
@@ -65,7 +65,9 @@
     )
 
 
-def prepare_join(configuration: NodeConfiguration, path: Path, key_path: Path | None) -> ClusterFactory:
+def make_cluster_factory(
+    configuration: NodeConfiguration, path: Path, key_path: Path | None
+) -> ClusterFactory:
     """Return a factory of the cluster service, which the node calls when it starts.
 
     The cluster file and the key are read now, so that the node does not start if one of them is not valid.
--- a/larchlatch/simulator_adapter/main.py
+++ b/larchlatch/simulator_adapter/main.py
@@ -63,7 +63,7 @@
         name = required(part, "i", str, "batch: part", error=ProtocolError)
         rows = required(part, "msgs", list, "batch: part", error=ProtocolError)
         try:
-            actions = self._actions_of(now, name, rows)
+            actions = self._handle_messages(now, name, rows)
         except InvalidInputError:
             raise
         except Exception as error:
@@ -73,7 +73,7 @@
             actions = [protocol.crash_action(error)]
         return {"i": name, "actions": actions} if actions else None
 
-    def _actions_of(self, now: int, name: str, rows: list[Any]) -> list[Action]:
+    def _handle_messages(self, now: int, name: str, rows: list[Any]) -> list[Action]:
         """Handle the messages of a batch to one node, and return the actions that the node takes.
 
         There are no actions if the node has been killed or if the messages only define endpoint lists.
--- a/larchlatch/simulator_adapter/protocol.py
+++ b/larchlatch/simulator_adapter/protocol.py
@@ -83,7 +83,7 @@
     kind: Kind
 
 
-class Form(NamedTuple):
+class MessageFormat(NamedTuple):
     """The format of one message: the fields of its row in order, and the function that decodes them."""
 
     fields: tuple[Field, ...]
@@ -140,10 +140,12 @@
     """
     if not isinstance(raw, list) or not raw or not isinstance(raw[0], str):
         raise ProtocolError("message", "must be an array that begins with the name of a message")
-    form = FORMS.get(raw[0])
-    if form is None:
-        raise ProtocolError("message", f"unknown name {raw[0]!r}, expected one of {', '.join(FORMS)}")
-    return form.decode(checked_row(raw[1:], form.fields, raw[0]))
+    message_format = MESSAGE_FORMATS.get(raw[0])
+    if message_format is None:
+        raise ProtocolError(
+            "message", f"unknown name {raw[0]!r}, expected one of {', '.join(MESSAGE_FORMATS)}"
+        )
+    return message_format.decode(checked_row(raw[1:], message_format.fields, raw[0]))
 
 
 def endpoint_state(row: EndpointRow) -> EndpointState:
@@ -169,12 +171,12 @@
 
 
 def _endpoint_list_defined(row: Row) -> EndpointListDefined:
-    slot, members = row
-    return EndpointListDefined(slot, [_endpoint_row(member) for member in members])
+    slot, entries = row
+    return EndpointListDefined(slot, [_endpoint_row(entry) for entry in entries])
 
 
-def _endpoint_row(member: Any) -> EndpointRow:
-    values = checked_row(member, ENDPOINT_FIELDS, "INVENTORY: members")
+def _endpoint_row(entry: Any) -> EndpointRow:
+    values = checked_row(entry, ENDPOINT_FIELDS, "INVENTORY: members")
     upstream, zone, _machine_type, cell, state_name, size, started_at = values
     return EndpointRow(upstream, zone, cell, state_name, size, started_at)
 
@@ -248,19 +250,19 @@
     return ProbeEnded(upstream, ProbeResult(outcome == Outcome.COMPLETED, utilization, sessions))
 
 
-def _optional_float(figure: Any) -> float | None:
-    return None if figure is None else float(figure)
+def _optional_float(value: Any) -> float | None:
+    return None if value is None else float(value)
 
 
-FORMS: dict[str, Form] = {
-    "POWER_ON": Form((Field("seed", int), Field("conf", dict)), _node_started),
-    "KILLED": Form((), _node_killed),
-    "INVENTORY": Form((Field("slot", int), Field("members", list)), _endpoint_list_defined),
-    "TOPOLOGY": Form(
+MESSAGE_FORMATS: dict[str, MessageFormat] = {
+    "POWER_ON": MessageFormat((Field("seed", int), Field("conf", dict)), _node_started),
+    "KILLED": MessageFormat((), _node_killed),
+    "INVENTORY": MessageFormat((Field("slot", int), Field("members", list)), _endpoint_list_defined),
+    "TOPOLOGY": MessageFormat(
         (Field("slot", OPTIONAL_INT), Field("mode", str), Field("revision", OPTIONAL_INT)),
         _endpoint_list_received,
     ),
-    "ASK": Form(
+    "ASK": MessageFormat(
         (
             Field("handle", str),
             Field("grade", str),
@@ -273,7 +275,7 @@
         ),
         _session_requested,
     ),
-    "EXISTING": Form(
+    "EXISTING": MessageFormat(
         (
             Field("handle", str),
             Field("grade", str),
@@ -287,10 +289,10 @@
         ),
         _session_inherited,
     ),
-    "CLIENT_GONE": Form((Field("handle", str),), _client_gone),
-    "WHISPER": Form((Field("author", int), Field("octets", str)), _ignored),
-    "ELAPSED": Form((Field("label", int),), _ignored),
-    "ECHO": Form(
+    "CLIENT_GONE": MessageFormat((Field("handle", str),), _client_gone),
+    "WHISPER": MessageFormat((Field("author", int), Field("octets", str)), _ignored),
+    "ELAPSED": MessageFormat((Field("label", int),), _ignored),
+    "ECHO": MessageFormat(
         (
             Field("state_code", str),
             Field("duration_us", OPTIONAL_INT),
@@ -299,7 +301,7 @@
         ),
         _probe_ended,
     ),
-    "UNDER_WAY": Form(
+    "UNDER_WAY": MessageFormat(
         (
             Field("handle", str),
             Field("duration_us", OPTIONAL_INT),
@@ -308,7 +310,7 @@
         ),
         _session_established,
     ),
-    "ATTEMPT_END": Form(
+    "ATTEMPT_END": MessageFormat(
         (
             Field("handle", str),
             Field("leg", int),
@@ -320,7 +322,7 @@
         ),
         _attempt_ended,
     ),
-    "INTERIM": Form(
+    "INTERIM": MessageFormat(
         (
             Field("handle", str),
             Field("host", str),
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -51,11 +51,11 @@
         raise ModuleNotFoundError(f"No module named {missing!r}", name=missing)
 
     monkeypatch.setattr("larchlatch.cli.tools.import_module", import_module)
-    own = missing.startswith("larchlatch")
-    expected: Any = ModuleNotFoundError if own else click.ClickException
+    is_own_module = missing.startswith("larchlatch")
+    expected: Any = ModuleNotFoundError if is_own_module else click.ClickException
     with pytest.raises(expected) as caught:
         load_tool_command("emulate")
-    assert own or (
+    assert is_own_module or (
         "emulate requires the package numpy, which is not installed: "
         "run pip install -r requirements-tools.txt"
     ) in str(caught.value)
--- a/tests/simulator_adapter/test_adapter.py
+++ b/tests/simulator_adapter/test_adapter.py
@@ -31,8 +31,8 @@
 
 NOW_US = 1_000_000
 START = ["POWER_ON", 7, node_configuration([], 1)["settings"]]
-MEMBERS = [["h0", "a", None, 1, "SERVING", 1.0, 0], ["h1", "b", None, 2, "SERVING", 1.0, 0]]
-LIST = [["INVENTORY", 0, MEMBERS], ["TOPOLOGY", 0, "snapshot", 1]]
+ENTRIES = [["h0", "a", None, 1, "SERVING", 1.0, 0], ["h1", "b", None, 2, "SERVING", 1.0, 0]]
+ENDPOINT_LIST = [["INVENTORY", 0, ENTRIES], ["TOPOLOGY", 0, "snapshot", 1]]
 REQUEST = ["ASK", "q1", "rerun", None, 5, "acme", 9, NOW_US + 3_000_000, 0]
 
 
@@ -44,7 +44,7 @@
 
 
 def test_request_is_forwarded_to_a_listed_upstream() -> None:
-    actions = reply_to(BatchProcessor(), START, *LIST, REQUEST)
+    actions = reply_to(BatchProcessor(), START, *ENDPOINT_LIST, REQUEST)
     assert [action[:2] for action in actions] == [["TRANSMIT", "q1"]]
     assert actions[0][2] in ("h0", "h1")
     assert NOW_US < actions[0][3] <= NOW_US + 3_000_000
@@ -53,7 +53,7 @@
 def test_rejected_attempt_is_repeated_until_it_establishes_the_session() -> None:
     """A session would be lost if the outcome of its attempt did not lead to a further attempt."""
     processor = BatchProcessor()
-    [[_, _, upstream, _]] = reply_to(processor, START, *LIST, REQUEST)
+    [[_, _, upstream, _]] = reply_to(processor, START, *ENDPOINT_LIST, REQUEST)
     rejected = ["ATTEMPT_END", "q1", 0, upstream, "no_room", 100, False, None]
     assert reply_to(processor, rejected, now=NOW_US + 1000) == []
     [[action, handle, second, _]] = reply_to(processor, ["ELAPSED", 0], now=NOW_US + 1_000_000)
@@ -66,20 +66,20 @@
 def test_messages_on_a_session_that_is_over_are_ignored() -> None:
     """Messages that were under way when the client left would otherwise refer to an unknown session."""
     processor = BatchProcessor()
-    [[_, _, upstream, _]] = reply_to(processor, START, *LIST, REQUEST)
-    late = [
+    [[_, _, upstream, _]] = reply_to(processor, START, *ENDPOINT_LIST, REQUEST)
+    late_messages = [
         ["UNDER_WAY", "q1", 100, upstream, 0],
         ["ATTEMPT_END", "q1", 0, upstream, "cut", 100, False, None],
         ["INTERIM", "q1", upstream, 0, 1, 2.0],
         ["CLIENT_GONE", "q1"],
     ]
-    assert reply_to(processor, ["CLIENT_GONE", "q1"], *late, now=NOW_US + 1000) == []
+    assert reply_to(processor, ["CLIENT_GONE", "q1"], *late_messages, now=NOW_US + 1000) == []
 
 
 def test_killed_node_takes_no_action_and_needs_a_new_start() -> None:
     """A node that was killed in the same batch would otherwise act on the messages before that."""
     processor = BatchProcessor()
-    assert reply_to(processor, START, *LIST, REQUEST, ["KILLED"]) == []
+    assert reply_to(processor, START, *ENDPOINT_LIST, REQUEST, ["KILLED"]) == []
     with pytest.raises(ProtocolError, match="ASK: node n0 has received no POWER_ON, or was killed since"):
         reply_to(processor, REQUEST)
 
@@ -87,16 +87,16 @@
 def test_endpoint_list_serves_all_nodes_of_the_process() -> None:
     """The simulator defines a list in the messages to one node; the others would lack it if kept by node."""
     processor = BatchProcessor()
-    defined = {"sim_time_us": NOW_US, "parts": [{"i": "n1", "msgs": [START, LIST[0]]}]}
+    defined = {"sim_time_us": NOW_US, "parts": [{"i": "n1", "msgs": [START, ENDPOINT_LIST[0]]}]}
     processor.process(orjson.dumps(defined))
-    assert reply_to(processor, START, LIST[1], REQUEST)[0][0] == "TRANSMIT"
+    assert reply_to(processor, START, ENDPOINT_LIST[1], REQUEST)[0][0] == "TRANSMIT"
 
 
 def test_fault_in_the_decisions_is_reported_and_the_process_goes_on() -> None:
     """An exception in the decisions of one node would otherwise end the other nodes of the process too."""
     processor = BatchProcessor()
     probe_of_unlisted = ["ECHO", "pass", 100, "h7", None]
-    assert reply_to(processor, START, *LIST, probe_of_unlisted)[0][0] == "CRASH"
+    assert reply_to(processor, START, *ENDPOINT_LIST, probe_of_unlisted)[0][0] == "CRASH"
     assert reply_to(processor, REQUEST)[0][0] == "TRANSMIT"
 
 
@@ -104,7 +104,7 @@
     ("row", "message"),
     [
         (
-            LIST[0],
+            ENDPOINT_LIST[0],
             EndpointListDefined(
                 0,
                 [EndpointRow("h0", "a", 1, "SERVING", 1.0, 0), EndpointRow("h1", "b", 2, "SERVING", 1.0, 0)],
@@ -140,8 +140,8 @@
     draining = EndpointRow("h0", None, None, "DRAINING", None, None)
     assert endpoint_state(draining) is EndpointState.DRAINING
     processor = BatchProcessor()
-    wrong = ["INVENTORY", 1, [["h0", None, None, None, "SLEEPING"]]]
-    assert reply_to(processor, START, wrong) == []
+    unknown_state = ["INVENTORY", 1, [["h0", None, None, None, "SLEEPING"]]]
+    assert reply_to(processor, START, unknown_state) == []
     with pytest.raises(ProtocolError, match="INVENTORY: lifecycle: unknown value 'SLEEPING'"):
         reply_to(processor, ["TOPOLOGY", 1, "snapshot", 1])
 
@@ -178,8 +178,8 @@
 def test_wrong_batch_ends_the_process_with_one_line(line: bytes, complaint: str) -> None:
     """An invalid batch would otherwise end the process with a traceback that does not name the wrong key."""
     command = [sys.executable, "-B", "-m", "larchlatch.simulator_adapter"]
-    ended = subprocess.run(command, input=line + b"\n", capture_output=True)
-    assert ended.returncode == 2
-    assert ended.stdout == b""
-    lines = ended.stderr.decode().splitlines()
+    completed = subprocess.run(command, input=line + b"\n", capture_output=True)
+    assert completed.returncode == 2
+    assert completed.stdout == b""
+    lines = completed.stderr.decode().splitlines()
     assert len(lines) == 1 and lines[0].startswith(f"larchlatch: {complaint}")
