--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -115,7 +115,7 @@
         return [node for node in self._context.nodes if node.is_alive]
 
     def role_holders(self) -> list[SimulatedNode]:
-        """Return the nodes that hold any role."""
+        """Return the nodes that hold at least one role."""
         if self._cluster is None:
             return []
         return [self._context.nodes[number] for number in self._cluster.checkers.role_holders()]
@@ -125,7 +125,7 @@
         return [node for node in self._context.nodes if node.zone == zone]
 
     def kill(self, node: SimulatedNode) -> None:
-        """Kill a node; it is restarted after the time that the scenario states."""
+        """Kill a node's process; it is restarted after `restart_after_s` of the scenario."""
         self._lifecycle.kill(node)
 
     def pause(self, node: SimulatedNode) -> None:
@@ -148,7 +148,7 @@
         node.inbox.deliver()
 
     def set_clock_gain(self, node: SimulatedNode, gain: float) -> None:
-        """Make a node's clock gain this share from now on; a negative share makes it lose time."""
+        """Change the rate of a node's clock from now on; a gain of 0.01 makes it run 1% fast, -0.01 slow."""
         if self._cluster is not None:
             self._cluster.clocks[node.number].set_gain(self._context.clock.now, gain)
 
@@ -158,7 +158,7 @@
             self._cluster.members[node.number].exchange.false_subject = subject
 
     def decommission(self, node: SimulatedNode) -> None:
-        """Stop a node permanently."""
+        """Stop a node's process without restarting it."""
         self._lifecycle.decommission(node)
 
     def update_cluster_files(
@@ -214,13 +214,13 @@
             self._cluster.observe_fleet()
 
     def heal_partition(self, nodes: Sequence[SimulatedNode], *, oneway: bool) -> None:
-        """End a partition that was made with the same arguments."""
+        """End a partition that was begun with the same arguments."""
         if self._cluster is not None:
             self._cluster.paths.partitions.remove(_partitioned(nodes, oneway=oneway))
             self._cluster.observe_fleet()
 
     def impair_paths(self, impairment: PathImpairment) -> None:
-        """Apply an impairment to all datagrams between nodes from now on."""
+        """Replace the impairment of all datagrams between nodes."""
         if self._cluster is not None:
             self._cluster.paths.impairment = impairment
 
@@ -241,7 +241,7 @@
         self._clients = clients
 
     def disconnect_clients(self, share: float, rng: Random) -> None:
-        """Break the established sessions of a share of the clients, which reconnect."""
+        """Break the established sessions of a random share of the clients, which reconnect soon after."""
         sessions = list(self._context.sessions.established.values())
         for record, node in rng.sample(sessions, round(len(sessions) * share)):
             # The end of another session may have caused a node to migrate this one meanwhile.
