--- a/larchlatch/node/hot_restart/channel.py
+++ b/larchlatch/node/hot_restart/channel.py
@@ -1,4 +1,4 @@
-"""A stream of packets with file descriptors between two processes of one node, over a Unix socket."""
+"""Sends and receives packets, with file descriptors, between two processes of one node over a Unix socket."""
 
 from __future__ import annotations
 
@@ -16,25 +16,25 @@
     from anyio.abc import UNIXSocketStream
 
 MAGIC = b"LL"
-VERSION = 1  # of the packets; with a process of another version there is no hand-over
-HEADER = struct.Struct("!2sBBI")  # magic, version, number of descriptors, bytes of the body
-MAX_BODY = 16 * 1024 * 1024  # bytes, enough for an endpoint list of thousands of upstreams
-MAX_DESCRIPTORS = 2  # with one packet: the two connections of a session
-CHUNK_BYTES = 65536  # read at a time
+VERSION = 1  # of the packet format; processes with different versions hand nothing over
+HEADER = struct.Struct("!2sBBI")  # magic, version, number of descriptors, length of the body
+MAX_BODY = 16 * 1024 * 1024  # bytes; enough for an endpoint list with thousands of upstreams
+MAX_DESCRIPTORS = 2  # per packet; a session has one connection to its client and one to its upstream
+CHUNK_BYTES = 65536  # most bytes of a body that one call reads
 
 
 class Received(NamedTuple):
-    """A packet, and the sockets that came with it, which the receiver has to close."""
+    """A received packet, and the sockets that were sent with it, which the receiver has to close."""
 
     packet: Packet
     sockets: list[socket.socket]
 
 
 class Header(NamedTuple):
-    """What precedes the body of each packet.
+    """The header that precedes the body of each packet.
 
     Attributes:
-        descriptor_count: how many descriptors come with the packet.
+        descriptor_count: how many file descriptors are sent with the packet.
         body_length: length of the body in bytes.
 
     """
@@ -44,35 +44,47 @@
 
 
 def frame(packet: Packet, descriptor_count: int) -> bytes:
-    """Return the bytes of a packet with its header."""
+    """Return a packet as bytes: its header and its body."""
     body = encode_packet(packet)
     return HEADER.pack(MAGIC, VERSION, descriptor_count, len(body)) + body
 
 
 def parse_header(data: bytes) -> Header:
-    """Return the header in these bytes.
+    """Parse the header of a packet.
 
     Raises:
-        ProtocolError: the header is not of this version, or gives a body length over the limit.
+        ProtocolError: the header has wrong magic bytes or another version, or the body is over the limit.
 
     """
     magic, version, descriptor_count, body_length = HEADER.unpack(data)
     if magic != MAGIC or version != VERSION or body_length > MAX_BODY:
-        raise ProtocolError("packet", f"not of version {VERSION}")
+        raise ProtocolError("packet", f"header is not of version {VERSION}, or body is over {MAX_BODY} bytes")
     return Header(descriptor_count, body_length)
 
 
 class Channel:
-    """One side of the conversation. Its end by the other side is a return value, never an exception."""
+    """One end of the connection between predecessor and successor.
+
+    Methods report by their return value that the other process has closed the connection; they don't raise.
+
+    Attributes:
+        stream: the connected Unix socket.
+
+    """
 
     def __init__(self, stream: UNIXSocketStream) -> None:
         self.stream = stream
         self._send_lock = anyio.Lock()
 
     async def send(self, packet: Packet, descriptors: list[int] | None = None) -> bool:
-        """Send a packet; return whether it was written. The descriptors stay open in this process."""
+        """Send a packet with copies of file descriptors, which stay open in this process.
+
+        Returns:
+            Whether the packet was written; False if the connection is closed.
+
+        """
         data = frame(packet, len(descriptors or ()))
-        # Not cancelled half-way: after part of a packet all that follows would be unreadable.
+        # Shielded from cancellation: after an incomplete packet, the receiver could not parse any later one.
         async with self._send_lock:
             with anyio.CancelScope(shield=True):
                 try:
@@ -86,10 +98,10 @@
         return True
 
     async def receive(self) -> Received | None:
-        """Return the next packet; None if the other side has ended the conversation.
+        """Return the next packet; None if the other process has closed the connection.
 
         Raises:
-            ProtocolError: the bytes received are no packet of this version.
+            ProtocolError: the received bytes are not a valid packet of this version.
 
         """
         descriptors: list[int] = []
@@ -98,21 +110,27 @@
         except (anyio.EndOfStream, *GONE):
             _close_all(descriptors)
             return None
-        except BaseException:  # also when cancelled: the descriptors received so far have no other owner
+        except BaseException:  # also a cancellation: nothing else would close the received descriptors
             _close_all(descriptors)
             raise
         return Received(packet, [socket.socket(fileno=descriptor) for descriptor in descriptors])
 
     async def close(self) -> None:
-        """Close this side, which ends the conversation."""
+        """Close the connection to the other process."""
         await self.stream.aclose()
 
     async def _receive_packet(self, descriptors: list[int]) -> Packet:
-        """Read one packet. Descriptors are added to the list as they come, so that each can be closed."""
+        """Read one packet.
+
+        Descriptors are appended to the list as soon as they are received, so that the caller can close them
+        if a later step fails.
+        """
         header = parse_header(await self._receive_header(descriptors))
         packet = decode_packet(await self._receive_body(header.body_length))
         if header.descriptor_count != len(descriptors):
-            raise ProtocolError("packet", f"{len(descriptors)} descriptors, not {header.descriptor_count}")
+            raise ProtocolError(
+                "packet", f"{len(descriptors)} descriptors received, {header.descriptor_count} announced"
+            )
         return packet
 
     async def _receive_header(self, descriptors: list[int]) -> bytes:
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -1,7 +1,7 @@
-"""The packets of a hot restart, and their form on the Unix socket between two processes of one node.
+"""The packets of a hot restart and their JSON encoding on the Unix socket between two processes of one node.
 
-A packet is a JSON object. Processes of different versions read each other's packets, so neither a kind nor a
-key may change: they stand in this module alone, and classes and fields may be renamed without them.
+The two processes may run different releases of larchlatch, so the packet kinds and JSON keys must not change.
+They are string constants in this module only; the classes and fields may be renamed independently of them.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 JsonObject = dict[str, object]
 Value = TypeVar("Value")
 
-WHERE = "packet"  # what an error message calls the place of the fault
-MAX_QUOTED_CHARACTERS = 40  # of an unknown kind in a message
-QUOTA_USAGE_KEY = "budgets"  # stands inside the balancer's state
+WHERE = "packet"  # how error messages name the invalid input
+MAX_QUOTED_CHARACTERS = 40  # of an unknown packet kind, in an error message
+QUOTA_USAGE_KEY = "budgets"  # a key of the JSON object `learned`
 
 
 class PacketKind(StrEnum):
-    """The values of the key `kind`."""
+    """The kinds of packets: the values of the JSON key `kind`."""
 
     HELLO = "Hello"
     WELCOME = "Welcome"
@@ -39,11 +39,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The successor says which node it is.
+    """The first packet of the successor: it identifies the node.
 
     Attributes:
         name: the node's name.
-        listen: the address for clients, host:port.
+        listen: the address at which the node accepts clients, as host:port.
 
     """
 
@@ -53,23 +53,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Welcome:
-    """The predecessor's endpoint list. The descriptor of its listening socket comes with it."""
+    """The predecessor's endpoint list. The descriptor of its listening socket is sent with this packet."""
 
     endpoints: EndpointList
 
 
 @dataclass(frozen=True, slots=True)
 class Serving:
-    """The successor can serve: from now on it accepts all new clients."""
+    """The successor reports that it can serve: from now on it accepts all new clients."""
 
 
 @dataclass(frozen=True, slots=True)
 class BalancerState:
-    """What a process has learned, from which its successor goes on.
+    """What the predecessor's balancer has learned; the successor continues from it.
 
     Attributes:
-        learned: what the balancer has learned, as `policy.state_export` writes it.
-        quota_usage: sessions charged to each quota in the last quota window; None without a cluster.
+        learned: the state of the balancer as a JSON object, which `policy.state_export` writes.
+        quota_usage: sessions charged to each quota in the last quota window; None if the node has no cluster.
 
     """
 
@@ -79,14 +79,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StateHandover:
-    """The predecessor no longer accepts clients; this is what the successor has to know.
+    """What the successor has to know, sent when the predecessor has stopped accepting clients.
 
     Attributes:
-        balancer_state: what the predecessor has learned.
+        balancer_state: what the predecessor's balancer has learned.
         session_ids: ids of the sessions that are open at the predecessor.
-        descriptor_count: file descriptors that it has open or has reserved.
-        draining_for_s: for how long a drain has lasted, in seconds; None if there is none.
-        clock_offset_us: Unix time minus the monotonic clock, as the predecessor read them at its start.
+        descriptor_count: how many file descriptors the predecessor has open or reserved.
+        draining_for_s: seconds since the current drain started; None if the predecessor is not draining.
+        clock_offset_us: Unix time minus monotonic clock when the predecessor started, in microseconds.
 
     """
 
@@ -99,16 +99,18 @@
 
 @dataclass(frozen=True, slots=True)
 class SessionHandover:
-    """An established session. The descriptors of its client and its upstream come with it, in this order.
+    """An established session that the successor continues.
+
+    The descriptors of the connections to its client and to its upstream are sent with it, in this order.
 
     Attributes:
-        request_line: the client's first line.
+        request_line: the client's first line, which opened the session.
         upstream: the upstream's name.
         load: the load that the session causes, in microseconds of work a second.
-        unanswered_since_us: when the first line without an answer was sent; 0 if all have been answered.
-        outcome_at_end: number of the `Outcome` that the end of the upstream's side would mean.
-        client_unread: bytes that were read from the client and not passed on.
-        upstream_unread: bytes that were read from the upstream and not passed on.
+        unanswered_since_us: when the client sent the first line that is not yet answered; 0 if all lines are.
+        outcome_at_end: number of the `Outcome` to record if the upstream ends its connection.
+        client_unread: bytes that were received from the client and not yet passed on.
+        upstream_unread: bytes that were received from the upstream and not yet passed on.
 
     """
 
@@ -125,7 +127,7 @@
 
 
 def encode_packet(packet: Packet) -> bytes:
-    """Return the JSON of a packet."""
+    """Return a packet as JSON text."""
     match packet:
         case Hello():
             kind, body = PacketKind.HELLO, _write_hello(packet)
@@ -141,26 +143,26 @@
 
 
 def decode_packet(body: bytes) -> Packet:
-    """Return the packet in a JSON text.
+    """Parse the JSON text of a packet.
 
     Raises:
-        ProtocolError: the text is no packet of a known kind with all its keys.
+        ProtocolError: the text is not a JSON object of a known kind with all required keys.
 
     """
     try:
         raw = orjson.loads(body)
     except orjson.JSONDecodeError as error:
-        raise ProtocolError(WHERE, f"no JSON ({error})") from None
+        raise ProtocolError(WHERE, f"not valid JSON ({error})") from None
     if not isinstance(raw, dict):
-        raise ProtocolError(WHERE, "not an object")
+        raise ProtocolError(WHERE, "not a JSON object")
     kind = _required(raw, "kind", str)
     read = READERS.get(kind)
     if read is None:
-        raise ProtocolError(WHERE, f"unknown kind {kind[:MAX_QUOTED_CHARACTERS]!r}")
+        raise ProtocolError(WHERE, f"unknown packet kind {kind[:MAX_QUOTED_CHARACTERS]!r}")
     return read(raw)
 
 
-# Each kind of packet, written and read.
+# Conversion of each kind of packet to and from its JSON object.
 
 
 def _write_hello(packet: Hello) -> JsonObject:
@@ -251,7 +253,7 @@
 }
 
 
-# Values.
+# Conversion of single values.
 
 
 def _required(raw: JsonObject, key: str, kind: type[Value] | tuple[type[Value], ...]) -> Value:
@@ -259,7 +261,7 @@
 
 
 def _text_of(data: bytes) -> str:
-    """Return bytes as text of the same code points."""
+    """Return a string with one character for each byte, with the code point of the byte's value."""
     return data.decode("latin-1")
 
 
@@ -267,4 +269,4 @@
     try:
         return _required(raw, key, str).encode("latin-1")
     except UnicodeEncodeError:
-        raise ProtocolError(WHERE, f"{key} holds no bytes") from None
+        raise ProtocolError(WHERE, f"{key} has characters above U+00FF, which are not bytes") from None
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -1,4 +1,4 @@
-"""The side of the process that serves now: it waits for a successor and hands over what it has."""
+"""The serving process's side of a hot restart: it waits for a successor and hands its work over."""
 
 from __future__ import annotations
 
@@ -31,25 +31,25 @@
     from larchlatch.node.wire.stream import Lines
     from larchlatch.policy.types import Outcome
 
-START_TIMEOUT_S = 30.0  # for a successor until it serves; then the descriptors lent to it are taken back
+START_TIMEOUT_S = 30.0  # until a successor serves; after that the descriptors set aside for it are taken back
 
 log = structlog.get_logger()
 
 
 class PredecessorCounter(StrEnum):
-    """Names of the counters of the predecessor's side."""
+    """Names of the predecessor's counters."""
 
     STATE_HANDED_OVER = "hot_restart_state_handed_over"
     SUCCESSOR_LOST = "hot_restart_successor_lost"
 
 
 class DetachedConnection(NamedTuple):
-    """A connection that was detached from the event loop, to be handed over or attached again.
+    """A connection detached from the event loop, to be handed over to the successor or attached again.
 
     Attributes:
-        lines: the connection, without a transport now.
-        descriptor: a copy of its descriptor, which its owner has to close.
-        unread: bytes that were read and not passed on.
+        lines: the connection, which has no transport while it is detached.
+        descriptor: a duplicate of its file descriptor, which the owner of this tuple has to close.
+        unread: bytes that were received and not yet passed on.
 
     """
 
@@ -59,7 +59,7 @@
 
 
 class Predecessor:
-    """Waits for successors, one at a time, and hands listener, state and sessions over.
+    """Waits for successors, one at a time, and hands its listening socket, state and sessions over.
 
     If a successor fails, this process continues to serve as before.
     """
@@ -71,11 +71,11 @@
         client_listener: ClientListener,
         components: NodeComponents,
     ) -> None:
-        """Prepare to be followed; `run` waits for a successor.
+        """Prepare the handover; `run` waits for a successor.
 
         Args:
-            configuration: says which node this is.
-            rendezvous: where a successor finds this process.
+            configuration: the node's configuration, which identifies the node to its successor.
+            rendezvous: the Unix socket at which a successor connects to this process.
             client_listener: accepts clients; its socket is shared with the successor.
             components: the parts of the node.
 
@@ -90,14 +90,14 @@
         self._counters = components.counters
 
     async def run(self) -> None:
-        """Wait for one successor after the other, until cancelled or no rendezvous socket can be made."""
+        """Wait for one successor after another, until cancelled or no rendezvous socket can be created."""
         while (listening := self._rendezvous.listen()) is not None:
             sock = await _accept_one(listening)
             if not is_same_user(sock):
                 sock.close()
                 continue
             channel = Channel(await UNIXSocketStream.from_socket(sock))
-            # The successor needs descriptors to start, before it has any connection.
+            # Both processes share one descriptor limit, and the successor needs descriptors while it starts.
             self._descriptors.reduce_capacity(HEADROOM)
             try:
                 await self._serve_successor(channel)
@@ -108,7 +108,7 @@
             log.warning("hot_restart_successor_lost")
 
     async def _serve_successor(self, channel: Channel) -> None:
-        """Hand over what the successor asks for; return when it has ended and this process continues."""
+        """Hand over to a successor; return once it has failed or ended, and this process serves alone."""
         received = await receive_within(channel, ANSWER_TIMEOUT_S)
         if received is None or received.packet != hello_of(self._configuration):
             return
@@ -121,15 +121,15 @@
             return
         async with self._successor_serving(channel) as state:
             if await channel.send(state):
-                await channel.receive()  # returns when the successor ends: it sends nothing more
+                await channel.receive()  # returns when the successor ends, as it sends no further packet
 
     @asynccontextmanager
     async def _successor_serving(self, channel: Channel) -> AsyncIterator[StateHandover]:
-        """Accept nothing new while the block runs; provides the state that the successor needs."""
+        """Accept no new clients while the block runs; yields the state that the successor needs."""
         self._lifecycle.successor_serves = True
         self._client_listener.pause()
         self._connections.sessions.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
-        # Each session without an upstream may need one more descriptor; the successor gets all others.
+        # Each session without an upstream may still need a descriptor here; the successor gets all others.
         reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
         lent = self._descriptors.free - reserved
         self._descriptors.reduce_capacity(lent)
@@ -165,7 +165,7 @@
 
 
 class SessionSender:
-    """Hands established sessions over to the successor, with the connections of both sides."""
+    """Hands established sessions over to the successor, with the connections to client and upstream."""
 
     def __init__(self, channel: Channel, balancer_actor: BalancerActor) -> None:
         self._channel = channel
@@ -175,19 +175,19 @@
     async def send(
         self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
     ) -> bool:
-        """Hand a session over.
+        """Hand a session over to the successor.
 
         Args:
             record: the session.
-            client: the client's connection.
-            upstream: the upstream's connection.
-            outcome_at_end: what the end of the upstream's side would mean.
+            client: the connection to the client.
+            upstream: the connection to the upstream.
+            outcome_at_end: the outcome to record if the upstream ends its connection.
 
         Returns:
-            Whether the successor has the session. If not, it stays here, with both connections as before.
+            Whether the session was sent to the successor. If not, it stays here with both its connections.
 
         """
-        # Each session uses four descriptors here while it is handed over, when few or none are free.
+        # During its handover a session uses four descriptors instead of two, and few or none may be free.
         async with self._one_at_a_time:
             detached: list[DetachedConnection] = []
             try:
@@ -195,7 +195,7 @@
                     packet = self._packet(record, outcome_at_end, client=detached[0], upstream=detached[1])
                     if await self._channel.send(packet, [side.descriptor for side in detached]):
                         return True
-                # The session stays here and is migrated; until then neither side notices anything.
+                # The session stays here and is migrated; until then neither client nor upstream is affected.
                 for side in detached:
                     await side.lines.reattach(os.dup(side.descriptor), side.unread)
                 return False
@@ -223,7 +223,7 @@
 
 
 async def _accept_one(listening: socket.socket) -> socket.socket:
-    """Accept one connection, then close the listening socket."""
+    """Wait for one connection and return it; the listening socket is closed."""
     with listening:
         await anyio.wait_readable(listening)
         sock, _ = listening.accept()
@@ -232,7 +232,7 @@
 
 
 def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
-    """Detach a connection from its transport; False if it has ended or data waits to be sent."""
+    """Detach a connection from its transport; return False if it has ended or has unsent data."""
     released = lines.detach()
     if released is None:
         return False
--- a/larchlatch/node/hot_restart/rendezvous.py
+++ b/larchlatch/node/hot_restart/rendezvous.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which two processes of one node find each other for a hot restart."""
+"""The Unix socket at which the successor connects to the predecessor for a hot restart."""
 
 from __future__ import annotations
 
@@ -22,15 +22,20 @@
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.hot_restart.channel import Channel, Received
 
-ANSWER_TIMEOUT_S = 2.0  # for an answer of the other process, whose event loop may lag
-MAX_PATH_BYTES = 100  # of a Unix socket's path, which the system limits to 107
+ANSWER_TIMEOUT_S = 2.0  # for a packet from the other process, whose event loop may lag
+MAX_PATH_BYTES = 100  # of a Unix socket's path, which the operating system limits to 107 bytes
 PEER_CREDENTIALS = struct.Struct("3i")  # process id, user id, group id
 
 log = structlog.get_logger()
 
 
 class Rendezvous:
-    """The place of the rendezvous socket: a file named after the node, in a folder of this node alone."""
+    """The rendezvous socket: a Unix socket file in a folder that only this node uses.
+
+    Attributes:
+        name: name of the socket file, derived from the node's name and listening address.
+
+    """
 
     def __init__(self, folder: Path, configuration: NodeConfiguration) -> None:
         host, port = configuration.listen_address
@@ -40,10 +45,11 @@
 
     @classmethod
     def for_node(cls, configuration: NodeConfiguration) -> Rendezvous | None:
-        """Return the place in $TMPDIR.
+        """Return the rendezvous socket of a node, in the folder $TMPDIR.
 
         Returns:
-            None without $TMPDIR, or without an admin API, by which operators learn that the successor serves.
+            None, which disables hot restart, if $TMPDIR is not set or the node has no admin API. Only the
+            admin API tells operators when the successor serves.
 
         """
         folder = os.environ.get("TMPDIR")
@@ -52,13 +58,13 @@
         return cls(Path(folder), configuration)
 
     def listen(self) -> socket.socket | None:
-        """Return a socket at which a successor finds this process; None if none can be made."""
+        """Return a socket that listens for a successor; None if it can't be created."""
         sock = _unix_socket()
         if sock is None:
             return None
         try:
             with suppress(FileNotFoundError):
-                # The file is left over from a process that has ended, or belongs to the predecessor.
+                # The file was left behind by a process that has ended, or is the predecessor's.
                 (self._folder / self.name).unlink()
             self._with_path(sock.bind)
             sock.listen(1)
@@ -70,7 +76,7 @@
         return sock
 
     def connect(self) -> socket.socket | None:
-        """Return a connection to the process that serves now; None if there is none."""
+        """Return a connection to the process of this node that serves now; None if there is none."""
         sock = _unix_socket()
         if sock is None:
             return None
@@ -83,7 +89,10 @@
         return sock
 
     def _with_path(self, use: Callable[[str], None]) -> None:
-        """Call `use` with a path to the socket that the system accepts, however long the folder's path is."""
+        """Call `use` with the path of the socket file.
+
+        If it is too long for a Unix socket, pass an equivalent path through /proc/self/fd instead.
+        """
         path = str(self._folder / self.name)
         if len(path.encode()) <= MAX_PATH_BYTES:
             use(path)
@@ -96,20 +105,20 @@
 
 
 def is_same_user(sock: socket.socket) -> bool:
-    """Return whether the process at the other end of a Unix socket runs as this one's user."""
+    """Return whether the process at the other end of a Unix socket runs as the same user as this process."""
     credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, PEER_CREDENTIALS.size)
     _, user_id, _ = PEER_CREDENTIALS.unpack(credentials)
     return bool(user_id == os.getuid())
 
 
 def hello_of(configuration: NodeConfiguration) -> Hello:
-    """Return the packet by which processes of this node recognise each other."""
+    """Return the packet that identifies this node to another process."""
     host, port = configuration.listen_address
     return Hello(configuration.name, f"{host}:{port}")
 
 
 async def receive_within(channel: Channel, timeout_s: float) -> Received | None:
-    """Return the other process's next packet; None if none comes in time, or it is invalid."""
+    """Return the next packet; None if none arrives in time, it is invalid, or the connection is closed."""
     try:
         with anyio.move_on_after(timeout_s):
             return await channel.receive()
@@ -119,7 +128,7 @@
 
 
 def _unix_socket() -> socket.socket | None:
-    """Return a Unix socket; None on a platform without them, where a node serves without hot restart."""
+    """Return a new Unix socket; None if the platform has none, where a node serves without hot restart."""
     try:
         return socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
     except OSError as error:
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -1,4 +1,4 @@
-"""The part of a process that starts: it takes over from the predecessor, the process that serves now."""
+"""The new process's side of a hot restart: it takes over from the process that serves, the predecessor."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.metrics import Counters
 
-CONNECTIONS_PER_SESSION = 2  # the client's and the upstream's
+CONNECTIONS_PER_SESSION = 2  # to the client and to the upstream
 
 
 log = structlog.get_logger()
 
 
 class SuccessorCounter(StrEnum):
-    """Names of the counters of the successor's side."""
+    """Names of the successor's counters."""
 
     NOTHING_HANDED_OVER = "hot_restart_nothing_handed_over"
 
@@ -54,13 +54,18 @@
         self.listener = listener
         self._channel = channel
         self._counters = counters
-        self._predecessor_descriptors = 0  # which the predecessor has open or reserved
+        self._predecessor_descriptors = 0  # that the predecessor has open or reserved
 
     @classmethod
     async def connect(
         cls, configuration: NodeConfiguration, rendezvous: Rendezvous, counters: Counters
     ) -> Successor | None:
-        """Connect with the process that serves now; return None if there is none of a known version."""
+        """Connect to the process of this node that serves now.
+
+        Returns:
+            None if there is no such process, or if it does not hand its listening socket over.
+
+        """
         sock = rendezvous.connect()
         if sock is None:
             return None
@@ -89,22 +94,22 @@
         components.descriptors.reduce_capacity(state.descriptor_count)
         components.connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
-            # A drain goes on until an operator stops it. The time for its sessions counts from its start.
+            # The drain continues until an operator stops it. Its deadline for sessions counts from its start.
             components.lifecycle.start_drain(anyio.current_time() - state.draining_for_s)
         components.balancer_actor.restore(state.balancer_state, UNIX_OFFSET_US - state.clock_offset_us)
 
     async def run(self, connections: ClientConnections, tasks: TaskGroup) -> None:
-        """Adopt the predecessor's sessions until it has ended."""
+        """Adopt the sessions that the predecessor hands over until it has ended."""
         session_count = await self._adopt_sessions(connections, tasks)
         await self._channel.close()
         connections.requests.ids.release_reserved()
-        # The descriptors of adopted sessions are released when these end.
+        # Adopted sessions keep their descriptors and release them when they end.
         adopted_descriptors = session_count * CONNECTIONS_PER_SESSION
         connections.descriptors.reduce_capacity(adopted_descriptors - self._predecessor_descriptors)
         log.info("hot_restart_predecessor_ended", sessions=session_count)
 
     async def _adopt_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
-        """Adopt each session in a separate task until the predecessor has ended; return how many came."""
+        """Adopt each session in a task of its own until the predecessor has ended; return their number."""
         session_count = 0
         try:
             while (received := await self._channel.receive()) is not None:
--- a/larchlatch/node/lifecycle_state.py
+++ b/larchlatch/node/lifecycle_state.py
@@ -1,29 +1,30 @@
-"""Whether the node is ready, draining or stopping, and how fast its sessions leave. No I/O.
+"""Records whether a node is ready, draining or stopping, and computes how fast its sessions leave. No I/O.
 
-All times are seconds of the event loop's clock, which the caller passes in.
+All times are in seconds of the event loop's clock, and callers pass the present time in.
 """
 
 from __future__ import annotations
 
-DRAIN_S = 4.0  # from the start of a drain until the last session that was established before has left
-DISCONNECT_S = 1.0  # the last part of DRAIN_S, for clients that do not read
-HANDOVER_S = 1.5  # from the start of a stop until the successor has all established sessions
+DRAIN_S = 4.0  # from the start of a drain until all sessions established before it have left
+DISCONNECT_S = 1.0  # the last part of DRAIN_S, to disconnect clients that do not read
+HANDOVER_S = 1.5  # from the start of a stop until all established sessions are handed to the successor
 
 
 class LifecycleState:
-    """The one state that PING, the admin API, graceful shutdown and a hot restart ask and change.
+    """The lifecycle state of a node, which PING, the admin API, graceful shutdown and hot restart share.
 
-    It alone sets the rate at which established sessions leave, for a drain and a stop alike. With two rates
-    at the same time, sessions would be migrated twice as fast.
+    It alone sets the rate at which established sessions leave, for a drain and for a stop. If each had
+    its own rate, sessions would be migrated twice as fast while both last.
 
     Attributes:
-        stop_duration_s: time from the start of the stop until all sessions have left.
-        sessions_outlive_node: packets pass through, so an established session need not leave.
-        ready: the node can serve.
-        drain_started_at: when the present drain started; None if there is none.
-        stop_started_at: when the stop started; None before it.
-        rejects_all: the stop is nearly over: each new client is rejected at once.
-        successor_serves: the successor accepts new clients.
+        stop_duration_s: time from the start of the stop until all sessions have to have left.
+        sessions_outlive_node: established sessions need not leave, as packets pass through the node and other
+            nodes can continue to forward them.
+        ready: whether the node can serve.
+        drain_started_at: when the current drain started; None if there is none.
+        stop_started_at: when the stop started; None before the stop.
+        rejects_all: whether each new client is rejected at once, because the stop is nearly over.
+        successor_serves: whether a successor accepts new clients in place of this process.
 
     """
 
@@ -36,11 +37,11 @@
         self.rejects_all = False
         self.successor_serves = False
         self._last_released_at = 0.0  # when sessions were last released
-        self._fraction_due = 0.0  # the part of one session that is due to leave
+        self._fraction_due = 0.0  # fraction of a session that is due, carried over to the next call
 
     @property
     def draining(self) -> bool:
-        """Whether the node drains."""
+        """Whether the node is draining."""
         return self.drain_started_at is not None
 
     @property
@@ -50,21 +51,21 @@
 
     @property
     def accepts_clients(self) -> bool:
-        """Whether a front may send clients here: the answer to PING."""
+        """Whether a front may send clients here, which the answer to PING tells it."""
         return self.ready and not self.draining
 
     @property
     def releasing_sessions(self) -> bool:
-        """Whether established sessions are to leave."""
+        """Whether established sessions have to leave."""
         return self.draining or self.stopping
 
     @property
     def hands_over_sessions(self) -> bool:
-        """Whether the sessions that leave are handed over to the successor."""
+        """Whether sessions that leave are handed over to the successor instead of being migrated."""
         return self.successor_serves and self.stopping
 
     def start_drain(self, now: float) -> None:
-        """Start a drain. While it lasts, further calls change nothing, as its time counts from the first."""
+        """Start a drain; calls during a drain change nothing, so that they do not extend its deadline."""
         if self.drain_started_at is None:
             self._begin_release(now)
             self.drain_started_at = now
@@ -74,34 +75,34 @@
         self.drain_started_at = None
 
     def start_stop(self, now: float) -> None:
-        """Start the stop; further calls change nothing."""
+        """Start the stop of the node; further calls change nothing."""
         if self.stop_started_at is None:
             self._begin_release(now)
             self.stop_started_at = now
 
     def time_left_s(self, now: float) -> float | None:
-        """Return for how long sessions may still be open here, in seconds; None if the node does not stop."""
+        """Return how many seconds sessions may still be open here; None if the node is not stopping."""
         return None if self.stop_started_at is None else self.stop_started_at + self.stop_duration_s - now
 
     def release_deadline(self) -> float | None:
-        """Return when the last session has to have left; None if none has to leave."""
+        """Return when the last established session has to have left; None if no session has to leave."""
         deadlines = []
         if self.drain_started_at is not None:
             deadlines.append(self.drain_started_at + DRAIN_S - DISCONNECT_S)
         if self.stop_started_at is not None:
             deadlines.append(self.stop_started_at + self.stop_duration_s)
         if self.hands_over_sessions and self.stop_started_at is not None:
-            # A drain is continued by the successor.
+            # Sessions are handed over even during a drain, which the successor continues.
             return min([*deadlines, self.stop_started_at + HANDOVER_S])
         return min(deadlines) if deadlines and not self.sessions_outlive_node else None
 
     def release_sessions(self, now: float, established_count: int) -> int:
-        """Return how many of the established sessions have to leave now."""
+        """Return how many of the established sessions have to leave now; the caller makes them leave."""
         deadline = self.release_deadline()
         if deadline is None:
             return 0
-        # Sessions leave evenly, as all at once would overload the other nodes. The rate follows the time that
-        # has passed, so that a lagging event loop does not keep all of them until the deadline.
+        # Sessions leave at an even rate, as all at once would overload the other nodes. The count follows the
+        # time since the last call, so that a lagging event loop does not keep all of them until the deadline.
         elapsed_s, self._last_released_at = now - self._last_released_at, now
         if now >= deadline:
             return established_count
--- a/larchlatch/node/reload.py
+++ b/larchlatch/node/reload.py
@@ -1,6 +1,6 @@
 """Reload of the configuration on SIGHUP.
 
-The discovery address is followed at once. Other changes take effect at the next start; the log names them.
+A new discovery address is used at once. Other changes take effect at the next start, and the log names them.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
     from larchlatch.node.discovery import DiscoveryClient
     from larchlatch.node.metrics import Counters
 
-# Attributes of NodeConfiguration that a running node follows.
+# Attributes of NodeConfiguration whose changes take effect in a running node.
 RELOADABLE = frozenset({"discovery_address"})
-# Attributes that only matter at the start: a change to them makes no difference to a running node.
+# Attributes that are used only during the start, so that a change to them needs no restart.
 STARTUP_ONLY = frozenset({"seed", "known_endpoints"})
 
 log = structlog.get_logger()
 
 
 class ReloadCounter(StrEnum):
-    """Names of the counters of reloading."""
+    """Names of the counters of configuration reloads."""
 
     RELOADED = "configuration_reloaded"
     REJECTED = "configuration_rejected"
@@ -38,23 +38,23 @@
 def reload_configuration(
     current: NodeConfiguration, path: Path, discovery: DiscoveryClient, counters: Counters
 ) -> NodeConfiguration:
-    """Read the configuration again, and follow the changes that can be followed.
+    """Read the configuration file again and apply the changes that can take effect without a restart.
 
     Args:
         current: The configuration that the node runs with.
-        path: The file to read.
-        discovery: Follows a new discovery address.
-        counters: Where reloads and rejected files are counted.
+        path: The configuration file.
+        discovery: The discovery client, which gets a new discovery address.
+        counters: Count reloads and rejected files.
 
     Returns:
-        The configuration that the node runs with from now on: the current one if the file is wrong.
+        The configuration that the node runs with from now on: the current one if the file is invalid.
 
     """
     try:
         new = read_node_configuration(path)
     except InvalidInputError as error:
         counters.add(ReloadCounter.REJECTED)
-        log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - a wrong file is no fault of the node
+        log.error("configuration_rejected", reason=str(error))  # noqa: TRY400 - an invalid file needs no traceback
         return current
     counters.add(ReloadCounter.RELOADED)
     keys = _keys_that_need_restart(current=current, new=new)
@@ -67,7 +67,7 @@
 
 
 def _keys_that_need_restart(*, current: NodeConfiguration, new: NodeConfiguration) -> list[str]:
-    """Return the keys of the file whose values differ and are not followed, each once."""
+    """Return the configuration keys whose changed values take effect only after a restart, each key once."""
     changed = {
         key: None
         for attribute, key in FILE_KEYS.items()
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a node, starts them in order, and runs them until a signal stops the node."""
+"""Creates the components of a node, starts them in order, and runs them until a signal stops the node."""
 
 from __future__ import annotations
 
@@ -42,8 +42,8 @@
     from larchlatch.config.node import NodeConfiguration
     from larchlatch.node.ports import ClusterFactory, ClusterPort
 
-CLIENT_BACKLOG = 4096  # connections: all clients of another node may come at once when it has died
-FIRST_LIST_WAIT_S = 1.0  # for the present endpoint list; then the node serves with the list it started with
+CLIENT_BACKLOG = 4096  # connections; after another node has crashed, all its clients may connect at once
+FIRST_LIST_WAIT_S = 1.0  # for discovery's first endpoint list; after it the node uses the list it has
 CLUSTER_SEED_BITS = 64
 
 log = structlog.get_logger()
@@ -56,18 +56,18 @@
     *,
     task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until a signal stops the node.
+    """Run a node until a signal stops it.
 
     Args:
-        configuration: the node's own.
-        path: the file that it was read from, which SIGHUP has read again.
-        join: makes the node's part in its cluster; None for a node that knows no others.
-        task_status: started with the port for clients once the node can serve.
+        configuration: the node's configuration.
+        path: the file that the configuration was read from; on SIGHUP it is read again.
+        join: creates the node's membership in its cluster; None for a node without a cluster.
+        task_status: reports the port for clients to the caller once the node can serve.
 
     """
     with anyio.open_signal_receiver(*SIGNALS) as signals:
         async with anyio.create_task_group() as tasks:
-            # First of all: operators are answered from the start, if only that the node can't serve yet.
+            # The admin API starts first, so that it can report that the node can't serve yet.
             admin_listener = bind_admin_listener(configuration)
             components = build_components(configuration, join, tasks)
             start_background_tasks(admin_listener, components, tasks)
@@ -85,7 +85,7 @@
 
 
 def bind_admin_listener(configuration: NodeConfiguration) -> Listener | None:
-    """Listen at the admin API's address; None where the configuration names none."""
+    """Listen at the admin API's address; return None if the configuration has none."""
     if configuration.admin_address is None:
         return None
     listener = Listener.bind(configuration.admin_address, ADMIN_BACKLOG)
@@ -96,13 +96,14 @@
 def build_components(
     configuration: NodeConfiguration, join: ClusterFactory | None, tasks: TaskGroup
 ) -> NodeComponents:
-    """Make the parts, each from those that it needs; nothing runs yet.
+    """Create the components of the node without starting them.
 
-    The balancer actor calls discovery and cluster, and both send to it: they get its mailbox, made first.
+    The balancer actor calls the discovery client and the cluster, and both send messages to the actor.
+    To break this cycle, the actor's mailbox is created first and passed to all three.
     """
     counters = Counters()
     descriptors = DescriptorBudget(configuration.descriptor_limit)
-    # Shared by balancer and discovery client: their draws come in the order of events.
+    # Balancer and discovery client share one random source and draw from it in the order of events.
     random_source = random.Random(configuration.seed)
     mailbox = Mailbox(counters)
     discovery = build_discovery_client(configuration, random_source, mailbox, counters)
@@ -135,7 +136,7 @@
 def build_discovery_client(
     configuration: NodeConfiguration, random_source: random.Random, mailbox: Mailbox, counters: Counters
 ) -> DiscoveryClient:
-    """Make the client that follows the endpoint list from the configuration's revision on."""
+    """Create the discovery client, which follows the endpoint list from the configuration's revision on."""
     return DiscoveryClient(
         configuration.discovery_address,
         revision=configuration.known_endpoints.revision,
@@ -149,7 +150,7 @@
 def join_cluster(
     join: ClusterFactory | None, counters: Counters, random_source: random.Random, mailbox: Mailbox
 ) -> ClusterPort | None:
-    """Make this node's part in its cluster, with a random source seeded by the node's."""
+    """Create the cluster membership, with a random source seeded from the node's; None without a cluster."""
     if join is None:
         return None
     return join(counters, random.Random(random_source.getrandbits(CLUSTER_SEED_BITS)), mailbox)
@@ -158,7 +159,7 @@
 def build_upstream_registry(
     configuration: NodeConfiguration, descriptors: DescriptorBudget, counters: Counters, mailbox: Mailbox
 ) -> UpstreamRegistry:
-    """Make the registry, which makes an actor for each upstream that the endpoint list names."""
+    """Create the registry, which runs an actor for each upstream in the endpoint list."""
     return UpstreamRegistry(
         configuration.zones, configuration.upstream_settings, descriptors, counters, mailbox.post
     )
@@ -172,7 +173,7 @@
     ready: anyio.Event,
     lifecycle: LifecycleState,
 ) -> ClientConnections:
-    """Make what serves the clients' connections."""
+    """Create the component that serves the connections of clients."""
     requests = RequestChecker(
         traffic_classes=configuration.traffic_class_names,
         tenants=configuration.tenants,
@@ -183,7 +184,7 @@
 
 
 def build_lifecycle_state(configuration: NodeConfiguration) -> LifecycleState:
-    """Make the state, with the time that a stop may take."""
+    """Create the lifecycle state, with the time that a stop may take."""
     longest_wait_s = configuration.max_deadline_us / 1e6
     return LifecycleState(
         longest_wait_s + STOP_GRACE_S - STOP_MARGIN_S,
@@ -194,7 +195,7 @@
 def start_background_tasks(
     admin_listener: Listener | None, components: NodeComponents, tasks: TaskGroup
 ) -> None:
-    """Answer operators, measure the event loop's lag, and take part in the cluster."""
+    """Start the admin API, the event loop lag monitor and the cluster membership, as far as configured."""
     if admin_listener is not None:
         admin_api = AdminApi(components.lifecycle, components.drainer.start, components.counters)
         tasks.start_soon(admin_api.run, admin_listener)
@@ -206,21 +207,21 @@
 async def connect_predecessor(
     configuration: NodeConfiguration, rendezvous: Rendezvous | None, counters: Counters
 ) -> Successor | None:
-    """Connect with the process of this node that serves now; return None if there is none to follow."""
+    """Connect to the process of this node that serves now; return None if there is none to take over from."""
     if rendezvous is None:
         return None
     return await Successor.connect(configuration, rendezvous, counters)
 
 
 def newest_endpoint_list(known: EndpointList, successor: Successor | None) -> EndpointList:
-    """Return the predecessor's list if it is at least as new as the configuration's, else the latter."""
+    """Return the predecessor's endpoint list, or the configuration's `known` list if that is newer."""
     if successor is not None and successor.endpoints.revision >= known.revision:
         return successor.endpoints
     return known
 
 
 def start_balancing(endpoints: EndpointList, components: NodeComponents, tasks: TaskGroup) -> None:
-    """Start balancer actor and discovery client with a known list, so that sessions can be placed at once."""
+    """Start the balancer actor and the discovery client from a known endpoint list."""
     components.discovery.revision = endpoints.revision
     components.balancer_actor.handle(now_us(), EndpointsChanged(endpoints, from_discovery=False))
     tasks.start_soon(components.balancer_actor.run)
@@ -233,7 +234,7 @@
     components: NodeComponents,
     tasks: TaskGroup,
 ) -> ClientListener:
-    """Start the client listener, which is paused, on the predecessor's listening socket or on a new one."""
+    """Start the client listener, still paused, on the predecessor's listening socket or on a new one."""
     listener = bind_client_listener(configuration) if successor is None else successor.listener
     client_listener = ClientListener(listener, components.connections, components.descriptors, tasks)
     tasks.start_soon(client_listener.run)
@@ -241,7 +242,7 @@
 
 
 def bind_client_listener(configuration: NodeConfiguration) -> Listener:
-    """Listen at the address for clients, which another process of this node may share."""
+    """Listen at the address for clients, which a node with an admin API can share among its processes."""
     return Listener.bind(
         configuration.listen_address, CLIENT_BACKLOG, shared=configuration.admin_address is not None
     )
@@ -253,14 +254,19 @@
     components: NodeComponents,
     tasks: TaskGroup,
 ) -> None:
-    """Accept clients once the predecessor has stopped, and wait a moment for the present endpoint list."""
+    """Begin to accept clients.
+
+    A node without a predecessor accepts them at once, and then waits at most `FIRST_LIST_WAIT_S` for the
+    first endpoint list from discovery. A successor waits for the list first, then takes the predecessor's
+    state over, and then accepts clients.
+    """
     if successor is None:
         client_listener.open()
     with anyio.move_on_after(FIRST_LIST_WAIT_S):
         await components.discovery.first_update.wait()
     if successor is None:
         return
-    # Up to now the predecessor has served new clients: this process was still starting.
+    # Until here the predecessor accepts new clients, as this process was not ready to serve them.
     await successor.take_over_state(components)
     tasks.start_soon(successor.run, components.connections, tasks)
     client_listener.open()
@@ -275,7 +281,7 @@
     components: NodeComponents,
     tasks: TaskGroup,
 ) -> None:
-    """Wait for a successor, unless this node has no place to meet one."""
+    """Start to wait for a successor, unless hot restart is disabled."""
     if rendezvous is not None:
         tasks.start_soon(Predecessor(configuration, rendezvous, client_listener, components).run)
 
@@ -283,7 +289,7 @@
 def build_shutdown(
     client_listener: ClientListener, components: NodeComponents, tasks: TaskGroup
 ) -> GracefulShutdown:
-    """Make what stops the node gracefully."""
+    """Create the component that stops the node gracefully."""
     return GracefulShutdown(
         components.lifecycle, components.connections, components.drainer, client_listener, tasks
     )
@@ -292,7 +298,7 @@
 def announce_ready(
     configuration: NodeConfiguration, address: tuple[str, int], components: NodeComponents
 ) -> None:
-    """Make operators, waiting clients and the log aware that the node serves."""
+    """Announce to the admin API, to waiting clients and in the log that the node serves."""
     components.lifecycle.ready = True
     components.ready.set()
     log.info(
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -1,4 +1,4 @@
-"""Drain and graceful shutdown: sessions leave gradually, and requests are answered before the node ends."""
+"""Drain and graceful shutdown: sessions leave gradually, and the node answers all requests before it ends."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
     from larchlatch.node.metrics import Counters
     from larchlatch.node.session_record import SessionRecord
 
-STOP_GRACE_S = 0.7  # after the longest deadline: then the protocol allows that the process is killed
-STOP_MARGIN_S = 0.4  # sessions have left so long before the end of the grace, to allow for closing them
-EARLY_REJECTION_S = 0.1  # waiting clients without a request are rejected so long before sessions have left
-LAST_ANSWERS_S = 0.4  # for the last answers; shorter than EARLY_REJECTION_S and STOP_MARGIN_S together
-LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines; a session may be paused for 1 s
-ROUND_INTERVAL_S = 0.05  # between two rounds of releasing sessions
+STOP_GRACE_S = 0.7  # from the longest deadline until the protocol allows the process to be killed
+STOP_MARGIN_S = 0.4  # before the end of the grace, for closing sessions: by then all must have left
+EARLY_REJECTION_S = 0.1  # before sessions must have left, clients that have sent no request are rejected
+LAST_ANSWERS_S = 0.4  # to send the last answers; below the sum of EARLY_REJECTION_S and STOP_MARGIN_S
+LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines; a session may pause for at most 1 s
+ROUND_INTERVAL_S = 0.05  # between two rounds of releasing sessions or checking whether they have ended
 
 log = structlog.get_logger()
 
 
 class DrainCounter(StrEnum):
-    """Names of the counters of draining."""
+    """Names of the counters of drain and graceful shutdown."""
 
     SESSION_RELEASED = "session_released"
 
@@ -46,13 +46,13 @@
         self._running = False
 
     def start(self) -> None:
-        """Release sessions while the lifecycle state requires it; calls while this runs change nothing."""
+        """Release sessions in a task while the lifecycle state requires it; has no effect while that runs."""
         if not self._running:
             self._running = True
             self._tasks.start_soon(self._run)
 
     async def _run(self) -> None:
-        handed_over_at: dict[SessionRecord, float] = {}  # when its hand-over was requested
+        handed_over_at: dict[SessionRecord, float] = {}  # when the session's handover was requested
         while self._lifecycle.releasing_sessions:
             now = anyio.current_time()
             self._release_due(now, handed_over_at)
@@ -66,7 +66,7 @@
             for record in self._connections.sessions.established.values()
             if not record.migration_requested.is_set() and record not in handed_over_at
         ]
-        # None is due where packets pass through, as sessions continue through other nodes.
+        # No session is due where packets pass through, as other nodes continue to forward its packets.
         due_count = self._lifecycle.release_sessions(now, len(established))
         for record in established[:due_count]:
             if not self._lifecycle.hands_over_sessions:
@@ -77,7 +77,7 @@
                 record.request_handover()
 
     def _migrate_unready(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
-        # A session does not stop between two lines while one side does not read: then it is migrated.
+        # A session can't stop between two lines while its client or upstream does not read; it is migrated.
         overdue = [record for record, at in handed_over_at.items() if now >= at + LINE_BOUNDARY_S]
         for record in overdue:
             del handed_over_at[record]
@@ -85,7 +85,7 @@
 
 
 class GracefulShutdown:
-    """Ends the node once all requests are answered and the time for the stop is over."""
+    """Ends the node: releases its sessions and answers all requests within the time for the stop."""
 
     def __init__(
         self,
@@ -106,21 +106,21 @@
         log.info("stopping", sessions=len(self._connections.sessions.established))
         self._drainer.start()
         await self._finish_requests()
-        # A connection closed over an unread request would be reset, so each is answered first, also those in
-        # the backlog.
+        # Closing a connection with an unread request would reset it. So all clients are answered first, also
+        # those in the listener's backlog.
         self._connections.reject_all()
-        # The successor accepts the connections in the backlog.
+        # A successor shares the listening socket and accepts the connections in the backlog.
         if not self._lifecycle.hands_over_sessions:
             await self._listener.close()
         with anyio.move_on_after(LAST_ANSWERS_S):
-            while self._connections.connection_count > 0:  # noqa: ASYNC110 - a count has no event
+            while self._connections.connection_count > 0:  # noqa: ASYNC110 - no event is set when the count changes
                 await anyio.sleep(ROUND_INTERVAL_S)
         self._tasks.cancel_scope.cancel()
 
     async def _finish_requests(self) -> None:
         reject_at = anyio.current_time() + self._lifecycle.stop_duration_s - EARLY_REJECTION_S
-        # Until then a front that has not noticed the stop may send new sessions, unless the successor accepts
-        # them. Clients that have connected here get their answer here.
+        # Until `reject_at`, a front that has not noticed the stop may send new clients here, unless a
+        # successor accepts them. Clients that are already connected to this process are answered by it.
         while self._connections.sessions.open_count > 0 or (
             anyio.current_time() < reject_at and not self._all_requests_received()
         ):
@@ -129,5 +129,5 @@
             await anyio.sleep(ROUND_INTERVAL_S)
 
     def _all_requests_received(self) -> bool:
-        """Return whether the successor accepts new clients, and each client here has sent its request."""
+        """Return whether a successor accepts new clients, and all clients here have sent their requests."""
         return self._lifecycle.hands_over_sessions and not self._connections.reader.without_line
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -1,4 +1,4 @@
-"""Handles signals: SIGTERM and SIGINT stop the node, SIGHUP rereads its files, SIGUSR1 logs its state."""
+"""Handles signals: SIGTERM and SIGINT stop the node, SIGHUP reloads its files, SIGUSR1 logs its state."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from larchlatch.node.components import NodeComponents
     from larchlatch.node.shutdown import GracefulShutdown
 
-# They are handled from before the first session on, as by default a process ends when it receives one.
+# The signals that a node handles. By default each ends the process, so all are handled from its start.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 log = structlog.get_logger()
 
 
 class SignalHandler:
-    """Handles signals, each completely before the next one."""
+    """Handles the signals of a node one after the other."""
 
     def __init__(
         self,
@@ -38,14 +38,14 @@
         shutdown: GracefulShutdown,
         tasks: TaskGroup,
     ) -> None:
-        self._configuration = configuration  # which is in force now
+        self._configuration = configuration  # that is in force; a reload replaces it
         self._path = path  # of the configuration file
         self._components = components
         self._shutdown = shutdown
         self._tasks = tasks
 
     async def run(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Handle the signals until cancelled."""
+        """Handle signals until cancelled."""
         async for number in signals:
             self._handle(number)
 
--- a/larchlatch/node/status.py
+++ b/larchlatch/node/status.py
@@ -1,4 +1,4 @@
-"""Rows about a node's upstreams for operators, logged as `upstream_status`; docs/on-call.md explains them."""
+"""Status of a node's upstreams for operators, logged as `upstream_status`; docs/on-call.md explains it."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamRow:
-    """What the balancer records about one upstream, beside the sockets that are open there.
+    """The status of one upstream: what the balancer records, and how many sockets are open there.
 
     Attributes:
-        upstream: the upstream's name; its number if the endpoint list never named it.
-        state: its state by the endpoint list.
-        exclusion: why the balancer sends no new sessions there; empty if it sends some.
+        upstream: name of the upstream; its number if it was never in the endpoint list.
+        state: its state according to the endpoint list.
+        exclusion: why the balancer places no new sessions there; empty if it does place sessions.
         attempts: attempts in flight, as the balancer counts them.
         attempts_open: attempts whose sockets are open.
         sessions: established sessions, as the balancer counts them.
         sessions_open: established sessions whose sockets are open.
-        utilization: its load over its capacity by its last report; None without a report.
-        utilization_age_ms: the age of that report in milliseconds; None without a report.
+        utilization: load divided by capacity, from its last load report; None without a report.
+        utilization_age_ms: age of that load report in milliseconds; None without a report.
 
     """
 
@@ -43,7 +43,7 @@
 
 
 def upstream_row(status: UpstreamStatus, actor: UpstreamActor | None) -> UpstreamRow:
-    """Return the row of one upstream; `actor` is None if the endpoint list never named it."""
+    """Return the row of one upstream; `actor` is None if it was never in the endpoint list."""
     has_report = status.utilization is not None
     return UpstreamRow(
         upstream=actor.name if actor is not None else status.upstream,
@@ -59,7 +59,7 @@
 
 
 def _exclusion_word(status: UpstreamStatus) -> str:
-    """Return why an upstream gets no new sessions; the state of one that is not ready, or empty."""
+    """Return why an upstream gets no new sessions, as its state if it is not ready; empty if it gets some."""
     if status.exclusion is None:
         return ""
     if status.exclusion is Exclusion.NOT_READY:
@@ -71,5 +71,5 @@
 def upstream_rows(
     statuses: Iterable[UpstreamStatus], actors: Mapping[int, UpstreamActor]
 ) -> list[UpstreamRow]:
-    """Return one row for each upstream, in the balancer's order."""
+    """Return one row for each upstream, in the order of the balancer's records."""
     return [upstream_row(status, actors.get(status.upstream)) for status in statuses]
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -1,4 +1,7 @@
-"""Hot restart: one process of a node follows another; clients and upstreams count what they notice of it."""
+"""Hot restart: a successor takes over from the process that serves while clients are connected.
+
+The clients count their answers, echoed lines, migrations and failures, and the upstreams count requests.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,10 @@
 
 @pytest.mark.parametrize("mode", ["proxy", "pass"])
 def test_two_hot_restarts_under_load_affect_no_client(mode: str, tmp_path: Path) -> None:
-    """All sessions are non-idempotent; upstreams count the requests, and clients the answers."""
+    """Guards against sessions that a handover loses, rejects, or attempts twice while new clients connect.
+
+    All sessions are non-idempotent, so a second attempt of one is an error.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
@@ -69,6 +75,8 @@
 
 
 def test_no_line_is_lost_or_duplicated_in_a_hot_restart(tmp_path: Path) -> None:
+    """Guards against data that a handover loses: clients send each line in two pieces, often split by it."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
@@ -86,6 +94,8 @@
 
 
 def test_both_processes_together_keep_within_the_descriptor_limit(tmp_path: Path) -> None:
+    """Guards against a successor that uses its whole limit while the predecessor has descriptors open."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
@@ -98,13 +108,13 @@
             while True:
                 held = 0
                 for running in processes:
-                    with suppress(OSError):  # it has ended
+                    with suppress(OSError):  # the process has ended
                         held += len(os.listdir(f"/proc/{running.process.pid}/fd"))
                 most = max(most, held)
                 await anyio.sleep(0.005)
 
         async with node.node_process() as first, anyio.create_task_group() as clients:
-            for _ in range(140):  # more than the descriptors suffice for: some wait, some are shed
+            for _ in range(140):  # more than there are descriptors for: some wait, some are shed
                 clients.start_soon(node.run_client, 0.2)
             await anyio.sleep(1.0)
             async with node.node_process() as second:
@@ -120,6 +130,8 @@
 
 
 def test_a_drain_continues_over_a_hot_restart(tmp_path: Path) -> None:
+    """Guards against a drain that ends with a process: operators started it for the whole node."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
@@ -128,9 +140,9 @@
                 tasks.start_soon(node.run_client)
             await anyio.sleep(0.3)
             async with node.node_process() as second:
-                # The drain starts just before the successor takes over.
+                # The drain starts at the predecessor while the successor serves.
                 assert (await call_admin_api(first.admin_address, "POST /ops/drain/start"))[0] == 200
-            # The successor has failed: the predecessor accepts clients again, and drains.
+            # The successor has been killed: the predecessor accepts clients again, and its drain continues.
             async with node.node_process() as second:
                 first.signal(signal.SIGTERM)
                 assert '"draining":true' in (await call_admin_api(second.admin_address, READY))[1]
@@ -155,6 +167,7 @@
 def test_the_predecessor_continues_to_serve_if_the_successor_fails(
     failure: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against a predecessor that stops serving, or loses clients, for a successor that fails."""
     monkeypatch.setenv("TMPDIR", "")
 
     async def body(tasks: TaskGroup) -> None:
@@ -163,7 +176,7 @@
         async with node.node_process() as first:
             for _ in range(5):
                 tasks.start_soon(node.run_client)
-            # Otherwise one may still wait in the backlog when the successor reports that it serves.
+            # A client still in the backlog would not be accepted once the successor reports that it serves.
             await wait_until(lambda: node.seen["UP"] == 5)
             channel = await connect_to_rendezvous(node)
             greeting = hello_of(parse_node_configuration(node.raw))
@@ -183,7 +196,7 @@
                     assert received is not None and isinstance(received[0], expected)
                     for sock in received[1]:
                         sock.close()
-                # Neither process accepts clients now: those that connect wait in the shared backlog.
+                # Neither process accepts clients now; new ones wait in the backlog of the shared socket.
                 tasks.start_soon(node.run_client)
                 await anyio.sleep(0.2)
                 assert node.seen["UP"] == 5
@@ -193,7 +206,7 @@
             await anyio.sleep(0.3)
             assert node.seen["lines"] > before
             assert set(node.seen) == {"UP", "lines"}
-            # A valid successor still finds it.
+            # A real successor can still take over.
             async with node.node_process():
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
@@ -203,6 +216,8 @@
 
 
 def test_the_successor_keeps_its_sessions_if_the_predecessor_is_killed(tmp_path: Path) -> None:
+    """Guards against sessions that break at the successor when the predecessor is killed meanwhile."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
@@ -228,6 +243,11 @@
 
 
 def test_a_stale_or_foreign_rendezvous_file_does_no_harm(tmp_path: Path) -> None:
+    """Guards against a node that can't start or be restarted because its rendezvous file exists already.
+
+    The file is either no socket, or the socket of a process that was killed.
+    """
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
@@ -237,7 +257,7 @@
             await node.start_client()
             first.signal(signal.SIGKILL)
             await first.ended()
-        async with node.node_process() as second:  # the socket file of the first one still exists
+        async with node.node_process() as second:  # the socket file of the first process still exists
             await node.start_client()
             async with node.node_process():
                 second.signal(signal.SIGTERM)
@@ -248,12 +268,14 @@
 
 
 def test_a_hot_restart_without_discovery_uses_the_predecessors_list(tmp_path: Path) -> None:
+    """Guards against a successor without upstreams: its configuration names none, and discovery is silent."""
+
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
         rows = [endpoint_row(n, at) for n, at in enumerate(upstreams.addresses)]
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
         discovery = await DiscoveryStub([{"revision": 9, "complete": True, "members": rows}], []).start(tasks)
-        # These upstreams are not in the file, and from now on discovery is silent.
+        # The configuration names no upstream. Discovery lists them once and then sends nothing.
         node.raw["known"] = {"revision": 1, "complete": True, "members": []}
         node.raw["discovery"] = f"127.0.0.1:{discovery.port}"
         node.write()
@@ -270,9 +292,10 @@
 
 
 def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
+    """Guards against a successor that admits a full quota on top of what the predecessor admitted."""
     checker = QuotaSafety(20.0, SECOND_US)
     late: list[int] = []
-    unanswered: set[str] = set()  # sessions without an answer; none may be left when the last process ends
+    unanswered: set[str] = set()  # sessions without an answer; must be empty when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 3)
@@ -329,7 +352,10 @@
 
 
 def test_a_process_that_was_stopped_judges_no_upstream_unresponsive(tmp_path: Path) -> None:
-    """Its upstreams' answers are unread: it must migrate no session and shed no client."""
+    """Guards against upstreams that are judged unresponsive although the node itself did not run.
+
+    While the process is stopped, their answers stay unread. It must migrate no session and shed no client.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP slow echo").start(tasks, 3)
@@ -358,7 +384,8 @@
 def test_a_platform_without_unix_sockets_only_lacks_hot_restart(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Where the system has no such sockets, a node with an admin API and a TMPDIR must start all the same.
+    """Guards against a node with an admin API and a TMPDIR that can't start without Unix sockets."""
+
     def refused(family: int, kind: int) -> socket.socket:
         raise OSError(97, "Address family not supported by protocol")
 
--- a/tests/node/test_hot_restart_packets.py
+++ b/tests/node/test_hot_restart_packets.py
@@ -1,4 +1,4 @@
-"""The packets of a hot restart: their forms, and what is no packet."""
+"""The packets of a hot restart: their encoding, and the rejection of incomplete and invalid ones."""
 
 from __future__ import annotations
 
@@ -45,6 +45,8 @@
 
 @pytest.mark.parametrize("packet", PACKETS, ids=lambda packet: type(packet).__name__)
 def test_a_packet_cut_at_any_byte_is_incomplete_and_leaves_no_descriptor(packet: Packet) -> None:
+    """Guards against descriptors left open and partial packets accepted when a sender is killed."""
+
     async def body(tasks: TaskGroup) -> None:
         data = frame(packet, 1)
         for cut in range(len(data) + 1):
@@ -79,6 +81,8 @@
     ],
 )
 def test_an_invalid_packet_raises_an_error(text: bytes) -> None:
+    """Guards against another error than `InvalidInputError`, which alone the receiver handles."""
+
     async def body(tasks: TaskGroup) -> None:
         ours, theirs = socket.socketpair()
         ours.send(b"LL\x01\x00" + len(text).to_bytes(4) + text)
@@ -92,7 +96,7 @@
 
 
 def test_quota_usage_is_written_inside_the_balancers_state() -> None:
-    """A process of an earlier version reads it there."""
+    """Guards against a moved key: a process of an earlier release reads the quota usage there."""
     written = orjson.loads(
         encode_packet(StateHandover(BalancerState({"noted": 0.5}, {"all": 5}), [], 0, None, 0))
     )
@@ -101,6 +105,7 @@
 
 @pytest.mark.parametrize("usage", ['{"all":"5"}', '{"all":null}', '{"all":true}'])
 def test_quota_usage_that_is_no_number_makes_the_packet_invalid(usage: str) -> None:
+    """Guards against quota usage of a wrong type, with which the successor would calculate."""
     text = f'{{"kind":"Ceded","learned":{{"budgets":{usage}}},"idents":[],"holds":0,"clock_us":0}}'
     with pytest.raises(InvalidInputError, match="all has the wrong type"):
         decode_packet(text.encode())
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -1,4 +1,4 @@
-"""Races of a shutdown: a node ends during another event. Each race is forced."""
+"""Races of a shutdown: a node ends during another event, at a time that the test determines."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 )
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-# SIGTERM, and the end of a node.
+# SIGTERM, and what clients are answered when a node ends.
 
 
 def short_lived(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
-    """Return a configuration with a short longest deadline, so that a stop is short."""
+    """Return a configuration with short deadlines, on which the duration of a stop depends."""
     raw = node_configuration(upstreams.addresses, discovery, **changes)
     for traffic_class in raw["settings"]["tariffs"]:
         traffic_class["cut_off_us"] = 400_000
@@ -44,7 +44,10 @@
 
 @pytest.mark.parametrize("mode", ["proxy", "pass"])
 def test_idle_clients_get_an_answer_and_no_reset_when_the_node_ends(mode: str, tmp_path: Path) -> None:
-    """One client sends nothing, one half a line; a session waits for its upstream's answer, and gets it."""
+    """Guards against clients without a complete request whose connections are reset when the node ends.
+
+    One client sends nothing and one half a line. A session waits for its upstream's answer and gets it.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -57,7 +60,7 @@
             idle = [connect_raw(node.port, data) for data in (b"", b"OPEN half")]
             waiting = await open_session(node.port)
             await wait_until(lambda: len(upstreams.lines) == 1)
-            for _ in range(2):  # the second one changes nothing
+            for _ in range(2):  # the second signal has no effect
                 node.signal(signal.SIGTERM)
             assert await waiting.line() == b"UP r1\r\n"
             await waiting.close()
@@ -70,7 +73,10 @@
 
 @pytest.mark.parametrize("operation", ["start", "SIGHUP"])
 def test_sigterm_during_another_operation_ends_the_node_normally(operation: str, tmp_path: Path) -> None:
-    """SIGTERM while it waits for its first list, and right after SIGHUP."""
+    """Guards against a SIGTERM that is lost, or that interrupts another operation.
+
+    It arrives while the node waits for its first endpoint list, and right after SIGHUP.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -102,6 +108,8 @@
 def test_a_reset_of_an_established_session_is_passed_on_to_its_client(
     client_connections: list[ClientConnections],
 ) -> None:
+    """Guards against a reset that reaches the client as a normal end, which it would take for completion."""
+
     async def body(tasks: TaskGroup) -> None:
         session_established = anyio.Event()
 
@@ -126,7 +134,10 @@
 def test_clients_in_the_backlog_are_answered_at_the_end_and_later_ones_refused(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The system has accepted them and received their requests when the node closes its listener."""
+    """Guards against clients that get a reset instead of an answer when the node closes its listener.
+
+    The operating system has accepted their connections and received their requests, but the node has not.
+    """
     listeners: list[ClientListener] = []
 
     class Kept(ClientListener):
@@ -160,6 +171,7 @@
 def test_a_node_that_ends_sheds_connections_accepted_by_the_system(
     client_connections: list[ClientConnections], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """Guards against clients without an answer whose connections are accepted while the node ends."""
     monkeypatch.setattr(request_reader, "FIRST_LINE_S", 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
@@ -180,7 +192,10 @@
 def test_sessions_in_flight_are_answered_before_the_node_ends(
     client_connections: list[ClientConnections],
 ) -> None:
-    """However long a client would wait, as a request in flight when the process is killed has no answer."""
+    """Guards against a node that ends, or is killed, while requests are in flight, which then get no answer.
+
+    Their clients would wait longer than the stop lasts.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -1,4 +1,4 @@
-"""SIGTERM, SIGHUP and the check of a configuration, on a node in a process of its own."""
+"""SIGTERM and SIGHUP on a node that runs as a process, and the command that checks a configuration."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 def test_sigterm_migrates_established_sessions_gradually_and_ends_the_node(tmp_path: Path) -> None:
-    """All at once they would come back as one burst; closed without `MOVE` they would be lost."""
+    """Guards against sessions that are migrated all at once, or closed without `MOVE`.
+
+    The former would reconnect to the other nodes as one burst; the clients of the latter would lose them.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
@@ -58,12 +61,12 @@
 
 
 def test_sighup_follows_a_new_discovery_address_and_rejects_a_wrong_file(tmp_path: Path) -> None:
-    """By default SIGHUP ends a process, which would lose its sessions; so would a wrong file."""
+    """Guards against a node that ends, and loses its sessions, on SIGHUP or when the file is invalid."""
 
     async def body(tasks: TaskGroup) -> None:
         old, new = await UpstreamStubs("UP echo").start(tasks), await UpstreamStubs("UP new").start(tasks)
         first = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
-        # Its revision is lower than the one that the node knows, and it lacks the first upstream.
+        # A complete list whose revision is lower than the one the node knows, without the first upstream.
         whole = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
         second = await DiscoveryStub([whole], []).start(tasks)
         path = tmp_path / "node.json"
@@ -81,7 +84,7 @@
             assert "watch" not in second.asked[0] and "watch" in second.asked[1]
             while await (await open_session(running.port, key="k2")).line() != b"UP new\r\n":
                 await anyio.sleep(0.02)
-            await wait_until(lambda: first.left == 1)  # the old watch ends
+            await wait_until(lambda: first.left == 1)  # the watch at the old address ends
             await established.send(b"still there\r\n")
             assert await established.line() == b"still there\r\n"
             running.signal(signal.SIGINT)
@@ -91,6 +94,7 @@
 
 
 def test_check_names_the_wrong_key_of_a_configuration(tmp_path: Path) -> None:
+    """Guards against an error text without the key at fault, by which operators find it in the file."""
     path = tmp_path / "node.json"
 
     def checked(change: dict[str, Any]) -> tuple[int, str]:
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -1,4 +1,4 @@
-"""What a successor goes on from: an adopted session, and what the balancer has learned."""
+"""What a successor takes over: adopted sessions, and the state that the balancer has learned."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def connected() -> tuple[socket.socket, socket.socket]:
-    """Return the two ends of a connection."""
+    """Return the two ends of a new TCP connection; the first is non-blocking."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         ours = socket.create_connection(server.getsockname())
         theirs, _ = server.accept()
@@ -42,7 +42,10 @@
 
 
 def test_an_adopted_session_counts_its_wait_from_the_adoption() -> None:
-    """No process reads during the handover: the upstream must not count as unresponsive for it."""
+    """Guards against an upstream that counts as unresponsive because of a handover.
+
+    Neither process reads its answers meanwhile, so the wait must not count from before the adoption.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         async def post(_: object) -> None: ...
@@ -78,7 +81,7 @@
     run_on_loopback(body)
 
 
-# What the balancer has learned.
+# State that the balancer has learned.
 
 
 def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
@@ -96,7 +99,7 @@
 
 
 def filled(made: Balancer, now: int, first: int, times: int) -> int:
-    """Return how many of so many new sessions go to the warming upstream."""
+    """Place new sessions, and return how many of them go to the upstream that is in slow start."""
     went = 0
     for number in range(first, first + times):
         session = Session(number, 0, number, number, now + 2 * SECOND_US)
@@ -115,6 +118,7 @@
 
 
 def test_a_slow_start_budget_is_spent_once_by_both_processes() -> None:
+    """Guards against two processes of a node that each spend the whole slow-start budget of one window."""
     now = 100 * SECOND_US
     for seed in range(20):
         started_at = now - 14 * SECOND_US - seed * SECOND_US // 20
@@ -123,17 +127,18 @@
         assert whole > 0
         idle = balancer(started_at, nodes=1)
         idle.release_slow_start_budget(released=True)
-        assert filled(idle, now, 1000 * seed, 400) == 0, "spent though it is another's"
+        assert filled(idle, now, 1000 * seed, 400) == 0, "spent a budget that it had released"
         spent = filled(old, now, 1000 * seed, 200)
         old.release_slow_start_budget(released=True)
         restore_state(new, export_state(old), 0)
-        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent after it was handed over"
+        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent the budget after handing it over"
         assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
         old.release_slow_start_budget(released=False)  # the successor failed, but the window is spent
         assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
 
 
 def test_restored_state_is_shifted_by_the_clock_offset_and_dropped_for_a_restarted_upstream() -> None:
+    """Guards against times of another process's clock, and the load of an upstream before its restart."""
     now, shift = 100 * SECOND_US, 7 * SECOND_US
     old, new = balancer(0), balancer(now - SECOND_US)
     for upstream in (0, 1, 2):
@@ -144,13 +149,14 @@
     for number in (0, 1):
         assert new.fleet.upstreams[number].utilization == 0.9
         assert new.fleet.upstreams[number].slow_until == old.fleet.upstreams[number].slow_until + shift
-    assert new.fleet.upstreams[2].utilization == 0.0, "the process that was seen there is gone"
+    assert new.fleet.upstreams[2].utilization == 0.0, "kept the load of the process that has ended"
 
 
 @pytest.mark.parametrize(
     "change", [{"hosts": {"host-0": {"came_up": 0}}}, {"asked": ["x"]}, {"noted": None}, {"hosts": 3}]
 )
 def test_unreadable_state_changes_nothing(change: dict[str, Any]) -> None:
+    """Guards against a partly restored state, when an error is found after valid values."""
     old, new = balancer(0), balancer(0)
     old.record_probe(100 * SECOND_US, 1, ProbeResult(True, 0.9, 90.0))
     before = export_state(new)
