--- a/larchlatch/node/hot_restart/channel.py
+++ b/larchlatch/node/hot_restart/channel.py
@@ -18,7 +18,7 @@
 MAGIC = b"LL"
 VERSION = 1  # of the packet format; processes with different versions hand nothing over
 HEADER = struct.Struct("!2sBBI")  # magic, version, number of descriptors, length of the body
-MAX_BODY = 16 * 1024 * 1024  # bytes; enough for an endpoint list with thousands of upstreams
+MAX_BODY_BYTES = 16 * 1024 * 1024  # enough for an endpoint list with thousands of upstreams
 MAX_DESCRIPTORS = 2  # per packet; a session has one connection to its client and one to its upstream
 CHUNK_BYTES = 65536  # most bytes of a body that one call reads
 
@@ -57,8 +57,10 @@
 
     """
     magic, version, descriptor_count, body_length = HEADER.unpack(data)
-    if magic != MAGIC or version != VERSION or body_length > MAX_BODY:
-        raise ProtocolError("packet", f"header is not of version {VERSION}, or body is over {MAX_BODY} bytes")
+    if magic != MAGIC or version != VERSION or body_length > MAX_BODY_BYTES:
+        raise ProtocolError(
+            "packet", f"header is not of version {VERSION}, or body is over {MAX_BODY_BYTES} bytes"
+        )
     return Header(descriptor_count, body_length)
 
 
@@ -129,7 +131,7 @@
         packet = decode_packet(await self._receive_body(header.body_length))
         if header.descriptor_count != len(descriptors):
             raise ProtocolError(
-                "packet", f"{len(descriptors)} descriptors received, {header.descriptor_count} announced"
+                "packet", f"{len(descriptors)} descriptors received instead of {header.descriptor_count}"
             )
         return packet
 
--- a/larchlatch/node/hot_restart/packets.py
+++ b/larchlatch/node/hot_restart/packets.py
@@ -222,13 +222,13 @@
 
 def _write_session_handover(packet: SessionHandover) -> JsonObject:
     return {
-        "line": _text_of(packet.request_line),
+        "line": _write_bytes(packet.request_line),
         "host": packet.upstream,
         "load": packet.load,
         "asked_at": packet.unanswered_since_us,
         "last": packet.outcome_at_end,
-        "client_early": _text_of(packet.client_unread),
-        "host_early": _text_of(packet.upstream_unread),
+        "client_early": _write_bytes(packet.client_unread),
+        "host_early": _write_bytes(packet.upstream_unread),
     }
 
 
@@ -260,7 +260,7 @@
     return required(raw, key, kind, WHERE, error=ProtocolError)
 
 
-def _text_of(data: bytes) -> str:
+def _write_bytes(data: bytes) -> str:
     """Return a string with one character for each byte, with the code point of the byte's value."""
     return data.decode("latin-1")
 
--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -91,8 +91,8 @@
 
     async def run(self) -> None:
         """Wait for one successor after another, until cancelled or no rendezvous socket can be created."""
-        while (listening := self._rendezvous.listen()) is not None:
-            sock = await _accept_one(listening)
+        while (listening_socket := self._rendezvous.listen()) is not None:
+            sock = await _accept_one(listening_socket)
             if not is_same_user(sock):
                 sock.close()
                 continue
@@ -130,10 +130,10 @@
         self._client_listener.pause()
         self._connections.sessions.hand_sessions_to(SessionSender(channel, self._balancer_actor).send)
         # Each session without an upstream may still need a descriptor here; the successor gets all others.
-        reserved = min(max(0, self._descriptors.free), self._sessions_without_upstream())
-        lent = self._descriptors.free - reserved
-        self._descriptors.reduce_capacity(lent)
-        state = self._state_for_successor(reserved)
+        reserved_count = min(max(0, self._descriptors.free), self._sessions_without_upstream())
+        transferred_count = self._descriptors.free - reserved_count
+        self._descriptors.reduce_capacity(transferred_count)
+        state = self._state_for_successor(reserved_count)
         self._counters.add(PredecessorCounter.STATE_HANDED_OVER)
         log.info("hot_restart_successor_serving", sessions=len(self._connections.sessions.established))
         try:
@@ -142,7 +142,7 @@
             self._connections.sessions.hand_sessions_to(None)
             self._lifecycle.successor_serves = False
             self._balancer_actor.resume()
-            self._descriptors.reduce_capacity(-lent)
+            self._descriptors.reduce_capacity(-transferred_count)
             self._client_listener.open()
 
     def _sessions_without_upstream(self) -> int:
@@ -153,12 +153,12 @@
             + connections.reader.without_line
         )
 
-    def _state_for_successor(self, reserved_descriptors: int) -> StateHandover:
+    def _state_for_successor(self, reserved_count: int) -> StateHandover:
         draining_since = self._lifecycle.drain_started_at
         return StateHandover(
             balancer_state=self._balancer_actor.hand_over(),
             session_ids=list(self._connections.requests.ids.records),
-            descriptor_count=HEADROOM + self._descriptors.in_use + reserved_descriptors,
+            descriptor_count=HEADROOM + self._descriptors.in_use + reserved_count,
             draining_for_s=None if draining_since is None else anyio.current_time() - draining_since,
             clock_offset_us=UNIX_OFFSET_US,
         )
@@ -170,7 +170,7 @@
     def __init__(self, channel: Channel, balancer_actor: BalancerActor) -> None:
         self._channel = channel
         self._balancer_actor = balancer_actor
-        self._one_at_a_time = anyio.Lock()
+        self._handover_lock = anyio.Lock()
 
     async def send(
         self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
@@ -188,22 +188,24 @@
 
         """
         # During its handover a session uses four descriptors instead of two, and few or none may be free.
-        async with self._one_at_a_time:
+        async with self._handover_lock:
             detached: list[DetachedConnection] = []
             try:
                 if _detach(client, detached) and _detach(upstream, detached):
-                    packet = self._packet(record, outcome_at_end, client=detached[0], upstream=detached[1])
-                    if await self._channel.send(packet, [side.descriptor for side in detached]):
+                    packet = self._handover_packet(
+                        record, outcome_at_end, client=detached[0], upstream=detached[1]
+                    )
+                    if await self._channel.send(packet, [connection.descriptor for connection in detached]):
                         return True
                 # The session stays here and is migrated; until then neither client nor upstream is affected.
-                for side in detached:
-                    await side.lines.reattach(os.dup(side.descriptor), side.unread)
+                for connection in detached:
+                    await connection.lines.reattach(os.dup(connection.descriptor), connection.unread)
                 return False
             finally:
-                for side in detached:
-                    os.close(side.descriptor)
+                for connection in detached:
+                    os.close(connection.descriptor)
 
-    def _packet(
+    def _handover_packet(
         self,
         record: SessionRecord,
         outcome_at_end: Outcome,
@@ -222,19 +224,19 @@
         )
 
 
-async def _accept_one(listening: socket.socket) -> socket.socket:
+async def _accept_one(listening_socket: socket.socket) -> socket.socket:
     """Wait for one connection and return it; the listening socket is closed."""
-    with listening:
-        await anyio.wait_readable(listening)
-        sock, _ = listening.accept()
+    with listening_socket:
+        await anyio.wait_readable(listening_socket)
+        sock, _ = listening_socket.accept()
     sock.setblocking(False)
     return sock
 
 
 def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
     """Detach a connection from its transport; return False if it has ended or has unsent data."""
-    released = lines.detach()
-    if released is None:
+    descriptor_and_unread = lines.detach()
+    if descriptor_and_unread is None:
         return False
-    detached.append(DetachedConnection(lines, *released))
+    detached.append(DetachedConnection(lines, *descriptor_and_unread))
     return True
--- a/larchlatch/node/hot_restart/rendezvous.py
+++ b/larchlatch/node/hot_restart/rendezvous.py
@@ -66,7 +66,7 @@
             with suppress(FileNotFoundError):
                 # The file was left behind by a process that has ended, or is the predecessor's.
                 (self._folder / self.name).unlink()
-            self._with_path(sock.bind)
+            self._call_with_path(sock.bind)
             sock.listen(1)
             sock.setblocking(False)
         except OSError as error:
@@ -81,27 +81,27 @@
         if sock is None:
             return None
         try:
-            self._with_path(sock.connect)
+            self._call_with_path(sock.connect)
             sock.setblocking(False)
         except OSError:
             sock.close()
             return None
         return sock
 
-    def _with_path(self, use: Callable[[str], None]) -> None:
-        """Call `use` with the path of the socket file.
+    def _call_with_path(self, operation: Callable[[str], None]) -> None:
+        """Call `operation` with the path of the socket file.
 
         If it is too long for a Unix socket, pass an equivalent path through /proc/self/fd instead.
         """
         path = str(self._folder / self.name)
         if len(path.encode()) <= MAX_PATH_BYTES:
-            use(path)
+            operation(path)
             return
-        folder = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
+        folder_descriptor = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            use(f"/proc/self/fd/{folder}/{self.name}")
+            operation(f"/proc/self/fd/{folder_descriptor}/{self.name}")
         finally:
-            os.close(folder)
+            os.close(folder_descriptor)
 
 
 def is_same_user(sock: socket.socket) -> bool:
--- a/larchlatch/node/hot_restart/successor.py
+++ b/larchlatch/node/hot_restart/successor.py
@@ -54,7 +54,7 @@
         self.listener = listener
         self._channel = channel
         self._counters = counters
-        self._predecessor_descriptors = 0  # that the predecessor has open or reserved
+        self._predecessor_descriptor_count = 0  # that the predecessor has open or reserved
 
     @classmethod
     async def connect(
@@ -72,10 +72,10 @@
         channel = Channel(await UNIXSocketStream.from_socket(sock))
         await channel.send(hello_of(configuration))
         match await receive_within(channel, ANSWER_TIMEOUT_S):
-            case Received(Welcome(endpoints), [shared]) if (
-                shared.getsockname()[:2] == configuration.listen_address
+            case Received(Welcome(endpoints), [listening_socket]) if (
+                listening_socket.getsockname()[:2] == configuration.listen_address
             ):
-                return cls(channel, endpoints, Listener(shared), counters)
+                return cls(channel, endpoints, Listener(listening_socket), counters)
             case _:
                 counters.add(SuccessorCounter.NOTHING_HANDED_OVER)
                 log.warning("hot_restart_nothing_handed_over")
@@ -90,7 +90,7 @@
             self._counters.add(SuccessorCounter.NOTHING_HANDED_OVER)
             return
         state = received.packet
-        self._predecessor_descriptors = state.descriptor_count
+        self._predecessor_descriptor_count = state.descriptor_count
         components.descriptors.reduce_capacity(state.descriptor_count)
         components.connections.requests.ids.reserve(state.session_ids)
         if state.draining_for_s is not None:
@@ -105,7 +105,7 @@
         connections.requests.ids.release_reserved()
         # Adopted sessions keep their descriptors and release them when they end.
         adopted_descriptors = session_count * CONNECTIONS_PER_SESSION
-        connections.descriptors.reduce_capacity(adopted_descriptors - self._predecessor_descriptors)
+        connections.descriptors.reduce_capacity(adopted_descriptors - self._predecessor_descriptor_count)
         log.info("hot_restart_predecessor_ended", sessions=session_count)
 
     async def _adopt_sessions(self, connections: ClientConnections, tasks: TaskGroup) -> int:
--- a/larchlatch/node/runtime.py
+++ b/larchlatch/node/runtime.py
@@ -51,8 +51,8 @@
 
 async def run_node(
     configuration: NodeConfiguration,
-    path: Path,
-    join: ClusterFactory | None = None,
+    configuration_path: Path,
+    cluster_factory: ClusterFactory | None = None,
     *,
     task_status: TaskStatus[int] = TASK_STATUS_IGNORED,
 ) -> None:
@@ -60,8 +60,8 @@
 
     Args:
         configuration: the node's configuration.
-        path: the file that the configuration was read from; on SIGHUP it is read again.
-        join: creates the node's membership in its cluster; None for a node without a cluster.
+        configuration_path: the file that the configuration was read from; on SIGHUP it is read again.
+        cluster_factory: creates the node's membership in its cluster; None for a node without a cluster.
         task_status: reports the port for clients to the caller once the node can serve.
 
     """
@@ -69,18 +69,18 @@
         async with anyio.create_task_group() as tasks:
             # The admin API starts first, so that it can report that the node can't serve yet.
             admin_listener = bind_admin_listener(configuration)
-            components = build_components(configuration, join, tasks)
+            components = build_components(configuration, cluster_factory, tasks)
             start_background_tasks(admin_listener, components, tasks)
             rendezvous = Rendezvous.for_node(configuration)
-            successor = await connect_predecessor(configuration, rendezvous, components.counters)
+            successor = await connect_to_predecessor(configuration, rendezvous, components.counters)
             start_balancing(newest_endpoint_list(configuration.known_endpoints, successor), components, tasks)
             client_listener = start_client_listener(configuration, successor, components, tasks)
             await open_to_clients(client_listener, successor, components, tasks)
-            start_predecessor(configuration, rendezvous, client_listener, components, tasks)
+            start_waiting_for_successor(configuration, rendezvous, client_listener, components, tasks)
             announce_ready(configuration, client_listener.address, components)
             task_status.started(client_listener.address[1])
             shutdown = build_shutdown(client_listener, components, tasks)
-            await SignalHandler(configuration, path, components, shutdown, tasks).run(signals)
+            await SignalHandler(configuration, configuration_path, components, shutdown, tasks).run(signals)
     log.info("stopped", **components.figures())
 
 
@@ -94,7 +94,7 @@
 
 
 def build_components(
-    configuration: NodeConfiguration, join: ClusterFactory | None, tasks: TaskGroup
+    configuration: NodeConfiguration, cluster_factory: ClusterFactory | None, tasks: TaskGroup
 ) -> NodeComponents:
     """Create the components of the node without starting them.
 
@@ -107,7 +107,7 @@
     random_source = random.Random(configuration.seed)
     mailbox = Mailbox(counters)
     discovery = build_discovery_client(configuration, random_source, mailbox, counters)
-    cluster = join_cluster(join, counters, random_source, mailbox)
+    cluster = join_cluster(cluster_factory, counters, random_source, mailbox)
     upstreams = build_upstream_registry(configuration, descriptors, counters, mailbox)
     balancer = Balancer(configuration.settings, random_source)
     classes = configuration.traffic_class_names
@@ -148,12 +148,12 @@
 
 
 def join_cluster(
-    join: ClusterFactory | None, counters: Counters, random_source: random.Random, mailbox: Mailbox
+    cluster_factory: ClusterFactory | None, counters: Counters, random_source: random.Random, mailbox: Mailbox
 ) -> ClusterPort | None:
     """Create the cluster membership, with a random source seeded from the node's; None without a cluster."""
-    if join is None:
+    if cluster_factory is None:
         return None
-    return join(counters, random.Random(random_source.getrandbits(CLUSTER_SEED_BITS)), mailbox)
+    return cluster_factory(counters, random.Random(random_source.getrandbits(CLUSTER_SEED_BITS)), mailbox)
 
 
 def build_upstream_registry(
@@ -204,7 +204,7 @@
         tasks.start_soon(components.cluster.run)
 
 
-async def connect_predecessor(
+async def connect_to_predecessor(
     configuration: NodeConfiguration, rendezvous: Rendezvous | None, counters: Counters
 ) -> Successor | None:
     """Connect to the process of this node that serves now; return None if there is none to take over from."""
@@ -274,7 +274,7 @@
         components.drainer.start()
 
 
-def start_predecessor(
+def start_waiting_for_successor(
     configuration: NodeConfiguration,
     rendezvous: Rendezvous | None,
     client_listener: ClientListener,
--- a/larchlatch/node/shutdown.py
+++ b/larchlatch/node/shutdown.py
@@ -20,8 +20,8 @@
 STOP_GRACE_S = 0.7  # from the longest deadline until the protocol allows the process to be killed
 STOP_MARGIN_S = 0.4  # before the end of the grace, for closing sessions: by then all must have left
 EARLY_REJECTION_S = 0.1  # before sessions must have left, clients that have sent no request are rejected
-LAST_ANSWERS_S = 0.4  # to send the last answers; below the sum of EARLY_REJECTION_S and STOP_MARGIN_S
-LINE_BOUNDARY_S = 0.4  # for a session to stop between two lines; a session may pause for at most 1 s
+LAST_ANSWERS_TIMEOUT_S = 0.4  # to send the last answers; below the sum of EARLY_REJECTION_S and STOP_MARGIN_S
+LINE_BOUNDARY_TIMEOUT_S = 0.4  # for a session to stop between two lines; a session may pause for at most 1 s
 ROUND_INTERVAL_S = 0.05  # between two rounds of releasing sessions or checking whether they have ended
 
 log = structlog.get_logger()
@@ -52,19 +52,19 @@
             self._tasks.start_soon(self._run)
 
     async def _run(self) -> None:
-        handed_over_at: dict[SessionRecord, float] = {}  # when the session's handover was requested
+        handover_requested_at: dict[SessionRecord, float] = {}
         while self._lifecycle.releasing_sessions:
             now = anyio.current_time()
-            self._release_due(now, handed_over_at)
-            self._migrate_unready(now, handed_over_at)
+            self._release_due(now, handover_requested_at)
+            self._migrate_overdue(now, handover_requested_at)
             await anyio.sleep(ROUND_INTERVAL_S)
         self._running = False
 
-    def _release_due(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
+    def _release_due(self, now: float, handover_requested_at: dict[SessionRecord, float]) -> None:
         established = [
             record
             for record in self._connections.sessions.established.values()
-            if not record.migration_requested.is_set() and record not in handed_over_at
+            if not record.migration_requested.is_set() and record not in handover_requested_at
         ]
         # No session is due where packets pass through, as other nodes continue to forward its packets.
         due_count = self._lifecycle.release_sessions(now, len(established))
@@ -73,14 +73,18 @@
                 self._counters.add(DrainCounter.SESSION_RELEASED)
                 record.migration_requested.set()
             elif record.request_handover is not None:
-                handed_over_at[record] = now
+                handover_requested_at[record] = now
                 record.request_handover()
 
-    def _migrate_unready(self, now: float, handed_over_at: dict[SessionRecord, float]) -> None:
+    def _migrate_overdue(self, now: float, handover_requested_at: dict[SessionRecord, float]) -> None:
         # A session can't stop between two lines while its client or upstream does not read; it is migrated.
-        overdue = [record for record, at in handed_over_at.items() if now >= at + LINE_BOUNDARY_S]
+        overdue = [
+            record
+            for record, requested_at in handover_requested_at.items()
+            if now >= requested_at + LINE_BOUNDARY_TIMEOUT_S
+        ]
         for record in overdue:
-            del handed_over_at[record]
+            del handover_requested_at[record]
             record.migration_requested.set()
 
 
@@ -112,7 +116,7 @@
         # A successor shares the listening socket and accepts the connections in the backlog.
         if not self._lifecycle.hands_over_sessions:
             await self._listener.close()
-        with anyio.move_on_after(LAST_ANSWERS_S):
+        with anyio.move_on_after(LAST_ANSWERS_TIMEOUT_S):
             while self._connections.connection_count > 0:  # noqa: ASYNC110 - no event is set when the count changes
                 await anyio.sleep(ROUND_INTERVAL_S)
         self._tasks.cancel_scope.cancel()
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -39,22 +39,22 @@
         tasks: TaskGroup,
     ) -> None:
         self._configuration = configuration  # that is in force; a reload replaces it
-        self._path = path  # of the configuration file
+        self._configuration_path = path  # of the configuration file
         self._components = components
         self._shutdown = shutdown
         self._tasks = tasks
 
     async def run(self, signals: AsyncIterator[signal.Signals]) -> None:
         """Handle signals until cancelled."""
-        async for number in signals:
-            self._handle(number)
+        async for signal_number in signals:
+            self._handle(signal_number)
 
-    def _handle(self, number: signal.Signals) -> None:
-        if number == signal.SIGHUP:
+    def _handle(self, signal_number: signal.Signals) -> None:
+        if signal_number == signal.SIGHUP:
             self._reload()
             return
         log.info("counters", **self._components.figures())
-        if number == signal.SIGUSR1:
+        if signal_number == signal.SIGUSR1:
             self._log_status()
         else:
             self._begin_stop()
@@ -62,7 +62,7 @@
     def _reload(self) -> None:
         components = self._components
         self._configuration = reload_configuration(
-            self._configuration, self._path, components.discovery, components.counters
+            self._configuration, self._configuration_path, components.discovery, components.counters
         )
         if components.cluster is not None:
             components.cluster.reload()
--- a/larchlatch/node/status.py
+++ b/larchlatch/node/status.py
@@ -48,7 +48,7 @@
     return UpstreamRow(
         upstream=actor.name if actor is not None else status.upstream,
         state=status.state.value,
-        exclusion=_exclusion_word(status),
+        exclusion=_exclusion_reason(status),
         attempts=status.attempts,
         attempts_open=actor.attempts.in_flight if actor is not None else 0,
         sessions=status.established,
@@ -58,7 +58,7 @@
     )
 
 
-def _exclusion_word(status: UpstreamStatus) -> str:
+def _exclusion_reason(status: UpstreamStatus) -> str:
     """Return why an upstream gets no new sessions, as its state if it is not ready; empty if it gets some."""
     if status.exclusion is None:
         return ""
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -60,9 +60,11 @@
                     second.signal(signal.SIGTERM)
                     assert await first.ended() == 0
                     assert await second.ended() == 0
-                    before = node.seen["lines"]
+                    lines_before = node.seen["lines"]
                     await anyio.sleep(0.5)
-                    assert node.seen["lines"] > before + node.seen["UP"], "established sessions continue"
+                    assert node.seen["lines"] > lines_before + node.seen["UP"], (
+                        "established sessions continue"
+                    )
                     assert (await call_admin_api(third.admin_address, READY))[0] == 200
         seen = node.seen
         assert set(seen) <= {"UP", "lines", "moved", "broken"}, "rejected or without an answer"
@@ -101,16 +103,16 @@
         node = await RestartedNode(tasks, tmp_path).start(upstreams)
         limit = node.raw["limits"]["sockets"] = 256
         node.write()
-        most = 0
+        max_open = 0
 
-        async def watch(*processes: NodeProcess) -> None:
-            nonlocal most
+        async def count_descriptors(*processes: NodeProcess) -> None:
+            nonlocal max_open
             while True:
-                held = 0
+                open_descriptors = 0
                 for running in processes:
                     with suppress(OSError):  # the process has ended
-                        held += len(os.listdir(f"/proc/{running.process.pid}/fd"))
-                most = max(most, held)
+                        open_descriptors += len(os.listdir(f"/proc/{running.process.pid}/fd"))
+                max_open = max(max_open, open_descriptors)
                 await anyio.sleep(0.005)
 
         async with node.node_process() as first, anyio.create_task_group() as clients:
@@ -118,12 +120,12 @@
                 clients.start_soon(node.run_client, 0.2)
             await anyio.sleep(1.0)
             async with node.node_process() as second:
-                clients.start_soon(watch, first, second)
+                clients.start_soon(count_descriptors, first, second)
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
                 await anyio.sleep(0.5)
                 assert node.seen["moved"] == node.seen["broken"] == node.seen["turned back"] == 0
-                assert 100 < most <= limit
+                assert 100 < max_open <= limit
                 clients.cancel_scope.cancel()
 
     run_on_loopback(body)
@@ -179,18 +181,18 @@
             # A client still in the backlog would not be accepted once the successor reports that it serves.
             await wait_until(lambda: node.seen["UP"] == 5)
             channel = await connect_to_rendezvous(node)
-            greeting = hello_of(parse_node_configuration(node.raw))
+            hello = hello_of(parse_node_configuration(node.raw))
             if failure == "nonsense":
                 await channel.stream.send(b"GET / HTTP/1.1\r\n\r\n")
                 assert await channel.receive() is None
             elif failure == "other version":
-                await channel.stream.send(b"LL\x63" + frame(greeting, 0)[3:])
+                await channel.stream.send(b"LL\x63" + frame(hello, 0)[3:])
                 assert await channel.receive() is None
             elif failure == "other node":
-                await channel.send(Hello("n9", greeting.listen))
+                await channel.send(Hello("n9", hello.listen))
                 assert await channel.receive() is None
             elif failure == "after it served":
-                for packet, expected in ((greeting, Welcome), (Serving(), StateHandover)):
+                for packet, expected in ((hello, Welcome), (Serving(), StateHandover)):
                     await channel.send(packet)
                     received = await channel.receive()
                     assert received is not None and isinstance(received[0], expected)
@@ -202,9 +204,9 @@
                 assert node.seen["UP"] == 5
             await channel.close()
             await node.start_client()
-            before = node.seen["lines"]
+            lines_before = node.seen["lines"]
             await anyio.sleep(0.3)
-            assert node.seen["lines"] > before
+            assert node.seen["lines"] > lines_before
             assert set(node.seen) == {"UP", "lines"}
             # A real successor can still take over.
             async with node.node_process():
@@ -235,9 +237,9 @@
                 assert 0 < node.seen["broken"] < 30, (
                     "sessions handed over continue, the others ended with the predecessor"
                 )
-                before = node.seen["lines"]
+                lines_before = node.seen["lines"]
                 await anyio.sleep(0.3)
-                assert node.seen["lines"] > before
+                assert node.seen["lines"] > lines_before
 
     run_on_loopback(body)
 
@@ -294,7 +296,7 @@
 def test_two_processes_of_a_node_together_keep_within_its_quota(tmp_path: Path) -> None:
     """Guards against a successor that admits a full quota on top of what the predecessor admitted."""
     checker = QuotaSafety(20.0, SECOND_US)
-    late: list[int] = []
+    admitted_after_handover: list[int] = []
     unanswered: set[str] = set()  # sessions without an answer; must be empty when the last process ends
 
     async def body(tasks: TaskGroup) -> None:
@@ -313,25 +315,25 @@
         ]
 
         async def session() -> None:
-            began = now_us()
+            started_at = now_us()
             client = await node.open_session()
-            ident = str(began)
-            checker.observe(SessionRequested(began, ident))
-            unanswered.add(ident)
+            session_id = str(started_at)
+            checker.observe(SessionRequested(started_at, session_id))
+            unanswered.add(session_id)
             answer = await client.line()
-            unanswered.discard(ident)
+            unanswered.discard(session_id)
             assert not isinstance(answer, Ending) and answer.split()[0] in (b"UP", b"BUSY")
             if answer.startswith(b"UP"):
-                checker.observe(SessionAdmitted(now_us(), ident))
+                checker.observe(SessionAdmitted(now_us(), session_id))
             await client.close()
 
         async def send_requests() -> None:
-            while anyio.current_time() < end:
+            while anyio.current_time() < requests_end_at:
                 tasks.start_soon(session)
                 await anyio.sleep(0.02)
 
         async with node.node_process() as first:
-            end = anyio.current_time() + 14.0
+            requests_end_at = anyio.current_time() + 14.0
             tasks.start_soon(send_requests)
             await anyio.sleep(6.0)
             async with node.node_process() as second:
@@ -339,8 +341,8 @@
                 handed_over_at = now_us()
                 first.signal(signal.SIGTERM)
                 assert await first.ended() == 0
-                await wait_until(lambda: anyio.current_time() > end + 0.1 and not unanswered)
-                late.extend(
+                await wait_until(lambda: anyio.current_time() > requests_end_at + 0.1 and not unanswered)
+                admitted_after_handover.extend(
                     admission.seen_at
                     for admission in checker.admissions
                     if admission.seen_at > handed_over_at
@@ -348,7 +350,7 @@
 
     run_on_loopback(body)
     assert checker.excess() == 0 and checker.used_share() > 0.3
-    assert len(late) >= 10, "the successor admitted too few sessions after the handover"
+    assert len(admitted_after_handover) >= 10, "the successor admitted too few sessions after the handover"
 
 
 def test_a_process_that_was_stopped_judges_no_upstream_unresponsive(tmp_path: Path) -> None:
@@ -386,9 +388,9 @@
 ) -> None:
     """Guards against a node with an admin API and a TMPDIR that can't start without Unix sockets."""
 
-    def refused(family: int, kind: int) -> socket.socket:
+    def raise_unsupported(family: int, kind: int) -> socket.socket:
         raise OSError(97, "Address family not supported by protocol")
 
     rendezvous = Rendezvous(tmp_path, parse_node_configuration(node_configuration([], 1)))
-    monkeypatch.setattr(socket, "socket", refused)
+    monkeypatch.setattr(socket, "socket", raise_unsupported)
     assert rendezvous.connect() is None and rendezvous.listen() is None
--- a/tests/node/test_hot_restart_packets.py
+++ b/tests/node/test_hot_restart_packets.py
@@ -50,20 +50,20 @@
     async def body(tasks: TaskGroup) -> None:
         data = frame(packet, 1)
         for cut in range(len(data) + 1):
-            ours, theirs = socket.socketpair()
-            held = len(os.listdir("/proc/self/fd"))
-            socket.send_fds(ours, [data[:cut]], [ours.fileno()] if cut else [])
-            ours.shutdown(socket.SHUT_WR)
-            theirs.setblocking(False)
-            received = await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
+            sender, receiver = socket.socketpair()
+            open_before = len(os.listdir("/proc/self/fd"))
+            socket.send_fds(sender, [data[:cut]], [sender.fileno()] if cut else [])
+            sender.shutdown(socket.SHUT_WR)
+            receiver.setblocking(False)
+            received = await Channel(await UNIXSocketStream.from_socket(receiver)).receive()
             if cut < len(data):
                 assert received is None
             else:
                 assert received is not None and received[0] == packet
                 received[1][0].close()
-            assert len(os.listdir("/proc/self/fd")) == held
-            ours.close()
-            theirs.close()
+            assert len(os.listdir("/proc/self/fd")) == open_before
+            sender.close()
+            receiver.close()
 
     run_on_loopback(body)
 
@@ -84,13 +84,13 @@
     """Guards against another error than `InvalidInputError`, which alone the receiver handles."""
 
     async def body(tasks: TaskGroup) -> None:
-        ours, theirs = socket.socketpair()
-        ours.send(b"LL\x01\x00" + len(text).to_bytes(4) + text)
-        theirs.setblocking(False)
+        sender, receiver = socket.socketpair()
+        sender.send(b"LL\x01\x00" + len(text).to_bytes(4) + text)
+        receiver.setblocking(False)
         with pytest.raises(InvalidInputError, match="packet"):
-            await Channel(await UNIXSocketStream.from_socket(theirs)).receive()
-        ours.close()
-        theirs.close()
+            await Channel(await UNIXSocketStream.from_socket(receiver)).receive()
+        sender.close()
+        receiver.close()
 
     run_on_loopback(body)
 
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -12,7 +12,7 @@
 import pytest
 from anyio.abc import SocketStream, TaskGroup
 
-from larchlatch.node import runtime as node_run
+from larchlatch.node import runtime as node_runtime
 from larchlatch.node.client_listener import ClientListener
 from larchlatch.node.clients import request_reader
 from larchlatch.node.clients.connections import ClientConnections
@@ -34,7 +34,7 @@
 # SIGTERM, and what clients are answered when a node ends.
 
 
-def short_lived(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
+def short_deadline_configuration(upstreams: UpstreamStubs, discovery: int, **changes: Any) -> dict[str, Any]:
     """Return a configuration with short deadlines, on which the duration of a stop depends."""
     raw = node_configuration(upstreams.addresses, discovery, **changes)
     for traffic_class in raw["settings"]["tariffs"]:
@@ -53,7 +53,7 @@
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
         discovery = await DiscoveryStub([]).start(tasks)
         path = tmp_path / "node.json"
-        raw = short_lived(upstreams, discovery.port, domain={"mode": mode})
+        raw = short_deadline_configuration(upstreams, discovery.port, domain={"mode": mode})
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         path.write_bytes(orjson.dumps(raw))
         async with node_process(path) as node:
@@ -80,9 +80,11 @@
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
-        silent = await ScriptedUpstream().start(tasks, lambda upstream, session: anyio.sleep_forever())
+        silent_discovery = await ScriptedUpstream().start(
+            tasks, lambda upstream, session: anyio.sleep_forever()
+        )
         path = tmp_path / "node.json"
-        raw = short_lived(upstreams, silent.address[1])
+        raw = short_deadline_configuration(upstreams, silent_discovery.address[1])
         raw["settings"]["tariffs"][0]["cut_off_us"] = 2_000_000
         raw["control"] = admin_address()
         path.write_bytes(orjson.dumps(raw))
@@ -140,12 +142,12 @@
     """
     listeners: list[ClientListener] = []
 
-    class Kept(ClientListener):
-        def __init__(self, *given: Any) -> None:
-            super().__init__(*given)
+    class RecordedListener(ClientListener):
+        def __init__(self, *arguments: Any) -> None:
+            super().__init__(*arguments)
             listeners.append(self)
 
-    monkeypatch.setattr(node_run, "ClientListener", Kept)
+    monkeypatch.setattr(node_runtime, "ClientListener", RecordedListener)
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks)
@@ -203,9 +205,9 @@
         lifecycle = client_connections[0]._lifecycle
         lifecycle.start_stop(anyio.current_time())
         lifecycle.stop_duration_s = 0.3
-        began = anyio.current_time()
+        started_at = anyio.current_time()
         assert await send_and_read_all(connect_raw(port, request_line("a", wait_ms=3000)))
-        assert anyio.current_time() < began + 2.0
+        assert anyio.current_time() < started_at + 2.0
         await wait_until_idle(client_connections[0])
 
     run_on_loopback(body)
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -41,18 +41,18 @@
             for client in clients:
                 assert await client.line() == b"UP echo\r\n"
             running.signal(signal.SIGTERM)
-            late = await open_session(running.port, key="late")
-            assert await late.line() == b"UP echo\r\n"
-            moved = []
+            late_client = await open_session(running.port, key="late")
+            assert await late_client.line() == b"UP echo\r\n"
+            moved_at = []
 
             async def record_move(client: Lines) -> None:
                 assert await read_to_end(client) == [b"MOVE\r\n"]
-                moved.append(anyio.current_time())
+                moved_at.append(anyio.current_time())
 
-            async with anyio.create_task_group() as waits:
-                for client in [*clients, late]:
-                    waits.start_soon(record_move, client)
-            assert moved[-1] - moved[0] > 0.5, "all sessions were migrated at once"
+            async with anyio.create_task_group() as readers:
+                for client in [*clients, late_client]:
+                    readers.start_soon(record_move, client)
+            assert moved_at[-1] - moved_at[0] > 0.5, "all sessions were migrated at once"
             await front.close()
             assert (await running.next_event("stopped"))["sessions_established"] == 9
             assert await running.ended() == 0
@@ -67,18 +67,18 @@
         old, new = await UpstreamStubs("UP echo").start(tasks), await UpstreamStubs("UP new").start(tasks)
         first = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
         # A complete list whose revision is lower than the one the node knows, without the first upstream.
-        whole = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
-        second = await DiscoveryStub([whole], []).start(tasks)
+        complete_list = {"revision": 1, "complete": True, "members": [endpoint_row(1, new.addresses[0])]}
+        second = await DiscoveryStub([complete_list], []).start(tasks)
         path = tmp_path / "node.json"
-        good = node_configuration(old.addresses, first.port)
-        path.write_bytes(orjson.dumps(good))
+        valid = node_configuration(old.addresses, first.port)
+        path.write_bytes(orjson.dumps(valid))
         async with node_process(path) as running:
             established = await open_session(running.port)
             assert await established.line() == b"UP echo\r\n"
-            path.write_bytes(orjson.dumps({**good, "discovery": "nowhere"}))
+            path.write_bytes(orjson.dumps({**valid, "discovery": "nowhere"}))
             running.signal(signal.SIGHUP)
             assert "discovery" in (await running.next_event("configuration_rejected"))["reason"]
-            path.write_bytes(orjson.dumps({**good, "discovery": f"127.0.0.1:{second.port}"}))
+            path.write_bytes(orjson.dumps({**valid, "discovery": f"127.0.0.1:{second.port}"}))
             running.signal(signal.SIGHUP)
             await wait_until(lambda: len(second.asked) >= 2)
             assert "watch" not in second.asked[0] and "watch" in second.asked[1]
@@ -97,20 +97,20 @@
     """Guards against an error text without the key at fault, by which operators find it in the file."""
     path = tmp_path / "node.json"
 
-    def checked(change: dict[str, Any]) -> tuple[int, str]:
+    def run_check(change: dict[str, Any]) -> tuple[int, str]:
         path.write_bytes(orjson.dumps({**node_configuration(["127.0.0.1:1"], 1), **change}))
         result = CliRunner().invoke(cli, ["check", "--config", str(path)])
         return result.exit_code, result.output
 
-    assert checked({}) == (0, "n0: in order; 1 hosts known, 3 tariffs, 2 zones\n")
-    known = {"revision": 1, "complete": True, "members": [endpoint_row(0, "nowhere")]}
+    assert run_check({}) == (0, "n0: in order; 1 hosts known, 3 tariffs, 2 zones\n")
+    known_list = {"revision": 1, "complete": True, "members": [endpoint_row(0, "nowhere")]}
     for change, key in (
         ({"listen": "here"}, "listen"),
         ({"seed": "not hex"}, "seed"),
         ({"settings": {}}, "settings: caps"),
         ({"limits": {"sockets": "many"}}, "limits: sockets"),
-        ({"known": known}, "known.members[0].host_port"),
+        ({"known": known_list}, "known.members[0].host_port"),
     ):
-        code, output = checked(change)
+        code, output = run_check(change)
         assert code == 2 and key in output and output.count("\n") == 1
     assert CliRunner().invoke(cli, ["check", "--config", str(tmp_path / "none")]).exit_code == 2
--- a/tests/node/test_state_handover.py
+++ b/tests/node/test_state_handover.py
@@ -32,7 +32,7 @@
 from tests.support.loopback import run_on_loopback, wait_until
 
 
-def connected() -> tuple[socket.socket, socket.socket]:
+def connect_sockets() -> tuple[socket.socket, socket.socket]:
     """Return the two ends of a new TCP connection; the first is non-blocking."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         ours = socket.create_connection(server.getsockname())
@@ -64,16 +64,16 @@
         connections = ClientConnections(
             balancer_actor, requests, descriptors, counters, anyio.Event(), lifecycle
         )
-        began = now_us()
-        for asked_at in (began - 2 * SECOND_US, 0):
-            pairs = [connected(), connected()]
+        started = now_us()
+        for asked_at in (started - 2 * SECOND_US, 0):
+            pairs = [connect_sockets(), connect_sockets()]
             packet = SessionHandover(
                 b"OPEN id1 k1 c=once,d=9\r\n", "s-0", 1.5, asked_at, int(Outcome.RESET), b"", b""
             )
             tasks.start_soon(connections.adopt, packet, [ours for ours, _ in pairs])
             await wait_until(lambda: bool(connections.sessions.established))
             [record] = connections.sessions.established.values()
-            assert record.awaiting_answer_since >= began if asked_at else record.awaiting_answer_since == 0
+            assert record.awaiting_answer_since >= started if asked_at else record.awaiting_answer_since == 0
             for _, theirs in pairs:
                 theirs.close()
             await wait_until(lambda: not connections.sessions.established)
@@ -85,36 +85,36 @@
 
 
 def balancer(started_at: int, **deployment_settings: Any) -> Balancer:
-    made = Balancer(
+    subject = Balancer(
         replace(SETTINGS, probes=True, probes_report_load=True, reports_delay=False, **deployment_settings),
         random.Random(3),
     )
-    made.update_endpoints(
+    subject.update_endpoints(
         100 * SECOND_US,
         [endpoint(0), endpoint(1), endpoint(2, started_at=started_at)],
         whole=True,
         asked=True,
     )
-    return made
+    return subject
 
 
-def filled(made: Balancer, now: int, first: int, times: int) -> int:
+def place_sessions(subject: Balancer, now: int, first_number: int, count: int) -> int:
     """Place new sessions, and return how many of them go to the upstream that is in slow start."""
-    went = 0
-    for number in range(first, first + times):
+    slow_start_count = 0
+    for number in range(first_number, first_number + count):
         session = Session(number, 0, number, number, now + 2 * SECOND_US)
-        for upstream in made.fleet.upstreams.values():
+        for upstream in subject.fleet.upstreams.values():
             upstream.probed_at = now
-            made.record_probe(
+            subject.record_probe(
                 now,
                 upstream.number,
                 ProbeResult(True, *((0.05, 0.0) if upstream.started_at else (0.5, 50.0))),
             )
-        answer = made.place(now, session)
+        answer = subject.place(now, session)
         if isinstance(answer, Forward):
-            went += answer.upstream == 2
-            made.outcome(now, session, Outcome.ESTABLISHED)
-    return went
+            slow_start_count += answer.upstream == 2
+            subject.outcome(now, session, Outcome.ESTABLISHED)
+    return slow_start_count
 
 
 def test_a_slow_start_budget_is_spent_once_by_both_processes() -> None:
@@ -122,19 +122,19 @@
     now = 100 * SECOND_US
     for seed in range(20):
         started_at = now - 14 * SECOND_US - seed * SECOND_US // 20
-        alone, old, new = (balancer(started_at, nodes=1) for _ in range(3))
-        whole = filled(alone, now, 1000 * seed, 400)
-        assert whole > 0
-        idle = balancer(started_at, nodes=1)
-        idle.release_slow_start_budget(released=True)
-        assert filled(idle, now, 1000 * seed, 400) == 0, "spent a budget that it had released"
-        spent = filled(old, now, 1000 * seed, 200)
+        reference, old, new = (balancer(started_at, nodes=1) for _ in range(3))
+        full_budget = place_sessions(reference, now, 1000 * seed, 400)
+        assert full_budget > 0
+        released = balancer(started_at, nodes=1)
+        released.release_slow_start_budget(released=True)
+        assert place_sessions(released, now, 1000 * seed, 400) == 0, "spent a budget that it had released"
+        spent_by_old = place_sessions(old, now, 1000 * seed, 200)
         old.release_slow_start_budget(released=True)
         restore_state(new, export_state(old), 0)
-        assert filled(old, now, 5000 + 1000 * seed, 50) == 0, "spent the budget after handing it over"
-        assert spent + filled(new, now, 1000 * seed + 200, 200) <= whole + 1
+        assert place_sessions(old, now, 5000 + 1000 * seed, 50) == 0, "spent the budget after handing it over"
+        assert spent_by_old + place_sessions(new, now, 1000 * seed + 200, 200) <= full_budget + 1
         old.release_slow_start_budget(released=False)  # the successor failed, but the window is spent
-        assert spent + filled(old, now, 1000 * seed + 200, 200) <= whole + 1
+        assert spent_by_old + place_sessions(old, now, 1000 * seed + 200, 200) <= full_budget + 1
 
 
 def test_restored_state_is_shifted_by_the_clock_offset_and_dropped_for_a_restarted_upstream() -> None:
