--- a/tests/node/test_overdue_requests.py
+++ b/tests/node/test_overdue_requests.py
@@ -81,18 +81,18 @@
     Attempts that fail must not change it, and it must follow sessions that take longer.
     """
     harness = BalancerHarness()
-    assert harness.balancer.wait(harness.now).setup_us == 0, "setup time without any session"
+    assert harness.balancer.due_actions(harness.now).setup_us == 0, "setup time without any session"
     for _ in range(30):
         session = harness.arrive()
         harness.now += took
         harness.finish_attempt(session, Outcome.ESTABLISHED)
-    assert harness.balancer.wait(harness.now).setup_us == took
+    assert harness.balancer.due_actions(harness.now).setup_us == took
     failing = harness.arrive()
     harness.now += SECOND_US
     harness.finish_attempt(failing, Outcome.REJECTED)
-    assert harness.balancer.wait(harness.now).setup_us == took
+    assert harness.balancer.due_actions(harness.now).setup_us == took
     for _ in range(40):
         session = harness.arrive()
         harness.now += 2 * took
         harness.finish_attempt(session, Outcome.ESTABLISHED)
-    assert 1.9 * took < harness.balancer.wait(harness.now).setup_us <= 2 * took
+    assert 1.9 * took < harness.balancer.due_actions(harness.now).setup_us <= 2 * took
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -1,4 +1,4 @@
-"""The candidates of a session, and the choice among them."""
+"""Tests of the candidates of a session and of the choice among upstreams."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
     assert before == {key: other.arrive(key).upstream for key in range(1, 200)}
     changed = BalancerHarness(seed=3, upstreams=8)
     changed.update_endpoints(endpoint(5, EndpointState.GONE))
-    moved = [key for key in before if changed.arrive(key).upstream != before[key]]
-    assert len(moved) < len(before) // 3
+    remapped = [key for key in before if changed.arrive(key).upstream != before[key]]
+    assert len(remapped) < len(before) // 3
 
 
 def test_sessions_of_one_group_stay_on_two_candidates() -> None:
@@ -52,10 +52,10 @@
 
 
 def test_node_with_hardly_a_session_chooses_by_load_reports() -> None:
-    """One node of hundreds has a session or two at an upstream, which say nothing of its load."""
+    """One of hundreds of nodes has very few sessions at an upstream, which tell nothing about its load."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    master, second = harness.balancer.wait(harness.now).probes
+    master, second = harness.balancer.due_actions(harness.now).probes
     first = next(harness.balancer.ring.successors(session)).number
     for number in (master, second):
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 0.9 if number == first else 0.3))
@@ -64,7 +64,7 @@
 
 
 def test_large_group_spreads_and_small_one_does_not() -> None:
-    """Two upstreams of a large fleet would reset the sessions of a group that makes up a tenth of all."""
+    """A group with a large share of all sessions would overload two upstreams, which would reset them."""
     harness = BalancerHarness(upstreams=60)
     placed = {}
     for number in range(120):
@@ -81,40 +81,45 @@
 
 
 def test_session_skips_candidates_that_report_to_be_full() -> None:
-    """If both candidates are full, the less loaded of them would serve it late as well."""
+    """If both candidates are full, even the less loaded one would serve the session late."""
     harness = BalancerHarness(nodes=200, probes=True, probes_report_load=True)
     session = harness.arrive(key=3)
-    full = harness.balancer.wait(harness.now).probes
-    for number in full:
+    full_upstreams = harness.balancer.due_actions(harness.now).probes
+    for number in full_upstreams:
         harness.balancer.record_probe(harness.now, number, ProbeResult(True, 1.1))
     harness.advance(SECOND_US // 10)
-    assert harness.attempt_upstreams[session.number] not in full
+    assert harness.attempt_upstreams[session.number] not in full_upstreams
 
 
 def upstream_of_handed_over(balancer: Balancer, now: int, number: int, key: int) -> int:
-    """Return the upstream that a session handed over in mid-flow is placed on."""
+    """Return the number of the upstream on which a session handed over by another node is placed."""
     return forwarded_to(balancer.place(now, Session(number, 0, key, key, now + 2 * SECOND_US, mid_flow=True)))
 
 
 def test_handed_over_session_does_not_go_to_an_upstream_that_started_after_it() -> None:
     now = 100 * SECOND_US
-    for started_at, holds in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
+    for started_at, keeps_upstream in ((now - 4 * SECOND_US, True), (now - 30 * SECOND_US, False)):
         before, after = (Balancer(SETTINGS, random.Random(seed)) for seed in (1, 2))
         old = [endpoint(number) for number in range(4)]
-        before.update_endpoints(now, old, whole=True, asked=True)
-        after.update_endpoints(now, [*old, endpoint(4, started_at=started_at)], whole=True, asked=True)
+        before.update_endpoints(now, old, whole=True, from_discovery=True)
+        after.update_endpoints(
+            now, [*old, endpoint(4, started_at=started_at)], whole=True, from_discovery=True
+        )
         pairs = [
             (upstream_of_handed_over(before, now, key, key), upstream_of_handed_over(after, now, key, key))
             for key in range(1, 200)
         ]
-        assert all(was == now_at for was, now_at in pairs) == holds
+        assert (
+            all(upstream_before == upstream_after for upstream_before, upstream_after in pairs)
+            == keeps_upstream
+        )
 
 
 def test_handed_over_sessions_do_not_all_go_to_a_few_warm_upstreams() -> None:
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, overload_multiple=100.0), random.Random(1))
     warming = [endpoint(number, started_at=now - 4 * SECOND_US) for number in range(1, 6)]
-    balancer.update_endpoints(now, [endpoint(0), *warming], whole=True, asked=True)
+    balancer.update_endpoints(now, [endpoint(0), *warming], whole=True, from_discovery=True)
     places = [upstream_of_handed_over(balancer, now, key, key) for key in range(1, 60)]
     assert places.count(0) < len(places) / 2
 
@@ -123,7 +128,9 @@
     now = 100 * SECOND_US
     balancer = Balancer(replace(SETTINGS, nodes=1, me=0), random.Random(1))
     warming = [endpoint(number, started_at=now - SECOND_US) for number in range(3)]
-    balancer.update_endpoints(now, [*warming, endpoint(3, EndpointState.DRAINING)], whole=True, asked=True)
+    balancer.update_endpoints(
+        now, [*warming, endpoint(3, EndpointState.DRAINING)], whole=True, from_discovery=True
+    )
     assert {upstream_of_handed_over(balancer, now, key, key) for key in range(1, 4)} <= {0, 1, 2}
 
 
@@ -134,21 +141,23 @@
     now, placed_at = 100 * SECOND_US, []
     for key in range(1, 40):
         balancer = Balancer(replace(SETTINGS, probes_report_load=True, probes=True), random.Random(key))
-        balancer.update_endpoints(now, [endpoint(number) for number in range(8)], whole=True, asked=True)
+        balancer.update_endpoints(
+            now, [endpoint(number) for number in range(8)], whole=True, from_discovery=True
+        )
         session = Session(key, 0, key, key, now + 2 * SECOND_US)
         candidates = balancer.selector.candidates(now, session).pair
-        bad = [upstream.number for upstream in candidates] + [
+        slow_upstreams = [upstream.number for upstream in candidates] + [
             n for n in range(8) if balancer.fleet.upstreams[n] not in candidates
         ][:1]
         for upstream in balancer.fleet.upstreams.values():
             upstream.probed_at = now
             balancer.record_probe(now, upstream.number, ProbeResult(True, load))
-            if upstream.number in bad:
+            if upstream.number in slow_upstreams:
                 upstream.slow_until = now + 2 * SECOND_US
         placed_at.append(forwarded_to(balancer.place(now, session)))
-        assert placed_at[-1] not in bad
+        assert placed_at[-1] not in slow_upstreams
     assert all(upstream >= 0 for upstream in placed_at) == placed_elsewhere, (
-        "three of eight are slow, both candidates of each session among them"
+        "three of eight upstreams are slow, including both candidates of each session"
     )
 
 
@@ -182,12 +191,12 @@
 
 
 def test_nodes_with_equal_load_reports_do_not_all_choose_the_same_upstream() -> None:
-    # An upstream just relieved would look healthy to all nodes at once, and be full again.
+    # If all nodes reacted alike, an upstream that sessions have just left would be filled again at once.
     assert sum(sessions_placed_by_many_nodes(0.8, 0.2)) < 40, (
-        "its candidates are nearly full, and others have capacity"
+        "the session's candidates are nearly full, and other upstreams have capacity"
     )
     assert sum(sessions_placed_by_many_nodes(0.3, 0.2)) == 60, (
-        "its candidates have capacity: the ordinary choice"
+        "the session's candidates have capacity, so it goes to one of them"
     )
     assert sum(sessions_placed_by_many_nodes(0.8, 0.85)) == 60, (
         "no upstream has capacity: leaving the candidates would gain nothing"
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,8 @@
-"""The list of known failures: only these tests may fail, each is printed, one that passes must leave it."""
+"""Tests of the list of known failures in KNOWN-RED.txt, which `conftest.py` enforces.
+
+Only listed tests may fail, each is printed, and a listed test that passes fails the run: otherwise a stale
+entry could hide a new failure.
+"""
 
 from __future__ import annotations
 
@@ -54,9 +58,7 @@
         (["test_some.py::test_wrong"], "KNOWN-RED.txt:1: not 'file::test | cause | issue'"),
     ],
 )
-def test_a_list_that_is_wrong_fails_the_run(
-    pytester: pytest.Pytester, lines: list[str], message: str
-) -> None:
+def test_an_invalid_list_fails_the_run(pytester: pytest.Pytester, lines: list[str], message: str) -> None:
     result = run_with_list(pytester, *lines)
     assert result.ret not in (0, 1)
     assert message in result.stdout.str() + result.stderr.str()
