--- a/larchlatch/node/hot_restart/predecessor.py
+++ b/larchlatch/node/hot_restart/predecessor.py
@@ -28,7 +28,7 @@
     from larchlatch.node.components import NodeComponents
     from larchlatch.node.hot_restart.rendezvous import Rendezvous
     from larchlatch.node.session_record import SessionRecord
-    from larchlatch.node.wire.stream import Lines
+    from larchlatch.node.wire.stream import LineConnection
     from larchlatch.policy.types import Outcome
 
 START_TIMEOUT_S = 30.0  # until a successor serves; after that the descriptors set aside for it are taken back
@@ -53,7 +53,7 @@
 
     """
 
-    lines: Lines
+    lines: LineConnection
     descriptor: int
     unread: bytes
 
@@ -173,7 +173,12 @@
         self._handover_lock = anyio.Lock()
 
     async def send(
-        self, record: SessionRecord, *, client: Lines, upstream: Lines, outcome_at_end: Outcome
+        self,
+        record: SessionRecord,
+        *,
+        client: LineConnection,
+        upstream: LineConnection,
+        outcome_at_end: Outcome,
     ) -> bool:
         """Hand a session over to the successor.
 
@@ -233,7 +238,7 @@
     return sock
 
 
-def _detach(lines: Lines, detached: list[DetachedConnection]) -> bool:
+def _detach(lines: LineConnection, detached: list[DetachedConnection]) -> bool:
     """Detach a connection from its transport; return False if it has ended or has unsent data."""
     descriptor_and_unread = lines.detach()
     if descriptor_and_unread is None:
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -1,4 +1,4 @@
-"""The discovery client: after any fault the next call comes in time, and changes are acted on."""
+"""Tests of the discovery client: after any fault the next call begins in time and brings the changes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from larchlatch.node.wire import discovery_client
 from larchlatch.node.wire.discovery_client import UNREAD_GRACE_S, CallTimeouts
 from larchlatch.node.wire.json_framing import JsonObjectFramer
-from larchlatch.node.wire.stream import Lines
+from larchlatch.node.wire.stream import LineConnection
 from larchlatch.policy.types import EndpointState
 from tests.support.clients import open_session
 from tests.support.configuration import endpoint_row, node_configuration
@@ -37,33 +37,31 @@
 from tests.support.node import start_node
 from tests.support.stand_ins import UpstreamStubs
 
-KNOWN_WITHIN_S = (
-    6.0  # seconds after which a change that discovery has counts as known, while it can be reached
-)
-LATE_S = 1.0  # seconds that a node among many may be late by
-GRACE_S = 0.25 + 0.05  # the shortest grace of a drain that a page names, with the protocol's slack
+KNOWN_WITHIN_S = 6.0  # a node has to know a change this long after discovery, if reachable, has it
+NODE_DELAY_S = 1.0  # the delay that is allowed to a busy node
+SHORTEST_DRAIN_GRACE_S = 0.25 + 0.05  # as documented, with the protocol's tolerance
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
 FULL_LIST = {**CHANGE, "complete": True}
 
 
-def chunk(data: bytes) -> bytes:
+def http_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 TRICKLE_INTERVAL_S = 0.02
 
 
-class Service:
-    """A stand-in that serves each call by the next behaviour, and all later calls by the last one."""
+class ScriptedDiscovery:
+    """A stand-in for discovery that serves each call by the next behaviour, and further calls by the last."""
 
     def __init__(self, *behaviours: Callable[[SocketStream], Awaitable[None]]) -> None:
         self.behaviours = list(behaviours)
-        self.asked: list[str] = []
-        self.open = 0
+        self.targets: list[str] = []
+        self.open_calls = 0
         self.port = 0
 
-    async def start(self, tasks: TaskGroup) -> Service:
+    async def start(self, tasks: TaskGroup) -> ScriptedDiscovery:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
         self.port = port_of(listener)
         tasks.start_soon(listener.serve, self.serve)
@@ -71,22 +69,22 @@
 
     async def serve(self, stream: SocketStream) -> None:
         behaviour = self.behaviours.pop(0) if len(self.behaviours) > 1 else self.behaviours[0]
-        self.open += 1
+        self.open_calls += 1
         async with stream:
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
-                self.asked.append((await stream.receive()).split(b" ")[1].decode())
+                self.targets.append((await stream.receive()).split(b" ")[1].decode())
                 await behaviour(stream)
-        self.open -= 1
+        self.open_calls -= 1
 
 
 async def wait_for_close(stream: SocketStream) -> None:
-    """Wait until the caller has closed the connection."""
+    """Read until the caller closes the connection, which raises `anyio.EndOfStream`."""
     while True:
         await stream.receive()
 
 
 def sends_and_stalls(*parts: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    """Return a behaviour that sends this and then nothing more."""
+    """Return a behaviour that sends these parts and then nothing, and keeps the connection open."""
 
     async def behaviour(stream: SocketStream) -> None:
         for part in parts:
@@ -105,7 +103,7 @@
 
 
 def trickles(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
-    """Return a behaviour that sends piece after piece until the caller has closed the connection."""
+    """Return a behaviour that sends the start, then the piece repeatedly until the caller closes."""
 
     async def send_pieces(stream: SocketStream) -> None:
         with suppress(anyio.BrokenResourceError):
@@ -117,7 +115,7 @@
         await stream.send(start)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(send_pieces, stream)
-            # Read at all times: a close is noticed when it comes, not at the next piece.
+            # A read is always pending, so that a close by the caller is noticed at once.
             with suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                 await wait_for_close(stream)
             tasks.cancel_scope.cancel()
@@ -126,41 +124,45 @@
 
 
 async def resets(stream: SocketStream) -> None:
-    await Lines(stream).close(reset=True)
+    await LineConnection(stream).close(reset=True)
 
 
 def streams_updates(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
-    return trickles(HEAD + chunk(orjson.dumps(update) + b"\n"), chunk(b"\n"))
+    return trickles(HEAD + http_chunk(orjson.dumps(update) + b"\n"), http_chunk(b"\n"))
 
 
 REFUSAL = sends_and_ends(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
 FAULTS = {
     "silent at once": sends_and_stalls(),
     "silent after its head": sends_and_stalls(HEAD),
-    "silent in mid-line": sends_and_stalls(HEAD, chunk(b'{"revision":6,"comp')),
-    "silent within an indented list": sends_and_stalls(HEAD, chunk(b'{\n "revision": 6,\n "members": [\n')),
-    "trickles bytes without a line": trickles(HEAD + chunk(b'{"revision":6,"complete":"'), chunk(b"x")),
+    "silent in mid-line": sends_and_stalls(HEAD, http_chunk(b'{"revision":6,"comp')),
+    "silent within an indented list": sends_and_stalls(
+        HEAD, http_chunk(b'{\n "revision": 6,\n "members": [\n')
+    ),
+    "trickles bytes without a line": trickles(
+        HEAD + http_chunk(b'{"revision":6,"complete":"'), http_chunk(b"x")
+    ),
     "trickles a head without an end": trickles(b"HTTP/1.1 200 OK\r\nX: ", b"x"),
     "reset": resets,
     "refused": REFUSAL,
     "ends": sends_and_ends(HEAD, b"0\r\n\r\n"),
     "no HTTP": sends_and_ends(b"nonsense\r\n\r\n"),
-    "nonsense": sends_and_stalls(HEAD, chunk(b"{nonsense\n")),
+    "nonsense": sends_and_stalls(HEAD, http_chunk(b"{nonsense\n")),
     "a line cut short, then another": sends_and_stalls(
-        HEAD, chunk(b'{"revision":6,"complete":false,"members":[\n'), chunk(b"\n")
+        HEAD, http_chunk(b'{"revision":6,"complete":false,"members":[\n'), http_chunk(b"\n")
     ),
-    "a string without an end": sends_and_stalls(HEAD, chunk(b'{"revision":"6\n')),
-    "no list": sends_and_stalls(HEAD, chunk(b"[1]\n")),
+    "a string without an end": sends_and_stalls(HEAD, http_chunk(b'{"revision":"6\n')),
+    "no list": sends_and_stalls(HEAD, http_chunk(b"[1]\n")),
 }
 
 
 class Mailbox:
-    """Keeps what the discovery client has posted."""
+    """A stand-in for the balancer actor's mailbox that keeps the messages of the discovery client."""
 
     def __init__(self) -> None:
         self.messages: list[Message] = []
         self.update_received = anyio.Event()
-        self.has_space = anyio.Event()  # not set: `post` waits as with a full mailbox
+        self.has_space = anyio.Event()  # if not set, `post` waits as it does with a full mailbox
         self.has_space.set()
 
     async def post(self, message: Message) -> None:
@@ -172,11 +174,11 @@
 
 
 def client_of(
-    port: int, mailbox: Mailbox, uniform: Callable[[float, float], float], at: int = 1
+    port: int, mailbox: Mailbox, uniform: Callable[[float, float], float], revision: int = 1
 ) -> DiscoveryClient:
     return DiscoveryClient(
         ("127.0.0.1", port),
-        revision=at,
+        revision=revision,
         pushed=True,
         counters=Counters(),
         post=mailbox.post,
@@ -185,15 +187,18 @@
 
 
 def test_the_timeouts_of_discovery_stay_within_its_bounds() -> None:
-    """In the worst case a call has just begun when the change comes: it ends, and the next one brings it."""
+    """With timeouts that are too long in sum, a change would reach the node later than it is expected to.
+
+    The worst case is a change right after the start of a call that fails: only the next call brings it.
+    """
     for timeouts in (AGENT_TIMEOUTS, SERVICE_TIMEOUTS):
         assert timeouts.connect_s + timeouts.silence_s < MAX_CYCLE_S, (
-            "a call that brings nothing ends within its cycle"
+            "a call without progress has to end within its cycle"
         )
-        assert MAX_CYCLE_S + timeouts.connect_s + LATE_S <= KNOWN_WITHIN_S
-    assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends something every 2 s, and may be a little late"
-    assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < GRACE_S, (
-        "the node receives from an agent that is back within a drain's grace"
+        assert MAX_CYCLE_S + timeouts.connect_s + NODE_DELAY_S <= KNOWN_WITHIN_S
+    assert WATCH_SILENCE_S > 2.0 + 0.5, "a working watch sends a keep-alive every 2 s, at most 0.5 s late"
+    assert AGENT_TIMEOUTS.answer_s + UNREAD_GRACE_S + MAX_AGENT_PAUSE_S < SHORTEST_DRAIN_GRACE_S, (
+        "a node has to receive changes from a recovered agent within the grace of a drain"
     )
 
 
@@ -236,21 +241,22 @@
 def test_after_any_fault_the_next_call_brings_the_changes(
     fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    """A call that hangs after a fault of discovery, or is not repeated, would hide all later changes."""
     monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 0.3, 0.3))
     monkeypatch.setattr(discovery, "MAX_CYCLE_S", 0.5)
 
     async def body(tasks: TaskGroup) -> None:
-        service = await Service(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
+        service = await ScriptedDiscovery(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
         mailbox = Mailbox()
         async with anyio.create_task_group() as running:
             running.start_soon(client_of(service.port, mailbox, lambda low, high: high).run)
             await mailbox.update_received.wait()
             (update,) = [message for message in mailbox.messages if isinstance(message, EndpointsChanged)]
             assert update.endpoints.endpoints[0].state is EndpointState.DRAINING
-            assert service.asked == ["/catalog/members?watch=1&from=1"] * 3
-            assert service.open == 1, "a call that is over is closed at once"
+            assert service.targets == ["/catalog/members?watch=1&from=1"] * 3
+            assert service.open_calls == 1, "the connection of a call that has ended is closed at once"
             running.cancel_scope.cancel()
-        await wait_until(lambda: service.open == 0)
+        await wait_until(lambda: service.open_calls == 0)
 
     run_on_loopback(body)
 
@@ -259,36 +265,36 @@
 def test_a_new_address_is_called_at_once_whatever_the_old_one_does(
     before: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """In the middle of a call, and of the pause after one: both would last beyond this test."""
+    """A call to the old address, or the pause after it, would delay the new list if it were not cancelled."""
     monkeypatch.setattr(discovery, "AGENT_TIMEOUTS", CallTimeouts(1.0, 1000.0, 1000.0))
     for name in ("MAX_CYCLE_S", "FIRST_SERVICE_PAUSE_S"):
         monkeypatch.setattr(discovery, name, 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
         behaviour = streams_updates({**CHANGE, "revision": 99}) if before == "told" else FAULTS[before]
-        old = await Service(behaviour).start(tasks)
-        new = await Service(streams_updates(FULL_LIST)).start(tasks)
+        old = await ScriptedDiscovery(behaviour).start(tasks)
+        new = await ScriptedDiscovery(streams_updates(FULL_LIST)).start(tasks)
         mailbox = Mailbox()
         client = client_of(old.port, mailbox, lambda low, high: high)
         tasks.start_soon(client.run)
         await wait_until(
-            lambda: bool(old.asked) and (before not in ("refused", "no list") or bool(mailbox.messages))
+            lambda: bool(old.targets) and (before not in ("refused", "no list") or bool(mailbox.messages))
         )
         if before == "told":
             await mailbox.update_received.wait()
         mailbox.update_received = anyio.Event()
         client.change_address(("127.0.0.1", new.port))
         await mailbox.update_received.wait()
-        assert new.asked[0] == "/catalog/members", "the complete list first"
+        assert new.targets[0] == "/catalog/members", "the complete list is fetched first"
         assert client.revision == 7
-        await wait_until(lambda: old.open == 0)
+        await wait_until(lambda: old.open_calls == 0)
 
-    # The answer of a fetch ends with the list; the stand-in's goes on, as a watch does.
-    monkeypatch.setattr(discovery_client, "fetch_list", whole_of_watch)
+    # The response to a fetch ends with the list; the stand-in's response does not end, as that of a watch.
+    monkeypatch.setattr(discovery_client, "fetch_list", first_update_of_watch)
     run_on_loopback(body)
 
 
-async def whole_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
+async def first_update_of_watch(address: Any, path: str, timeouts: CallTimeouts) -> Any:
     async with discovery_client.open_get(address, path, timeouts) as body:
         while (update := await discovery_client.Watch(body, timeouts.silence_s).next()) is None:
             pass
@@ -296,30 +302,37 @@
 
 
 def test_a_second_new_address_is_asked_for_its_complete_list() -> None:
-    """What the first address still sends after the second was set must not count as the second's."""
+    """A list from the first address must not count as the complete list of the second.
+
+    The list is still being published when the address changes again. If it counted for the second address,
+    the client would only watch that one, and never learn the upstreams of its complete list.
+    """
 
     async def body(tasks: TaskGroup) -> None:
-        line = chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
-        first = await Service(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
-        answer = HEAD + chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
-        second = await Service(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
+        line = http_chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
+        first = await ScriptedDiscovery(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
+        answer = HEAD + http_chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
+        second = await ScriptedDiscovery(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
         mailbox = Mailbox()
-        mailbox.has_space = anyio.Event()  # the balancer actor's mailbox is full: the first list waits there
+        mailbox.has_space = anyio.Event()  # the mailbox is full, so `post` waits with the first list
         client = client_of(1, mailbox, lambda low, high: low)
         client.change_address(("127.0.0.1", first.port))
         tasks.start_soon(client.run)
         await mailbox.update_received.wait()
         client.change_address(("127.0.0.1", second.port))
         mailbox.has_space.set()
-        await wait_until(lambda: len(second.asked) >= 2)
-        assert second.asked[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
+        await wait_until(lambda: len(second.targets) >= 2)
+        assert second.targets[:2] == ["/catalog/members", "/catalog/members?watch=1&from=7"]
 
     run_on_loopback(body)
 
 
 @pytest.mark.parametrize("nameless", [False, True])
 def test_one_invalid_entry_does_not_hide_the_changes_of_others(nameless: bool) -> None:
-    """A drain beside it is acted on; its own upstream stays as it was, also in a whole list."""
+    """If an invalid entry rejected the whole list, the drains in the other entries would be missed.
+
+    The upstream of the invalid entry stays as it was, even if the list is complete.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP r1").start(tasks, 3)
@@ -329,9 +342,9 @@
             *([{"host_port": 7}] if nameless else []),
             endpoint_row(2, upstreams.addresses[2], "terminating"),
         ]
-        service = await Service(streams_updates({"revision": 9, "complete": True, "members": rows})).start(
-            tasks
-        )
+        service = await ScriptedDiscovery(
+            streams_updates({"revision": 9, "complete": True, "members": rows})
+        ).start(tasks)
         port = await start_node(tasks, node_configuration(upstreams.addresses, service.port))
         for number in range(20):
             assert await (await open_session(port, key=f"key{number}")).line() == b"UP r1\r\n"
