--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -77,7 +77,7 @@
 
 
 def test_no_line_is_lost_or_duplicated_in_a_hot_restart(tmp_path: Path) -> None:
-    """Guards against data that a handover loses: clients send each line in two pieces, often split by it."""
+    """Guards against data lost in a handover that happens between the two pieces in which a line is sent."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
@@ -218,7 +218,7 @@
 
 
 def test_the_successor_keeps_its_sessions_if_the_predecessor_is_killed(tmp_path: Path) -> None:
-    """Guards against sessions that break at the successor when the predecessor is killed meanwhile."""
+    """Guards against sessions lost at the successor when the predecessor is killed during the handover."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks, 2)
