--- a/larchlatch/loadtest/__init__.py
+++ b/larchlatch/loadtest/__init__.py
@@ -1,1 +1,4 @@
-"""Plays a scenario on sockets: nodes as processes, and stubs for clients, upstreams and discovery."""
+"""The load test: plays a scenario on sockets, against node processes.
+
+Clients, upstreams and discovery are stubs in the load test's own process.
+"""
--- a/larchlatch/loadtest/addresses.py
+++ b/larchlatch/loadtest/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses and free ports for nodes."""
+"""Chooses loopback addresses and free ports for the nodes of a run."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from larchlatch.loadtest.limits import MAX_NODES
 
-RUNS_WITH_OWN_ADDRESSES = 15  # runs of one process, one after the other or at once
+RUNS_WITH_OWN_ADDRESSES = 15  # in one process; a later run reuses the addresses of an earlier one
 SUBNETS_PER_OCTET = 250
-FIRST_OCTET = 20  # of 127.x: leaves the lowest addresses to everything else on the machine
+FIRST_OCTET = 20  # of 127.x.0.0/16; other programs on the machine commonly use the addresses below
 OCTETS = 200
 
 _runs = count()
 
 
 def next_run_number() -> int:
-    """Return the number of a further run of this process."""
+    """Return a number for a new run, counted within this process."""
     return next(_runs)
 
 
 def node_address(run_number: int, node_number: int) -> str:
-    """Return the loopback address of a node, which differs between processes, runs and nodes.
+    """Return the loopback address of a node, which normally differs between processes, runs and nodes.
 
     Args:
-        run_number: The run, of those of this process.
-        node_number: The node.
+        run_number: Number of the run within this process.
+        node_number: Number of the node within the run.
 
     """
-    # On a shared address, a port that is free now may be a proxy's by the time the node listens there, and
-    # the node would be heard by nobody.
+    # If nodes shared an address with proxies, a proxy could take a free port before the node listens on it,
+    # and the node would not be reachable.
     process = os.getpid() % 60_000
     octet = FIRST_OCTET + process // SUBNETS_PER_OCTET % OCTETS
     host = run_number % RUNS_WITH_OWN_ADDRESSES * MAX_NODES + node_number + 1
@@ -38,12 +38,12 @@
 
 
 def free_tcp_port(address: str) -> int:
-    """Return a port on which nobody listens now."""
+    """Return a TCP port of an address on which no process listens now."""
     return _free_port(address, socket.SOCK_STREAM)
 
 
 def free_udp_port(address: str) -> int:
-    """Return a port at which nobody receives datagrams now."""
+    """Return a UDP port of an address to which no socket is bound now."""
     return _free_port(address, socket.SOCK_DGRAM)
 
 
--- a/larchlatch/loadtest/background_tasks.py
+++ b/larchlatch/loadtest/background_tasks.py
@@ -1,4 +1,4 @@
-"""The owner of a run's tasks."""
+"""Owns the background tasks of a load test run."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 class BackgroundTasks:
-    """Runs tasks until it is left, and cancels them then; an error in one of them cancels all others.
+    """A context manager that runs tasks and cancels them on exit; an error in one task cancels all others.
 
-    Unlike a task group of anyio it can be made before the event loop runs, and given to the parts of a run.
+    Unlike an anyio task group, it can be created before the event loop runs, so that it can be passed to the
+    objects of a run when they are created.
     """
 
     def __init__(self) -> None:
@@ -41,15 +42,15 @@
         """Start a task.
 
         Raises:
-            RuntimeError: There is no running owner for it.
+            RuntimeError: The context manager has not been entered yet.
 
         """
         if self._group is None:
-            raise RuntimeError("tasks can't be started before their owner is entered")
+            raise RuntimeError("BackgroundTasks must be entered (async with) before tasks are started")
         self._group.start_soon(function, *args)
 
     def call_later(self, delay_s: float, action: Callable[..., None], *args: object) -> None:
-        """Call an action with these arguments after so many seconds."""
+        """Call an action with these arguments after a delay in seconds."""
         self.start(_call_after, delay_s, action, *args)
 
 
--- a/larchlatch/loadtest/client_population.py
+++ b/larchlatch/loadtest/client_population.py
@@ -1,7 +1,7 @@
-"""The clients of a scenario: when they come, to which node they go, and when they try again.
+"""Runs the clients of a scenario: when they arrive, which node they connect to, and when they retry.
 
-The load is open-loop: a client comes when the scenario says so, whatever became of those before, and its
-latency runs from then.
+The load is open-loop: each client arrives at the time that the scenario states, however slowly earlier
+clients were served, and its latency is measured from that time.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 
 class ClientPopulation:
-    """Lets all clients of a scenario come and go.
+    """Starts all clients of a scenario when they are due, and runs each until it leaves or gives up.
 
     Attributes:
-        lateness: by how many microseconds the load test was late to start clients.
+        lateness: Histogram of how late the load test started each client, in microseconds.
 
     """
 
@@ -55,7 +55,7 @@
         self._figures = figures
 
     async def run(self, clients: Sequence[Client], tasks: BackgroundTasks) -> None:
-        """Let each client come when it is due; `tasks` owns the clients' tasks."""
+        """Start each client when it is due; `tasks` owns the clients' tasks."""
         for client in clients:
             due_s = client.due / SECOND
             await self._clock.sleep_until(due_s)
@@ -64,7 +64,7 @@
             tasks.start(self._live, client)
 
     async def _live(self, client: Client) -> None:
-        """Run a client from its coming to its end."""
+        """Run a client from its arrival until it leaves or gives up."""
         due_s = client.due / SECOND
         end_s = self._end_s(client)
         self._figures.counts[SessionEvent.CLIENT_ARRIVED] += 1
@@ -90,11 +90,11 @@
         return await self._sessions.run(client, node, due_s=due_s, end_s=end_s)
 
     def _end_s(self, client: Client) -> float:
-        """Return when a client has had what it came for, in seconds of the scenario."""
+        """Return when a client leaves, in seconds of the scenario."""
         return min(self._scenario.span_s, (client.due + client.life_us) / SECOND)
 
     def _choose_node(self, client: Client) -> NodeProcess | None:
-        """Return the node that a client is sent to: one of its own zone, if there is any."""
+        """Return the node that a client connects to, of its own zone if possible; None if no node serves."""
         nodes = self._fleet.in_rotation()
         near = [node for node in nodes if self._fleet.zone_of(node) == client.zone] or nodes
         if not near:
@@ -103,12 +103,12 @@
         return near[entry_node_index(draw, len(near), self._scenario.sessions.imbalance)]
 
     def _return_pause_s(self, client: Client) -> float:
-        """Return after how many seconds a client whose session has ended comes back."""
+        """Return how many seconds a client waits after its session has ended before it requests another."""
         low, high = MIN_RECONNECT_US, MAX_RECONNECT_US
         draw = self._streams.draw("return", client.number, client.sessions)
         return (low + (high - low) * draw) / SECOND
 
     def _retry_pause_s(self, client: Client) -> float:
-        """Return after how many seconds a rejected client tries again, if the node does not say."""
+        """Return how many seconds a rejected client waits before it retries, if the node names no delay."""
         mean_s = self._scenario.sessions.retry_pause_ms / 1e3
         return mean_s * 2 * self._streams.draw("back", client.number, client.sessions)
--- a/larchlatch/loadtest/client_sessions.py
+++ b/larchlatch/loadtest/client_sessions.py
@@ -1,4 +1,4 @@
-"""One session of a client: its request, the wait for the final answer, and its established time."""
+"""Runs sessions of clients: the request, the wait for the final answer, and the established session."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     from larchlatch.scenario.clients import Client
     from larchlatch.scenario.scenario import Scenario
 
-TOOL_DELAY_US = 50_000  # by which this process itself may read an answer late
-AFTER_ANSWER_S = 0.2  # within which something that wrongly follows a final answer would come
+TOOL_DELAY_US = 50_000  # allowed for this process to read an answer late
+AFTER_ANSWER_S = 0.2  # how long to wait for data that wrongly follows a final answer
 MESSAGE = b"still here\r\n"
 ESTABLISHED = b"UP"
 REJECTED = b"BUSY"
@@ -38,8 +38,9 @@
     """How a session ended for its client.
 
     Attributes:
-        established: whether it was established.
-        retry_after_us: when its client may try again, as the node says; 0: the node does not say.
+        established: Whether it was established.
+        retry_after_us: Delay in microseconds after which the client may retry, as named by the node; 0 if the
+            node named none.
 
     """
 
@@ -51,10 +52,10 @@
     """A client's connection to a node.
 
     Attributes:
-        node: the node.
-        reader: what the node sends.
-        writer: what the client sends.
-        interruption_count: how often the node had been interrupted before the connection was made.
+        node: The node.
+        reader: Reads what the node sends.
+        writer: Sends to the node.
+        interruption_count: The node's `interruption_count` before the connection was made.
 
     """
 
@@ -68,11 +69,11 @@
     """A client's request for a session.
 
     Attributes:
-        client: the client.
-        session_id: id of the session.
-        due_s: when the client wanted the session, in seconds of the scenario.
-        end_s: until when it wants the session, in seconds of the scenario.
-        sent_us: when it was sent, by the clock of `now_us`.
+        client: The client.
+        session_id: ID of the session.
+        due_s: When the client wanted the session, in seconds of the scenario.
+        end_s: Until when the client wants the session, in seconds of the scenario.
+        sent_us: When the request was sent, by the clock of `now_us`.
 
     """
 
@@ -84,7 +85,7 @@
 
 
 class ClientSessions:
-    """Runs sessions and counts how they end."""
+    """Runs the sessions of all clients and counts how they end."""
 
     def __init__(
         self, scenario: Scenario, clock: ScenarioClock, observer: OutsideObserver, figures: SessionFigures
@@ -94,20 +95,20 @@
         self._observer = observer
         self._figures = figures
         self._session_count = 0
-        self._established: dict[int, asyncio.StreamWriter] = {}  # by client
+        self._established: dict[int, asyncio.StreamWriter] = {}  # by number of the client
 
     async def run(self, client: Client, node: NodeProcess, *, due_s: float, end_s: float) -> SessionResult:
-        """Run a session until it is over.
+        """Run one session of a client until it ends, and return its result.
 
         Args:
             client: The client.
-            node: The node that the client is sent to.
+            node: The node that the client connects to.
             due_s: When the client wanted the session, in seconds of the scenario.
-            end_s: Until when it wants the session.
+            end_s: Until when the client wants the session, in seconds of the scenario.
 
         """
-        # A process accepts connections for some milliseconds after it was killed. By the count from before
-        # the connection, such a session is owed no answer.
+        # A killed process still accepts connections for some milliseconds. The count is therefore read before
+        # connecting: it then shows the kill, and the missing answer is not reported as a violation.
         interruption_count = node.interruption_count
         try:
             reader, writer = await asyncio.open_connection(node.address, node.port)
@@ -127,12 +128,12 @@
             close_writer(writer)
 
     def disconnect_clients(self, share: float, rng: Random) -> None:
-        """Reset a share of the established sessions; their clients come back at once."""
+        """Reset a share of the established sessions; their clients soon request new ones."""
         clients = list(self._established)
         for client in rng.sample(clients, round(len(clients) * share)):
             abort_writer(self._established.pop(client))
 
-    # Until the final answer.
+    # Up to the final answer.
 
     async def _request(self, request: Request, connection: Connection) -> SessionResult:
         if self._observer.quota is not None:
@@ -152,7 +153,7 @@
         if status:
             self._figures.counts[SessionEvent.FAILED] += 1
         else:
-            self._count_unanswered(request, connection, "no answer by its cut-off")
+            self._count_unanswered(request, connection, "no final answer before the deadline")
         return SessionResult(established=False)
 
     def _request_line(self, request: Request) -> bytes:
@@ -161,35 +162,35 @@
         return f"OPEN {request.session_id} k{client.key} {values}\r\n".encode()
 
     async def _read_answer(self, reader: asyncio.StreamReader) -> bytes:
-        """Return the final answer; "" where none has come in time."""
+        """Return the line of the final answer; empty if none came in time or the node disconnected."""
         wait_s = self._scenario.sessions.wait_ms / 1e3
         with anyio.move_on_after(wait_s + (SOCKET_DELAY_US + TOOL_DELAY_US) / SECOND):
             return await reader.readline()
         return b""
 
     async def _check_final_answer(self, request: Request, connection: Connection, answer: bytes) -> None:
-        """Report a node that goes on after a final answer which has ended the session."""
+        """Report a violation if the node sends more after a final answer that ended the session."""
         if answer.split() and await _sends_more(connection.reader):
             node = connection.node.number
             self._observer.report(
-                Rule.ONE_ANSWER, f"link {request.session_id}: node {node} went on after {answer!r}"
+                Rule.ONE_ANSWER, f"session {request.session_id}: node {node} sent more data after {answer!r}"
             )
 
     def _count_unanswered(self, request: Request, connection: Connection, reason: str) -> None:
-        """Count a session without an answer, and report its node if that has run all the time."""
+        """Count a session without a final answer; it is a violation if its node ran without interruption."""
         self._figures.counts[SessionEvent.UNANSWERED] += 1
         node = connection.node
         if node.has_run_since(connection.interruption_count):
             after_ms = (now_us() - request.sent_us) // 1000
             self._observer.report(
                 Rule.ONE_ANSWER,
-                f"link {request.session_id}: node {node.number}: {reason}, after {after_ms} ms",
+                f"session {request.session_id}: node {node.number}: {reason}, after {after_ms} ms",
             )
 
-    # While it is established.
+    # While the session is established.
 
     async def _stay_established(self, request: Request, connection: Connection) -> None:
-        """Send messages until the client has had enough, or the session ends; count how it ended."""
+        """Send messages until the client leaves or the session ends, and count how it ended."""
         client, node, end_s = request.client, connection.node, request.end_s
         interruption_count = node.interruption_count
         began_s = self._clock.elapsed_s()
@@ -206,7 +207,7 @@
         self._figures.counts[how] += 1
 
     async def _read_until(self, end_s: float, connection: Connection) -> SessionEvent:
-        """Read until `end_s` at the latest; return how the session ended, as an event."""
+        """Send messages and read until the session or `end_s` ends it; return how the session ended."""
         how = SessionEvent.FINISHED
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_messages, connection.writer)
@@ -223,18 +224,18 @@
 
 
 async def _sends_more(reader: asyncio.StreamReader) -> bool:
-    """Return whether something follows a final answer."""
+    """Return whether the node sends anything after its final answer."""
     with suppress(OSError), anyio.move_on_after(AFTER_ANSWER_S):
         return bool(await reader.read(1))
     return False
 
 
 async def _read_to_end(reader: asyncio.StreamReader) -> SessionEvent:
-    """Read until a session ends or is to move; return which, as an event."""
+    """Read until the node closes the session or asks the client to migrate; return which of them happened."""
     try:
         while line := await reader.readline():
             if line == MOVE:
                 return SessionEvent.MIGRATED
     except OSError:
-        pass  # it was reset
+        pass  # the connection was reset
     return SessionEvent.DROPPED
--- a/larchlatch/loadtest/cluster.py
+++ b/larchlatch/loadtest/cluster.py
@@ -1,4 +1,4 @@
-"""Nodes that know of each other: their cluster files, and the datagram proxy between them."""
+"""Sets up the cluster of a scenario: its cluster files, its datagram proxy and the faults of its nodes."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     """The cluster of a scenario.
 
     Attributes:
-        nodes: where each node receives datagrams.
+        nodes: Where each node receives datagrams.
 
     """
 
@@ -44,14 +44,14 @@
         nodes: Sequence[DatagramAddress],
         observer: ClusterObserver,
     ) -> None:
-        """Make the cluster.
+        """Create the cluster, whose proxy and files exist after `start`.
 
         Args:
             scenario: The scenario.
             address: Address of the datagram proxy.
-            folder: Where files go.
+            folder: Where the nodes' files are written.
             nodes: Where each node receives datagrams.
-            observer: Is told of partitions.
+            observer: Is informed of partitions.
 
         """
         self.nodes = nodes
@@ -65,7 +65,7 @@
         self._counts: dict[str, int] = {}
 
     async def start(self) -> None:
-        """Start the datagram proxy, and write each node's files."""
+        """Start the datagram proxy, and write each node's key and cluster file."""
         setup = proxy.Setup(self._address, self._scenario.seed, list(self.nodes))
         ports = await self._proxy.start(setup, list[list[int]])
         proxies = [[DatagramAddress(self._address, port) for port in row] for row in ports]
@@ -74,34 +74,34 @@
             self._files.write(number)
 
     async def stop(self) -> None:
-        """End the datagram proxy."""
+        """Stop the datagram proxy, and keep its counts."""
         self._counts = await self._proxy.stop()
 
     @property
     def files(self) -> ClusterFiles:
-        """The cluster files, which exist once it is started."""
+        """The cluster files, which are available once the cluster has been started."""
         if self._files is None:
-            raise RuntimeError("the cluster is not started")
+            raise RuntimeError("the cluster has not been started")
         return self._files
 
     def bytes_per_node_and_s(self) -> int:
-        """Return how many bytes a second a node has sent to others, once the proxy has ended."""
+        """Return how many bytes were sent per node and second; 0 until the proxy has been stopped."""
         return round(self._counts.get("bytes", 0) / (self._scenario.span_s * len(self.nodes)))
 
-    # How nodes are started.
+    # The nodes' command lines.
 
     def command(self, number: int) -> NodeCommand:
-        """Return how a node is started, apart from its own configuration."""
+        """Return the command that starts a node of the cluster, without its node configuration."""
         faults_file = str(self.injected_faults_file(number))
         return NodeCommand(self._module(), self.arguments(number), {ORDERS_VARIABLE: faults_file})
 
     def arguments(self, number: int) -> list[str]:
-        """Return the arguments of `serve` that make a node take part."""
+        """Return the arguments of `serve` that make a node join the cluster."""
         cluster_file, key_file = self.files.cluster_file(number), self.files.key_file(number)
         return ["--cluster", str(cluster_file), "--cluster-key", str(key_file)]
 
     def _module(self) -> str:
-        """Return what is run as a node: if the scenario needs it, one that commits faults and logs more."""
+        """Return the module to run as a node: the fault-injecting one if the scenario needs it."""
         scenario = self._scenario
         commits_faults = any(isinstance(fault, SELF_INFLICTED) for fault in scenario.faults)
         return FAULT_INJECTING_NODE_MODULE if scenario.cluster.token_issuer or commits_faults else NODE_MODULE
@@ -109,15 +109,15 @@
     # Faults.
 
     def injected_faults_file(self, number: int) -> Path:
-        """Return the path of the file that tells a node which faults to commit."""
+        """Return the path of the file from which a node reads the faults that it is to commit."""
         return self._folder / f"{node_name(number)}.orders.json"
 
     def set_clock_gain(self, number: int, gain: float) -> None:
-        """Let a node's clock gain a share, once the node reads its file of faults."""
+        """Make a node's clock gain a share, once the node rereads its file of injected faults."""
         self._inject(number, msgspec.structs.replace(self._injected[number], skew=gain))
 
     def set_false_reports(self, number: int, subject: str) -> None:
-        """Let a node send false reports of a subject, once the node reads its file of faults."""
+        """Make a node send false reports about a subject, once the node rereads its file of faults."""
         self._inject(number, msgspec.structs.replace(self._injected[number], about=subject))
 
     def _inject(self, number: int, faults: InjectedFaults) -> None:
@@ -125,7 +125,7 @@
         self.injected_faults_file(number).write_bytes(msgspec.json.encode(faults))
 
     async def partition(self, nodes: Sequence[int], *, oneway: bool) -> None:
-        """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+        """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
         await self._proxy.execute(proxy.BlockNodes(list(nodes), oneway))
         self._observer.partitioned(nodes, oneway=oneway)
 
@@ -135,5 +135,5 @@
         self._observer.partition_healed(nodes, oneway=oneway)
 
     async def impair_paths(self, impairment: PathImpairment) -> None:
-        """Treat all datagrams between nodes in this way from now on."""
+        """Apply an impairment to all datagrams between nodes from now on."""
         await self._proxy.execute(proxy.ImpairPaths(impairment))
--- a/larchlatch/loadtest/cluster_files.py
+++ b/larchlatch/loadtest/cluster_files.py
@@ -1,4 +1,4 @@
-"""The cluster file of each node, by which it reaches every other node through the datagram proxy."""
+"""Writes the cluster file of each node, in which the other nodes have addresses of the datagram proxy."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class DatagramAddress(NamedTuple):
-    """Where a process receives datagrams."""
+    """An address and port at which a process receives datagrams."""
 
     address: str
     port: int
 
 
 class ClusterFiles:
-    """Writes cluster files and keys into a folder.
+    """Writes the nodes' cluster files and keys into a folder.
 
     Attributes:
-        removed: numbers of the nodes that files written from now on lack.
+        removed: Numbers of the nodes that are omitted from files written from now on.
 
     """
 
@@ -36,13 +36,13 @@
         nodes: Sequence[DatagramAddress],
         proxies: Sequence[Sequence[DatagramAddress]],
     ) -> None:
-        """Create the nodes' keys.
+        """Create the nodes' secret keys, and write them into the folder.
 
         Args:
             scenario: The scenario.
-            folder: Where files go.
+            folder: Where files are written.
             nodes: Where each node receives datagrams.
-            proxies: By sender and receiver, where the proxy receives datagrams for the receiver.
+            proxies: For each sender and receiver, where the proxy receives the sender's datagrams for it.
 
         """
         self.removed: set[int] = set()
@@ -69,7 +69,7 @@
         self.cluster_file(number).write_text("\n".join(lines) + "\n")
 
     def _node_lines(self, number: int, other: int) -> list[str]:
-        """Return the entry of a node in the file of another, or in its own."""
+        """Return the entry of node `other` in the cluster file of node `number`."""
         target = self._nodes[other] if other == number else self._proxies[number][other]
         return [
             "[[nodes]]",
--- a/larchlatch/loadtest/cluster_observer.py
+++ b/larchlatch/loadtest/cluster_observer.py
@@ -1,4 +1,4 @@
-"""Observes a cluster from outside: by what nodes log, and by what the load test does to them."""
+"""Observes a cluster from outside: from what its nodes log, and from what the load test does to them."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 LOG_READ_INTERVAL_S = 0.02
 
-# The events of nodes' logs that are read.
+# Names of the log events that are read; all others are skipped.
 EVENTS = (
     "member_state_changed",
     "upstream_unreachable",
@@ -50,22 +50,23 @@
 
 
 class ClusterObserver:
-    """Tells the checkers of a cluster's invariants what it observes.
+    """Passes its observations to the checkers of the cluster's invariants.
 
     Attributes:
-        checkers: the checkers.
+        checkers: The checkers.
 
     """
 
     def __init__(
         self, scenario: Scenario, checkers: ClusterCheckers, is_connected: Callable[[int, int], bool]
     ) -> None:
-        """Make the observer.
+        """Create the observer.
 
         Args:
             scenario: The scenario.
-            checkers: The checkers of its invariants.
-            is_connected: Returns whether the nodes of a zone can reach an upstream, by their numbers.
+            checkers: The checkers of the scenario's invariants.
+            is_connected: Takes the numbers of a zone and an upstream; returns whether nodes of the zone can
+                reach the upstream.
 
         """
         count = scenario.nodes.count
@@ -74,34 +75,37 @@
         self._is_connected = is_connected
         self._numbers = {node_name(number): number for number in range(count)}
         self._running = [False] * count
-        self._paths = DatagramPaths(None)  # as the proxy treats them by now
+        self._paths = DatagramPaths(None)  # which of them the proxy blocks now
         self._logs = NodeLogReader([], EVENTS)
 
     def is_running(self, node: int) -> bool:
-        """Return whether a node's process runs, and is not paused."""
+        """Return whether a node's process has been started and is neither killed nor paused."""
         return self._running[node]
 
-    # What the load test does.
+    # Actions of the load test.
 
     def node_starts(self, node: int) -> None:
-        """Note that a process of a node is about to start: what it logs from then on is of a new life."""
+        """Record that a new process of a node is about to start: it knows no other node and has no role."""
         self.read_logs()
         self.checkers.observe(NodeStarted(now_us(), node))
         for role in self.checkers.leaders:
             self.checkers.observe(RoleChanged(now_us(), role, node, held=False))
 
     def node_runs(self, node: int, *, running: bool) -> None:
-        """Note that a node's process runs from now on, or no longer."""
+        """Record whether a node's process runs from now on."""
         self._running[node] = running
         self._observe_fleet()
 
     def partitioned(self, nodes: Sequence[int], *, oneway: bool) -> None:
-        """Note that datagrams between these nodes and the others are blocked from now on."""
+        """Record that datagrams between these nodes and the others are blocked from now on.
+
+        With `oneway`, only datagrams that these nodes send are blocked.
+        """
         self._paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
         self._observe_fleet()
 
     def partition_healed(self, nodes: Sequence[int], *, oneway: bool) -> None:
-        """Note the end of a partition that was made with the same arguments."""
+        """Record the end of a partition that was recorded with the same arguments."""
         self._paths.partitions.remove(PartitionedNodes(frozenset(nodes), oneway))
         self._observe_fleet()
 
@@ -109,27 +113,27 @@
         self.checkers.observe(FleetChanged(now_us(), self._running, self._paths.is_blocked))
 
     def upstream_lost(self, upstream: int) -> None:
-        """Note that an upstream has crashed or fallen silent."""
+        """Record that an upstream crashes or stops answering."""
         self.checkers.observe(UpstreamLost(now_us(), upstream))
 
     def upstream_returned(self, upstream: int) -> None:
-        """Note that an upstream is there again."""
+        """Record that an upstream is started again."""
         self.checkers.observe(UpstreamReturned(now_us(), upstream))
 
-    # What nodes log.
+    # Logs of the nodes.
 
     def follow_logs(self, logs: Sequence[Path]) -> None:
-        """Read these files from now on, the log of each node."""
+        """Read these files from now on: one log for each node, in the order of the nodes' numbers."""
         self._logs = NodeLogReader(logs, EVENTS)
 
     async def run(self) -> None:
-        """Read logs until cancelled."""
+        """Read new lines of the logs at short intervals until cancelled."""
         while True:
             self.read_logs()
             await anyio.sleep(LOG_READ_INTERVAL_S)
 
     def read_logs(self) -> None:
-        """Observe all that nodes have logged since the last call."""
+        """Pass on all events that nodes have logged since the last call."""
         for event in self._logs.read():
             self._observe_event(event)
 
@@ -154,7 +158,8 @@
         return UpstreamEjected(now_us(), upstream, self._is_connected(zone, upstream))
 
     def _quota_usage_reported(self, least: int, most: int, logged_at: datetime) -> QuotaUsageReported:
-        # By the line's own time: what is admitted between that and the reading is not in the range.
+        # The time of the log line is used: the reported range does not include sessions that were admitted
+        # between that time and the reading of the line.
         logged_us = round(logged_at.timestamp() * SECOND)
         span_us = WINDOWS * us(self._scenario.cluster.window_s)
         return QuotaUsageReported(logged_us, least, most, span_us)
--- a/larchlatch/loadtest/datagram_fault_proxy.py
+++ b/larchlatch/loadtest/datagram_fault_proxy.py
@@ -1,6 +1,6 @@
-"""A helper process between the nodes of a cluster: it blocks, loses, duplicates and delays datagrams.
+"""The helper process between the nodes of a cluster, which drops, duplicates and delays datagrams.
 
-It listens on one port for each ordered pair of nodes.
+It receives on one port for each ordered pair of nodes.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class Setup(Struct, frozen=True):
-    """The first message.
+    """The first message to the helper process.
 
     Attributes:
-        address: address of the proxy's ports.
-        seed: seed of what is lost, duplicated and delayed.
-        nodes: where each node receives datagrams.
+        address: Address of the proxy's ports.
+        seed: Seed of the random numbers that decide which datagrams are dropped, duplicated or delayed.
+        nodes: Where each node receives datagrams.
 
     """
 
@@ -36,21 +36,21 @@
 
 
 class BlockNodes(Struct, tag=True, frozen=True):
-    """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+    """Command: block datagrams between these nodes and the others; oneway: those that these nodes send."""
 
     nodes: list[int]
     oneway: bool
 
 
 class UnblockNodes(Struct, tag=True, frozen=True):
-    """End a block that was made with the same values."""
+    """Command: end a block that was set up with the same values."""
 
     nodes: list[int]
     oneway: bool
 
 
 class ImpairPaths(Struct, tag=True, frozen=True):
-    """Treat all datagrams in this way from now on."""
+    """Command: apply an impairment to all datagrams from now on."""
 
     impairment: PathImpairment
 
@@ -59,7 +59,7 @@
 
 
 class DatagramProxyPath(asyncio.DatagramProtocol):
-    """One port of the proxy: what one node sends to another."""
+    """The path from one node to another, which has a port of its own."""
 
     def __init__(self, proxy: DatagramFaultProxy, sender: int, receiver: int) -> None:
         self._proxy = proxy
@@ -72,7 +72,7 @@
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Pass a datagram on, as often and as late as the paths decide."""
+        """Forward a datagram as often and with such delays as the impairments of the paths demand."""
         delays_us = self._proxy.delays_of_next(self._sender, self._receiver, len(data))
         for delay_us in delays_us:
             if delay_us:
@@ -86,15 +86,15 @@
             self._transport.sendto(data, self._proxy.nodes[self._receiver])
 
     def error_received(self, exc: Exception) -> None:
-        """Ignore that the receiver's process is gone, as a network would."""
+        """Ignore an ICMP error (the receiver's process has ended): a network would drop the datagram."""
 
 
 class DatagramFaultProxy:
-    """All ports of the proxy.
+    """The proxy with the paths between all nodes.
 
     Attributes:
-        nodes: where each node receives datagrams.
-        passed: number of datagrams that were passed on.
+        nodes: Where each node receives datagrams.
+        passed: Number of datagrams that were forwarded, duplicates included.
 
     """
 
@@ -105,7 +105,10 @@
         self._received = self._dropped = self._received_bytes = 0
 
     def delays_of_next(self, sender: int, receiver: int, size: int) -> list[int]:
-        """Count a datagram, and return the delays in microseconds after which it arrives."""
+        """Count a received datagram, and return the delay of each copy to forward, in microseconds.
+
+        The list is empty if the datagram is dropped.
+        """
         self._received += 1
         self._received_bytes += size
         delays_us = self._paths.delays_of_next(sender, receiver)
@@ -114,7 +117,7 @@
         return delays_us
 
     async def set_up(self, setup: Setup) -> list[list[int]]:
-        """Open all ports, and return them by sender and receiver; 0 from a node to itself."""
+        """Open a port for each path, and return the ports by sender and receiver; 0 from a node to itself."""
         self.nodes = setup.nodes
         self._paths = DatagramPaths(RandomStreams(setup.seed))
         numbers = range(len(self.nodes))
@@ -134,7 +137,7 @@
         return port
 
     async def execute(self, command: Command) -> None:
-        """Execute one command."""
+        """Execute a command of the load test."""
         match command:
             case BlockNodes(nodes, oneway):
                 self._paths.partitions.append(PartitionedNodes(frozenset(nodes), oneway))
@@ -144,7 +147,7 @@
                 self._paths.impairment = impairment
 
     def counts(self) -> dict[str, int]:
-        """Return numbers of datagrams, and of the bytes that came."""
+        """Return the numbers of datagrams received, forwarded and dropped, and of bytes received."""
         return {
             "came": self._received,
             "passed": self.passed,
@@ -154,7 +157,7 @@
 
 
 async def main() -> None:
-    """Run the helper process."""
+    """Run the proxy until its standard input is closed."""
     proxy = DatagramFaultProxy()
     await serve_commands(Setup, proxy.set_up, Command, proxy.execute, proxy.counts)
 
--- a/larchlatch/loadtest/discovery_stub.py
+++ b/larchlatch/loadtest/discovery_stub.py
@@ -1,4 +1,4 @@
-"""A stub of discovery: nodes watch the endpoint list, and each hears of a change after a drawn delay."""
+"""A stub of discovery: nodes watch the endpoint list, and each receives a change after a random delay."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     from larchlatch.loadtest.upstream_stub import UpstreamStub
     from larchlatch.scenario.scenario import Scenario
 
-KEEP_ALIVE_S = 1.0  # after which a watch without a change is sent an empty line
+KEEP_ALIVE_S = 1.0  # a watch without a change for this long is sent an empty line
 UPSTREAM_PREFIX = "h-"
 PHASES = {
     EndpointState.READY: "in_service",
@@ -31,23 +31,23 @@
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 LAST_CHUNK = b"0\r\n\r\n"
 
-# An endpoint, or a list of them, as JSON.
+# An endpoint and a list of endpoints, in the JSON form of discovery.
 Endpoint = dict[str, Any]
 EndpointList = dict[str, Any]
 
 
 def upstream_name(number: int) -> str:
-    """Return the name under which an upstream is listed."""
+    """Return the name of an upstream in the endpoint list."""
     return f"{UPSTREAM_PREFIX}{number}"
 
 
 def upstream_number(name: str) -> int:
-    """Return the number of the upstream that is listed under a name."""
+    """Return the number of the upstream with this name in the endpoint list."""
     return int(name.removeprefix(UPSTREAM_PREFIX))
 
 
 def endpoint(stub: UpstreamStub, state: EndpointState) -> Endpoint:
-    """Return an upstream's entry of the endpoint list."""
+    """Return an upstream's entry in the endpoint list."""
     upstream = stub.upstream
     return {
         "id": upstream_name(upstream.number),
@@ -61,30 +61,30 @@
 
 
 class DiscoveryStub:
-    """Serves the endpoint list to nodes.
+    """Serves the endpoint list to nodes over HTTP.
 
     Attributes:
-        ports: one for each zone of nodes, which may reach upstreams by ports of their own.
-        proxy_ports: by zone of nodes and number of upstream, the port by which the one reaches the other;
-            empty where nodes connect to the upstreams themselves.
+        ports: The port for each zone of nodes; zones may be sent different ports for the same upstream.
+        proxy_ports: For each zone of nodes and number of upstream, the proxy's port through which the zone's
+            nodes reach the upstream; empty if nodes connect to upstreams directly.
 
     """
 
     def __init__(self, scenario: Scenario, delay_s: Callable[[], float]) -> None:
-        """Make the stub; `delay_s` returns how late a watch hears of a change, in seconds."""
+        """Create the stub; `delay_s` draws the delay of a change before it is sent to a watch, in seconds."""
         self.ports: list[int] = []
         self.proxy_ports: list[list[int]] = []
         self._zones = scenario.zones
         self._max_delay_us = us(scenario.discovery.max_delay_ms / 1e3)
         self._delay_s = delay_s
         self._endpoints: dict[int, Endpoint] = {}
-        self._changes: list[Endpoint] = []  # one a revision
+        self._changes: list[Endpoint] = []  # one for each revision
         self._changed = anyio.Event()
         self._outage_until = 0.0  # seconds of the clock of `now_us`
         self._servers: list[asyncio.Server] = []
 
     async def listen(self, address: str, tasks: BackgroundTasks) -> None:
-        """Accept connections; `tasks` owns the tasks that serve them."""
+        """Accept connections on a port for each zone; `tasks` owns the tasks that serve them."""
         for zone in range(self._zones):
 
             def accepted(
@@ -101,14 +101,14 @@
         for server in self._servers:
             server.close()
 
-    # The list.
+    # The endpoint list.
 
     def list_at_start(self, stub: UpstreamStub) -> None:
-        """List an upstream from the beginning on."""
+        """Add an upstream to the list that nodes receive at their start."""
         self._endpoints[stub.upstream.number] = endpoint(stub, EndpointState.READY)
 
     def change(self, stub: UpstreamStub, state: EndpointState) -> None:
-        """Change an upstream's entry, and tell all watches of it after their delays."""
+        """Change or remove an upstream's entry; each watch is sent the change after its own delay."""
         entry = endpoint(stub, state)
         self._endpoints[stub.upstream.number] = entry
         if state is EndpointState.GONE:
@@ -121,11 +121,11 @@
         self._changed = anyio.Event()
 
     def begin_outage(self, for_s: float) -> None:
-        """Tell nobody of changes for so many seconds."""
+        """Send no changes to any watch for a time in seconds."""
         self._outage_until = now_us() / SECOND + for_s
 
     def known_endpoints(self, zone: int) -> EndpointList:
-        """Return the whole list, as nodes of a zone are told it."""
+        """Return the complete list, with the addresses through which nodes of a zone reach the upstreams."""
         members = self._seen_from(zone, self._endpoints.values())
         return {"revision": len(self._changes), "complete": True, "members": members}
 
@@ -151,12 +151,12 @@
                 _write_chunk(writer, orjson.dumps(self.known_endpoints(zone)) + b"\n")
                 writer.write(LAST_CHUNK)
         except (*CONNECTION_ERRORS, EOFError):
-            pass  # the node has left, or ended
+            pass  # the node has closed the connection, or its process has ended
         finally:
             close_writer(writer)
 
     async def _send_changes(self, zone: int, from_revision: int, writer: asyncio.StreamWriter) -> None:
-        """Send all changes after a revision, as they come."""
+        """Send all changes after a revision as they occur, until the node closes the connection."""
         sent_revision = from_revision if from_revision <= len(self._changes) else 0
         while True:
             if sent_revision < len(self._changes):
--- a/larchlatch/loadtest/errors.py
+++ b/larchlatch/loadtest/errors.py
@@ -1,4 +1,4 @@
-"""Exceptions that end a load test before its time."""
+"""Exceptions that end a load test early."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class LoadTestError(LarchlatchError):
-    """A load test can't go on."""
+    """The load test can't continue."""
 
 
 class NodeProcessError(LoadTestError):
-    """A node's process does not serve, though no fault of the scenario keeps it from that: a broken node."""
+    """A node's process does not serve, and no fault of the scenario explains it: the node is defective."""
 
     def __init__(self, number: int, problem: str) -> None:
         """Compose the message.
 
         Args:
             number: The node's number.
-            problem: What is wrong, with the last line of its log.
+            problem: What went wrong, with the last line of the node's log if it ended.
 
         """
         super().__init__(f"node {number} {problem}")
@@ -26,14 +26,14 @@
 
 
 class HelperProcessError(LoadTestError):
-    """A helper process of the load test has ended or answers nonsense: a broken tool, not a broken node."""
+    """A helper process ended or sent an invalid reply: the load test is defective, not a node."""
 
     def __init__(self, module: str, problem: str) -> None:
         """Compose the message.
 
         Args:
             module: The module that the process runs.
-            problem: What is wrong.
+            problem: What went wrong.
 
         """
         super().__init__(f"helper process {module}: {problem}")
--- a/larchlatch/loadtest/fault_injecting_node.py
+++ b/larchlatch/loadtest/fault_injecting_node.py
@@ -1,8 +1,8 @@
-"""A node's process that commits faults: its clock gains or loses, or it sends false reports to other nodes.
+"""A node process that commits faults: its clock gains or loses time, or it sends false reports.
 
-It is a whole node, run as `python -m larchlatch` is, that differs in its clock, in its exchange with other
-nodes, and in one more line of its log for each order of a token issuer. On SIGUSR2 it reads which faults to
-commit from then on, from the file that an environment variable names.
+It is a complete node with the command line of `python -m larchlatch`. Only its clock and its cluster exchange
+differ, and it logs one more line for each order of a token issuer. On SIGUSR2 it reads the faults to commit
+from then on; the environment variable `ORDERS_VARIABLE` names their file.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class FaultInjectingExchange(ByzantineExchange):
-    """An exchange that can be found, so as to be told what to send false reports of."""
+    """An exchange that registers itself, so that `read_faults` can set the subject of its false reports."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -39,16 +39,16 @@
 
 
 class FaultInjectingClusterService(service.ClusterService):
-    """A cluster service that tells its exchange of all upstreams, and logs all executed orders."""
+    """A cluster service that passes all upstreams to its exchange, and logs all executed orders."""
 
     def update_endpoints(self, *args: Any, **named: Any) -> None:
-        """Pass new endpoints on to the exchange as well, which may send false reports of them."""
+        """Also pass the new endpoints to the exchange, which may send false reports about them."""
         super().update_endpoints(*args, **named)
         if isinstance(self.exchange, ByzantineExchange):
             self.exchange.upstreams = list(self.upstreams)
 
     def log_orders(self, orders: list[ExecutedOrder]) -> None:
-        """Log all executed orders: the observer needs those too that a node logs at no usual level."""
+        """Log all executed orders, also those of a token issuer, which other nodes log at no usual level."""
         super().log_orders(orders)
         for order in orders:
             if order.role == TOKEN_ISSUER:
@@ -56,7 +56,7 @@
 
 
 def read_faults(*_: object) -> None:
-    """Commit the faults of the file from now on."""
+    """Read the file of injected faults, and commit these faults from now on; a signal handler."""
     faults = msgspec.json.decode(Path(os.environ[ORDERS_VARIABLE]).read_bytes(), type=InjectedFaults)
     clock.set_gain(true_time_us(), faults.skew)
     for exchange in exchanges:
@@ -64,7 +64,7 @@
 
 
 def main() -> None:
-    """Run the command line with the faulty parts in place of the service's own."""
+    """Run the command line with the clock, exchange and service of this module in place of the usual ones."""
     vars(service).update(
         steady_us=lambda: clock.at(true_time_us()),
         Exchange=FaultInjectingExchange,
--- a/larchlatch/loadtest/fault_injection.py
+++ b/larchlatch/loadtest/fault_injection.py
@@ -1,4 +1,4 @@
-"""What the scenario's faults do to the processes, stubs and proxies of a load test."""
+"""Carries out the scenario's faults on the processes, stubs and proxies of a load test."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class UpstreamStubFaults:
-    """Faults of upstreams: `larchlatch.scenario.fault_injection.UpstreamFaults` on stubs."""
+    """Faults of upstreams: implements `larchlatch.scenario.fault_injection.UpstreamFaults` on stubs."""
 
     def __init__(
         self,
@@ -50,11 +50,11 @@
         return [stub for stub in self._stubs if stub.upstream.was_never_started]
 
     def slow_down(self, upstream: UpstreamStub, factor: float) -> None:
-        """Multiply the time that an upstream takes for its work."""
+        """Multiply the time that an upstream takes for its work; a factor below 1 speeds it up."""
         upstream.upstream.slowness *= factor
 
     def silence(self, upstream: UpstreamStub) -> None:
-        """Let an upstream answer nothing any more."""
+        """Make an upstream stop answering."""
         self._observer.upstream_lost(upstream.upstream.number)
         upstream.upstream.condition = Condition.SILENT
 
@@ -64,7 +64,7 @@
         self._end_process(upstream)
 
     def bring_up(self, upstream: UpstreamStub) -> None:
-        """Start an upstream anew, and list it as ready."""
+        """Start an upstream anew: cold, without sessions, and listed as ready."""
         self._observer.upstream_returned(upstream.upstream.number)
         self._tasks.start(self._start_again, upstream)
 
@@ -74,13 +74,13 @@
         self._discovery.change(upstream, EndpointState.DRAINING)
 
     def retire(self, upstream: UpstreamStub) -> None:
-        """End an upstream, and take it out of the endpoint list."""
+        """Stop an upstream and remove it from the endpoint list."""
         self._end_process(upstream)
         upstream.upstream.condition = Condition.ABSENT
         self._discovery.change(upstream, EndpointState.GONE)
 
     def slow_shared_store(self, factor: float) -> None:
-        """Multiply the time that each session's establishment waits for the shared store."""
+        """Multiply the time that the shared store takes for each session that is established."""
         for stub in self._stubs:
             stub.setup_delay_factor *= factor
 
@@ -95,7 +95,7 @@
 
 
 class NodeProcessFaults:
-    """Faults of nodes: `larchlatch.scenario.fault_injection.NodeFaults` on processes."""
+    """Faults of nodes: implements `larchlatch.scenario.fault_injection.NodeFaults` on processes."""
 
     def __init__(
         self,
@@ -122,36 +122,36 @@
         return [node for node in self._fleet.nodes if self._fleet.zone_of(node) == zone]
 
     def kill(self, node: NodeProcess) -> None:
-        """Kill a node's process; it is started again after the scenario's time."""
+        """Kill a node's process; it is restarted after the time that the scenario states."""
         self._fleet.kill(node)
 
     def pause(self, node: NodeProcess) -> None:
-        """Stop a node's process, which keeps its connections."""
+        """Pause a node's process, which keeps its connections; pauses of one node may overlap."""
         self._fleet.pause(node)
 
     def resume(self, node: NodeProcess) -> None:
-        """End one pause of a node."""
+        """End one pause of a node; its process continues after the last one."""
         self._fleet.resume(node)
 
     def set_clock_gain(self, node: NodeProcess, gain: float) -> None:
-        """Let a node's clock gain this share from now on."""
+        """Make a node's clock gain this share from now on; a negative share makes it lose time."""
         if self._cluster is not None and node.running:
             self._cluster.set_clock_gain(node.number, gain)
             node.send_signal(signal.SIGUSR2)
 
     def send_false_reports(self, node: NodeProcess, subject: str) -> None:
-        """Let a node tell other nodes false things of a subject; an empty subject ends it."""
+        """Make a node send false reports about a subject; an empty subject ends it."""
         if self._cluster is not None and node.running:
             self._cluster.set_false_reports(node.number, subject)
             node.send_signal(signal.SIGUSR2)
 
     def decommission(self, node: NodeProcess) -> None:
-        """End a node for good."""
+        """Stop a node for good."""
         node.removed = True
         self._fleet.kill(node)
 
     def update_cluster_files(self, removed: Sequence[NodeProcess], draw_delay_s: Callable[[], float]) -> None:
-        """Take nodes out of the cluster file; each remaining node rereads it after a delay of its own."""
+        """Remove nodes from the cluster file, which each remaining node rereads after a delay of its own."""
         if self._cluster is None:
             return
         self._cluster.files.removed |= {node.number for node in removed}
@@ -161,12 +161,12 @@
 
     def _update_cluster_file(self, cluster: Cluster, node: NodeProcess) -> None:
         cluster.files.write(node.number)
-        if self._observer.is_running(node.number):  # else it reads the file as it starts
+        if self._observer.is_running(node.number):  # otherwise it reads the file when it starts
             node.send_signal(signal.SIGHUP)
 
 
 class ProxyFaults:
-    """Faults of the network: `larchlatch.scenario.fault_injection.NetworkFaults` on proxies and discovery."""
+    """Faults of the network: implements `larchlatch.scenario.fault_injection.NetworkFaults` on proxies."""
 
     def __init__(
         self,
@@ -189,7 +189,7 @@
         self._tasks.start(self._zone_connections.reconnect, zone)
 
     def partition(self, nodes: Sequence[NodeProcess], *, oneway: bool) -> None:
-        """Block datagrams between these nodes and the others; `oneway`: those that these nodes send."""
+        """Block datagrams between these nodes and the others; oneway: those that these nodes send."""
         if self._cluster is not None:
             self._tasks.start(partial(self._cluster.partition, _numbers(nodes), oneway=oneway))
 
@@ -199,12 +199,12 @@
             self._tasks.start(partial(self._cluster.heal_partition, _numbers(nodes), oneway=oneway))
 
     def impair_paths(self, impairment: PathImpairment) -> None:
-        """Treat all datagrams between nodes in this way from now on."""
+        """Apply an impairment to all datagrams between nodes from now on."""
         if self._cluster is not None:
             self._tasks.start(self._cluster.impair_paths, impairment)
 
     def suspend_discovery(self, for_s: float) -> None:
-        """Let no node hear of changes of the endpoint list for so many seconds."""
+        """Deliver no change of the endpoint list for a time in seconds."""
         self._discovery.begin_outage(for_s)
 
 
--- a/larchlatch/loadtest/helper_process.py
+++ b/larchlatch/loadtest/helper_process.py
@@ -1,6 +1,7 @@
-"""A process of the load test itself, which takes one command a line and answers each.
+"""Helper processes of the load test: how they are started, and the protocol on their pipes.
 
-Proxies run in processes of their own: the load test's event loop must not delay what passes through them.
+A helper process reads one JSON message a line from its standard input and answers each with one line. Proxies
+run as helper processes so that the load test's event loop does not delay the traffic that they forward.
 """
 
 from __future__ import annotations
@@ -29,18 +30,18 @@
 
 
 class HelperProcess:
-    """The load test's end of a helper process, which it owns until `stop`."""
+    """A helper process as the load test sees it; this object owns the process until `stop`."""
 
     def __init__(self, module: str) -> None:
         self.module = module
         self._process: asyncio.subprocess.Process | None = None
-        self._lock = asyncio.Lock()  # commands are answered one by one
+        self._lock = asyncio.Lock()  # held from each message until its reply, as replies carry no ID
 
     async def start(self, setup: msgspec.Struct, reply_type: type[ReplyT]) -> ReplyT:
         """Start the process, and return its reply to the setup.
 
         Raises:
-            HelperProcessError: It has ended, or its reply is of another type.
+            HelperProcessError: The process ended, or its reply is not of the given type.
 
         """
         self._process = await asyncio.create_subprocess_exec(
@@ -54,13 +55,13 @@
         try:
             return msgspec.json.decode(reply, type=reply_type)
         except msgspec.DecodeError as error:
-            raise HelperProcessError(self.module, f"{error} in its reply {reply!r}") from error
+            raise HelperProcessError(self.module, f"invalid reply {reply!r}: {error}") from error
 
     async def execute(self, command: msgspec.Struct) -> None:
-        """Give a command, and wait until it has been executed.
+        """Send a command, and wait until it has been executed.
 
         Raises:
-            HelperProcessError: The process has ended.
+            HelperProcessError: The process has not been started, or has ended.
 
         """
         await self._request(command)
@@ -80,7 +81,7 @@
         return reply
 
     async def stop(self) -> dict[str, int]:
-        """End the process, by force if need be, and return what it has counted; nothing if it had ended."""
+        """Stop the process, and return its counts; no counts if it had ended or had to be killed."""
         process = self._process
         if process is None or process.returncode is not None:
             return {}
@@ -97,13 +98,12 @@
         return counts
 
     async def _read_counts(self, process: asyncio.subprocess.Process) -> dict[str, int]:
-        """Close the process's input, which ends it, and return its last line."""
+        """Close the process's standard input, which ends it, and return the counts of its last line."""
         if process.stdin is None or process.stdout is None:
             return {}
         process.stdin.close()
         counts: dict[str, int] = {}
-        # A process that was killed has counted nothing; one of a run that was cut off may still answer a
-        # command.
+        # A killed process sends no counts. If the run was interrupted, the reply to a command may come first.
         while line := await process.stdout.readline():
             with suppress(msgspec.DecodeError):
                 counts = msgspec.json.decode(line, type=dict[str, int])
@@ -118,17 +118,17 @@
     execute: Callable[[CommandT], Awaitable[None]],
     counts: Callable[[], dict[str, int]],
 ) -> None:
-    """Run the helper process's own end until its input is closed.
+    """Serve as a helper process: execute commands from standard input until it is closed.
 
     Args:
-        setup_type: Type of the first line.
-        set_up: Acts on the first line, and returns the reply to it.
-        command_type: Type of all further lines, a union of tagged structures.
+        setup_type: Type of the message on the first line.
+        set_up: Handles the first message, and returns the reply to it.
+        command_type: Type of the messages on all further lines, a union of tagged structs.
         execute: Executes one command.
-        counts: Returns what is written as the last line.
+        counts: Returns the counts that are written as the last line.
 
     """
-    # A terminal sends Ctrl-C to all processes of the load test, which itself ends this one.
+    # A terminal sends SIGINT on Ctrl-C to all processes of the load test; the load test then stops this one.
     signal.signal(signal.SIGINT, signal.SIG_IGN)
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
@@ -144,7 +144,7 @@
 
 
 def _write_line(line: bytes) -> None:
-    # The load test may have been killed: nobody reads any more.
+    # If the load test was killed, nothing reads the pipe any more.
     with suppress(BrokenPipeError):
         sys.stdout.buffer.write(line + b"\n")
         sys.stdout.buffer.flush()
--- a/larchlatch/loadtest/injected_faults.py
+++ b/larchlatch/loadtest/injected_faults.py
@@ -1,4 +1,4 @@
-"""What a fault-injecting node is told to do, in a file that both the load test and the node know."""
+"""The file that tells a fault-injecting node which faults to commit, as both sides decode it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class InjectedFaults(Struct, frozen=True):
-    """The faults that a node's own process commits now.
+    """The faults that a node process is to commit from now on.
 
     Attributes:
-        skew: the share that its clock gains; below 0 it loses.
-        about: subject of which it sends false reports; "" for none.
+        skew: The share of time that its clock gains; a negative share makes it lose time.
+        about: The subject about which it sends false reports; empty for none.
 
     """
 
--- a/larchlatch/loadtest/limits.py
+++ b/larchlatch/loadtest/limits.py
@@ -1,4 +1,4 @@
-"""Which scenarios the load test plays: on loopback alone, and no more than one machine carries."""
+"""Limits of the load test: it uses loopback addresses only, and scenarios that one machine can play."""
 
 from __future__ import annotations
 
@@ -12,39 +12,39 @@
     from larchlatch.scenario.scenario import Scenario
 
 MAX_NODES = 16
-MAX_ESTABLISHED = 4000  # sessions at once: each has two descriptors here and two at a node
+MAX_ESTABLISHED = 4000  # established sessions at once
 MAX_SESSIONS_PER_S = 500.0
 MAX_SPAN_S = 600.0
-DESCRIPTORS_PER_SESSION = 4
-SPARE_DESCRIPTORS = 200  # for logs, proxies and discovery
+DESCRIPTORS_PER_SESSION = 4  # two in this process and two in a node's
+SPARE_DESCRIPTORS = 200  # for logs, proxies and connections of discovery
 
 
 def check_address(text: str) -> str:
-    """Return an address to play on.
+    """Return an address unchanged if the load test may use it.
 
     Raises:
-        ConfigurationError: It is not a loopback address of IPv4.
+        ConfigurationError: It is not an IPv4 loopback address.
 
     """
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
-        raise ConfigurationError("address", f"no address ({text})") from None
+        raise ConfigurationError("address", f"not an IP address: {text!r}") from None
     if address.version != 4 or not address.is_loopback:
-        raise ConfigurationError("address", f"not a loopback address of IPv4 ({text})")
+        raise ConfigurationError("address", f"not an IPv4 loopback address: {text!r}")
     return text
 
 
 def check_playable(scenario: Scenario) -> Scenario:
-    """Return a scenario that can be played on sockets, after raising the limit of descriptors as it needs.
+    """Return a scenario unchanged if the load test can play it; raise the limit of descriptors if needed.
 
     Raises:
-        ConfigurationError: It is too large, or asks for what sockets can't do.
+        ConfigurationError: The scenario exceeds a limit, or uses an unsupported feature.
 
     """
     if scenario.packet_forwarding:
         raise ConfigurationError(
-            "day", "passes: packets can't be made to pass through another process on sockets"
+            "day", "passes: the load test does not support forwarding of packets between node processes"
         )
     established = scenario.sessions.rate * scenario.sessions.lifetime_s
     for key, asked, limit in (
@@ -54,7 +54,7 @@
         ("links.rate times links.life_s", established, float(MAX_ESTABLISHED)),
     ):
         if asked > limit:
-            raise ConfigurationError("day", f"{key}: {asked:g} is more than is played on sockets ({limit:g})")
+            raise ConfigurationError("day", f"{key}: {asked:g} exceeds the load test's limit of {limit:g}")
     _raise_descriptor_limit(int(established * DESCRIPTORS_PER_SESSION) + SPARE_DESCRIPTORS)
     return scenario
 
@@ -62,6 +62,8 @@
 def _raise_descriptor_limit(wanted: int) -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     if hard != resource.RLIM_INFINITY and wanted > hard:
-        raise ConfigurationError("day", f"links: {wanted} descriptors are wanted, the system grants {hard}")
+        raise ConfigurationError(
+            "day", f"links: needs {wanted} file descriptors, but the system's hard limit is {hard}"
+        )
     if soft < wanted:
         resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
--- a/larchlatch/loadtest/node_fleet.py
+++ b/larchlatch/loadtest/node_fleet.py
@@ -1,4 +1,4 @@
-"""All nodes under test: their processes, and what becomes of a node that is killed."""
+"""Manages all nodes under test: starts, pauses, kills and restarts their processes."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
     from larchlatch.scenario.scenario import Scenario
 
 START_TIMEOUT_S = 20.0
-SINGLE_NODE = NodeCommand("larchlatch", [], {})  # one that takes part in no cluster
+SINGLE_NODE = NodeCommand("larchlatch", [], {})  # command of a node outside a cluster
 
 
 class NodeFleet:
-    """Starts, kills and ends nodes; it owns all of their processes.
+    """The nodes under test, with all of their processes.
 
     Attributes:
-        nodes: all nodes by their numbers, once they have been given addresses.
+        nodes: All nodes in the order of their numbers; empty until `assign_addresses`.
 
     """
 
@@ -44,14 +44,14 @@
         observer: ClusterObserver,
         tasks: BackgroundTasks,
     ) -> None:
-        """Make the fleet.
+        """Create the fleet.
 
         Args:
             scenario: The scenario.
             streams: Source of the nodes' seeds.
-            discovery: What the nodes follow.
-            observer: Is told which processes run.
-            tasks: Owns the tasks that start nodes again.
+            discovery: The discovery stub that nodes connect to.
+            observer: Is informed when processes start and stop.
+            tasks: Owns the tasks that restart nodes.
 
         """
         self.nodes: list[NodeProcess] = []
@@ -64,10 +64,10 @@
         self._folder: Path | None = None
         self._discovery_address = ""
 
-    # Which nodes there are.
+    # The nodes and their addresses.
 
     def in_rotation(self) -> list[NodeProcess]:
-        """Return the nodes that clients are sent to."""
+        """Return the nodes that clients currently connect to."""
         return [node for node in self.nodes if node.in_rotation]
 
     def zone_of(self, node: NodeProcess) -> int:
@@ -75,7 +75,7 @@
         return node.number % self._scenario.zones
 
     def assign_addresses(self) -> list[DatagramAddress]:
-        """Give each node an address and a free port, and return where it may receive datagrams."""
+        """Create all nodes with an address and a free port each; return where each may receive datagrams."""
         run_number = next_run_number()
         for number in range(self._scenario.nodes.count):
             address = node_address(run_number, number)
@@ -88,12 +88,12 @@
         """Start all nodes, and wait until they serve.
 
         Args:
-            folder: Where configurations and logs go.
+            folder: Where configurations and logs are written.
             discovery_address: Address of discovery.
-            cluster: The cluster in which they take part; None: in none.
+            cluster: The cluster that the nodes join; None for nodes outside a cluster.
 
         Raises:
-            ExceptionGroup: It contains a `NodeProcessError` for each node that does not serve.
+            ExceptionGroup: Contains a `NodeProcessError` for each node that failed to start.
 
         """
         self._folder = folder
@@ -105,7 +105,7 @@
                 starts.start_soon(self._start_in_time, node)
 
     async def stop(self) -> None:
-        """Kill all processes, and wait for their ends."""
+        """Kill all processes, and wait until they have ended."""
         for node in self.nodes:
             await node.stop()
 
@@ -114,10 +114,12 @@
             with anyio.fail_after(START_TIMEOUT_S):
                 await self._start(node, self._known_endpoints(node))
         except TimeoutError:
-            raise NodeProcessError(node.number, f"did not serve within {START_TIMEOUT_S:g} seconds") from None
+            raise NodeProcessError(
+                node.number, f"did not answer within {START_TIMEOUT_S:g} seconds of its start"
+            ) from None
 
     async def _start(self, node: NodeProcess, endpoints: EndpointList) -> None:
-        """Start a process that knows these endpoints, and wait until it serves."""
+        """Start a process with these endpoints in its configuration, and wait until it serves."""
         seed = self._streams.stream(f"node {node.number} start {node.start_count + 1}").getrandbits(64)
         configuration = node_configuration(
             self._scenario,
@@ -146,13 +148,13 @@
 
     def _file(self, node: NodeProcess, suffix: str) -> Path:
         if self._folder is None:
-            raise RuntimeError("the fleet is not started")
+            raise RuntimeError("the fleet has not been started")
         return self._folder / f"{node_name(node.number)}.{suffix}"
 
     # Faults.
 
     def kill(self, node: NodeProcess) -> None:
-        """Kill a node's process; unless it is removed, another one takes its place later."""
+        """Kill a node's process; unless the node is removed, a new process replaces it later."""
         if node.killed:
             return
         node.mark_killed()
@@ -171,17 +173,17 @@
         node.mark_back()
 
     def pause(self, node: NodeProcess) -> None:
-        """Stop a node's process from running."""
+        """Pause a node's process; pauses of one node may overlap."""
         if node.pause():
             self._observer.node_runs(node.number, running=False)
 
     def resume(self, node: NodeProcess) -> None:
-        """End one pause of a node; its process runs again after the last one."""
+        """End one pause of a node; its process continues after the last one."""
         if node.resume():
             self._observer.node_runs(node.number, running=True)
 
     async def request_status(self, interval_s: float) -> None:
-        """Let each node that runs log its status, again and again."""
+        """Make each running node log its status at an interval in seconds, until cancelled."""
         while True:
             await anyio.sleep(interval_s)
             for node in self.nodes:
--- a/larchlatch/loadtest/node_log.py
+++ b/larchlatch/loadtest/node_log.py
@@ -1,4 +1,4 @@
-"""Reads the events that nodes log, as their logs grow."""
+"""Reads selected events from the logs of nodes while the nodes write them."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
     """One line of a node's log.
 
     Attributes:
-        node: the node's number.
-        fields: the line's fields, the event's name among them.
+        node: The node's number.
+        fields: The line's fields, including `event`, the name of the event.
 
     """
 
@@ -25,12 +25,12 @@
 
 
 class NodeLogReader:
-    """Reads new lines of the nodes' logs, of certain events alone."""
+    """Reads new lines of the nodes' logs, and keeps those of certain events."""
 
     def __init__(self, logs: Sequence[Path], events: Collection[str]) -> None:
         self._logs = logs
         self._events = [b'"%s"' % event.encode() for event in events]
-        self._offsets = [0] * len(logs)  # bytes that have been read of each
+        self._offsets = [0] * len(logs)  # how many bytes of each log have been read
 
     def read(self) -> Iterator[LoggedEvent]:
         """Yield the events that have been logged since the last call."""
--- a/larchlatch/loadtest/node_process.py
+++ b/larchlatch/loadtest/node_process.py
@@ -1,4 +1,4 @@
-"""One node under test: its address, and the process that serves there."""
+"""Runs one node under test as a process that can be paused, killed and replaced."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
     from pathlib import Path
     from typing import BinaryIO
 
-CONNECT_INTERVAL_S = 0.02  # between two tries to reach a node that starts
+CONNECT_INTERVAL_S = 0.02  # between attempts to connect to a node that is starting
 
 
 class NodeCommand(NamedTuple):
     """How a node's process is started.
 
     Attributes:
-        module: the Python module that is run.
-        arguments: arguments of `serve`.
-        environment: variables beside those of this process.
+        module: The Python module that is run.
+        arguments: Arguments of the command `serve`.
+        environment: Environment variables in addition to those of this process.
 
     """
 
@@ -38,16 +38,16 @@
 
 
 class NodeProcess:
-    """A node, through all processes that serve as it one after the other; it owns the present one.
+    """A node under test, which owns its current process; a restart replaces the process.
 
     Attributes:
-        number: the node's number.
-        address: address on which it listens.
-        port: port on which it listens.
-        in_rotation: whether clients are sent to it.
-        removed: whether it has left the cluster for good.
-        start_count: number of processes that have been started.
-        interruption_count: how often a fault has killed, paused or resumed it.
+        number: The node's number.
+        address: The address on which it listens.
+        port: The port on which it listens.
+        in_rotation: Whether clients connect to it.
+        removed: Whether it has left the cluster for good.
+        start_count: Number of processes that have been started for it.
+        interruption_count: How often it was killed, brought back, paused or resumed.
 
     """
 
@@ -62,29 +62,29 @@
         self._process: asyncio.subprocess.Process | None = None
         self._killed = False
         self._paused = False
-        self._pause_count = 0  # faults that keep it paused; they may overlap
+        self._pause_count = 0  # number of faults that pause it now; they may overlap
 
     @property
     def running(self) -> bool:
-        """Whether there is a process, paused or not."""
+        """Whether the node has a process, which may be paused."""
         return self._process is not None and self._process.returncode is None
 
     @property
     def killed(self) -> bool:
-        """Whether a fault has killed it, and no process serves in its place yet."""
+        """Whether a fault has killed the node, and no new process serves yet."""
         return self._killed
 
     def has_run_since(self, interruption_count: int) -> bool:
-        """Return whether it has run ever since it had been interrupted so often: it owes an answer."""
+        """Return whether the node runs and was not interrupted since its count had this value."""
         return self.interruption_count == interruption_count and not self._killed and not self._paused
 
-    # Its process.
+    # The process.
 
     async def start(self, command: NodeCommand, log: Path) -> None:
         """Start a process whose output is appended to a file, and wait until it serves.
 
         Raises:
-            NodeProcessError: It has ended.
+            NodeProcessError: The process ended before it served.
 
         """
         self.start_count += 1
@@ -118,7 +118,7 @@
             close_writer(writer)
 
     async def stop(self) -> None:
-        """Kill the process, and wait for its end."""
+        """Kill the process, and wait until it has ended."""
         process = self._process
         if process is None or process.returncode is not None:
             return
@@ -135,31 +135,31 @@
     # Faults.
 
     def mark_killed(self) -> None:
-        """Note that a fault kills it: from now on it owes no answer."""
+        """Record that a fault kills the node: a missing answer is no violation from now on."""
         self._killed = True
         self._paused = False
         self._pause_count = 0
         self.interruption_count += 1
 
     def mark_back(self) -> None:
-        """Note that a process serves again after a kill."""
+        """Record that a new process serves after a kill."""
         self._killed = False
         self.interruption_count += 1
         self.in_rotation = True
 
     def pause(self) -> bool:
-        """Stop the process from running; return whether there is one to stop."""
+        """Pause the process; return whether there was one to pause."""
         self._pause_count += 1
         return self._interrupt(paused=True)
 
     def resume(self) -> bool:
-        """Let the process run again once no fault keeps it paused; return whether it does so now."""
+        """End one pause, and resume the process after the last one; return whether it was resumed."""
         self._pause_count = max(0, self._pause_count - 1)
         return self._pause_count == 0 and self._interrupt(paused=False)
 
     def _interrupt(self, *, paused: bool) -> bool:
         if not self.running or not self.in_rotation:
-            return False  # it was killed meanwhile
+            return False  # the process has been killed
         self.send_signal(signal.SIGSTOP if paused else signal.SIGCONT)
         self.interruption_count += 1
         self._paused = paused
@@ -172,4 +172,4 @@
 
 def _last_line(log: Path) -> str:
     lines = log.read_text().splitlines()
-    return lines[-1] if lines else "without a word"
+    return lines[-1] if lines else "its log is empty"
--- a/larchlatch/loadtest/node_settings.py
+++ b/larchlatch/loadtest/node_settings.py
@@ -1,4 +1,4 @@
-"""The configuration of a node for a scenario, in the form of a node's configuration file."""
+"""Builds the configuration file of a node from a scenario."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def node_configuration(
     scenario: Scenario, number: int, *, listen: str, discovery: str, seed: str, endpoints: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return a node's configuration file.
+    """Return the contents of a node's configuration file.
 
     Args:
         scenario: The scenario.
@@ -31,7 +31,7 @@
         listen: Address and port on which it accepts clients.
         discovery: Address and port of discovery.
         seed: Seed of its random numbers, in hexadecimal.
-        endpoints: The endpoint list that it knows at its start.
+        endpoints: The endpoint list with which the node starts.
 
     """
     return {
--- a/larchlatch/loadtest/outside_observer.py
+++ b/larchlatch/loadtest/outside_observer.py
@@ -1,4 +1,4 @@
-"""The rules of sessions as clients and upstreams see them, apart from what nodes say of themselves."""
+"""Checks the rules of sessions from what clients and upstreams observe, not from what nodes report."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     from larchlatch.invariants.quota_safety import QuotaSafety
     from larchlatch.scenario.scenario import Scenario
 
-MAX_DESCRIPTIONS = 20  # violations described in words; all of them are counted
+MAX_DESCRIPTIONS = 20  # violations that are described in words; the others are only counted
 
 
 class Rule(StrEnum):
-    """What nodes must keep; the values are keys of the result."""
+    """Rules that nodes must follow; the values are keys of the result."""
 
-    ONE_ANSWER = "lost"  # each request has exactly one final answer before its deadline
-    NO_EFFECT_TWICE = "twice"  # no two attempts at once, and no repeat of what must not be repeated
-    DRAINING_LEFT_ALONE = "drain"  # nothing is sent to an upstream after discovery has told that it leaves
-    NO_OVERLOAD = "cold"  # an upstream that warms up is not sent more than it bears
+    ONE_ANSWER = "lost"  # each request gets exactly one final answer, before its deadline
+    NO_EFFECT_TWICE = "twice"  # no concurrent attempts, and no repeat of a request that must not run twice
+    DRAINING_LEFT_ALONE = "drain"  # no attempts at an upstream after discovery has announced its drain or end
+    NO_OVERLOAD = "cold"  # an upstream in slow start is not sent more load than it can take
 
 
 class OutsideObserver:
-    """Counts violations of the rules.
+    """Counts and describes violations of the rules.
 
     Attributes:
-        violations: number of violations of each rule.
-        descriptions: the first of them in words.
-        quota: checks what is spent of the shared quota; None where the scenario has none.
-        slow_start: checks what is sent to upstreams that warm up.
+        violations: Number of violations of each rule.
+        descriptions: Descriptions of the first violations.
+        quota: Checks the use of the shared quota; None if the scenario has none.
+        slow_start: Checks the load that is sent to upstreams in slow start.
 
     """
 
@@ -43,28 +43,30 @@
         self.descriptions: list[str] = []
         self.quota = quota
         self.slow_start = slow_start_checker(scenario)
-        self._in_attempt: set[str] = set()  # ids of sessions with an attempt out
-        self._may_have_run: set[str] = set()  # ids of sessions an attempt of which may have had its effect
+        self._in_attempt: set[str] = set()  # IDs of sessions with an attempt under way
+        self._may_have_run: set[str] = set()  # IDs of sessions that may have taken effect
 
     def report(self, rule: Rule, description: str) -> None:
-        """Count a violation."""
+        """Count a violation, and keep its description if there are not too many yet."""
         self.violations[rule] += 1
         if len(self.descriptions) < MAX_DESCRIPTIONS:
             self.descriptions.append(f"{now_us() / SECOND:.3f} s: {rule}: {description}")
 
     def attempt_started(self, session_id: str, idempotency: Idempotency) -> None:
-        """Note that an upstream has received an attempt."""
+        """Record that an upstream has received an attempt, and check whether it was allowed."""
         if session_id in self._in_attempt:
-            self.report(Rule.NO_EFFECT_TWICE, f"link {session_id}: two tries out at once")
+            self.report(Rule.NO_EFFECT_TWICE, f"session {session_id}: two attempts at the same time")
         elif session_id in self._may_have_run and idempotency is Idempotency.NON_IDEMPOTENT:
-            self.report(Rule.NO_EFFECT_TWICE, f"link {session_id}: exclusive, and may have run")
+            self.report(
+                Rule.NO_EFFECT_TWICE, f"session {session_id}: repeated, but not idempotent and may have run"
+            )
         self._in_attempt.add(session_id)
         self._may_have_run.add(session_id)
         if self.quota is not None:
             self.quota.observe(SessionAdmitted(now_us(), session_id))
 
     def attempt_ended(self, session_id: str, *, never_ran: bool = False) -> None:
-        """Note that an attempt is over; `never_ran`: it has had no effect for certain."""
+        """Record the end of an attempt; `never_ran` states that it certainly had no effect."""
         self._in_attempt.discard(session_id)
         if never_ran:
             self._may_have_run.discard(session_id)
--- a/larchlatch/loadtest/report.py
+++ b/larchlatch/loadtest/report.py
@@ -1,4 +1,4 @@
-"""The row of figures that a load test prints."""
+"""Builds the result of a load test: the row of figures that the command prints."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 if TYPE_CHECKING:
     from larchlatch.loadtest.run import LoadTestRun
 
-MAX_LATENESS_US = 50_000  # of clients' starts at the 99th percentile: above it the figures measure the tool
-PERCENTILE = 99
+MAX_LATENESS_US = (
+    50_000  # if clients start later than this, the figures reflect the load test rather than the nodes
+)
+PERCENTILE = 99  # of lateness and event loop lag
 
 
 class LoadTestResult(NamedTuple):
     """The result of a load test.
 
     Attributes:
-        row: its figures.
-        violations: descriptions of rules that were violated.
+        row: The figures by their keys.
+        violations: Descriptions of the first violations of rules.
 
     """
 
@@ -28,7 +30,7 @@
 
 
 def result_row(run: LoadTestRun) -> dict[str, Any]:
-    """Return the figures of a load test that is over, by the keys that users read."""
+    """Return the figures of a finished load test, by the keys under which they are printed."""
     run.figures.counts[SessionEvent.ATTEMPTED] = sum(stub.attempts for stub in run.stubs)
     run.figures.counts[SessionEvent.PROBED] = sum(stub.probes for stub in run.stubs)
     late_us = run.population.lateness.get_value_at_percentile(PERCENTILE)
--- a/larchlatch/loadtest/run.py
+++ b/larchlatch/loadtest/run.py
@@ -1,4 +1,4 @@
-"""One load test from its start to its result."""
+"""Runs one load test: creates all its parts, plays the scenario, stops everything and returns the result."""
 
 from __future__ import annotations
 
@@ -45,36 +45,36 @@
 
 STATUS_INTERVAL_S = 1.0
 SLOW_START_INTERVAL_S = 1.0
-EXIT_TERMINATED = 128 + signal.SIGTERM  # as a shell shows a process that SIGTERM has ended
-MAX_LAST_ANSWERS_S = 2.0  # after the scenario, for clients that still wait for an answer
+EXIT_TERMINATED = 128 + signal.SIGTERM  # the exit code that shells report for a process ended by SIGTERM
+MAX_LAST_ANSWERS_S = 2.0  # wait after the scenario for clients without a final answer
 
 
 class LoadTestRun:
-    """Plays a scenario on sockets, and owns every process, socket, task and file that this takes.
+    """Plays a scenario on sockets, and owns all processes, sockets, tasks and files of the run.
 
     Attributes:
-        scenario: the scenario.
-        streams: source of all random numbers.
-        clients: all clients that will come.
-        checkers: the checkers of the cluster's invariants.
-        observer: judges the rules of sessions from outside.
-        cluster_observer: observes the cluster for its checkers.
-        figures: counts and times of sessions.
-        stubs: the upstreams.
-        discovery: the endpoint list.
-        fleet: the nodes.
-        cluster: what makes a cluster of them; None before the start, and where the scenario has none.
-        zone_connections: connections between zones.
-        sessions: the clients' sessions.
-        population: lets the clients come.
-        monitor: measures the load test itself.
-        clock: time of the scenario.
-        tasks: owner of all tasks.
+        scenario: The scenario.
+        streams: Source of all random numbers.
+        clients: All clients that will arrive.
+        checkers: The checkers of the cluster's invariants.
+        observer: Checks the rules of sessions from outside.
+        cluster_observer: Observes the cluster for its checkers.
+        figures: Counts and times of sessions.
+        stubs: The upstream stubs.
+        discovery: The discovery stub, which serves the endpoint list.
+        fleet: The nodes under test.
+        cluster: The nodes' cluster; None before the start, and if the scenario has none.
+        zone_connections: The connections between zones.
+        sessions: Runs the clients' sessions.
+        population: Starts and runs the clients.
+        monitor: Measures the lag of the load test's own event loop.
+        clock: The time of the scenario.
+        tasks: Owns all background tasks.
 
     """
 
     def __init__(self, scenario: Scenario, address: str = "127.0.0.1") -> None:
-        """Prepare a load test; `address`: loopback address of everything but the nodes."""
+        """Prepare a run; `address` is the loopback address of everything except the nodes."""
         self.scenario = scenario
         self.streams = RandomStreams(scenario.seed)
         self.clients = list(client_arrivals(scenario, self.streams))
@@ -106,10 +106,10 @@
     async def play(self) -> dict[str, Any]:
         """Play the scenario, and return the row of its figures.
 
-        Everything that was started is ended on every path, cancellation included.
+        Everything that was started is stopped in all cases, also on errors and cancellation.
 
         Raises:
-            ExceptionGroup: It contains a `LoadTestError` if the load test could not go on.
+            ExceptionGroup: Contains a `LoadTestError` if the load test could not continue.
 
         """
         with tempfile.TemporaryDirectory() as folder:
@@ -148,7 +148,7 @@
         await self.fleet.start(folder, self._address, self.cluster)
 
     async def _start_stub(self, stub: UpstreamStub) -> None:
-        """Give an upstream its port, and list it unless it is to come later."""
+        """Make an upstream stub listen and list it, or only reserve its port if it is to start later."""
         await stub.listen(self._address, self.tasks)
         if stub.upstream.condition is Condition.ABSENT:
             stub.close()
@@ -170,7 +170,7 @@
     # The scenario.
 
     async def run(self) -> None:
-        """Play the scenario on what has been started."""
+        """Play the scenario with the processes and stubs that have been started."""
         self.clock.begin()
         self.tasks.start(self.monitor.run)
         self.tasks.start(self._observe_slow_start)
@@ -179,7 +179,7 @@
             self.tasks.start(self._inject, index, fault, injector)
         await self.population.run(self.clients, self.tasks)
         await self.clock.sleep_until(self.scenario.span_s)
-        # Clients that still wait for an answer get it; established sessions end with the scenario.
+        # Clients without a final answer may still receive it; established sessions end with the scenario.
         await anyio.sleep(min(MAX_LAST_ANSWERS_S, self.scenario.sessions.wait_ms / 1e3))
 
     async def _observe_slow_start(self) -> None:
@@ -214,17 +214,17 @@
 def run_load_test(scenario: Scenario, address: str) -> LoadTestResult:
     """Play a scenario on sockets, and return its figures and the rules that were violated.
 
-    SIGINT and SIGTERM end it early, after everything that it has started.
+    SIGINT and SIGTERM end the run early, once everything that it started has been stopped.
 
     Raises:
-        LoadTestError: It could not go on: a node or the load test itself is broken.
+        LoadTestError: The run could not continue: a node or the load test itself is defective.
 
     """
     run = LoadTestRun(scenario, address)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         try:
             row = runner.run(_play_until_terminated(run))
-        except asyncio.CancelledError:  # by SIGTERM; the runner makes a KeyboardInterrupt of SIGINT
+        except asyncio.CancelledError:  # by SIGTERM; for SIGINT the runner raises KeyboardInterrupt instead
             raise SystemExit(EXIT_TERMINATED) from None
         except BaseExceptionGroup as group:
             raise _cause_of(group) from group
@@ -243,7 +243,7 @@
 
 
 def _cause_of(group: BaseExceptionGroup) -> BaseException:
-    """Return why a load test could not go on; the group itself if it contains anything else."""
+    """Return the first `LoadTestError` of a group, or the group itself if it contains other errors."""
     expected, unexpected = group.split(LoadTestError)
     if expected is None or unexpected is not None:
         return group
--- a/larchlatch/loadtest/scenario_clock.py
+++ b/larchlatch/loadtest/scenario_clock.py
@@ -1,4 +1,4 @@
-"""Time within a scenario that is being played."""
+"""The clock of a scenario that is being played."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
         self._began_at = 0.0
 
     def begin(self) -> None:
-        """Let the scenario begin now."""
+        """Set the beginning of the scenario to now."""
         self._began_at = anyio.current_time()
 
     def elapsed_s(self) -> float:
-        """Return for how long the scenario has been played."""
+        """Return the seconds since the scenario began."""
         return anyio.current_time() - self._began_at
 
     def loop_time(self, at_s: float) -> float:
-        """Return the event loop's time at which so many seconds of the scenario have been played."""
+        """Convert a time of the scenario, in seconds, into a time of the event loop."""
         return self._began_at + at_s
 
     async def sleep_until(self, at_s: float) -> None:
-        """Wait until so many seconds of the scenario have been played."""
+        """Wait until a time of the scenario, in seconds; return at once if it has passed."""
         await anyio.sleep(max(0.0, at_s - self.elapsed_s()))
--- a/larchlatch/loadtest/streams.py
+++ b/larchlatch/loadtest/streams.py
@@ -1,4 +1,4 @@
-"""Streams of asyncio, as the stubs of the load test use them."""
+"""Helpers for asyncio streams: closing them, and the errors of broken connections."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-# What reading and writing raise when the other end is gone: OSError from the socket, ValueError for a line
+# Exceptions of reading and writing when the peer has closed: OSError from the socket, ValueError for a line
 # that is longer than a stream's limit, and RuntimeError from uvloop for a transport that is closed already.
 CONNECTION_ERRORS = (OSError, ValueError, RuntimeError)
 
--- a/larchlatch/loadtest/tcp_fault_proxy.py
+++ b/larchlatch/loadtest/tcp_fault_proxy.py
@@ -1,8 +1,8 @@
-"""A helper process between nodes and upstreams that isolates zones from each other.
+"""The helper process between nodes and upstreams, which isolates zones from each other.
 
-It listens on one port for each zone of nodes and each upstream. Isolation is as between sites: a new
-connection gets no answer, and established ones stay up and carry nothing until the zone is reconnected, when
-everything that was under way arrives.
+It listens on one port for each zone of nodes and each upstream. An isolated zone behaves like a
+site without a network path: new connections get no answer, and established ones stay open but carry no data
+until the zone is reconnected; the delayed data then arrives.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 BACKLOG = 1024
 READ_SIZE = 1 << 16
-FILL_TIMEOUT_S = 0.05  # a connection that is not made by then finds the queue full
+FILL_TIMEOUT_S = 0.05  # the queue counts as full if a connection takes longer
 MAX_FILLERS = 8
 
 
 class Setup(Struct, frozen=True):
-    """The first message.
+    """The first message to the helper process.
 
     Attributes:
-        address: address of the upstreams, and of the proxy's ports.
-        zones: number of zones of nodes.
-        upstream_ports: port of each upstream.
-        upstream_zones: zone of each upstream.
+        address: Address of the upstreams, and of the proxy's ports.
+        zones: Number of zones of nodes.
+        upstream_ports: Port of each upstream.
+        upstream_zones: Zone of each upstream.
 
     """
 
@@ -45,25 +45,25 @@
 
 
 class IsolateZone(Struct, tag=True, frozen=True):
-    """Block all connections between a zone and the others."""
+    """Command: block all connections between a zone and the others."""
 
     zone: int
 
 
 class ReconnectZone(Struct, tag=True, frozen=True):
-    """End the isolation of a zone."""
+    """Command: end the isolation of a zone."""
 
     zone: int
 
 
 class OpenUpstream(Struct, tag=True, frozen=True):
-    """Accept connections to an upstream whose process has started."""
+    """Command: accept connections to an upstream whose process has started."""
 
     upstream: int
 
 
 class CloseUpstream(Struct, tag=True, frozen=True):
-    """Refuse connections to an upstream whose process has ended."""
+    """Command: refuse connections to an upstream whose process has ended."""
 
     upstream: int
 
@@ -72,16 +72,16 @@
 
 
 class TcpProxyPath:
-    """One port of the proxy: connections of one zone's nodes to one upstream.
+    """The path from one zone's nodes to one upstream, which has a port of its own.
 
     Attributes:
-        port: the port, once it has been opened.
-        connection_count: number of connections that reached the upstream.
+        port: The port; 0 until it is opened for the first time.
+        connection_count: Number of connections that reached the upstream.
 
     """
 
     def __init__(self, address: str, upstream_port: int, tasks: BackgroundTasks) -> None:
-        """Make a path; `tasks` owns the tasks that accept and serve connections."""
+        """Create a path; `tasks` owns the tasks that accept and serve connections."""
         self.port = 0
         self.connection_count = 0
         self._address = address
@@ -95,13 +95,13 @@
 
     @property
     def blocked(self) -> bool:
-        """Whether nothing gets through."""
+        """Whether the path forwards no data and accepts no connections."""
         return not self._passing.is_set()
 
-    # Whether the upstream's process is there.
+    # Opening and closing, as the upstream's process starts and ends.
 
     async def open(self) -> None:
-        """Accept connections, unless the path is blocked."""
+        """Listen; accept connections unless the path is blocked."""
         if self._listener is not None:
             return
         listener = socket.socket()
@@ -124,17 +124,17 @@
             self._listener = None
         self._close_fillers()
 
-    # Whether anything gets through.
+    # Blocking and unblocking, as zones are isolated and reconnected.
 
     async def block(self) -> None:
-        """Let nothing through from now on."""
+        """Forward no data and leave new connections unanswered from now on."""
         self._passing.clear()
         self._stop_accepting()
         if self._listener is not None:
             await self._fill_queue(self._listener)
 
     def unblock(self) -> None:
-        """Let everything through from now on."""
+        """Forward delayed and new data, and accept connections from now on."""
         self._close_fillers()
         self._passing.set()
         if self._listener is not None:
@@ -142,14 +142,14 @@
             self._start_accepting(self._listener)
 
     async def _fill_queue(self, listener: socket.socket) -> None:
-        # The kernel itself completes connections while the listener's queue has room. A full queue makes it
-        # ignore new ones, as if nobody were there.
+        # The kernel completes connections by itself while the listener's queue has room. Once the queue is
+        # full, it ignores new connections, as if the host were unreachable.
         listener.listen(0)
         while len(self._fillers) < MAX_FILLERS and await self._add_filler():
             pass
 
     async def _add_filler(self) -> bool:
-        """Make a connection that nobody accepts; return False where the queue is full."""
+        """Make a connection that is never accepted; return False if the queue is full."""
         filler = socket.socket()
         filler.setblocking(False)
         self._fillers.append(filler)
@@ -178,13 +178,13 @@
     async def _accept(self, listener: socket.socket, scope: anyio.CancelScope) -> None:
         loop = asyncio.get_running_loop()
         with scope:
-            # A connection that waits is accepted without a pause, so a cancelled scope is looked at first.
+            # sock_accept does not suspend if a connection is waiting, so the cancellation is checked here.
             while not scope.cancel_called:
                 client, _ = await loop.sock_accept(listener)
                 self._tasks.start(self._serve, client)
 
     async def _serve(self, client: socket.socket) -> None:
-        """Connect to the upstream, and pass on what both sides send."""
+        """Connect to the upstream, and forward data in both directions."""
         near_reader, near_writer = await asyncio.open_connection(sock=client)
         try:
             far_reader, far_writer = await asyncio.open_connection(self._address, self._upstream_port)
@@ -197,7 +197,7 @@
                 directions.start_soon(self._pass_on, near_reader, far_writer)
                 directions.start_soon(self._pass_on, far_reader, near_writer)
         except* OSError:
-            # One side has reset its connection: the other learns of it once anything gets through.
+            # One side has reset its connection. The other one is reset once the path is not blocked.
             await self._passing.wait()
         finally:
             near_writer.transport.abort()
@@ -215,17 +215,17 @@
 
 
 class TcpFaultProxy:
-    """All ports of the proxy, by zone of nodes and number of upstream."""
+    """The proxy with the paths from all zones of nodes to all upstreams."""
 
     def __init__(self, tasks: BackgroundTasks) -> None:
-        """Make the proxy; `tasks` owns the tasks that accept and serve connections."""
+        """Create the proxy; `tasks` owns the tasks that accept and serve connections."""
         self._tasks = tasks
         self._paths: list[list[TcpProxyPath]] = []
         self._upstream_zones: list[int] = []
         self._isolated_zones: list[int] = []
 
     async def set_up(self, setup: Setup) -> list[list[int]]:
-        """Open all ports, and return them by zone of nodes and number of upstream."""
+        """Open a port for each path, and return the ports by zone of nodes and number of upstream."""
         self._upstream_zones = setup.upstream_zones
         self._paths = [
             [TcpProxyPath(setup.address, port, self._tasks) for port in setup.upstream_ports]
@@ -241,7 +241,7 @@
             path.close()
 
     async def execute(self, command: Command) -> None:
-        """Execute one command."""
+        """Execute a command of the load test."""
         match command:
             case IsolateZone(zone):
                 self._isolated_zones.append(zone)
@@ -274,14 +274,14 @@
         ]
 
     async def _block_paths_across(self, zone: int) -> None:
-        # At once: each path waits until its queue is full.
+        # Concurrently, as each path takes some time to fill its queue.
         async with anyio.create_task_group() as blocking:
             for path in self._paths_across(zone):
                 if not path.blocked:
                     blocking.start_soon(path.block)
 
     def _unblock_paths_across(self, zone: int) -> None:
-        """Unblock the paths of a zone, but for those that cross the border of another isolated zone."""
+        """Unblock the paths into and out of a zone, except those into or out of another isolated zone."""
         still_blocked = {path for other in self._isolated_zones for path in self._paths_across(other)}
         for path in self._paths_across(zone):
             if path not in still_blocked:
@@ -289,7 +289,7 @@
 
 
 async def main() -> None:
-    """Run the helper process."""
+    """Run the proxy until its standard input is closed."""
     async with BackgroundTasks() as tasks:
         proxy = TcpFaultProxy(tasks)
         await serve_commands(Setup, proxy.set_up, Command, proxy.execute, proxy.counts)
--- a/larchlatch/loadtest/tool_monitor.py
+++ b/larchlatch/loadtest/tool_monitor.py
@@ -1,4 +1,4 @@
-"""How late the load test's own event loop is: what it measures can't be more exact."""
+"""Measures the lag of the load test's own event loop, which limits how exact its figures are."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     """Measures the lag of the event loop.
 
     Attributes:
-        lag: by how many microseconds the loop was late to wake a task.
+        lag: Histogram of how late the loop woke a sleeping task, in microseconds.
 
     """
 
--- a/larchlatch/loadtest/upstream_stub.py
+++ b/larchlatch/loadtest/upstream_stub.py
@@ -1,4 +1,4 @@
-"""A stub of an upstream: a server on loopback that answers as the simulated upstream behind it says."""
+"""A stub of an upstream: a server on loopback whose answers and delays come from a simulated upstream."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
 OVERLOAD_CHECK_INTERVAL_S = 1.0
-DRAIN_GRACE_US = 500_000  # within which nodes may still send to an upstream that discovery has withdrawn
-SOCKET_DELAY_US = 50_000  # allowed for the way through sockets
+DRAIN_GRACE_US = 500_000  # for which nodes may still send to an upstream that has left the ready state
+SOCKET_DELAY_US = 50_000  # allowed for the delay of sockets
 BACKLOG = 1024
 
 BUSY_LINE = b"BUSY\r\n"
@@ -39,8 +39,8 @@
     """A session at the stub.
 
     Attributes:
-        number: its number at this upstream, from 1 on.
-        group: group of its client.
+        number: Its number at this upstream, from 1.
+        group: The group of its client.
 
     """
 
@@ -49,16 +49,17 @@
 
 
 class UpstreamStub:
-    """Serves an upstream's address.
+    """Serves probes and sessions at an upstream's address.
 
     Attributes:
-        upstream: the simulated upstream, which decides on delays and refusals.
-        address: address that it listens on.
-        port: port that it listens on; the same after a restart.
-        attempts: number of requests for a session that have come.
-        probes: number of probes that have come.
-        nothing_after_us: when discovery has told every node to send nothing here any more; None: it has not.
-        setup_delay_factor: by how much the delay that all setups share is longer than usual.
+        upstream: The simulated upstream, which determines delays and rejections.
+        address: The address on which it listens.
+        port: The port on which it listens; the same after a restart.
+        attempts: Number of attempts that were received.
+        probes: Number of probes that were received.
+        nothing_after_us: By when discovery has told every node that the upstream is not ready; None if it is
+            ready. Later attempts violate a rule.
+        setup_delay_factor: Factor by which faults multiply the delay of the shared store.
 
     """
 
@@ -69,7 +70,7 @@
         clients: dict[str, Client],
         observer: OutsideObserver,
     ) -> None:
-        """Make a stub; `clients`: all clients of the scenario by the keys that they send."""
+        """Create a stub; `clients` holds all clients of the scenario by the keys that they send."""
         self.upstream = upstream
         self.address = ""
         self.port = 0
@@ -89,15 +90,15 @@
 
     @property
     def silent(self) -> bool:
-        """Whether it receives everything and says nothing."""
+        """Whether it accepts connections and data but sends nothing."""
         return self.upstream.condition is Condition.SILENT
 
     @property
     def setup_delay_us(self) -> int:
-        """The delay that all setups share, in microseconds."""
+        """The delay that the shared store adds to each setup, in microseconds."""
         return round(self._setup_delay_us * self.setup_delay_factor)
 
-    # Its process.
+    # Start and end of the upstream's process.
 
     async def listen(self, address: str, tasks: BackgroundTasks) -> None:
         """Accept connections; `tasks` owns the tasks that serve them."""
@@ -115,14 +116,14 @@
             self._server.close()
 
     def crash(self) -> None:
-        """Let its process end: it refuses connections, and those it has are reset."""
+        """Simulate a crash: refuse new connections and reset the existing ones."""
         self.upstream.condition = Condition.CRASHED
         self.upstream.stop()
         self.close()
         self._reset(list(self._sessions))
 
     async def start_again(self, tasks: BackgroundTasks) -> None:
-        """Let a new process begin, which has no sessions and warms up."""
+        """Simulate the start of a new process, which has no sessions and is in slow start."""
         self._reset(list(self._sessions))
         self.upstream.start(now_us())
         self.nothing_after_us = None
@@ -130,7 +131,7 @@
             await self.listen(self.address, tasks)
 
     async def drop_when_overloaded(self) -> None:
-        """Reset some sessions, again and again, while there are far too many."""
+        """Reset some sessions at intervals while the upstream is overloaded, until cancelled."""
         while True:
             await anyio.sleep(OVERLOAD_CHECK_INTERVAL_S)
             count = self.upstream.sessions_to_drop(now_us())
@@ -154,7 +155,7 @@
             elif line:
                 writer.write(SYNTAX_ERROR_LINE)
         except CONNECTION_ERRORS:
-            pass  # the node has left: its client learns of it there
+            pass  # the node has closed or reset the connection
         finally:
             session = self._sessions.pop(writer, None)
             if session is not None:
@@ -162,7 +163,7 @@
             close_writer(writer)
 
     async def _answer_probes(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bytes:
-        """Answer probes, and return the first line that is none."""
+        """Answer probes, and return the first line that is not a probe."""
         line = await reader.readline()
         while line in (PING, STATS):
             if self.silent:
@@ -181,7 +182,7 @@
     ) -> None:
         client = self._clients.get(opening.key)
         if client is None:
-            return  # no client of the scenario has sent it: the node is broken, and gets no answer
+            return  # the key is of no client of the scenario: the node is defective, and gets no answer
         now = now_us()
         self._observe_attempt(opening, client, now)
         done_at = self.upstream.schedule_setup(now, client.work_us)
@@ -189,12 +190,12 @@
             self._observer.attempt_ended(opening.ident, never_ran=True)
             writer.write(BUSY_LINE)
             return
-        # The node may leave, or send the first byte of a message, while the setup is under way.
+        # The node may close the connection, or send the first byte of a message, during the setup.
         first_byte = asyncio.ensure_future(reader.read(1))
         try:
             await asyncio.wait([first_byte], timeout=(done_at + self.setup_delay_us - now_us()) / SECOND)
             if self.silent:
-                # It says nothing; but an attempt that its node has given up is over, for the observer.
+                # No answer is sent. The attempt ends for the observer when the node closes the connection.
                 await first_byte
             elif not first_byte.done():
                 self._observer.attempt_ended(opening.ident)
@@ -205,7 +206,7 @@
             self._observer.attempt_ended(opening.ident)
 
     def _observe_attempt(self, opening: Opening, client: Client, now: int) -> None:
-        """Tell the observer of an attempt that has come, and of rules that it breaks."""
+        """Report a received attempt to the observer, with the rules that it violates."""
         upstream, observer = self.upstream, self._observer
         self.attempts += 1
         observer.attempt_started(opening.ident, self._idempotencies[client.traffic_class])
@@ -214,11 +215,11 @@
             late_us = now - withdrawn_at
             observer.report(
                 Rule.DRAINING_LEFT_ALONE,
-                f"link {opening.ident}: to host {upstream.number}, {late_us} us late",
+                f"session {opening.ident}: sent to upstream {upstream.number}, {late_us} us too late",
             )
         observer.slow_start.observe(SessionArrived(now, upstream, client.load))
         if upstream.is_overloaded_by(now, client.load):
-            observer.report(Rule.NO_OVERLOAD, f"host {upstream.number}: more than it bears while it warms up")
+            observer.report(Rule.NO_OVERLOAD, f"upstream {upstream.number}: overloaded during its slow start")
 
     def _establish(self, client: Client, writer: asyncio.StreamWriter) -> None:
         self._session_count += 1
@@ -230,7 +231,7 @@
     async def _echo_messages(
         self, first_byte: asyncio.Future[bytes], reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        """Send each message back, as late as the upstream's load makes it, until the session is over."""
+        """Echo each message with the latency of the simulated upstream, until the session ends."""
         incarnation = self.upstream.incarnation
         begin = await first_byte
         while begin and (remainder := await reader.readline()):
--- a/larchlatch/loadtest/zone_connections.py
+++ b/larchlatch/loadtest/zone_connections.py
@@ -1,4 +1,4 @@
-"""The connections between zones, which the scenario may cut: the load test's end of the TCP proxy."""
+"""Manages the connections between zones: starts the TCP proxy and isolates zones through it."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 class ZoneConnections:
     """Connections between nodes and upstreams of different zones.
 
-    Without a proxy, in scenarios that isolate no zone, nodes connect to upstreams directly.
+    If the scenario isolates no zone, no proxy is started, and nodes connect to upstreams directly.
 
     Attributes:
-        isolated_zones: zones that are cut off from all others now.
+        isolated_zones: Zones that are isolated from all others now.
 
     """
 
@@ -47,7 +47,7 @@
         return ports
 
     async def stop(self) -> None:
-        """End the proxy, if there is one."""
+        """Stop the proxy if it was started."""
         if self._proxy is not None:
             await self._proxy.stop()
 
@@ -67,6 +67,6 @@
         await self.execute(proxy.ReconnectZone(zone))
 
     async def execute(self, command: proxy.Command) -> None:
-        """Let the proxy execute a command; there is nothing to do without one."""
+        """Make the proxy execute a command; does nothing if no proxy was started."""
         if self._proxy is not None:
             await self._proxy.execute(command)
--- a/tests/loadtest/scenarios.py
+++ b/tests/loadtest/scenarios.py
@@ -1,4 +1,4 @@
-"""Scenarios that several tests of the load test play."""
+"""Scenarios that several tests of the load test share."""
 
 from __future__ import annotations
 
--- a/tests/loadtest/test_cluster_faults.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -1,4 +1,4 @@
-"""Eight real processes that know of each other and share a budget; faults between them, judged outside."""
+"""Clusters of node processes under faults, checked from outside."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from larchlatch.loadtest.run import LoadTestRun
 from larchlatch.scenario.scenario_file import parse_scenario
 
-WITHIN_S = 8.0  # for all to agree: four times what it takes, as the machine may be busy
+WITHIN_S = 8.0  # for all nodes to agree; four times the usual time, as the machine may be busy
 
 FAULTS: dict[str, list[dict[str, Any]]] = {
     "cut": [
@@ -39,7 +39,7 @@
 
 
 class Meddled(LoadTestRun):
-    """Rubbish comes at one node's port all the time, and another's own datagrams of long before."""
+    """A run in which random bytes are sent to the datagram port of a node all the time."""
 
     sent = 0
 
@@ -77,7 +77,9 @@
 
 
 def test_nodes_agree_on_members_and_keep_the_quota_through_faults_between_them() -> None:
-    """Three days at once."""
+    """Guards against wrong membership and an exceeded quota after partitions, pauses, kills, drifting clocks,
+    false reports and lost datagrams. Three scenarios run at the same time.
+    """
     runs = [LoadTestRun(day_with(faults, 25.0)) for faults in FAULTS.values()]
 
     async def played() -> list[dict[str, Any]]:
@@ -90,7 +92,7 @@
 def sound(run: LoadTestRun, row: dict[str, Any]) -> None:
     membership = run.checkers.membership
     assert run.cluster is not None and not membership.differing_pairs, (
-        "at the end all that can hear each other know it"
+        "nodes that can reach each other must agree at the end"
     )
     assert len(membership.agreed_after_us) >= 4 and max(membership.agreed_after_us) < WITHIN_S * 1e6, (
         membership.agreed_after_us
@@ -98,7 +100,7 @@
     assert row["cluster_bytes_s"] < 20_000
     assert row["over_budget"] == 0 and row["budget_used"] > 0.3 and row["shed"] > 20
     assert row["outside"] == 0 and run.observer.quota is not None
-    assert run.observer.quota.reports > 100, "each node tells its range once a second"
+    assert run.observer.quota.reports > 100, "each node must report its range once a second"
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
@@ -108,7 +110,9 @@
         {"kind": "crash", "at_s": 5.0, "hosts": 1, "for_s": 7.0},
     ]
     row = asyncio.run(LoadTestRun(day_with(faults, 14.0)).play())
-    assert row["avoided_not"] == 0 and 0 < row["avoided_s"] < WITHIN_S, "also by nodes with no link there"
+    assert row["avoided_not"] == 0 and 0 < row["avoided_s"] < WITHIN_S, (
+        "all nodes must avoid it, also those without a session there"
+    )
     assert row["hearsay_wrong"] == 0 and not any(row["broken"].values())
 
 
@@ -128,8 +132,10 @@
 
 
 def test_one_node_holds_each_role_through_faults_between_nine() -> None:
-    """Two duties. Their holders are stopped over a term, twice; a site is cut off; nodes are killed; clocks
-    are wrong; and hosts come up cold, for the pacer."""
+    """Guards against a role with two holders, which can come about as holders are paused for longer than a
+    term, a zone is partitioned, nodes are killed and clocks drift. There are two roles; restarted upstreams
+    make the token issuer issue tokens.
+    """
     faults = [
         {"kind": "skew", "at_s": 0.5, "nodes": 3, "share": 0.01, "for_s": 35.0},
         {"kind": "skew", "at_s": 0.5, "nodes": 3, "share": -0.01, "for_s": 35.0},
@@ -154,12 +160,12 @@
     assert row["duty_changes"] >= 4 and row["orders"] > 50
     assert run.checkers.leaders["pacer"].orders > 0
     assert row["cold_over"] == 0 and row["bears_s"] is not None
-    assert row["unheld_s"] < 2.0 + WITHIN_S, "a term and a margin, also where the machine is busy"
+    assert row["unheld_s"] < 2.0 + WITHIN_S, "a role may be vacant for a term and a margin for a busy machine"
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
 class Ended(LoadTestRun):
-    """The node that holds the duty is told to end; how long until another has it."""
+    """A run that shuts down the holder of a role, and measures how long until another node holds it."""
 
     took_s = 0.0
 
@@ -177,7 +183,7 @@
         assert node.running
         node.send_signal(signal.SIGTERM)
         await asyncio.sleep(self.scenario.nodes.detection_s)
-        node.in_rotation = False  # as its front sees by then: who came at its very end would find nobody
+        node.in_rotation = False  # clients no longer connect to it: a late one would find no process
         while leader.holder in (None, old):
             await asyncio.sleep(0.02)
         self.took_s = self.clock.elapsed_s() - began
@@ -206,7 +212,7 @@
 
 
 def test_nodes_without_a_cluster_file_never_agree(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check can fail: nodes that were not told to talk never agree."""
+    """Guards against a membership check that always passes: nodes outside a cluster must never agree."""
     monkeypatch.setattr(Cluster, "arguments", lambda cluster, number: [])
     run = LoadTestRun(day_with([], 3.0))
     asyncio.run(run.play())
--- a/tests/loadtest/test_cluster_observer.py
+++ b/tests/loadtest/test_cluster_observer.py
@@ -1,4 +1,4 @@
-"""What the load test reads from the nodes' logs."""
+"""Tests of reading the nodes' logs."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class AcceptingBalancer:
-    """A balancer that takes all that its cluster tells it."""
+    """A balancer that accepts everything that its cluster sends it."""
 
     def advise_ejection(self, advice: EjectionAdvised) -> None:
         pass
@@ -38,7 +38,7 @@
 
 
 def test_events_that_the_cluster_service_logs_are_those_that_the_observer_reads(tmp_path: Path) -> None:
-    """Nodes are judged by their logs: an event that the observer does not know would count as sound."""
+    """Guards against violations that are missed because the observer skips a renamed log event."""
     key = create_secret(tmp_path / "n0.key")
     node = f'[[nodes]]\nname = "n0"\naddress = "127.0.0.1:7400"\nkey = "{key}"\n'
     (tmp_path / "cluster.toml").write_text(node)
@@ -72,7 +72,7 @@
     allocator = observer.checkers.leaders[QUOTA_ALLOCATOR]
     for line in lines:
         if line["event"] == "role_ended":
-            assert allocator.holders == [0], "it was said to be held"
+            assert allocator.holders == [0], "the role must have been reported as held before"
         with log.open("ab") as out:
             out.write(orjson.dumps(line) + b"\n")
         observer.read_logs()
@@ -80,13 +80,13 @@
     avoidance = observer.checkers.avoidance
     assert (0, 3) in avoidance.detected_at and avoidance.ejections == 1
     assert allocator.orders == 1 and allocator.holders == []
-    assert len(lines) == 6, "each of them was read"
+    assert len(lines) == 6, "the service must log each event once"
 
 
 def test_log_is_read_line_by_line_as_it_grows(tmp_path: Path) -> None:
     logs = [tmp_path / "n0.log", tmp_path / "n1.log"]
     reader = NodeLogReader(logs, ["known"])
-    assert list(reader.read()) == [], "no node has been started"
+    assert list(reader.read()) == [], "a log that does not exist yet has no events"
     logs[1].write_bytes(b'{"event":"known","a":1}\n{"event":"other"}\n{"event":"kno')
     assert list(reader.read()) == [LoggedEvent(1, {"event": "known", "a": 1})]
     with logs[1].open("ab") as out:
--- a/tests/loadtest/test_interruption.py
+++ b/tests/loadtest/test_interruption.py
@@ -1,4 +1,4 @@
-"""A load test that is cut off, or can't go on, leaves no process and no folder behind."""
+"""Tests that an interrupted or failed load test leaves no process and no temporary folder behind."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 WITHIN_S = 30.0
 PROXY_MODULES = ("datagram_fault_proxy", "tcp_fault_proxy")
 
-# Both proxies are there, and nodes of which some are stopped and some killed.
+# Starts both proxies, pauses a node and kills another.
 SCENARIO = """
 span_s = 60.0
 [cluster]
@@ -54,7 +54,7 @@
 
 
 class RunningTool:
-    """The command `load`, and every process that it has started, known by the folder for temporary files."""
+    """The command `load` and the processes that it starts, which are found by their TMPDIR."""
 
     def __init__(self, folder: Path) -> None:
         self.temporary = folder / "temporary"
@@ -70,7 +70,7 @@
         )
 
     def started(self) -> dict[int, str]:
-        """Return the command lines of the processes that it has started and that have not ended."""
+        """Return the command lines of the processes that it started and that still run, by process ID."""
         mark = f"TMPDIR={self.temporary}".encode()
         found = {}
         for entry in Path("/proc").iterdir():
@@ -79,7 +79,7 @@
                     continue
                 found[int(entry.name)] = (entry / "cmdline").read_bytes().replace(b"\0", b" ").decode()
             except OSError:
-                continue  # it has ended meanwhile
+                continue  # the process has ended meanwhile
         found.pop(self.process.pid, None)
         return found
 
@@ -107,7 +107,7 @@
             time.sleep(0.01)
 
     def end(self) -> tuple[int, str]:
-        """Wait for its end, and return its exit code and what it has written to standard error."""
+        """Wait until the command ends; return its exit code and what it wrote to standard error."""
         _, errors = self.process.communicate(timeout=WITHIN_S)
         return self.process.returncode, errors.decode()
 
@@ -135,7 +135,7 @@
 def test_run_that_is_cut_off_half_way_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
     with running_tool(tmp_path) as tool:
         tool.wait_for(tool.some_node_is_stopped)
-        tool.wait_for(lambda: len(tool.nodes()) == 2)  # one has been killed
+        tool.wait_for(lambda: len(tool.nodes()) == 2)  # one of three has been killed
         assert len(tool.proxies()) == 2
         tool.process.send_signal(number)
         code, errors = tool.end()
--- a/tests/loadtest/test_limits.py
+++ b/tests/loadtest/test_limits.py
@@ -1,4 +1,4 @@
-"""Which scenarios and addresses the load test refuses."""
+"""Tests of the scenarios and addresses that the load test rejects."""
 
 from __future__ import annotations
 
--- a/tests/loadtest/test_load_test.py
+++ b/tests/loadtest/test_load_test.py
@@ -1,4 +1,4 @@
-"""Scenarios on sockets: one beside the emulator's result, and sessions at nodes that end."""
+"""Tests of load test runs: comparison with the emulator, killed nodes, and void runs."""
 
 from __future__ import annotations
 
@@ -23,7 +23,10 @@
 
 
 def test_session_at_a_node_that_is_being_killed_is_owed_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its process takes connections for some milliseconds more; a node that runs owes each link an answer."""
+    """Guards against false violations: a killed process still accepts connections for some milliseconds.
+
+    A node that keeps running must be reported for a missing answer.
+    """
 
     async def ends(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
@@ -55,7 +58,7 @@
     assert asyncio.run(play_session(killed=True)).observer.violations[Rule.ONE_ANSWER] == 0
     observer = asyncio.run(play_session(killed=False)).observer
     assert observer.violations[Rule.ONE_ANSWER] == 1
-    assert "node 0" in observer.descriptions[0], "and the observer says what was lost"
+    assert "node 0" in observer.descriptions[0], "the description must name the node"
 
 
 def test_short_scenario_on_sockets_keeps_the_rules_and_serves_as_the_emulator_says() -> None:
@@ -66,11 +69,11 @@
     assert row["clients"] == len(run.clients) > 50
     counts = run.figures.counts
     answered = counts["delivered"] + counts["shed"] + counts["given_up"] + counts["ended unanswered"]
-    assert answered == counts["links"], "each link has one answer, or a node that died"
+    assert answered == counts["links"], "each session must have one answer or an interrupted node"
     assert counts["ended unanswered"] <= 10 and counts["lost with a node"] > 0 and row["dropped"] > 0
     assert counts["lost by the client"] > 0
     assert len(run.fleet.nodes) == 2 and not any(node.running for node in run.fleet.nodes)
-    # What a busy machine makes late may cost a client its time, but not most of them.
+    # The margin allows for sessions that a busy machine delays.
     assert abs(row["served"] - Simulation(day).run()["served"]) < 0.25
 
 
--- a/tests/loadtest/test_node_settings.py
+++ b/tests/loadtest/test_node_settings.py
@@ -1,4 +1,4 @@
-"""The configuration that nodes under test are given."""
+"""Tests of the configuration of nodes under test."""
 
 from __future__ import annotations
 
--- a/tests/loadtest/test_outside_observer.py
+++ b/tests/loadtest/test_outside_observer.py
@@ -1,4 +1,4 @@
-"""The rules of sessions as upstreams see them."""
+"""Tests of the rules of sessions that are checked from outside."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def test_two_attempts_at_once_are_a_violation() -> None:
     observer = new_observer()
     observer.attempt_started("a", Idempotency.IDEMPOTENT)
-    observer.attempt_started("a", Idempotency.IDEMPOTENT)  # the first is still out
+    observer.attempt_started("a", Idempotency.IDEMPOTENT)  # the first attempt has not ended
     assert observer.violations[Rule.NO_EFFECT_TWICE] == 1
 
 
--- a/tests/loadtest/test_tcp_fault_proxy.py
+++ b/tests/loadtest/test_tcp_fault_proxy.py
@@ -1,4 +1,4 @@
-"""The TCP proxy between zones."""
+"""Tests of the TCP proxy between zones."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
             writer.write(line)
 
     async def reached(port: int) -> str:
-        """What becomes of a new connection within half a second."""
+        """Return the outcome of a new connection within half a second."""
         try:
             async with asyncio.timeout(0.5):
                 _, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -58,9 +58,11 @@
         await proxy.execute(CloseUpstream(1))
         assert await reached(own) == "refused"
         await proxy.execute(OpenUpstream(1))
-        assert [await reached(at) for at in (far, own)] == ["nothing", "had"], "it came back behind the cut"
+        assert [await reached(at) for at in (far, own)] == ["nothing", "had"], (
+            "an upstream that restarts during the isolation must stay isolated"
+        )
         await proxy.execute(ReconnectZone(0))
-        assert await reader.readline() == b"two\r\n", "what was under way goes on"
+        assert await reader.readline() == b"two\r\n", "delayed data must arrive after the reconnection"
         assert await reached(far) == "had"
         writer.close()
 
