--- a/larchlatch/loadtest/addresses.py
+++ b/larchlatch/loadtest/addresses.py
@@ -9,9 +9,9 @@
 from larchlatch.loadtest.limits import MAX_NODES
 
 RUNS_WITH_OWN_ADDRESSES = 15  # in one process; a later run reuses the addresses of an earlier one
-SUBNETS_PER_OCTET = 250
-FIRST_OCTET = 20  # of 127.x.0.0/16; other programs on the machine commonly use the addresses below
-OCTETS = 200
+SUBNETS_PER_SECOND_OCTET = 250
+MIN_SECOND_OCTET = 20  # of 127.x.0.0/16; other programs on the machine commonly use the addresses below
+SECOND_OCTET_COUNT = 200
 
 _runs = count()
 
@@ -32,9 +32,9 @@
     # If nodes shared an address with proxies, a proxy could take a free port before the node listens on it,
     # and the node would not be reachable.
     process = os.getpid() % 60_000
-    octet = FIRST_OCTET + process // SUBNETS_PER_OCTET % OCTETS
+    second_octet = MIN_SECOND_OCTET + process // SUBNETS_PER_SECOND_OCTET % SECOND_OCTET_COUNT
     host = run_number % RUNS_WITH_OWN_ADDRESSES * MAX_NODES + node_number + 1
-    return f"127.{octet}.{1 + process % SUBNETS_PER_OCTET}.{host}"
+    return f"127.{second_octet}.{1 + process % SUBNETS_PER_SECOND_OCTET}.{host}"
 
 
 def free_tcp_port(address: str) -> int:
--- a/larchlatch/loadtest/client_population.py
+++ b/larchlatch/loadtest/client_population.py
@@ -59,11 +59,11 @@
         for client in clients:
             due_s = client.due / SECOND
             await self._clock.sleep_until(due_s)
-            late_us = round((self._clock.elapsed_s() - due_s) * SECOND)
-            self.lateness.record_value(max(1, late_us))
-            tasks.start(self._live, client)
+            lateness_us = round((self._clock.elapsed_s() - due_s) * SECOND)
+            self.lateness.record_value(max(1, lateness_us))
+            tasks.start(self._run_client, client)
 
-    async def _live(self, client: Client) -> None:
+    async def _run_client(self, client: Client) -> None:
         """Run a client from its arrival until it leaves or gives up."""
         due_s = client.due / SECOND
         end_s = self._end_s(client)
@@ -96,11 +96,11 @@
     def _choose_node(self, client: Client) -> NodeProcess | None:
         """Return the node that a client connects to, of its own zone if possible; None if no node serves."""
         nodes = self._fleet.in_rotation()
-        near = [node for node in nodes if self._fleet.zone_of(node) == client.zone] or nodes
-        if not near:
+        eligible = [node for node in nodes if self._fleet.zone_of(node) == client.zone] or nodes
+        if not eligible:
             return None
         draw = self._streams.draw("front", client.number, client.sessions)
-        return near[entry_node_index(draw, len(near), self._scenario.sessions.imbalance)]
+        return eligible[entry_node_index(draw, len(eligible), self._scenario.sessions.imbalance)]
 
     def _return_pause_s(self, client: Client) -> float:
         """Return how many seconds a client waits after its session has ended before it requests another."""
--- a/larchlatch/loadtest/client_sessions.py
+++ b/larchlatch/loadtest/client_sessions.py
@@ -12,7 +12,7 @@
 from larchlatch.invariants.session_figures import SessionEvent
 from larchlatch.loadtest.outside_observer import Rule
 from larchlatch.loadtest.streams import CONNECTION_ERRORS, abort_writer, close_writer
-from larchlatch.loadtest.upstream_stub import SOCKET_DELAY_US
+from larchlatch.loadtest.upstream_stub import SOCKET_DELAY_ALLOWANCE_US
 from larchlatch.node.clock import now_us
 from larchlatch.node.wire.lines import MOVE
 from larchlatch.scenario.amounts import SECOND
@@ -27,8 +27,8 @@
     from larchlatch.scenario.clients import Client
     from larchlatch.scenario.scenario import Scenario
 
-TOOL_DELAY_US = 50_000  # allowed for this process to read an answer late
-AFTER_ANSWER_S = 0.2  # how long to wait for data that wrongly follows a final answer
+READ_DELAY_ALLOWANCE_US = 50_000  # allowed for this process to read an answer late
+EXTRA_DATA_WAIT_S = 0.2  # how long to wait for data that wrongly follows a final answer
 MESSAGE = b"still here\r\n"
 ESTABLISHED = b"UP"
 REJECTED = b"BUSY"
@@ -164,7 +164,7 @@
     async def _read_answer(self, reader: asyncio.StreamReader) -> bytes:
         """Return the line of the final answer; empty if none came in time or the node disconnected."""
         wait_s = self._scenario.sessions.wait_ms / 1e3
-        with anyio.move_on_after(wait_s + (SOCKET_DELAY_US + TOOL_DELAY_US) / SECOND):
+        with anyio.move_on_after(wait_s + (SOCKET_DELAY_ALLOWANCE_US + READ_DELAY_ALLOWANCE_US) / SECOND):
             return await reader.readline()
         return b""
 
@@ -196,25 +196,25 @@
         began_s = self._clock.elapsed_s()
         self._established[client.number] = connection.writer
         try:
-            how = await self._read_until(end_s, connection)
+            ending = await self._exchange_messages(end_s, connection)
         finally:
             disconnected = self._established.pop(client.number, None) is None
             self._figures.served_us += (min(self._clock.elapsed_s(), end_s) - began_s) * SECOND
-        if how is SessionEvent.DROPPED and disconnected:
-            how = SessionEvent.LOST_BY_CLIENT
-        elif how is SessionEvent.DROPPED and node.interruption_count > interruption_count:
-            how = SessionEvent.LOST_WITH_NODE
-        self._figures.counts[how] += 1
+        if ending is SessionEvent.DROPPED and disconnected:
+            ending = SessionEvent.LOST_BY_CLIENT
+        elif ending is SessionEvent.DROPPED and node.interruption_count > interruption_count:
+            ending = SessionEvent.LOST_WITH_NODE
+        self._figures.counts[ending] += 1
 
-    async def _read_until(self, end_s: float, connection: Connection) -> SessionEvent:
+    async def _exchange_messages(self, end_s: float, connection: Connection) -> SessionEvent:
         """Send messages and read until the session or `end_s` ends it; return how the session ended."""
-        how = SessionEvent.FINISHED
+        ending = SessionEvent.FINISHED
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._send_messages, connection.writer)
             with anyio.CancelScope(deadline=self._clock.loop_time(end_s)):
-                how = await _read_to_end(connection.reader)
+                ending = await _read_to_end(connection.reader)
             tasks.cancel_scope.cancel()
-        return how
+        return ending
 
     async def _send_messages(self, writer: asyncio.StreamWriter) -> None:
         with suppress(*CONNECTION_ERRORS):
@@ -225,7 +225,7 @@
 
 async def _sends_more(reader: asyncio.StreamReader) -> bool:
     """Return whether the node sends anything after its final answer."""
-    with suppress(OSError), anyio.move_on_after(AFTER_ANSWER_S):
+    with suppress(OSError), anyio.move_on_after(EXTRA_DATA_WAIT_S):
         return bool(await reader.read(1))
     return False
 
--- a/larchlatch/loadtest/datagram_fault_proxy.py
+++ b/larchlatch/loadtest/datagram_fault_proxy.py
@@ -76,11 +76,11 @@
         delays_us = self._proxy.delays_of_next(self._sender, self._receiver, len(data))
         for delay_us in delays_us:
             if delay_us:
-                asyncio.get_running_loop().call_later(delay_us / SECOND, self._pass_on, data)
+                asyncio.get_running_loop().call_later(delay_us / SECOND, self._forward, data)
             else:
-                self._pass_on(data)
+                self._forward(data)
 
-    def _pass_on(self, data: bytes) -> None:
+    def _forward(self, data: bytes) -> None:
         if self._transport is not None and not self._transport.is_closing():
             self._proxy.passed += 1
             self._transport.sendto(data, self._proxy.nodes[self._receiver])
--- a/larchlatch/loadtest/discovery_stub.py
+++ b/larchlatch/loadtest/discovery_stub.py
@@ -116,7 +116,7 @@
         self._changes.append(entry)
         if state is not EndpointState.READY:
             known_at = max(now_us(), int(self._outage_until * SECOND))
-            stub.nothing_after_us = known_at + self._max_delay_us
+            stub.no_attempts_after_us = known_at + self._max_delay_us
         self._changed.set()
         self._changed = anyio.Event()
 
--- a/larchlatch/loadtest/node_settings.py
+++ b/larchlatch/loadtest/node_settings.py
@@ -13,7 +13,7 @@
 MAX_ATTEMPTS = 6
 MAX_SOCKETS = 8192
 POLL_WITHIN_US = 10 * SECOND
-EFFECTS = {
+IDEMPOTENCY_NAMES = {
     Idempotency.IDEMPOTENT: "idempotent",
     Idempotency.KEYED: "deduplicated",
     Idempotency.NON_IDEMPOTENT: "at_most_once",
@@ -97,7 +97,7 @@
             "name": f"t{index}",
             "expected_time_us": us(sessions.expected_ms / 1e3),
             "cut_off_us": us(sessions.wait_ms / 1e3),
-            "effect": EFFECTS[Idempotency(effect)],
+            "effect": IDEMPOTENCY_NAMES[Idempotency(effect)],
             "repeat_window_us": us(sessions.dedup_window_s),
         }
         for index, effect in enumerate(sessions.idempotencies)
--- a/larchlatch/loadtest/outside_observer.py
+++ b/larchlatch/loadtest/outside_observer.py
@@ -22,8 +22,8 @@
     """Rules that nodes must follow; the values are keys of the result."""
 
     ONE_ANSWER = "lost"  # each request gets exactly one final answer, before its deadline
-    NO_EFFECT_TWICE = "twice"  # no concurrent attempts, and no repeat of a request that must not run twice
-    DRAINING_LEFT_ALONE = "drain"  # no attempts at an upstream after discovery has announced its drain or end
+    NO_DUPLICATE_EFFECT = "twice"  # no concurrent attempts, and no repeat of what must not run twice
+    NO_ATTEMPT_WHILE_DRAINING = "drain"  # no attempts at an upstream after its drain or end was announced
     NO_OVERLOAD = "cold"  # an upstream in slow start is not sent more load than it can take
 
 
@@ -55,10 +55,11 @@
     def attempt_started(self, session_id: str, idempotency: Idempotency) -> None:
         """Record that an upstream has received an attempt, and check whether it was allowed."""
         if session_id in self._in_attempt:
-            self.report(Rule.NO_EFFECT_TWICE, f"session {session_id}: two attempts at the same time")
+            self.report(Rule.NO_DUPLICATE_EFFECT, f"session {session_id}: two attempts at the same time")
         elif session_id in self._may_have_run and idempotency is Idempotency.NON_IDEMPOTENT:
             self.report(
-                Rule.NO_EFFECT_TWICE, f"session {session_id}: repeated, but not idempotent and may have run"
+                Rule.NO_DUPLICATE_EFFECT,
+                f"session {session_id}: repeated, but not idempotent and may have run",
             )
         self._in_attempt.add(session_id)
         self._may_have_run.add(session_id)
--- a/larchlatch/loadtest/run.py
+++ b/larchlatch/loadtest/run.py
@@ -46,7 +46,7 @@
 STATUS_INTERVAL_S = 1.0
 SLOW_START_INTERVAL_S = 1.0
 EXIT_TERMINATED = 128 + signal.SIGTERM  # the exit code that shells report for a process ended by SIGTERM
-MAX_LAST_ANSWERS_S = 2.0  # wait after the scenario for clients without a final answer
+MAX_FINAL_ANSWER_WAIT_S = 2.0  # wait after the scenario for clients without a final answer
 
 
 class LoadTestRun:
@@ -180,7 +180,7 @@
         await self.population.run(self.clients, self.tasks)
         await self.clock.sleep_until(self.scenario.span_s)
         # Clients without a final answer may still receive it; established sessions end with the scenario.
-        await anyio.sleep(min(MAX_LAST_ANSWERS_S, self.scenario.sessions.wait_ms / 1e3))
+        await anyio.sleep(min(MAX_FINAL_ANSWER_WAIT_S, self.scenario.sessions.wait_ms / 1e3))
 
     async def _observe_slow_start(self) -> None:
         observed_at = now_us()
--- a/larchlatch/loadtest/tcp_fault_proxy.py
+++ b/larchlatch/loadtest/tcp_fault_proxy.py
@@ -89,14 +89,14 @@
         self._tasks = tasks
         self._listener: socket.socket | None = None
         self._accept_scope: anyio.CancelScope | None = None
-        self._passing = asyncio.Event()
-        self._passing.set()
+        self._unblocked = asyncio.Event()
+        self._unblocked.set()
         self._fillers: list[socket.socket] = []
 
     @property
     def blocked(self) -> bool:
         """Whether the path forwards no data and accepts no connections."""
-        return not self._passing.is_set()
+        return not self._unblocked.is_set()
 
     # Opening and closing, as the upstream's process starts and ends.
 
@@ -128,7 +128,7 @@
 
     async def block(self) -> None:
         """Forward no data and leave new connections unanswered from now on."""
-        self._passing.clear()
+        self._unblocked.clear()
         self._stop_accepting()
         if self._listener is not None:
             await self._fill_queue(self._listener)
@@ -136,7 +136,7 @@
     def unblock(self) -> None:
         """Forward delayed and new data, and accept connections from now on."""
         self._close_fillers()
-        self._passing.set()
+        self._unblocked.set()
         if self._listener is not None:
             self._listener.listen(BACKLOG)
             self._start_accepting(self._listener)
@@ -180,33 +180,35 @@
         with scope:
             # sock_accept does not suspend if a connection is waiting, so the cancellation is checked here.
             while not scope.cancel_called:
-                client, _ = await loop.sock_accept(listener)
-                self._tasks.start(self._serve, client)
+                node_socket, _ = await loop.sock_accept(listener)
+                self._tasks.start(self._serve, node_socket)
 
-    async def _serve(self, client: socket.socket) -> None:
+    async def _serve(self, node_socket: socket.socket) -> None:
         """Connect to the upstream, and forward data in both directions."""
-        near_reader, near_writer = await asyncio.open_connection(sock=client)
+        node_reader, node_writer = await asyncio.open_connection(sock=node_socket)
         try:
-            far_reader, far_writer = await asyncio.open_connection(self._address, self._upstream_port)
+            upstream_reader, upstream_writer = await asyncio.open_connection(
+                self._address, self._upstream_port
+            )
         except OSError:
-            near_writer.transport.abort()  # the upstream's process has ended
+            node_writer.transport.abort()  # the upstream's process has ended
             return
         self.connection_count += 1
         try:
             async with anyio.create_task_group() as directions:
-                directions.start_soon(self._pass_on, near_reader, far_writer)
-                directions.start_soon(self._pass_on, far_reader, near_writer)
+                directions.start_soon(self._forward, node_reader, upstream_writer)
+                directions.start_soon(self._forward, upstream_reader, node_writer)
         except* OSError:
             # One side has reset its connection. The other one is reset once the path is not blocked.
-            await self._passing.wait()
+            await self._unblocked.wait()
         finally:
-            near_writer.transport.abort()
-            far_writer.transport.abort()
+            node_writer.transport.abort()
+            upstream_writer.transport.abort()
 
-    async def _pass_on(self, source: asyncio.StreamReader, target: asyncio.StreamWriter) -> None:
+    async def _forward(self, source: asyncio.StreamReader, target: asyncio.StreamWriter) -> None:
         while True:
             data = await source.read(READ_SIZE)
-            await self._passing.wait()
+            await self._unblocked.wait()
             if not data:
                 target.write_eof()
                 return
--- a/larchlatch/loadtest/upstream_stub.py
+++ b/larchlatch/loadtest/upstream_stub.py
@@ -27,7 +27,7 @@
 
 OVERLOAD_CHECK_INTERVAL_S = 1.0
 DRAIN_GRACE_US = 500_000  # for which nodes may still send to an upstream that has left the ready state
-SOCKET_DELAY_US = 50_000  # allowed for the delay of sockets
+SOCKET_DELAY_ALLOWANCE_US = 50_000  # allowed for the delay of sockets
 BACKLOG = 1024
 
 BUSY_LINE = b"BUSY\r\n"
@@ -57,8 +57,8 @@
         port: The port on which it listens; the same after a restart.
         attempts: Number of attempts that were received.
         probes: Number of probes that were received.
-        nothing_after_us: By when discovery has told every node that the upstream is not ready; None if it is
-            ready. Later attempts violate a rule.
+        no_attempts_after_us: By when discovery has told every node that the upstream is not ready; None if
+            it is ready. Later attempts violate a rule.
         setup_delay_factor: Factor by which faults multiply the delay of the shared store.
 
     """
@@ -76,7 +76,7 @@
         self.port = 0
         self.attempts = 0
         self.probes = 0
-        self.nothing_after_us: int | None = None
+        self.no_attempts_after_us: int | None = None
         self.setup_delay_factor = 1.0
         self._clients = clients
         self._observer = observer
@@ -126,7 +126,7 @@
         """Simulate the start of a new process, which has no sessions and is in slow start."""
         self._reset(list(self._sessions))
         self.upstream.start(now_us())
-        self.nothing_after_us = None
+        self.no_attempts_after_us = None
         if self._server is None or not self._server.is_serving():
             await self.listen(self.address, tasks)
 
@@ -210,11 +210,11 @@
         upstream, observer = self.upstream, self._observer
         self.attempts += 1
         observer.attempt_started(opening.ident, self._idempotencies[client.traffic_class])
-        withdrawn_at = self.nothing_after_us
-        if withdrawn_at is not None and now > withdrawn_at + DRAIN_GRACE_US + SOCKET_DELAY_US:
+        withdrawn_at = self.no_attempts_after_us
+        if withdrawn_at is not None and now > withdrawn_at + DRAIN_GRACE_US + SOCKET_DELAY_ALLOWANCE_US:
             late_us = now - withdrawn_at
             observer.report(
-                Rule.DRAINING_LEFT_ALONE,
+                Rule.NO_ATTEMPT_WHILE_DRAINING,
                 f"session {opening.ident}: sent to upstream {upstream.number}, {late_us} us too late",
             )
         observer.slow_start.observe(SessionArrived(now, upstream, client.load))
@@ -233,13 +233,13 @@
     ) -> None:
         """Echo each message with the latency of the simulated upstream, until the session ends."""
         incarnation = self.upstream.incarnation
-        begin = await first_byte
-        while begin and (remainder := await reader.readline()):
+        first = await first_byte
+        while first and (remainder := await reader.readline()):
             if self.silent:
                 await anyio.sleep_forever()
             if self.upstream.incarnation != incarnation:
                 return
             delay_us = self.upstream.message_latency_us(now_us(), self._message_objective_us)
             await anyio.sleep(delay_us / SECOND)
-            writer.write(begin + remainder)
-            begin = await reader.read(1)
+            writer.write(first + remainder)
+            first = await reader.read(1)
--- a/tests/loadtest/test_cluster_faults.py
+++ b/tests/loadtest/test_cluster_faults.py
@@ -14,7 +14,7 @@
 from larchlatch.loadtest.run import LoadTestRun
 from larchlatch.scenario.scenario_file import parse_scenario
 
-WITHIN_S = 8.0  # for all nodes to agree; four times the usual time, as the machine may be busy
+AGREEMENT_TIMEOUT_S = 8.0  # for all nodes to agree; four times the usual time, as the machine may be busy
 
 FAULTS: dict[str, list[dict[str, Any]]] = {
     "cut": [
@@ -38,28 +38,28 @@
 }
 
 
-class Meddled(LoadTestRun):
+class InvalidDatagramsRun(LoadTestRun):
     """A run in which random bytes are sent to the datagram port of a node all the time."""
 
     sent = 0
 
     async def run(self) -> None:
-        self.tasks.start(self.meddle)
+        self.tasks.start(self.send_invalid_datagrams)
         await super().run()
 
-    async def meddle(self) -> None:
+    async def send_invalid_datagrams(self) -> None:
         assert self.cluster is not None
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         with sock:
             while True:
                 for number in range(50):
-                    noise = self.streams.stream(f"noise {self.sent}").randbytes(8 + number * 11)
-                    sock.sendto(noise, self.cluster.nodes[0])
+                    datagram = self.streams.stream(f"noise {self.sent}").randbytes(8 + number * 11)
+                    sock.sendto(datagram, self.cluster.nodes[0])
                     self.sent += 1
                 await asyncio.sleep(0.01)
 
 
-def day_with(faults: list[dict[str, Any]], span_s: float, **changes: Any) -> Any:
+def build_scenario(faults: list[dict[str, Any]], span_s: float, **changes: Any) -> Any:
     return check_playable(
         parse_scenario(
             {
@@ -80,23 +80,23 @@
     """Guards against wrong membership and an exceeded quota after partitions, pauses, kills, drifting clocks,
     false reports and lost datagrams. Three scenarios run at the same time.
     """
-    runs = [LoadTestRun(day_with(faults, 25.0)) for faults in FAULTS.values()]
+    runs = [LoadTestRun(build_scenario(faults, 25.0)) for faults in FAULTS.values()]
 
-    async def played() -> list[dict[str, Any]]:
+    async def play_all() -> list[dict[str, Any]]:
         return await asyncio.gather(*(run.play() for run in runs))
 
-    for run, row in zip(runs, asyncio.run(played()), strict=True):
-        sound(run, row)
+    for run, row in zip(runs, asyncio.run(play_all()), strict=True):
+        assert_invariants_held(run, row)
 
 
-def sound(run: LoadTestRun, row: dict[str, Any]) -> None:
+def assert_invariants_held(run: LoadTestRun, row: dict[str, Any]) -> None:
     membership = run.checkers.membership
     assert run.cluster is not None and not membership.differing_pairs, (
         "nodes that can reach each other must agree at the end"
     )
-    assert len(membership.agreed_after_us) >= 4 and max(membership.agreed_after_us) < WITHIN_S * 1e6, (
-        membership.agreed_after_us
-    )
+    assert (
+        len(membership.agreed_after_us) >= 4 and max(membership.agreed_after_us) < AGREEMENT_TIMEOUT_S * 1e6
+    ), membership.agreed_after_us
     assert row["cluster_bytes_s"] < 20_000
     assert row["over_budget"] == 0 and row["budget_used"] > 0.3 and row["shed"] > 20
     assert row["outside"] == 0 and run.observer.quota is not None
@@ -109,8 +109,8 @@
         {"kind": "liar", "at_s": 1.0, "nodes": 1, "about": "hosts", "for_s": 12.0},
         {"kind": "crash", "at_s": 5.0, "hosts": 1, "for_s": 7.0},
     ]
-    row = asyncio.run(LoadTestRun(day_with(faults, 14.0)).play())
-    assert row["avoided_not"] == 0 and 0 < row["avoided_s"] < WITHIN_S, (
+    row = asyncio.run(LoadTestRun(build_scenario(faults, 14.0)).play())
+    assert row["avoided_not"] == 0 and 0 < row["avoided_s"] < AGREEMENT_TIMEOUT_S, (
         "all nodes must avoid it, also those without a session there"
     )
     assert row["hearsay_wrong"] == 0 and not any(row["broken"].values())
@@ -124,7 +124,7 @@
         "hosts": [{"count": 6, "size": 2.0}],
         "links": {"rate": 14.0, "life_s": 3.0, "beat_s": 0.5},
     }
-    run = LoadTestRun(day_with(faults, 16.0, **changes, cluster={"on": True}))
+    run = LoadTestRun(build_scenario(faults, 16.0, **changes, cluster={"on": True}))
     row = asyncio.run(run.play())
     assert row["hearsay_wrong"] == 0 and row["members_wrong"] == 0
     assert row["delivered"] > 100 and not any(row["broken"].values()), run.observer.descriptions
@@ -154,39 +154,41 @@
         "hosts": [{"count": 4, "size": 4.0}],
         "links": {"rate": 60.0, "life_s": 2.0, "beat_s": 0.5, "uneven": 1.0, "retries": 1},
     }
-    run = LoadTestRun(day_with(faults, 36.0, **changes))
+    run = LoadTestRun(build_scenario(faults, 36.0, **changes))
     row = asyncio.run(run.play())
     assert row["two_holders"] == 0 and row["over_budget"] == 0 and row["outside"] == 0
     assert row["duty_changes"] >= 4 and row["orders"] > 50
     assert run.checkers.leaders["pacer"].orders > 0
     assert row["cold_over"] == 0 and row["bears_s"] is not None
-    assert row["unheld_s"] < 2.0 + WITHIN_S, "a role may be vacant for a term and a margin for a busy machine"
+    assert row["unheld_s"] < 2.0 + AGREEMENT_TIMEOUT_S, (
+        "a role may be vacant for a term and a margin for a busy machine"
+    )
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
-class Ended(LoadTestRun):
+class HolderShutdownRun(LoadTestRun):
     """A run that shuts down the holder of a role, and measures how long until another node holds it."""
 
-    took_s = 0.0
+    handover_s = 0.0
 
     async def run(self) -> None:
-        self.tasks.start(self.ends)
+        self.tasks.start(self.shut_down_holder)
         await super().run()
 
-    async def ends(self) -> None:
+    async def shut_down_holder(self) -> None:
         leader = self.checkers.leaders["allotter"]
         while leader.holder is None:
             await asyncio.sleep(0.02)
         await asyncio.sleep(1.0)
-        old, began = leader.holder, self.clock.elapsed_s()
-        node = self.fleet.nodes[old]
+        old_holder, began_s = leader.holder, self.clock.elapsed_s()
+        node = self.fleet.nodes[old_holder]
         assert node.running
         node.send_signal(signal.SIGTERM)
         await asyncio.sleep(self.scenario.nodes.detection_s)
         node.in_rotation = False  # clients no longer connect to it: a late one would find no process
-        while leader.holder in (None, old):
+        while leader.holder in (None, old_holder):
             await asyncio.sleep(0.02)
-        self.took_s = self.clock.elapsed_s() - began
+        self.handover_s = self.clock.elapsed_s() - began_s
 
 
 def test_role_is_handed_over_long_before_its_term_ends_if_its_holder_shuts_down() -> None:
@@ -197,14 +199,14 @@
         "nodes": {"count": 3},
         "links": {"rate": 20.0, "life_s": 2.0, "beat_s": 0.5},
     }
-    run = Ended(day_with([], 14.0, **changes))
+    run = HolderShutdownRun(build_scenario([], 14.0, **changes))
     row = asyncio.run(run.play())
-    assert 0 < run.took_s < term_s / 2 and row["two_holders"] == 0 and row["over_budget"] == 0
+    assert 0 < run.handover_s < term_s / 2 and row["two_holders"] == 0 and row["over_budget"] == 0
     assert not any(row["broken"].values()), run.observer.descriptions
 
 
 def test_invalid_datagrams_at_a_node_change_nothing() -> None:
-    run = Meddled(day_with([], 6.0))
+    run = InvalidDatagramsRun(build_scenario([], 6.0))
     row = asyncio.run(run.play())
     assert run.sent > 2000 and run.cluster is not None
     assert not run.checkers.membership.differing_pairs and row["members_wrong"] == 0
@@ -214,6 +216,6 @@
 def test_nodes_without_a_cluster_file_never_agree(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against a membership check that always passes: nodes outside a cluster must never agree."""
     monkeypatch.setattr(Cluster, "arguments", lambda cluster, number: [])
-    run = LoadTestRun(day_with([], 3.0))
+    run = LoadTestRun(build_scenario([], 3.0))
     asyncio.run(run.play())
     assert run.checkers.membership.figures(0)["agreed_s"] is None
--- a/tests/loadtest/test_cluster_observer.py
+++ b/tests/loadtest/test_cluster_observer.py
@@ -44,9 +44,9 @@
     (tmp_path / "cluster.toml").write_text(node)
     configuration = read_cluster_file(tmp_path / "cluster.toml")
     signer = own_signer(configuration, "n0", read_secret(tmp_path / "n0.key"))
-    path, chance = tmp_path / "cluster.toml", random.Random(1)
+    path, rng = tmp_path / "cluster.toml", random.Random(1)
     local_node = LocalNode("n0", (), path, configuration, signer)
-    service = ClusterService(local_node, Counters(), chance, AcceptingBalancer())
+    service = ClusterService(local_node, Counters(), rng, AcceptingBalancer())
     service.update_endpoints(["h-3"], slow_start_us=0, overload_window_us=0)
     [upstream] = service.upstreams
     with service._socket, capture_logs() as lines:
@@ -62,8 +62,8 @@
         service.log_orders([])
 
     cluster = {"on": True, "links_per_s": 9.0, "allot": True, "electors": 3}
-    day = parse_scenario({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
-    observer = ClusterObserver(day, ClusterCheckers(day, 0), lambda *_: True)
+    scenario = parse_scenario({**SHORT, "faults": [], "nodes": {"count": 3}, "cluster": cluster}, "day")
+    observer = ClusterObserver(scenario, ClusterCheckers(scenario, 0), lambda *_: True)
     observer.checkers.observe(UpstreamLost(0, 3))
     for number in range(3):
         observer.node_runs(number, running=True)
--- a/tests/loadtest/test_interruption.py
+++ b/tests/loadtest/test_interruption.py
@@ -18,7 +18,7 @@
 from larchlatch.loadtest import node_fleet
 from larchlatch.loadtest.node_process import NodeCommand
 
-WITHIN_S = 30.0
+TIMEOUT_S = 30.0
 PROXY_MODULES = ("datagram_fault_proxy", "tcp_fault_proxy")
 
 # Starts both proxies, pauses a node and kills another.
@@ -53,7 +53,7 @@
 """
 
 
-class RunningTool:
+class RunningLoadTest:
     """The command `load` and the processes that it starts, which are found by their TMPDIR."""
 
     def __init__(self, folder: Path) -> None:
@@ -69,7 +69,7 @@
             start_new_session=True,
         )
 
-    def started(self) -> dict[int, str]:
+    def child_processes(self) -> dict[int, str]:
         """Return the command lines of the processes that it started and that still run, by process ID."""
         mark = f"TMPDIR={self.temporary}".encode()
         found = {}
@@ -84,12 +84,14 @@
         return found
 
     def nodes(self) -> list[int]:
-        return [pid for pid, command in self.started().items() if " serve " in command]
+        return [pid for pid, command in self.child_processes().items() if " serve " in command]
 
     def proxies(self) -> list[int]:
-        return [pid for pid, line in self.started().items() if any(name in line for name in PROXY_MODULES)]
+        return [
+            pid for pid, line in self.child_processes().items() if any(name in line for name in PROXY_MODULES)
+        ]
 
-    def some_node_is_stopped(self) -> bool:
+    def any_node_is_paused(self) -> bool:
         return any(self.state_of(pid) == "T" for pid in self.nodes())
 
     @staticmethod
@@ -100,79 +102,79 @@
             return ""
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
-        ends_at = time.monotonic() + WITHIN_S
+        ends_at = time.monotonic() + TIMEOUT_S
         while not condition():
             assert self.process.poll() is None, self.process.communicate()
-            assert time.monotonic() < ends_at, self.started()
+            assert time.monotonic() < ends_at, self.child_processes()
             time.sleep(0.01)
 
-    def end(self) -> tuple[int, str]:
+    def wait_for_end(self) -> tuple[int, str]:
         """Wait until the command ends; return its exit code and what it wrote to standard error."""
-        _, errors = self.process.communicate(timeout=WITHIN_S)
+        _, errors = self.process.communicate(timeout=TIMEOUT_S)
         return self.process.returncode, errors.decode()
 
 
 @contextmanager
-def running_tool(folder: Path) -> Iterator[RunningTool]:
-    tool = RunningTool(folder)
+def running_load_test(folder: Path) -> Iterator[RunningLoadTest]:
+    load_test = RunningLoadTest(folder)
     try:
-        yield tool
+        yield load_test
     finally:
-        for pid in (*tool.started(), tool.process.pid):
+        for pid in (*load_test.child_processes(), load_test.process.pid):
             try:
                 os.kill(pid, signal.SIGKILL)
             except ProcessLookupError:
                 continue
-        tool.process.communicate()
+        load_test.process.communicate()
 
 
-def assert_nothing_is_left(tool: RunningTool) -> None:
-    assert tool.started() == {}
-    assert list(tool.temporary.iterdir()) == []
+def assert_nothing_is_left(load_test: RunningLoadTest) -> None:
+    assert load_test.child_processes() == {}
+    assert list(load_test.temporary.iterdir()) == []
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
-def test_run_that_is_cut_off_half_way_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        tool.wait_for(lambda: len(tool.nodes()) == 2)  # one of three has been killed
-        assert len(tool.proxies()) == 2
-        tool.process.send_signal(number)
-        code, errors = tool.end()
+def test_run_interrupted_midway_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        load_test.wait_for(lambda: len(load_test.nodes()) == 2)  # one of three has been killed
+        assert len(load_test.proxies()) == 2
+        load_test.process.send_signal(number)
+        code, errors = load_test.wait_for_end()
         assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
         assert "Traceback" not in errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
-def test_run_that_is_cut_off_while_nodes_start_leaves_nothing_behind(
+def test_run_interrupted_while_nodes_start_leaves_nothing_behind(
     number: signal.Signals, tmp_path: Path
 ) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(lambda: len(tool.nodes()) > 0)
-        tool.process.send_signal(number)
-        code, errors = tool.end()
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(lambda: len(load_test.nodes()) > 0)
+        load_test.process.send_signal(number)
+        code, errors = load_test.wait_for_end()
         assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_interrupt_from_the_terminal_reaches_all_processes_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        os.killpg(tool.process.pid, signal.SIGINT)
-        code, errors = tool.end()
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        os.killpg(load_test.process.pid, signal.SIGINT)
+        code, errors = load_test.wait_for_end()
         assert code == 1 and "Traceback" not in errors, errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_run_whose_proxy_has_ended_says_so_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        [proxy] = [pid for pid, line in tool.started().items() if "datagram_fault_proxy" in line]
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        [proxy] = [pid for pid, line in load_test.child_processes().items() if "datagram_fault_proxy" in line]
         os.kill(proxy, signal.SIGKILL)
-        code, errors = tool.end()
+        code, errors = load_test.wait_for_end()
         assert code == 1 and "helper process" in errors and "Traceback" not in errors, errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_node_that_does_not_start_ends_the_run_with_the_last_line_of_its_log(
--- a/tests/loadtest/test_load_test.py
+++ b/tests/loadtest/test_load_test.py
@@ -22,33 +22,33 @@
 from tests.loadtest.scenarios import SHORT
 
 
-def test_session_at_a_node_that_is_being_killed_is_owed_no_answer(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_missing_answer_of_a_killed_node_is_no_violation(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against false violations: a killed process still accepts connections for some milliseconds.
 
     A node that keeps running must be reported for a missing answer.
     """
 
-    async def ends(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def reset_connection(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.transport.abort()
 
     async def play_session(*, killed: bool) -> LoadTestRun:
         run = LoadTestRun(parse_scenario({**SHORT, "faults": []}, "day"))
-        server = await asyncio.start_server(ends, "127.0.0.1", 0)
+        server = await asyncio.start_server(reset_connection, "127.0.0.1", 0)
         node = NodeProcess(0, "127.0.0.1", server.sockets[0].getsockname()[1])
         node._process = await asyncio.create_subprocess_exec("sleep", "60")
         run.fleet.nodes = [node]
         connect = asyncio.open_connection
 
-        async def connected(*at: Any) -> Any:
-            made = await connect(*at)
+        async def patched_connect(*address: Any) -> Any:
+            connection = await connect(*address)
             if killed:
                 run.fleet.kill(node)
                 await asyncio.sleep(0.05)
-            return made
+            return connection
 
         async with run.tasks:
             with monkeypatch.context() as patch:
-                patch.setattr(asyncio, "open_connection", connected)
+                patch.setattr(asyncio, "open_connection", patched_connect)
                 result = await run.sessions.run(run.clients[0], node, due_s=0.0, end_s=6.0)
         assert result == SessionResult(established=False, retry_after_us=0)
         await run.fleet.stop()
@@ -62,8 +62,8 @@
 
 
 def test_short_scenario_on_sockets_keeps_the_rules_and_serves_as_the_emulator_says() -> None:
-    day = check_playable(parse_scenario(SHORT, "day"))
-    run = LoadTestRun(day)
+    scenario = check_playable(parse_scenario(SHORT, "day"))
+    run = LoadTestRun(scenario)
     row = asyncio.run(run.play())
     assert not any(row["broken"].values())
     assert row["clients"] == len(run.clients) > 50
@@ -74,7 +74,7 @@
     assert counts["lost by the client"] > 0
     assert len(run.fleet.nodes) == 2 and not any(node.running for node in run.fleet.nodes)
     # The margin allows for sessions that a busy machine delays.
-    assert abs(row["served"] - Simulation(day).run()["served"]) < 0.25
+    assert abs(row["served"] - Simulation(scenario).run()["served"]) < 0.25
 
 
 def test_run_is_void_if_clients_were_started_late(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
--- a/tests/loadtest/test_node_settings.py
+++ b/tests/loadtest/test_node_settings.py
@@ -12,11 +12,11 @@
 
 
 def test_configuration_for_a_scenario_is_read_by_nodes_as_the_emulator_has_it() -> None:
-    day = parse_scenario(SHORT, "day")
+    scenario = parse_scenario(SHORT, "day")
     raw = node_configuration(
-        day, 1, listen="127.0.0.1:1", discovery="127.0.0.1:2", seed="1", endpoints=NO_ENDPOINTS
+        scenario, 1, listen="127.0.0.1:1", discovery="127.0.0.1:2", seed="1", endpoints=NO_ENDPOINTS
     )
-    plan = parse_node_configuration(raw)
-    simulation = Simulation(day)
-    assert plan.settings == simulation.context.nodes[1].policy.settings  # type: ignore[attr-defined]
-    assert plan.max_deadline_us == 3_000_000
+    configuration = parse_node_configuration(raw)
+    simulation = Simulation(scenario)
+    assert configuration.settings == simulation.context.nodes[1].policy.settings  # type: ignore[attr-defined]
+    assert configuration.max_deadline_us == 3_000_000
--- a/tests/loadtest/test_outside_observer.py
+++ b/tests/loadtest/test_outside_observer.py
@@ -17,7 +17,7 @@
     observer = new_observer()
     observer.attempt_started("a", Idempotency.IDEMPOTENT)
     observer.attempt_started("a", Idempotency.IDEMPOTENT)  # the first attempt has not ended
-    assert observer.violations[Rule.NO_EFFECT_TWICE] == 1
+    assert observer.violations[Rule.NO_DUPLICATE_EFFECT] == 1
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
     observer.attempt_started("a", idempotency)
     observer.attempt_ended("a", never_ran=never_ran)
     observer.attempt_started("a", idempotency)
-    assert observer.violations[Rule.NO_EFFECT_TWICE] == violations
+    assert observer.violations[Rule.NO_DUPLICATE_EFFECT] == violations
 
 
 def test_violations_are_described_up_to_a_limit_and_all_counted() -> None:
--- a/tests/loadtest/test_tcp_fault_proxy.py
+++ b/tests/loadtest/test_tcp_fault_proxy.py
@@ -22,7 +22,7 @@
         while line := await reader.readline():
             writer.write(line)
 
-    async def reached(port: int) -> str:
+    async def outcome_of_connection(port: int) -> str:
         """Return the outcome of a new connection within half a second."""
         try:
             async with asyncio.timeout(0.5):
@@ -34,36 +34,38 @@
         writer.close()
         return "had"
 
-    async def body() -> None:
+    async def run_proxy() -> None:
         server = await asyncio.start_server(echo, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         async with BackgroundTasks() as tasks:
             proxy = TcpFaultProxy(tasks)
-            await through_isolation(proxy, port)
+            await check_isolation(proxy, port)
             proxy.close()
         server.close()
 
-    async def through_isolation(proxy: TcpFaultProxy, port: int) -> None:
+    async def check_isolation(proxy: TcpFaultProxy, port: int) -> None:
         setup = Setup("127.0.0.1", zones=2, upstream_ports=[port, port], upstream_zones=[0, 1])
-        [[near, far], [other, own]] = await proxy.set_up(setup)
-        reader, writer = await asyncio.open_connection("127.0.0.1", far)
+        [[zone_0_to_0, zone_0_to_1], [zone_1_to_0, zone_1_to_1]] = await proxy.set_up(setup)
+        reader, writer = await asyncio.open_connection("127.0.0.1", zone_0_to_1)
         writer.write(b"one\r\n")
         assert await reader.readline() == b"one\r\n"
         await proxy.execute(IsolateZone(0))
-        assert [await reached(at) for at in (near, far, other, own)] == ["had", "nothing", "nothing", "had"]
+        assert [
+            await outcome_of_connection(at) for at in (zone_0_to_0, zone_0_to_1, zone_1_to_0, zone_1_to_1)
+        ] == ["had", "nothing", "nothing", "had"]
         writer.write(b"two\r\n")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.3):
                 await reader.readline()
         await proxy.execute(CloseUpstream(1))
-        assert await reached(own) == "refused"
+        assert await outcome_of_connection(zone_1_to_1) == "refused"
         await proxy.execute(OpenUpstream(1))
-        assert [await reached(at) for at in (far, own)] == ["nothing", "had"], (
+        assert [await outcome_of_connection(at) for at in (zone_0_to_1, zone_1_to_1)] == ["nothing", "had"], (
             "an upstream that restarts during the isolation must stay isolated"
         )
         await proxy.execute(ReconnectZone(0))
         assert await reader.readline() == b"two\r\n", "delayed data must arrive after the reconnection"
-        assert await reached(far) == "had"
+        assert await outcome_of_connection(zone_0_to_1) == "had"
         writer.close()
 
-    asyncio.run(body())
+    asyncio.run(run_proxy())
