--- a/larchlatch/loadtest/helper_process.py
+++ b/larchlatch/loadtest/helper_process.py
@@ -55,7 +55,7 @@
         try:
             return msgspec.json.decode(reply, type=reply_type)
         except msgspec.DecodeError as error:
-            raise HelperProcessError(self.module, f"invalid reply {reply!r}: {error}") from error
+            raise HelperProcessError(self.module, f"{error} in the reply {reply!r}") from error
 
     async def execute(self, command: msgspec.Struct) -> None:
         """Send a command, and wait until it has been executed.
--- a/larchlatch/loadtest/limits.py
+++ b/larchlatch/loadtest/limits.py
@@ -29,9 +29,9 @@
     try:
         address = ipaddress.ip_address(text)
     except ValueError:
-        raise ConfigurationError("address", f"not an IP address: {text!r}") from None
+        raise ConfigurationError("address", f"not an IP address ({text})") from None
     if address.version != 4 or not address.is_loopback:
-        raise ConfigurationError("address", f"not an IPv4 loopback address: {text!r}")
+        raise ConfigurationError("address", f"not an IPv4 loopback address ({text})")
     return text
 
 
@@ -54,7 +54,9 @@
         ("links.rate times links.life_s", established, float(MAX_ESTABLISHED)),
     ):
         if asked > limit:
-            raise ConfigurationError("day", f"{key}: {asked:g} exceeds the load test's limit of {limit:g}")
+            raise ConfigurationError(
+                "day", f"{key}: {asked:g} exceeds the limit of the load test ({limit:g})"
+            )
     _raise_descriptor_limit(int(established * DESCRIPTORS_PER_SESSION) + SPARE_DESCRIPTORS)
     return scenario
 
