--- a/larchlatch/loadtest/addresses.py
+++ b/larchlatch/loadtest/addresses.py
@@ -10,7 +10,7 @@
 
 RUNS_WITH_OWN_ADDRESSES = 15  # in one process; a later run reuses the addresses of an earlier one
 SUBNETS_PER_SECOND_OCTET = 250
-MIN_SECOND_OCTET = 20  # of 127.x.0.0/16; other programs on the machine commonly use the addresses below
+MIN_SECOND_OCTET = 20  # of 127.x.0.0/16; lower ones are left to other programs of the machine
 SECOND_OCTET_COUNT = 200
 
 _runs = count()
