--- a/larchlatch/model_checker/__init__.py
+++ b/larchlatch/model_checker/__init__.py
@@ -1,1 +1,1 @@
-"""Explicit-state model checker of the election: every order of events in a small system of leases."""
+"""Explicit-state model checker of the election, which explores every order of events in a small cluster."""
--- a/larchlatch/model_checker/candidate_events.py
+++ b/larchlatch/model_checker/candidate_events.py
@@ -1,4 +1,4 @@
-"""What may happen to a candidate: it acts, counts a vote, gives an order, resigns, or starts anew."""
+"""Events of a candidate: it sends ballots, counts a vote, gives an order, resigns, or restarts."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 def candidate_actions(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield all that a candidate may do of its own accord, as it looks at its clock."""
+    """Yield all events that a candidate starts itself, without a message from another process."""
     if system.candidates[index].state is CandidateState.IDLE:
         yield from _opened_round(system, index, rules)
     else:
@@ -42,7 +42,7 @@
 
 
 def _opened_round(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield the beginning of a round that asks for promises."""
+    """Yield the start of an idle candidate's ballot round, in which it asks the electors for promises."""
     budget = system.budget
     if not budget.rounds:
         return
@@ -50,18 +50,18 @@
     if not rules.unique_lease_numbers:
         candidate.lease = 0
     candidate.step(NOW, system.time if rules.wall_clocks_run else 0, eligible=True)
-    # The pre-vote binds nobody, so all that it can do is succeed.
+    # A pre-vote changes no elector's state, so a failed one leads to no new state: it succeeds here at once.
     ballots: list[Ballot] = []
     for elector in range(rules.required_votes):
         ballots = candidate.count_answer(NOW, elector_name(elector), candidate.round_number, GRANTED)
     less = budget._replace(rounds=budget.rounds - 1)
     yield Transition(
-        f"c{index} {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
+        f"c{index} sends {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
     )
 
 
 def _timed_step(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield what the time makes a candidate do that asks for the role or holds it."""
+    """Yield the renewal, or the end of a round or lease, that is due at a candidate that is not idle."""
     budget = system.budget
     candidate = candidate_of(system, index, rules)
     before = candidate.state
@@ -72,12 +72,13 @@
     if changes and (budget.renewals or not renews):
         less = budget._replace(renewals=budget.renewals - renews)
         yield Transition(
-            f"c{index} {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
+            f"c{index} sends {describe_ballots(ballots)}",
+            _after_sending(system, index, candidate, ballots, less),
         )
 
 
 def _orders(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield an order by the holder to each receiver, once with a duration and once without."""
+    """Yield two orders of the holder to each receiver: one with a duration and one without."""
     budget = system.budget
     if not budget.orders:
         return
@@ -86,15 +87,15 @@
     for receiver in range(len(system.receivers)):
         for order_left in (order_ends_at(NOW, holder.order_left_us(NOW)), 0):
             order = Order(receiver, index, holder.lease, order_left)
-            duration = "for a while" if order_left else "to be carried out at once"
+            duration = "with a duration" if order_left else "without a duration"
             yield Transition(
-                f"c{index} gives r{receiver} an order, {duration}",
+                f"c{index} sends r{receiver} an order {duration}",
                 system._replace(orders=system.orders | {order}, budget=less),
             )
 
 
 def _resignation(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield the holder's decision to hand the role over to the other candidate."""
+    """Yield the holder's resignation, which names the other candidate as its successor."""
     budget = system.budget
     holder = candidate_of(system, index, rules)
     if not budget.handovers or holder.closing:
@@ -105,11 +106,11 @@
     if not rules.releases_after_orders:
         ballots = [holder.release_ballot()]
         holder.become_idle(NOW, 0)
-    yield Transition(f"c{index} gives it up", _after_sending(system, index, holder, ballots, less))
+    yield Transition(f"c{index} resigns", _after_sending(system, index, holder, ballots, less))
 
 
 def vote_arrivals(system: SystemState, elector_index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield, for each candidate to which an elector's vote is under way, its arrival."""
+    """Yield the arrival of an elector's vote at each candidate to which a vote is in transit."""
     if system.is_repeated_elector(elector_index):
         return
     elector = system.electors[elector_index]
@@ -124,12 +125,13 @@
         counted = elector._replace(votes=replace_item(elector.votes, index, VoteProgress.COUNTED))
         voted = system._replace(electors=replace_item(system.electors, elector_index, counted))
         yield Transition(
-            f"c{index} hears {name}", _after_sending(voted, index, candidate, ballots, system.budget)
+            f"c{index} counts the vote of {name}",
+            _after_sending(voted, index, candidate, ballots, system.budget),
         )
 
 
 def candidate_restarts(system: SystemState) -> Iterator[Transition]:
-    """Yield the start of a new process of each candidate, which knows nothing of the one before."""
+    """Yield the restart of each candidate, whose new process has no state of the previous one."""
     budget = system.budget
     if not budget.candidate_restarts:
         return
@@ -138,13 +140,13 @@
         after = idle_candidate(before.incarnation + 1)
         candidates = replace_item(system.candidates, index, after)
         restarted = system.without_votes_for(index)._replace(candidates=candidates, budget=less)
-        yield Transition(f"c{index} starts anew", restarted)
+        yield Transition(f"c{index} restarts", restarted)
 
 
 def _after_sending(
     system: SystemState, index: int, candidate: Candidate, ballots: Sequence[Ballot], budget: EventBudget
 ) -> SystemState:
-    """Return the state in which a candidate has changed and its ballots are under way to all electors."""
+    """Return the system's state with the changed candidate and its ballots in transit to all electors."""
     before = system.candidates[index]
     after = candidate_process(candidate, before.incarnation)
     if after.round_number != before.round_number or after.state is CandidateState.IDLE:
--- a/larchlatch/model_checker/cases.py
+++ b/larchlatch/model_checker/cases.py
@@ -1,4 +1,4 @@
-"""The searches that the command `search` runs: sound rules, and one planted fault each."""
+"""Searches that the command `search` runs: of the protocol as it is, and of the protocol with one fault."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 
 
 class SearchCase(NamedTuple):
-    """One search.
+    """One search, with the protocol's rules and the events that are allowed.
 
     Attributes:
-        name: name by which the command prints it.
-        rules: the protocol, as it is or with a planted fault.
-        budget: what may happen.
-        begins_with_holder: whether all electors have just promised the role to the first candidate.
+        name: name that the command prints.
+        rules: the rules of the protocol, all correct or with one planted fault.
+        budget: how many events of each kind may happen.
+        begins_with_holder: whether the first candidate holds the role at the start, promised by all electors.
 
     """
 
@@ -33,7 +33,7 @@
     begins_with_holder: bool = False
 
 
-# Sound rules, in systems small enough for a complete search within a minute.
+# Correct rules, with budgets small enough for a complete search within a minute.
 SOUND_CASES = (
     SearchCase(
         "orders and a hand-over",
@@ -42,65 +42,65 @@
         begins_with_holder=True,
     ),
     SearchCase(
-        "a candidate starts anew",
+        "a candidate restarts",
         ProtocolRules(),
         EventBudget(ticks=3, candidate_restarts=1),
         begins_with_holder=True,
     ),
     SearchCase(
-        "an elector starts anew",
+        "an elector restarts",
         ProtocolRules(),
         EventBudget(ticks=4, rounds=1, orders=1, elector_restarts=1),
         begins_with_holder=True,
     ),
 )
-# Sound rules, in systems whose search takes minutes.
+# Correct rules, with budgets for which a search takes minutes.
 DEEP_CASES = (
     SearchCase(
-        "orders, an elector anew",
+        "orders, an elector restart and a duplicate",
         ProtocolRules(),
         EventBudget(ticks=4, rounds=1, orders=2, elector_restarts=1, duplicates=1),
         begins_with_holder=True,
     ),
     SearchCase(
-        "a hand-over, doubled",
+        "a hand-over and a duplicate",
         ProtocolRules(),
         EventBudget(ticks=3, rounds=1, orders=1, handovers=1, duplicates=1),
         begins_with_holder=True,
     ),
     SearchCase(
-        "a renewal, doubled",
+        "a renewal and a duplicate",
         ProtocolRules(),
         EventBudget(ticks=4, rounds=1, renewals=1, duplicates=1),
         begins_with_holder=True,
     ),
     SearchCase(
-        "all electors anew",
+        "all electors restart",
         ProtocolRules(),
         EventBudget(ticks=4, rounds=1, orders=1, elector_restarts=3),
         begins_with_holder=True,
     ),
     SearchCase(
-        "clocks the other way round",
+        "slow clocks of electors, fast ones of others",
         ProtocolRules(clock_rates=ClockRates(electors=SLOW, candidates=(FAST, FAST), receivers=FAST)),
         EventBudget(ticks=4, rounds=2),
     ),
-    SearchCase("from the beginning", ProtocolRules(), EventBudget(ticks=3)),
+    SearchCase("no holder at the start", ProtocolRules(), EventBudget(ticks=3)),
 )
-# Rules with one fault each, which a search must find.
+# Rules with one planted fault each: the search must find a violation.
 PLANTED_FAULTS = (
     SearchCase(
-        "an elector votes straight after its start",
+        "an elector votes directly after its start",
         ProtocolRules(silent_after_start=False),
         EventBudget(elector_restarts=1),
     ),
     SearchCase(
-        "a term runs from the answer",
+        "a term is counted from the answer",
         ProtocolRules(term_from_request=False, elector_count=1),
         EventBudget(ticks=3),
     ),
     SearchCase(
-        "numbers of orders are not compared",
+        "receivers do not compare lease numbers",
         ProtocolRules(receivers_compare_leases=False),
         EventBudget(ticks=3, rounds=1, orders=2),
         begins_with_holder=True,
@@ -111,20 +111,21 @@
         EventBudget(),
     ),
     SearchCase(
-        "promises end with the term",
+        "promises last no longer than the term",
         ProtocolRules(lease_terms=ShortPromises(*LEASE_TERMS)),
         EventBudget(ticks=2, rounds=1),
         begins_with_holder=True,
     ),
     SearchCase(
-        "a duty is released with orders out",
+        "a role is released while orders are valid",
         ProtocolRules(releases_after_orders=False),
         EventBudget(orders=2, handovers=1),
     ),
 )
+# Rules with one planted fault each, for which a search takes minutes.
 DEEP_PLANTED_FAULTS = (
     SearchCase(
-        "a number is used again",
+        "a lease number is used twice",
         ProtocolRules(
             unique_lease_numbers=False, wall_clocks_run=False, lease_terms=LEASE_TERMS._replace(rounds=3)
         ),
--- a/larchlatch/model_checker/elector_events.py
+++ b/larchlatch/model_checker/elector_events.py
@@ -1,4 +1,4 @@
-"""What may happen to an elector: a ballot arrives, or its process starts anew."""
+"""Events of an elector: a ballot arrives, or its process restarts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def ballot_arrivals(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield, for each ballot that is under way to an elector, its arrival."""
+    """Yield the arrival of each ballot that is in transit to an elector."""
     if system.is_repeated_elector(index):
         return
     budget = system.budget
@@ -27,17 +27,19 @@
         after, answer = _answer(system, before, arrived, rules)
         remaining = tuple(other for other in before.ballots if other != arrived)
         asked = describe_ballots([ballot_of(arrived)])
-        description = f"e{index} hears c{arrived.sender} {asked}, {answer}"
+        description = f"e{index} receives from c{arrived.sender}: {asked}, and {answer}"
         yield Transition(description, system.with_elector(index, after._replace(ballots=remaining), budget))
         if budget.duplicates:
             less = budget._replace(duplicates=budget.duplicates - 1)
-            yield Transition(f"{description} (and will again)", system.with_elector(index, after, less))
+            yield Transition(
+                f"{description} (a duplicate stays in transit)", system.with_elector(index, after, less)
+            )
 
 
 def _answer(
     system: SystemState, before: ElectorState, arrived: BallotInTransit, rules: ProtocolRules
 ) -> tuple[ElectorState, str]:
-    """Return an elector's state after it has answered a ballot, and its answer in words."""
+    """Return an elector's state after its answer to a ballot, and the description of the answer."""
     elector = elector_of(before, rules.lease_terms)
     sender = CandidateId(candidate_name(arrived.sender), arrived.incarnation)
     answer = elector.answer(NOW, sender, ballot_of(arrived))
@@ -49,14 +51,14 @@
 
 
 def _is_awaited(system: SystemState, ballot: BallotInTransit) -> bool:
-    """Return whether the sender of a ballot still counts votes of that round."""
+    """Return whether the sender of a ballot still counts votes of that ballot's round."""
     sender = system.candidates[ballot.sender]
     same_round = (sender.incarnation, sender.round_number) == (ballot.incarnation, ballot.round_number)
     return same_round and sender.state is not CandidateState.IDLE
 
 
 def elector_restart(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield the start of an elector's new process, which knows of no promise; messages stay under way."""
+    """Yield an elector's restart, which loses its promise; messages to and from it stay in transit."""
     budget = system.budget
     if not budget.elector_restarts or system.is_repeated_elector(index):
         return
@@ -64,4 +66,4 @@
     opens_in = rules.lease_terms.startup_silence_us if rules.silent_after_start else 0
     after = ElectorState(opens_in, ballots=before.ballots, votes=before.votes)
     less = budget._replace(elector_restarts=budget.elector_restarts - 1)
-    yield Transition(f"e{index} starts anew", system.with_elector(index, after, less))
+    yield Transition(f"e{index} restarts", system.with_elector(index, after, less))
--- a/larchlatch/model_checker/processes.py
+++ b/larchlatch/model_checker/processes.py
@@ -1,6 +1,7 @@
-"""Turns states of the model into the program's own electors and candidates, and back.
+"""Conversion of the model's states into the electors and candidates of `cluster/election`, and back.
 
-The checker runs the decisions of `cluster/election` themselves. Each process's clock shows 0 in the present.
+The checker so runs the code of the election itself, not a copy of its rules. The clock of each process always
+shows 0 as the present time.
 """
 
 from __future__ import annotations
@@ -31,29 +32,29 @@
 
 
 def candidate_name(index: int) -> str:
-    """Return a candidate's name, as `c0`; "" for NOBODY."""
+    """Return a candidate's name, such as `c0`; "" for NOBODY."""
     return "" if index == NOBODY else f"c{index}"
 
 
 def candidate_index(name: str) -> int:
-    """Return the index of the candidate with a name; NOBODY for ""."""
+    """Return the index of the candidate with this name; NOBODY for ""."""
     return int(name[1:]) if name else NOBODY
 
 
 def elector_name(index: int) -> str:
-    """Return an elector's name, as `e0`."""
+    """Return an elector's name, such as `e0`."""
     return f"e{index}"
 
 
 @dataclass
 class ModelCandidate(Candidate):
-    """A candidate whose majority is given by the rules, and may be a wrong one."""
+    """A candidate whose majority comes from the protocol rules, so that a fault can make it too small."""
 
     required_votes: int = 0
 
     @property
     def majority(self) -> int:
-        """Return how many electors have to agree."""
+        """Return the number of votes that the candidate needs."""
         return self.required_votes
 
 
@@ -61,7 +62,7 @@
 
 
 def elector_of(state: ElectorState, lease_terms: LeaseTerms) -> Elector:
-    """Return an elector in a state of the model."""
+    """Return the elector that corresponds to its state in the model."""
     promise = None
     if state.holder != NOBODY:
         holder = CandidateId(candidate_name(state.holder), state.holder_incarnation)
@@ -77,7 +78,7 @@
 
 
 def elector_state(elector: Elector, before: ElectorState) -> ElectorState:
-    """Return the state of an elector; messages are under way as before."""
+    """Return the model's state of an elector, with the messages in transit of its state before."""
     reservation_left = max(NOW, elector.reserved_until)
     state = before._replace(
         highest_lease=elector.highest_lease,
@@ -99,7 +100,7 @@
 
 
 def idle_candidate(incarnation: int) -> CandidateProcess:
-    """Return a candidate that has just started."""
+    """Return the model's state of a candidate that has just started."""
     return CandidateProcess(
         incarnation,
         CandidateState.IDLE,
@@ -113,7 +114,7 @@
 
 
 def candidate_of(system: SystemState, index: int, rules: ProtocolRules) -> ModelCandidate:
-    """Return the candidate of an index in a state of the model."""
+    """Return the candidate that corresponds to its state in the model."""
     process = system.candidates[index]
     granted_by = {
         elector_name(place)
@@ -138,7 +139,7 @@
 
 
 def candidate_process(candidate: Candidate, incarnation: int) -> CandidateProcess:
-    """Return the state of a candidate."""
+    """Return the model's state of a candidate."""
     holds = candidate.state is CandidateState.HOLDING
     idle = candidate.state is CandidateState.IDLE
     return CandidateProcess(
@@ -154,7 +155,10 @@
 
 
 def _majority_highest_lease(system: SystemState, required_votes: int) -> int:
-    """Return the lowest number that a majority of the electors can tell as the highest."""
+    """Return the lowest value that a candidate can learn from a majority as the highest lease number.
+
+    0 if fewer electors than the required votes answer ballots.
+    """
     reported = sorted(elector.highest_lease for elector in system.electors if not elector.opens_in)
     return reported[required_votes - 1] if len(reported) >= required_votes else 0
 
@@ -165,7 +169,7 @@
 def ballots_in_transit(
     ballots: Sequence[Ballot], sender: int, incarnation: int
 ) -> tuple[BallotInTransit, ...]:
-    """Return the ballots that a candidate sends."""
+    """Return the model's ballots in transit for the ballots that a candidate sends."""
     return tuple(
         BallotInTransit(
             sender,
@@ -180,7 +184,7 @@
 
 
 def ballot_of(arrived: BallotInTransit) -> Ballot:
-    """Return the ballot that an elector receives."""
+    """Return the ballot that an elector receives when a ballot in transit arrives."""
     return Ballot(
         arrived.lease, BallotKind(arrived.kind), arrived.round_number, candidate_name(arrived.successor)
     )
--- a/larchlatch/model_checker/rules.py
+++ b/larchlatch/model_checker/rules.py
@@ -1,4 +1,4 @@
-"""Rules of the protocol, each of which a planted fault can change."""
+"""Rules of the election protocol in the model; a planted fault changes one of them."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-# A tick is eight units of time, of which a fast clock shows ten and a slow one six. By the slow clock a term
-# lasts three ticks, and by the fast one the promise for it lasts three as well: rounding favours nobody.
+# In a tick of eight units of time, a fast clock advances by ten units and a slow clock by six. A term lasts
+# three ticks by the slow clock, and its promise three ticks by the fast one: rounding favours neither side.
 LEASE_TERMS = LeaseTerms(term_us=18, skew=0.25, rounds=2)
 FAST, SLOW = 10, 6
-LONG_AGO = -2 * LEASE_TERMS.term_us  # what is older than two terms has ended by any clock
+LONG_AGO = -2 * LEASE_TERMS.term_us  # anything older than two terms has ended by every clock
 
 
 class ClockRates(NamedTuple):
-    """Units of time that clocks show in a tick."""
+    """Units of time by which the clocks of each kind of process advance in a tick."""
 
     electors: int = FAST
     candidates: tuple[int, int] = (SLOW, SLOW)
@@ -26,39 +26,40 @@
 
 
 class ShortPromises(LeaseTerms):
-    """A planted fault: electors keep promises for no longer than a term, whatever the clocks."""
+    """Planted fault: a promise lasts no longer than a term, without allowance for clock errors."""
 
     @property
     def promise_us(self) -> int:
-        """Return how long an elector keeps a promise."""
+        """Return the length of an elector's promise, in the model's units."""
         return self.term_us
 
 
 def more_than_half(electors: int) -> int:
-    """Return how many of the electors are a majority."""
+    """Return the number of votes that form a majority."""
     return electors // 2 + 1
 
 
 def half(electors: int) -> int:
-    """Return how many of the electors a candidate needs by a planted fault."""
+    """Return half of the electors: a planted fault, as two candidates can each have that many votes."""
     return electors // 2
 
 
 @dataclass(frozen=True)
 class ProtocolRules:
-    """The protocol as it is; a planted fault changes one of these values.
+    """Rules of the protocol; the defaults are correct, and a planted fault changes one of them.
 
     Attributes:
         elector_count: number of electors.
-        lease_terms: length of a lease and of a promise, in the model's units.
-        majority: by the number of electors, how many of them a candidate needs.
-        silent_after_start: an elector answers nothing while promises of an earlier life may last.
-        term_from_request: a term runs from when it was asked for, not from the last answer.
-        receivers_compare_leases: an order is refused after one of a lease with a higher number.
-        releases_after_orders: a role that is handed over is released when the holder's orders have ended.
-        unique_lease_numbers: a candidate never uses a number twice.
-        wall_clocks_run: lease numbers are taken from the wall clock; else from what electors tell alone.
-        clock_rates: how fast the clocks of the processes run.
+        lease_terms: lengths of a lease and of a promise, in the model's units.
+        majority: function from the number of electors to the number of votes that a candidate needs.
+        silent_after_start: whether an elector answers no ballot while earlier promises may last.
+        term_from_request: whether a term is counted from the request for votes, not from the last answer.
+        receivers_compare_leases: whether a receiver refuses an order after one with a higher lease number.
+        releases_after_orders: whether a holder that resigns releases the role after its orders have ended.
+        unique_lease_numbers: whether a candidate uses each lease number only once.
+        wall_clocks_run: whether lease numbers are at least the wall-clock time; else only the numbers that
+            electors report determine them.
+        clock_rates: rates of the processes' clocks.
 
     """
 
@@ -75,5 +76,5 @@
 
     @property
     def required_votes(self) -> int:
-        """Return how many electors have to agree."""
+        """Return the number of votes that a candidate needs."""
         return self.majority(self.elector_count)
--- a/larchlatch/model_checker/safety.py
+++ b/larchlatch/model_checker/safety.py
@@ -1,4 +1,4 @@
-"""The properties that must hold in every state."""
+"""Safety properties of the election, which must hold in every state of the model."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 def find_violation(state: SystemState) -> str | None:
-    """Return, in words, the property that a state violates; None where all of them hold."""
+    """Return a description of the safety violation in a state; None: all properties hold."""
     if sum(map(_holds_role, state.candidates)) > 1:
-        return "two hold the duty"
+        return "two candidates hold the role"
     leases_in_force = {receiver.lease for receiver in state.receivers if receiver.order_left > 0}
     if len(leases_in_force) > 1:
-        return "orders of two leases are carried out at once"
+        return "orders of two leases are in force at the same time"
     if any(receiver.lease == STALE_LEASE for receiver in state.receivers):
-        return "an order is carried out after one of a later lease"
+        return "an order is executed after an order of a later lease"
     return None
 
 
--- a/larchlatch/model_checker/search.py
+++ b/larchlatch/model_checker/search.py
@@ -1,7 +1,7 @@
 """Breadth-first search for a state that violates a safety property.
 
-As it looks at states in the order of their distance from the initial one, the first trace that it finds is a
-shortest one.
+States are visited in the order of their distance from the initial state, so the first trace to a violation
+is a shortest one.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
     """The result of a search.
 
     Attributes:
-        states: number of different states that were reached.
-        depth: length of the longest trace that was looked at.
-        complete: whether every state that can be reached was.
-        trace: events of a shortest trace to a violation, and the violation; None where none was found.
+        states: number of different states that the search reached.
+        depth: number of events in the longest trace that the search followed.
+        complete: whether the search reached all reachable states.
+        trace: events of a shortest trace to a violation, then the violation; None: no violation was found.
 
     """
 
@@ -35,7 +35,7 @@
 
 
 def search(case: SearchCase, max_states: int) -> SearchResult:
-    """Return the result of a search that stops at the first violation, or once it has `max_states` states."""
+    """Search until the first violation, or until `max_states` states have been reached."""
     begin = initial_state_with_holder if case.begins_with_holder else initial_state
     initial = begin(case.rules, case.budget)
     visits = {initial: Visit(None, "", 0)}
--- a/larchlatch/model_checker/state.py
+++ b/larchlatch/model_checker/state.py
@@ -1,7 +1,7 @@
-"""States of the model. Two states are the same where their values are equal.
+"""States of the model, compared by value: two paths of events that lead to equal values lead to one state.
 
-Times are in the model's units (`rules.py`), relative to the present by the clock of the process concerned:
-the future is positive, and what has passed is 0 unless a field says otherwise.
+Times are in the model's units (`rules.py`) by the clock of the process concerned, relative to the present:
+a future time is positive, and a past time is 0 unless the field's description says otherwise.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 T = TypeVar("T")
 
-NOBODY = -1  # in place of a candidate's index; states are sorted, and None has no order
-STALE_LEASE = -1  # in place of the lease by which a receiver goes: it has executed an order of an older one
+NOBODY = -1  # index that stands for no candidate; not None, which cannot be sorted
+STALE_LEASE = -1  # a receiver's lease after it has executed an order of an older lease, which is a violation
 
 
 class VoteProgress(IntEnum):
-    """How far an elector's vote for a candidate's present round has come."""
+    """Progress of an elector's vote for the present round of a candidate."""
 
     NOT_GRANTED = 0
     IN_TRANSIT = 1
@@ -27,15 +27,15 @@
 
 
 class BallotInTransit(NamedTuple):
-    """A ballot that is under way to an elector.
+    """A ballot that is in transit to an elector.
 
     Attributes:
         sender: index of the candidate.
-        incarnation: life of the candidate in which it was sent.
-        lease: number of the lease asked for.
-        kind: value of its `BallotKind`; ballots are sorted, and members of that enumeration have no order.
-        round_number: round of the candidate.
-        successor: index of the candidate for which a released role is reserved, or NOBODY.
+        incarnation: incarnation of the candidate at the time of sending.
+        lease: number of the lease that the ballot concerns.
+        kind: value of the ballot's `BallotKind`; not the member itself, which cannot be sorted.
+        round_number: number of the candidate's round.
+        successor: index of the candidate for which the electors reserve a released role, or NOBODY.
 
     """
 
@@ -48,19 +48,19 @@
 
 
 class ElectorState(NamedTuple):
-    """An elector, and the messages to it and from it that are under way.
+    """An elector, and the messages to and from it that are in transit.
 
     Attributes:
-        opens_in: time until it answers for the first time after its start.
-        lease: number of the lease that it has promised.
+        opens_in: time until the elector answers ballots; 0 unless it has just started.
+        lease: number of the lease that the elector has promised; 0: none.
         holder: index of the candidate that has the promise, or NOBODY.
-        holder_incarnation: life of that candidate.
+        holder_incarnation: incarnation of that candidate.
         promise_left: time until the promise ends.
-        highest_lease: highest number of a lease that it has promised.
-        successor: index of the candidate for which it reserves the role, or NOBODY.
+        highest_lease: highest lease number that the elector has promised.
+        successor: index of the candidate for which the elector reserves the role, or NOBODY.
         reservation_left: time until that reservation ends.
-        ballots: ballots that are under way to it.
-        votes: for each candidate, how far this elector's vote has come.
+        ballots: ballots that are in transit to the elector.
+        votes: progress of the elector's vote for each candidate.
 
     """
 
@@ -77,17 +77,17 @@
 
 
 class CandidateProcess(NamedTuple):
-    """A candidate's process.
+    """A candidate and its lease.
 
     Attributes:
-        incarnation: counts its starts.
-        state: where the candidate stands.
-        lease: number of its lease, held or asked for.
-        lease_left: time until the lease that it holds ends.
-        closing: whether the lease is released at that end.
-        successor: index of the candidate for which the role is then reserved, or NOBODY.
-        round_number: number of its latest ballot round.
-        asked_at: when that round began; below 0, as it lies in the past.
+        incarnation: number of restarts of the candidate's process.
+        state: state of the candidacy.
+        lease: number of the lease that the candidate holds or asks for.
+        lease_left: time until the held lease ends.
+        closing: whether the candidate releases the lease at its end.
+        successor: index of the candidate for which the electors then reserve the role, or NOBODY.
+        round_number: number of the latest ballot round.
+        asked_at: start of the latest ballot round; 0 or negative, as it is not in the future.
 
     """
 
@@ -102,12 +102,12 @@
 
 
 class ReceiverState(NamedTuple):
-    """A process that executes the orders of whoever holds the role.
+    """A process that executes the orders of the role's holder.
 
     Attributes:
-        highest_lease: highest number of a lease of which it has seen an order.
-        lease: lease of the order that it goes by, 0 for none, or STALE_LEASE.
-        order_left: time until that order ends.
+        highest_lease: highest lease number of the orders that the receiver has executed.
+        lease: lease number of the order in force; 0: none; STALE_LEASE: see there.
+        order_left: time until the order in force ends.
 
     """
 
@@ -117,13 +117,13 @@
 
 
 class Order(NamedTuple):
-    """An order that is under way.
+    """An order that is in transit.
 
     Attributes:
         receiver: index of the receiver.
-        holder: index of the candidate that has given it.
-        lease: the holder's lease.
-        order_left: time until it ends; 0: it has no duration, and is executed as it arrives.
+        holder: index of the candidate that has given the order.
+        lease: number of the holder's lease.
+        order_left: time until the order ends; 0: it has no duration and is executed once, on arrival.
 
     """
 
@@ -134,10 +134,10 @@
 
 
 class EventBudget(NamedTuple):
-    """How many more events of each kind may happen; bounds the number of states."""
+    """Number of events of each kind that may still happen, which bounds the number of states."""
 
     ticks: int = 0
-    rounds: int = 2  # that candidates open of their own accord, both together
+    rounds: int = 2  # ballot rounds that idle candidates start, both candidates together
     renewals: int = 0
     duplicates: int = 0
     elector_restarts: int = 0
@@ -147,15 +147,15 @@
 
 
 class SystemState(NamedTuple):
-    """The whole system.
+    """State of all processes, and the orders in transit.
 
     Attributes:
-        time: ticks since the beginning.
-        electors: all electors, sorted: those with equal states can be exchanged for each other.
+        time: ticks since the initial state.
+        electors: all electors, sorted, so that states that differ only in the electors' order are equal.
         candidates: both candidates.
         receivers: both receivers of orders.
-        orders: the orders that are under way.
-        budget: what may still happen.
+        orders: the orders that are in transit.
+        budget: number of events of each kind that may still happen.
 
     """
 
@@ -167,16 +167,16 @@
     budget: EventBudget
 
     def is_repeated_elector(self, index: int) -> bool:
-        """Return whether the elector equals its predecessor, so that its events have been looked at."""
+        """Return whether the elector equals the one before it, so that its events lead to the same states."""
         return index > 0 and self.electors[index] == self.electors[index - 1]
 
     def with_elector(self, index: int, elector: ElectorState, budget: EventBudget) -> SystemState:
-        """Return the state with another state of one elector, and what may happen after that."""
+        """Return the system's state with a new state of one elector and a new budget."""
         electors = replace_item(self.electors, index, elector)
         return self._replace(electors=tuple(sorted(electors)), budget=budget)
 
     def without_votes_for(self, candidate: int) -> SystemState:
-        """Return the state after a candidate's round has ended: votes for it are not counted any more."""
+        """Return the state after a candidate's round has ended, without the votes for that round."""
         electors = (
             elector._replace(votes=replace_item(elector.votes, candidate, VoteProgress.NOT_GRANTED))
             for elector in self.electors
@@ -185,5 +185,5 @@
 
 
 def replace_item(values: tuple[T, ...], index: int, value: T) -> tuple[T, ...]:
-    """Return the values with another one at an index."""
+    """Return the tuple with a new value at an index."""
     return (*values[:index], value, *values[index + 1 :])
--- a/larchlatch/model_checker/trace.py
+++ b/larchlatch/model_checker/trace.py
@@ -1,4 +1,4 @@
-"""How events are described, and the trace that leads to a state."""
+"""Descriptions of events, and the trace of events that leads to a state."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class Transition(NamedTuple):
-    """One event: its description, and the state after it."""
+    """Description of an event, and the state after it."""
 
     description: str
     state: SystemState
 
 
 class Visit(NamedTuple):
-    """How a state was first reached.
+    """The event by which the search first reached a state.
 
     Attributes:
-        predecessor: the state before; None for the initial state.
-        description: the event that led from there; "" for the initial state.
+        predecessor: state before the event; None for the initial state.
+        description: description of the event; "" for the initial state.
         depth: number of events since the initial state.
 
     """
@@ -34,9 +34,9 @@
 
 
 def trace_to(state: SystemState, visits: Mapping[SystemState, Visit]) -> list[str]:
-    """Return the events that have led to a state, from the first one on.
+    """Return the descriptions of the events that led to a state, the earliest first.
 
-    Electors with equal states may have exchanged their names on the way.
+    Electors are sorted by their states, so the same elector may have different names in two events.
     """
     events: list[str] = []
     visit = visits[state]
@@ -47,12 +47,15 @@
 
 
 def describe_ballots(ballots: Sequence[Ballot]) -> str:
-    """Return what a candidate does, by the ballots that it sends."""
-    return " and ".join(f"{ballot.kind.name.lower()} {ballot.lease}" for ballot in ballots) or "looks up"
+    """Return a description of the ballots that a candidate sends, such as `grant 2` for lease 2."""
+    return (
+        " and ".join(f"{ballot.kind.name.lower()} {ballot.lease}" for ballot in ballots)
+        or "no ballot and becomes idle"
+    )
 
 
 def describe_answer(answer: Answer | None) -> str:
-    """Return what an elector does with a ballot."""
+    """Return a description of an elector's answer to a ballot; None: it sends no answer."""
     if answer is None:
-        return "says nothing"
+        return "sends no answer"
     return "grants" if answer.granted else "refuses"
--- a/larchlatch/model_checker/transitions.py
+++ b/larchlatch/model_checker/transitions.py
@@ -1,12 +1,12 @@
-"""All events that may happen next in a state of the model.
+"""Initial states of the model, and all events that may happen next in a state.
 
-Messages are lost, duplicated and reordered, electors and candidates start anew, any process may be stopped
-for any time, and clocks are a quarter fast or slow.
+Messages may be lost, duplicated and reordered, electors and candidates may restart, each process may be
+suspended for any time, and clocks are a quarter fast or slow.
 
-Some events are left out, as no violation depends on them. The first round of a candidate, which binds nobody,
-succeeds at once, with the lowest number that a majority can tell. Refusals, and votes that a candidate does
-not count, change nothing. An order is asked for at the moment in which it is given: asked for earlier, it
-would end earlier.
+The model leaves out events on which no violation depends. A pre-vote, which changes no elector's state,
+succeeds at once, with the lowest lease number that a majority can report. Refusals, and votes that a
+candidate does not count, change nothing. An order is requested at the time when it is given, as an earlier
+request would only make it end earlier.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def initial_state(rules: ProtocolRules, budget: EventBudget) -> SystemState:
-    """Return the state in which nothing has happened."""
+    """Return the state before any event, in which no candidate has a promise."""
     elector = ElectorState(votes=(VoteProgress.NOT_GRANTED,) * CANDIDATES)
     return SystemState(
         time=0,
@@ -82,7 +82,7 @@
 
 
 def successors(system: SystemState, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield each event that may happen next, with the state after it."""
+    """Yield all events that may happen next in a state, with the state after each."""
     if system.budget.ticks:
         yield Transition("time passes", _after_tick(system, rules.clock_rates))
     for index in range(CANDIDATES):
@@ -110,14 +110,14 @@
     executed = system._replace(
         receivers=replace_item(system.receivers, order.receiver, after), orders=system.orders - {order}
     )
-    yield Transition(f"r{order.receiver} carries out the order of c{order.holder}", executed)
+    yield Transition(f"r{order.receiver} executes the order of c{order.holder}", executed)
 
 
 # Time.
 
 
 def _after_tick(system: SystemState, rates: ClockRates) -> SystemState:
-    """Return the state after all clocks have advanced by a tick, each at its rate."""
+    """Return the state after one tick, in which each clock has advanced at its rate."""
     budget = system.budget._replace(ticks=system.budget.ticks - 1)
     return SystemState(
         time=system.time + 1,
@@ -153,7 +153,7 @@
 
 
 def _older_orders(orders: frozenset[Order], passed: int) -> Iterator[Order]:
-    """Yield the orders that have not ended; those without a duration stay under way."""
+    """Yield the orders that are still in transit after a tick: the valid ones and those without duration."""
     for order in orders:
         if not order.order_left:
             yield order
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -1,4 +1,7 @@
-"""A harness that drives a balancer without a node and checks the four rules after every step."""
+"""A harness that drives a balancer without a node and checks its rules after every step.
+
+The rules concern final answers and deadlines, repeated attempts, usable upstreams, and slow start.
+"""
 
 from __future__ import annotations
 
@@ -63,16 +66,16 @@
 
 
 def forwarded_to(answer: Answer) -> int:
-    """Return the upstream that an answer forwards to, or a number below 0 for each other kind of answer."""
+    """Return the upstream that an answer forwards to, or a negative number that is specific to its type."""
     if isinstance(answer, Forward):
         return answer.upstream
     return {Hold: -1, Shed: -2, Fail: -3, Nothing: -4}[type(answer)]
 
 
 class BalancerHarness:
-    """Drives a balancer by hand and asserts the four rules after every step.
+    """Drives a balancer step by step and asserts its rules after every step.
 
-    What the rules need to know of each session is recorded here, independently of the balancer.
+    The harness keeps its own record of each session, so that the checks do not rely on the balancer's state.
     """
 
     def __init__(self, seed: int = 1, upstreams: int = 6, **deployment_settings: object) -> None:
@@ -80,11 +83,13 @@
         self.balancer = Balancer(self.settings, random.Random(seed))
         self.now = 100 * SECOND_US
         self.endpoints = {number: endpoint(number) for number in range(upstreams)}
-        self.sessions: dict[int, Session] = {}  # without a final answer yet
+        self.sessions: dict[int, Session] = {}  # sessions without a final answer
         self.held_until: dict[int, int] = {}
-        self.attempt_upstreams: dict[int, int] = {}  # attempts in flight, and their upstreams
+        self.attempt_upstreams: dict[int, int] = {}  # upstream of the attempt in flight, by session number
         self.attempt_deadlines: dict[int, int] = {}
-        self.possible_runs: dict[int, list[tuple[int, int]]] = {}  # attempts that may have run: when, where
+        self.possible_runs: dict[
+            int, list[tuple[int, int]]
+        ] = {}  # time and upstream of each attempt that may have run
         self.established: set[int] = set()
         self.slow_start_sends: list[tuple[int, int]] = []
         self.session_count = 0
@@ -116,12 +121,14 @@
         assert number not in self.attempt_upstreams, "two attempts in flight at once"
         assert self.now <= session.deadline
         if isinstance(answer, Hold):
-            assert self.now < answer.until <= session.deadline, "held past its deadline"
+            assert self.now < answer.until <= session.deadline, (
+                "held until a time that is past or after its deadline"
+            )
             self.held_until[number] = answer.until
         elif isinstance(answer, Shed | Fail):
             if isinstance(answer, Shed) and possible_runs:
                 assert traffic_class.idempotency is not Idempotency.NON_IDEMPOTENT, (
-                    "shed though it may have run"
+                    "shed although an attempt may have run"
                 )
                 assert (
                     traffic_class.idempotency is Idempotency.IDEMPOTENT
@@ -139,7 +146,7 @@
         traffic_class: TrafficClass,
     ) -> None:
         entry = self.endpoints[answer.upstream]
-        assert entry.state is EndpointState.READY, "sent to a draining or gone upstream"
+        assert entry.state is EndpointState.READY, "sent to an upstream that is not ready"
         assert self.now < answer.give_up_at <= session.deadline
         if possible_runs and traffic_class.idempotency is not Idempotency.IDEMPOTENT:
             assert traffic_class.idempotency is Idempotency.KEYED, "a second run of a non-idempotent session"
@@ -180,8 +187,7 @@
             self.attempt_upstreams.pop(number, None)
 
     def advance(self, span: int) -> None:
-        """Let time pass: held sessions are asked for again, attempts that have had their time end as
-        silent."""
+        """Let `span` microseconds pass: place held sessions again, and time out attempts that are due."""
         stop = self.now + span
         while True:
             due = [(at, n) for n, at in self.held_until.items()] + [
@@ -204,4 +210,4 @@
             for n, session in self.sessions.items()
             if n not in self.established and self.now > session.deadline
         ]
-        assert not late, "a session without its final answer at its deadline"
+        assert not late, "a session has no final answer at its deadline"
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -1,4 +1,4 @@
-"""Nodes of a cluster that a test drives by hand, their keys and their entries in the cluster file."""
+"""Nodes of a cluster that a test drives step by step, with their keys and their entries in a cluster file."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class ManualNode:
-    """One node driven by hand, with its decisions, its keys and its counters."""
+    """One node that a test drives step by step, with its membership, its exchange and its counters."""
 
     def __init__(self, name: str, names: str = "abcd", wall: int = WALL_US, seed: int = 1) -> None:
         self.counts: dict[str, int] = {}
@@ -61,15 +61,15 @@
         return self.counts.get(f"cluster_dropped_{why.value}", 0)
 
     def next_datagram(self, now: int = 0, wall: int = WALL_US) -> bytes:
-        """Return the first datagram of its next heartbeat."""
+        """Send a heartbeat and return the first of its datagrams."""
         return self.exchange.heartbeat(now=now, wall=wall).datagrams[0][1]
 
 
 def run_heartbeats(nodes: list[ManualNode], first: int, count: int, cut: frozenset[str] = frozenset()) -> int:
-    """Run heartbeats of all nodes in turn; nothing passes between the nodes in `cut` and the others.
+    """Run heartbeats of all nodes in turn; no datagram passes between the nodes in `cut` and the others.
 
     Returns:
-        The number of the heartbeat after them.
+        The number of the next heartbeat.
 
     """
     by_name = {node.members.own_name: node for node in nodes}
--- a/tests/support/configuration.py
+++ b/tests/support/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration files and endpoint lists in the users' form."""
+"""Node configurations and endpoint entries in the format of the files that users write."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def node_configuration(upstreams: list[str], discovery: int, **changes: Any) -> dict[str, Any]:
-    """Return a node's configuration file for upstreams at these addresses; changes go into its settings."""
+    """Return a node's configuration for upstreams at these addresses, with changes to its settings by key."""
     traffic_class = {"expected_time_us": 500_000, "cut_off_us": 3_000_000, "repeat_window_us": 5_000_000}
     settings: dict[str, Any] = {
         "areas": ["a", "b"],
@@ -51,7 +51,7 @@
 
 
 def endpoint_row(number: int, address: str, phase: str = "in_service") -> dict[str, Any]:
-    """Return an upstream's entry in the endpoint list."""
+    """Return an upstream's entry as it stands in an endpoint list."""
     return {
         "id": f"s-{number}",
         "host_port": address,
--- a/tests/support/hot_restart.py
+++ b/tests/support/hot_restart.py
@@ -1,4 +1,4 @@
-"""A node that is restarted, with clients that count what they are answered."""
+"""A node that is hot-restarted, with clients that count the outcomes of their sessions."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 
 
 class RestartedNode:
-    """A node's file, the folder that its processes share, and clients that count their answers."""
+    """A node's configuration file, the folder that its processes share, and clients that count outcomes."""
 
     def __init__(self, tasks: TaskGroup, path: Path) -> None:
         self.tasks = tasks
         self.path = path
         self.seen: Counter[str] = Counter()
         self.number = 0
-        self.arguments: list[str] = []  # of the command of its processes
+        self.arguments: list[str] = []  # additional command-line arguments of its processes
 
     async def start(self, upstreams: UpstreamStubs, **changes: Any) -> RestartedNode:
         discovery = await DiscoveryStub([EMPTY_CHANGE]).start(self.tasks)
-        # The stand-ins run on the machine that runs the tests. Delayed by its load, upstreams would count as
-        # slow, and sessions be shed, which these tests are not about.
+        # The stand-ins share a machine with the tests. Its load delays them, so with reported delays the
+        # upstreams would count as slow, and the node would shed sessions, which these tests do not expect.
         changes["domain"] = {"tells_delay": False, **changes.get("domain", {})}
         self.raw = node_configuration(upstreams.addresses, discovery.port, **changes)
         self.raw["listen"] = admin_address()
@@ -70,7 +70,7 @@
         return client
 
     async def run_client(self, interval_s: float = 0.02) -> None:
-        """Run a client until cancelled, which sends one line at a time and waits for its echo."""
+        """Run a client that sends one line at a time and awaits its echo, until it ends or is cancelled."""
         try:
             client = await self.open_session()
             answer = await client.line()
@@ -79,7 +79,7 @@
             while answer in (b"UP echo\r\n", b"UP slow echo\r\n"):
                 number += 1
                 sent = f"line {number} of many\r\n".encode()
-                # In two pieces, so that a handover may happen between them.
+                # The line is sent in two pieces, so that a handover can happen between them.
                 await client.send(sent[:6])
                 await anyio.sleep(interval_s)
                 await client.send(sent[6:])
@@ -92,7 +92,7 @@
             self.seen["turned back"] += 1
 
     async def start_client(self) -> None:
-        """Start one more client, and wait for its answer."""
+        """Start one more client, and wait until the node has answered or refused it."""
         answered = sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back"))
         self.tasks.start_soon(self.run_client)
         while sum(self.seen[outcome] for outcome in ("UP", "no answer", "turned back")) == answered:
@@ -105,7 +105,7 @@
 
 
 async def connect_to_rendezvous(node: RestartedNode) -> Channel:
-    """Connect with the process that serves, as a successor does."""
+    """Connect to the serving process as its successor does, and return the channel."""
     os.environ["TMPDIR"] = str(node.path)
     rendezvous = Rendezvous.for_node(parse_node_configuration(node.raw, admin_address()))
     assert rendezvous is not None
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""Running a test on loopback: its task group, time-out and waits for conditions."""
+"""Runs tests on loopback in a task group with a timeout, and waits for conditions."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 from anyio.abc import SocketAttribute, TaskGroup
 
-TEST_TIMEOUT_S = 20.0  # only a test that hangs takes so long
+TEST_TIMEOUT_S = 20.0  # only a test that hangs reaches it
 
 
 def port_of(listener: Any) -> int:
@@ -21,7 +21,7 @@
 
 
 def run_on_loopback(test: Callable[[TaskGroup], Awaitable[None]]) -> None:
-    """Run a test's body with a task group for its node and stand-ins, which end with it."""
+    """Run a test's body with a task group for its node and stand-ins, which is cancelled after the body."""
 
     async def run() -> None:
         with anyio.fail_after(TEST_TIMEOUT_S):
--- a/tests/support/node.py
+++ b/tests/support/node.py
@@ -12,12 +12,12 @@
 from tests.support.configuration import node_configuration
 from tests.support.stand_ins import DiscoveryStub, UpstreamStubs
 
-NO_FILE = Path("none.json")  # for nodes that reread no configuration
+NO_FILE = Path("none.json")  # path of the configuration file for nodes that never reload it
 EMPTY_CHANGE = {"revision": 2, "complete": False, "members": []}
 
 
 async def start_node_with(tasks: TaskGroup, upstreams: UpstreamStubs, **changes: Any) -> int:
-    """Start a node in front of these upstreams and return the port on which it listens."""
+    """Start a node with these upstreams and return the port on which it listens."""
     discovery = await DiscoveryStub([EMPTY_CHANGE]).start(tasks)
     return await start_node(tasks, node_configuration(upstreams.addresses, discovery.port, **changes))
 
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -1,4 +1,4 @@
-"""Nodes as processes, and calls to their admin APIs."""
+"""Nodes that run as separate processes, and calls to their admin APIs."""
 
 from __future__ import annotations
 
@@ -21,20 +21,20 @@
 
 
 class NodeProcess:
-    """A node that runs as a process, and its log."""
+    """A node that runs as a separate process, and its log."""
 
     def __init__(self, process: Process) -> None:
         assert process.stdout is not None
         self.process = process
         self.log = BufferedByteReceiveStream(process.stdout)
         self.port = 0
-        self.admin_address = ""  # of its admin API
+        self.admin_address = ""  # address of the admin API; empty: not known
 
     def signal(self, number: signal.Signals) -> None:
         self.process.send_signal(number)
 
     async def next_event(self, event: str) -> dict[str, Any]:
-        """Return the next row of the log with this event."""
+        """Return the next log row with this event, and skip the rows before it."""
         while True:
             row: dict[str, Any] = orjson.loads(await self.log.receive_until(b"\n", 65536))
             if row["event"] == event:
@@ -48,7 +48,15 @@
 async def node_process(
     path: Path, event: str = "serving", more: Sequence[str] = (), **env: str
 ) -> AsyncIterator[NodeProcess]:
-    """Run a node with this configuration file until it has logged the event; more holds further arguments."""
+    """Run a node with this configuration file, and wait until it has logged the event.
+
+    Args:
+        path: path of the configuration file.
+        event: log event to wait for, whose row has the listen address.
+        more: additional command-line arguments.
+        env: additional environment variables.
+
+    """
     command = [sys.executable, "-B", "-m", "larchlatch", "serve", *more]
     made = await anyio.open_process(
         command, env={**os.environ, "EDGE_CONFIG": str(path), **env}, stderr=subprocess.STDOUT
@@ -63,7 +71,7 @@
         await made.aclose()
 
 
-ADMIN_ADDRESS_NUMBERS = count(1)  # so that each node has an address that no other program takes
+ADMIN_ADDRESS_NUMBERS = count(1)  # give each node an address of its own
 
 
 def admin_address() -> str:
@@ -71,7 +79,7 @@
 
 
 async def call_admin_api(address: str, what: str, more: str = "") -> tuple[int, str]:
-    """Make one call to an admin API and return its status and the whole answer."""
+    """Make one call to an admin API and return the status code and the whole response."""
     host, _, port = address.rpartition(":")
     caller = LineConnection(await anyio.connect_tcp(host, int(port)))
     await caller.send(f"{what} HTTP/1.1\r\nHost: admin\r\n{more}\r\n".encode())
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -1,4 +1,4 @@
-"""Raw client connections, and a check that nothing is left of what a node served."""
+"""Support for tests of races: raw client sockets, an upstream actor without a node, scripted upstreams."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
 from larchlatch.policy.types import Outcome, Session
 from tests.support.loopback import port_of, wait_until
 
-MANY_LINES = b"more and more\r\n" * 27_000  # more than is read at once, less than is read at all
-PATIENT_US = 15_000_000  # the wait of a client whose answer must not come from its deadline
-SOON_S = 8.0  # much shorter, and long enough on any machine
+MANY_LINES = (
+    b"more and more\r\n" * 27_000
+)  # more than one read returns, but less than the node reads in total
+PATIENT_US = 15_000_000  # deadline of a client whose answer must arrive long before it
+SOON_S = 8.0  # much less than PATIENT_US, and enough on a slow machine
 
 
 def connect_raw(port: int, data: bytes) -> socket.socket:
@@ -38,7 +40,12 @@
 
 
 async def send_and_read_all(client: socket.socket, more: bytes = b"") -> bytes:
-    """Send more and return all that the client gets up to the end; a reset raises an error."""
+    """Send more data and return all data that the client receives up to the end.
+
+    Raises:
+        ConnectionResetError: the node has reset the connection.
+
+    """
 
     def read() -> bytes:
         got = b""
@@ -57,7 +64,7 @@
 
 
 async def wait_until_idle(connections: ClientConnections) -> None:
-    """Wait until nothing is left of what it served: no connection, id, attempt or descriptor."""
+    """Wait until the node has released every connection, session id, attempt and descriptor."""
     balancer_actor = connections._balancer_actor
     await wait_until(
         lambda: (
@@ -74,13 +81,13 @@
                 for upstream_actor in balancer_actor.upstreams.actors.values()
             )
             and connections.descriptors.free
-            == connections.descriptors.capacity - 1  # reserved for the next client
+            == connections.descriptors.capacity - 1  # one is reserved for the next client
         )
     )
 
 
 class ActorHarness:
-    """An upstream actor without a node."""
+    """An upstream actor without a node, which records the messages that the actor posts."""
 
     def __init__(self, address: str) -> None:
         name, _, port = address.rpartition(":")
@@ -115,7 +122,7 @@
 
 
 class ScriptedUpstream:
-    """An upstream stand-in that answers each connection by a given function."""
+    """A stand-in for an upstream, which answers each connection with a given function."""
 
     def __init__(self) -> None:
         self.lines: list[bytes] = []
--- a/tests/support/simulations.py
+++ b/tests/support/simulations.py
@@ -1,4 +1,4 @@
-"""Small scenarios for tests, and their simulation."""
+"""A small scenario for tests, and simulations of it."""
 
 from __future__ import annotations
 
@@ -31,5 +31,5 @@
 
 
 def simulation_of(policy: str | PolicyFactory = "larchlatch", **changes: Any) -> Simulation:
-    """Return a simulation of the small scenario, with other values by the keys of its file."""
+    """Return a simulation of the small scenario, with changes by the keys of a scenario file."""
     return Simulation(parse_scenario({**SMALL, **changes}, "day"), policy)
--- a/tests/support/slow_start_tokens.py
+++ b/tests/support/slow_start_tokens.py
@@ -1,4 +1,4 @@
-"""Nodes that exchange slow-start tokens over a bad network, and a count of what each did."""
+"""A simulation of nodes that exchange slow-start tokens over an unreliable network."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class TokenNode:
-    """One node: its slow-start tokens, and the notices that its balancer receives a moment later."""
+    """A node with its slow-start tokens, and with a balancer that receives the notices after a delay."""
 
     def __init__(self, name: str, now: int) -> None:
         self.name = name
         self.tokens = SlowStartTokens(name, ELECTORATE, now)
         self.tokens.update_upstreams(now, [UPSTREAM], slow_start_us=1000 * SECOND, window_us=WINDOW)
         self.incarnation = now
-        self.handed_over_until = 0  # turns are handed over, as far as the balancer knows
+        self.handed_over_until = 0  # end of the handover of turns that the balancer knows of
         self.token_ends_at: dict[int, int] = {}
         self.pending_notices: deque[tuple[int, TokenNotice]] = deque()  # not yet received by the balancer
         self.queue_notice(now, self.tokens.requester.open(now))
@@ -70,12 +70,25 @@
 
 
 class Played:
-    """Nodes whose sessions all go to one warming upstream, over a bad network; the role's holder is given."""
+    """Simulation of nodes whose sessions all go to one upstream in slow start.
+
+    The network loses, duplicates and delays messages. The holder of the role is set, not elected.
+    """
 
     def __init__(
         self, seed: int, loss: float, double: float, late: float, faults: bool, changes: bool = False
     ) -> None:
-        """faults: cuts, starts, stops, and changes of the holder; changes: these alone, all the time."""
+        """Create the simulation.
+
+        Args:
+            seed: seed of the random decisions.
+            loss: probability that a message is lost.
+            double: probability that a message is duplicated.
+            late: probability that a message has a long delay.
+            faults: whether there are partitions, restarts and pauses of nodes, and changes of the holder.
+            changes: whether the holder changes every two seconds.
+
+        """
         self.rng = random.Random(seed)
         self.loss, self.double, self.late, self.faults = loss, double, late, faults
         self.changes = changes
@@ -85,9 +98,9 @@
         self.nodes = {name: TokenNode(name, START) for name in NAMES}
         self.in_flight: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
         self.cut: frozenset[str] = frozenset()
-        self.by_leave: list[int] = []  # when sessions were sent by a token
+        self.by_leave: list[int] = []  # times at which sessions were sent with a token
         self.by_turn = 0
-        self.taken_twice = 0  # turns that their node used while the issuer relied on its promise
+        self.taken_twice = 0  # sessions sent in a turn that their node had promised to the issuer
         self.holder, self.lease, self.held_until = "a", 1, START + 10**12
         self.sessions = 0
 
@@ -95,11 +108,11 @@
         return self.clocks[name].at(now)
 
     def lag(self) -> int:
-        """Return how long a notice takes to reach the balancer."""
+        """Return a random delay of a notice on its way to the balancer, in microseconds."""
         return self.rng.randrange(10_000 if self.rng.random() < 0.9 else NOTICE_LAG_US)
 
     def order_permit(self, name: str, now: int) -> OrderPermit:
-        """Of the lease, as its holder's own clock has it: a round at most."""
+        """Return the permit of the role's holder, for a ballot round at most; NO_PERMIT for other nodes."""
         left_us = self.held_until - now if name == self.holder else 0
         return OrderPermit(self.lease, min(left_us, TERM // 8)) if left_us > 0 else NO_PERMIT
 
@@ -127,7 +140,7 @@
             self.change_holder(now)
 
     def change_holder(self, now: int) -> None:
-        """Give the role to another node once the previous lease has run out, as the electors ensure."""
+        """Give the role to a random node, with a new lease, as if the previous lease had ended."""
         self.holder, self.lease = self.rng.choice(NAMES), self.lease + 1
         self.held_until = now + 10**12
 
@@ -165,7 +178,7 @@
             node.queue_notice(own, notice, self.lag())
             self.send_request(now, own, name, request)
         node.apply_notices(own)
-        # A session that waits goes as soon as it may, or at the last moment.
+        # A session with a token is sent at a random step before the token ends; an ended token is dropped.
         for number, at in list(node.token_ends_at.items()):
             if own >= at or self.rng.random() < 0.7:
                 del node.token_ends_at[number]
@@ -176,7 +189,7 @@
             self.session(now, own, name, node)
 
     def send_request(self, now: int, own: int, name: str, request: TokenRequest | None) -> None:
-        """Send a request to the issuer, which may be that node itself."""
+        """Send a request to the issuer, which may be the sending node itself."""
         if request is None or request.recipient != name:
             self.send(now, name, request)
             return
@@ -185,7 +198,7 @@
             self.nodes[name].receive(own, grant, NO_PERMIT, self.lag())
 
     def session(self, now: int, own: int, name: str, node: TokenNode) -> None:
-        """Start one session: it requests a token, goes in a turn of its node, or does not go."""
+        """Start a session, which requests a token, is sent in its node's turn, or is not sent."""
         if own < node.handed_over_until:
             candidates = [(UPSTREAM, TokenCandidate(UPSTREAM, BUDGET, 1.0))]
             request = node.tokens.requester.request_token(own, node.origin(now), self.sessions, candidates)
@@ -199,7 +212,7 @@
 
     @property
     def most(self) -> int:
-        """The most sessions that were sent by tokens within any window."""
+        """Greatest number of sessions that were sent with tokens within one window."""
         sent, first, most = self.by_leave, 0, 0
         for place, at in enumerate(sent):
             while sent[first] <= at - WINDOW:
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback for upstreams and discovery."""
+"""Stand-ins for upstreams and for the discovery service, on loopback."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class UpstreamStubs:
-    """Upstreams on loopback that answer attempts in a given order and count how many are out at once."""
+    """Upstreams on loopback that give attempts the listed answers in turn and count attempts in flight."""
 
     def __init__(self, *answers: str) -> None:
-        self.answers = list(answers)  # the last one goes on for all further attempts
-        self.lines: list[tuple[int, str]] = []  # upstream and line of each attempt
+        self.answers = list(answers)  # the last one is given to all further attempts
+        self.lines: list[tuple[int, str]] = []  # upstream and request line of each attempt
         self.out = 0
         self.most_out = 0
         self.ended = 0  # connections that the node has ended
@@ -60,7 +60,7 @@
                 await session.send(got)
             elif answer == "UP half":
                 await session.send(b"half a li")
-            elif answer == "UP flood":  # more than any buffer between holds
+            elif answer == "UP flood":  # more than all buffers on the way to the node hold
                 while await session.send(b"x" * 4000 + b"\r\n"):
                     pass
         self.out -= not established
@@ -69,10 +69,13 @@
 
 
 class DiscoveryStub:
-    """A discovery service on loopback that answers each watch with the next story, then breaks it off."""
+    """A discovery service on loopback that answers each request with the next story, a list of entries.
+
+    It closes the connection after each story but the last one, whose watch stays open.
+    """
 
     def __init__(self, *stories: list[dict[str, Any]] | None) -> None:
-        self.stories = list(stories)  # None: nonsense; the last watch stays open
+        self.stories = list(stories)  # None: a line that is not JSON
         self.port = 0
         self.asked: list[str] = []
         self.left = 0  # watches that the node has ended
