--- a/larchlatch/model_checker/candidate_events.py
+++ b/larchlatch/model_checker/candidate_events.py
@@ -33,7 +33,7 @@
 def candidate_actions(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
     """Yield all events that a candidate starts itself, without a message from another process."""
     if system.candidates[index].state is CandidateState.IDLE:
-        yield from _opened_round(system, index, rules)
+        yield from _round_start(system, index, rules)
     else:
         yield from _timed_step(system, index, rules)
     if candidate_of(system, index, rules).holds(NOW):
@@ -41,7 +41,7 @@
         yield from _resignation(system, index, rules)
 
 
-def _opened_round(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
+def _round_start(system: SystemState, index: int, rules: ProtocolRules) -> Iterator[Transition]:
     """Yield the start of an idle candidate's ballot round, in which it asks the electors for promises."""
     budget = system.budget
     if not budget.rounds:
@@ -54,9 +54,10 @@
     ballots: list[Ballot] = []
     for elector in range(rules.required_votes):
         ballots = candidate.count_answer(NOW, elector_name(elector), candidate.round_number, GRANTED)
-    less = budget._replace(rounds=budget.rounds - 1)
+    remaining_budget = budget._replace(rounds=budget.rounds - 1)
     yield Transition(
-        f"c{index} sends {describe_ballots(ballots)}", _after_sending(system, index, candidate, ballots, less)
+        f"c{index} sends {describe_ballots(ballots)}",
+        _after_sending(system, index, candidate, ballots, remaining_budget),
     )
 
 
@@ -66,14 +67,14 @@
     candidate = candidate_of(system, index, rules)
     before = candidate.state
     ballots = candidate.step(NOW, system.time, eligible=False)
-    holds_on = before is CandidateState.HOLDING and candidate.state is CandidateState.HOLDING
-    renews = holds_on and bool(ballots)
+    still_holds = before is CandidateState.HOLDING and candidate.state is CandidateState.HOLDING
+    renews = still_holds and bool(ballots)
     changes = bool(ballots) or candidate.state is not before
     if changes and (budget.renewals or not renews):
-        less = budget._replace(renewals=budget.renewals - renews)
+        remaining_budget = budget._replace(renewals=budget.renewals - renews)
         yield Transition(
             f"c{index} sends {describe_ballots(ballots)}",
-            _after_sending(system, index, candidate, ballots, less),
+            _after_sending(system, index, candidate, ballots, remaining_budget),
         )
 
 
@@ -83,14 +84,14 @@
     if not budget.orders:
         return
     holder = candidate_of(system, index, rules)
-    less = budget._replace(orders=budget.orders - 1)
+    remaining_budget = budget._replace(orders=budget.orders - 1)
     for receiver in range(len(system.receivers)):
         for order_left in (order_ends_at(NOW, holder.order_left_us(NOW)), 0):
             order = Order(receiver, index, holder.lease, order_left)
             duration = "with a duration" if order_left else "without a duration"
             yield Transition(
                 f"c{index} sends r{receiver} an order {duration}",
-                system._replace(orders=system.orders | {order}, budget=less),
+                system._replace(orders=system.orders | {order}, budget=remaining_budget),
             )
 
 
@@ -100,13 +101,13 @@
     holder = candidate_of(system, index, rules)
     if not budget.handovers or holder.closing:
         return
-    less = budget._replace(handovers=budget.handovers - 1)
+    remaining_budget = budget._replace(handovers=budget.handovers - 1)
     holder.resign(NOW, candidate_name(1 - index))
     ballots: list[Ballot] = []
     if not rules.releases_after_orders:
         ballots = [holder.release_ballot()]
         holder.become_idle(NOW, 0)
-    yield Transition(f"c{index} resigns", _after_sending(system, index, holder, ballots, less))
+    yield Transition(f"c{index} resigns", _after_sending(system, index, holder, ballots, remaining_budget))
 
 
 def vote_arrivals(system: SystemState, elector_index: int, rules: ProtocolRules) -> Iterator[Transition]:
@@ -135,11 +136,11 @@
     budget = system.budget
     if not budget.candidate_restarts:
         return
-    less = budget._replace(candidate_restarts=budget.candidate_restarts - 1)
+    remaining_budget = budget._replace(candidate_restarts=budget.candidate_restarts - 1)
     for index, before in enumerate(system.candidates):
         after = idle_candidate(before.incarnation + 1)
         candidates = replace_item(system.candidates, index, after)
-        restarted = system.without_votes_for(index)._replace(candidates=candidates, budget=less)
+        restarted = system.without_votes_for(index)._replace(candidates=candidates, budget=remaining_budget)
         yield Transition(f"c{index} restarts", restarted)
 
 
--- a/larchlatch/model_checker/elector_events.py
+++ b/larchlatch/model_checker/elector_events.py
@@ -30,9 +30,10 @@
         description = f"e{index} receives from c{arrived.sender}: {asked}, and {answer}"
         yield Transition(description, system.with_elector(index, after._replace(ballots=remaining), budget))
         if budget.duplicates:
-            less = budget._replace(duplicates=budget.duplicates - 1)
+            remaining_budget = budget._replace(duplicates=budget.duplicates - 1)
             yield Transition(
-                f"{description} (a duplicate stays in transit)", system.with_elector(index, after, less)
+                f"{description} (a duplicate stays in transit)",
+                system.with_elector(index, after, remaining_budget),
             )
 
 
@@ -65,5 +66,5 @@
     before = system.electors[index]
     opens_in = rules.lease_terms.startup_silence_us if rules.silent_after_start else 0
     after = ElectorState(opens_in, ballots=before.ballots, votes=before.votes)
-    less = budget._replace(elector_restarts=budget.elector_restarts - 1)
-    yield Transition(f"e{index} restarts", system.with_elector(index, after, less))
+    remaining_budget = budget._replace(elector_restarts=budget.elector_restarts - 1)
+    yield Transition(f"e{index} restarts", system.with_elector(index, after, remaining_budget))
--- a/larchlatch/model_checker/search.py
+++ b/larchlatch/model_checker/search.py
@@ -36,8 +36,8 @@
 
 def search(case: SearchCase, max_states: int) -> SearchResult:
     """Search until the first violation, or until `max_states` states have been reached."""
-    begin = initial_state_with_holder if case.begins_with_holder else initial_state
-    initial = begin(case.rules, case.budget)
+    make_initial_state = initial_state_with_holder if case.begins_with_holder else initial_state
+    initial = make_initial_state(case.rules, case.budget)
     visits = {initial: Visit(None, "", 0)}
     queue = deque([initial])
     depth = 0
--- a/larchlatch/model_checker/transitions.py
+++ b/larchlatch/model_checker/transitions.py
@@ -121,41 +121,41 @@
     budget = system.budget._replace(ticks=system.budget.ticks - 1)
     return SystemState(
         time=system.time + 1,
-        electors=tuple(_older_elector(elector, rates.electors) for elector in system.electors),
-        candidates=tuple(map(_older_candidate, system.candidates, rates.candidates)),
-        receivers=tuple(_older_receiver(receiver, rates.receivers) for receiver in system.receivers),
-        orders=frozenset(_older_orders(system.orders, rates.receivers)),
+        electors=tuple(_advance_elector(elector, rates.electors) for elector in system.electors),
+        candidates=tuple(map(_advance_candidate, system.candidates, rates.candidates)),
+        receivers=tuple(_advance_receiver(receiver, rates.receivers) for receiver in system.receivers),
+        orders=frozenset(_advance_orders(system.orders, rates.receivers)),
         budget=budget,
     )
 
 
-def _older_elector(elector: ElectorState, passed: int) -> ElectorState:
-    still_reserved = elector.reservation_left > passed
+def _advance_elector(elector: ElectorState, elapsed: int) -> ElectorState:
+    still_reserved = elector.reservation_left > elapsed
     return elector._replace(
-        opens_in=max(0, elector.opens_in - passed),
-        promise_left=max(0, elector.promise_left - passed),
-        reservation_left=max(0, elector.reservation_left - passed),
+        opens_in=max(0, elector.opens_in - elapsed),
+        promise_left=max(0, elector.promise_left - elapsed),
+        reservation_left=max(0, elector.reservation_left - elapsed),
         successor=elector.successor if still_reserved else NOBODY,
     )
 
 
-def _older_candidate(candidate: CandidateProcess, passed: int) -> CandidateProcess:
+def _advance_candidate(candidate: CandidateProcess, elapsed: int) -> CandidateProcess:
     return candidate._replace(
-        lease_left=max(0, candidate.lease_left - passed),
-        asked_at=max(LONG_AGO, candidate.asked_at - passed),
+        lease_left=max(0, candidate.lease_left - elapsed),
+        asked_at=max(LONG_AGO, candidate.asked_at - elapsed),
     )
 
 
-def _older_receiver(receiver: ReceiverState, passed: int) -> ReceiverState:
-    if receiver.order_left > passed:
-        return receiver._replace(order_left=receiver.order_left - passed)
+def _advance_receiver(receiver: ReceiverState, elapsed: int) -> ReceiverState:
+    if receiver.order_left > elapsed:
+        return receiver._replace(order_left=receiver.order_left - elapsed)
     return ReceiverState(receiver.highest_lease)
 
 
-def _older_orders(orders: frozenset[Order], passed: int) -> Iterator[Order]:
+def _advance_orders(orders: frozenset[Order], elapsed: int) -> Iterator[Order]:
     """Yield the orders that are still in transit after a tick: the valid ones and those without duration."""
     for order in orders:
         if not order.order_left:
             yield order
-        elif order.order_left > passed:
-            yield order._replace(order_left=order.order_left - passed)
+        elif order.order_left > elapsed:
+            yield order._replace(order_left=order.order_left - elapsed)
--- a/tests/model_checker/test_search.py
+++ b/tests/model_checker/test_search.py
@@ -10,7 +10,7 @@
 from larchlatch.model_checker.transitions import initial_state, successors
 
 # Number of states and depth of each search. Other numbers show that a search covers other states than before.
-EXTENT = {
+EXPECTED_EXTENT = {
     "orders and a hand-over": (177_793, 20),
     "a candidate restarts": (81_676, 20),
     "an elector restarts": (59_947, 16),
@@ -26,24 +26,24 @@
 @pytest.mark.parametrize("case", SOUND_CASES, ids=lambda case: case.name)
 def test_no_order_of_events_leads_to_two_holders_whose_orders_are_taken(case: SearchCase) -> None:
     """A fault in the election lets two nodes hold one role, or orders of two leases be valid at once."""
-    found = search(case, 1_000_000)
-    assert found.trace is None, "\n".join(found.trace)
-    assert found.complete and found.states > 20_000, "the search must not pass because it visits few states"
-    assert (found.states, found.depth) == EXTENT[case.name]
+    result = search(case, 1_000_000)
+    assert result.trace is None, "\n".join(result.trace)
+    assert result.complete and result.states > 20_000, "the search must not pass because it visits few states"
+    assert (result.states, result.depth) == EXPECTED_EXTENT[case.name]
 
 
 @pytest.mark.parametrize("case", PLANTED_FAULTS, ids=lambda case: case.name)
 def test_each_planted_fault_is_found_with_a_shortest_trace(case: SearchCase) -> None:
     """A search that finds no violation in faulty rules could miss the same fault in the election itself."""
-    found = search(case, 400_000)
-    assert found.trace is not None and len(found.trace) == found.depth + 1
-    assert (found.states, found.depth) == EXTENT[case.name]
+    result = search(case, 400_000)
+    assert result.trace is not None and len(result.trace) == result.depth + 1
+    assert (result.states, result.depth) == EXPECTED_EXTENT[case.name]
 
 
 def test_search_that_reaches_its_limit_is_not_complete() -> None:
     """A search that stopped at its limit of states would otherwise count as a proof of all states."""
-    found = search(SOUND_CASES[0], 100)
-    assert found.trace is None and not found.complete and found.states >= 100
+    result = search(SOUND_CASES[0], 100)
+    assert result.trace is None and not result.complete and result.states >= 100
 
 
 def test_nothing_happens_in_a_system_without_a_budget() -> None:
--- a/tests/support/balancer_harness.py
+++ b/tests/support/balancer_harness.py
@@ -205,9 +205,9 @@
                 self.finish_attempt(self.sessions[number], Outcome.TIMED_OUT)
         self.now = stop
         self.balancer.due_actions(self.now)
-        late = [
+        overdue = [
             n
             for n, session in self.sessions.items()
             if n not in self.established and self.now > session.deadline
         ]
-        assert not late, "a session has no final answer at its deadline"
+        assert not overdue, "a session has no final answer at its deadline"
--- a/tests/support/cluster.py
+++ b/tests/support/cluster.py
@@ -16,7 +16,7 @@
 from larchlatch.cluster.quota.settings import QuotaSettings
 
 HEARTBEAT_US = 200_000
-SPANS = LoanTerms(1_000_000, 3_000_000, 0.01)
+LOAN_TERMS = LoanTerms(1_000_000, 3_000_000, 0.01)
 WALL_US = 1_800_000_000_000_000
 SECRETS = {name: bytes([place]) * 32 for place, name in enumerate("abcdefgh", 1)}
 KEYS = {name: Signer(secret).public_key for name, secret in SECRETS.items()}
@@ -39,7 +39,7 @@
         )
         shared = SharedState.create(
             name,
-            QuotaSettings((), tuple(names), 1.0, SPANS, 1),
+            QuotaSettings((), tuple(names), 1.0, LOAN_TERMS, 1),
             Electorate(),
             max_clock_difference_us=0,
             heartbeat_us=HEARTBEAT_US,
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -88,7 +88,7 @@
 
 async def read_http_answer(caller: LineConnection) -> tuple[int, str]:
     text = ""
-    while not isinstance(some := await caller.receive_lines(), Ending):
-        text += b"".join(some).decode()
+    while not isinstance(chunk := await caller.receive_lines(), Ending):
+        text += b"".join(chunk).decode()
     await caller.close()
     return int(text.split()[1]) if text else 0, text
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -21,7 +21,7 @@
 from larchlatch.node.session_record import SessionRecord
 from larchlatch.node.upstream_actor import UpstreamActor
 from larchlatch.node.upstream_context import UpstreamContext, UpstreamTarget
-from larchlatch.node.wire import lines as say
+from larchlatch.node.wire import lines as wire_lines
 from larchlatch.policy.types import Outcome, Session
 from tests.support.loopback import port_of, wait_until
 
@@ -51,8 +51,8 @@
         got = b""
         client.settimeout(10)
         client.sendall(more)
-        while some := client.recv(65536):
-            got += some
+        while chunk := client.recv(65536):
+            got += chunk
         client.close()
         return got
 
@@ -112,8 +112,8 @@
 
 
 def make_record(traffic_class: str = "once") -> SessionRecord:
-    opening = say.parse_opening(f"OPEN a k1 c={traffic_class},d=1000\r\n".encode())
-    assert isinstance(opening, say.Opening)
+    opening = wire_lines.parse_opening(f"OPEN a k1 c={traffic_class},d=1000\r\n".encode())
+    assert isinstance(opening, wire_lines.Opening)
     return SessionRecord(Session(0, 0, 1, None, now_us() + 1_000_000), opening)
 
 
