--- a/larchlatch/emulator/node_lifecycle.py
+++ b/larchlatch/emulator/node_lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, death and restart of simulated nodes."""
+"""Starts, kills and restarts simulated nodes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     """Starts, kills and restarts nodes.
 
     Attributes:
-        decommissioned: The numbers of nodes that are not restarted.
+        decommissioned: The numbers of the nodes that are stopped permanently.
 
     """
 
@@ -40,7 +40,7 @@
         discovery: SimulatedDiscovery,
         cluster: SimulatedCluster | None,
     ) -> None:
-        """Connect all nodes to this environment; `create_policy` makes the policy of each."""
+        """Prepare to start nodes in this environment; `create_policy` creates the policy of each."""
         self.decommissioned: set[int] = set()
         self._context = context
         self._environment = environment
@@ -48,7 +48,7 @@
         self._clients = clients
         self._discovery = discovery
         self._cluster = cluster
-        self._starts = [0] * context.scenario.nodes.count
+        self._start_counts = [0] * context.scenario.nodes.count
 
     def start_all(self) -> None:
         """Create all nodes."""
@@ -56,9 +56,9 @@
         nodes.extend(self._create(number) for number in range(self._context.scenario.nodes.count))
 
     def _create(self, number: int) -> SimulatedNode:
-        self._starts[number] += 1
+        self._start_counts[number] += 1
         scenario = self._context.scenario
-        rng = self._context.streams.stream(f"node {number} start {self._starts[number]}")
+        rng = self._context.streams.stream(f"node {number} start {self._start_counts[number]}")
         policy = self._create_policy(deployment_settings(scenario, number), rng)
         node = SimulatedNode(self._environment, policy, number=number, zone=number % scenario.zones)
         if self._cluster is not None:
@@ -70,7 +70,7 @@
         return self._context.nodes[node.number] is node
 
     def kill(self, node: SimulatedNode) -> None:
-        """Kill a node; its next process starts with the endpoint list that it had."""
+        """Kill a node; its next process starts with the endpoint list that the killed one had."""
         if self._cluster is not None:
             self._cluster.kill(node.number)
         nodes, clock = self._context.scenario.nodes, self._context.clock
@@ -88,7 +88,7 @@
         self.kill(node)
 
     def _lose_session(self, record: SessionRecord) -> None:
-        """End a session of a dead node: its client reconnects, or its packets take another path."""
+        """End a session of a dead node: its client reconnects, or its packets arrive through another node."""
         number, attempt, client = record.session.number, record.attempt, record.client
         sessions = self._context.sessions
         self._context.rules.session_over(number)
@@ -103,12 +103,12 @@
         self._clients.reconnect(client)
 
     def _forward(self, record: SessionRecord, forwarded: ForwardedSession) -> None:
-        """Schedule that a client's next message arrives through another node, after the death is detected."""
+        """Schedule that a client's next message after the death is detected takes another node."""
         scenario, clock = self._context.scenario, self._context.clock
         draw = self._context.streams.draw("beat", record.session.number)
         next_message_us = round(us(scenario.sessions.message_interval_s) * draw)
         at = clock.now + us(scenario.nodes.detection_s) + next_message_us
-        clock.schedule(at, Priority.WORLD, self._clients.connect, record.client, forwarded)
+        clock.schedule(at, Priority.ENVIRONMENT, self._clients.connect, record.client, forwarded)
 
     def _detect_death(self, node: SimulatedNode) -> None:
         if not node.is_alive and self.is_current(node):
@@ -119,7 +119,7 @@
             self._cluster.restart(dead.number)
         node = self._context.nodes[dead.number] = self._create(dead.number)
         self._context.trace.record("restart", node.number)
-        node.receive_endpoints(endpoints, whole=True, polled=False)
-        self._discovery.forget_order(node)
+        node.receive_endpoints(endpoints, whole=True, from_discovery=False)
+        self._discovery.reset_delivery_order(node)
         self._discovery.send_whole_list(node)
         self._clients.is_entry[node.number] = True
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -1,4 +1,7 @@
-"""Membership agreement: nodes soon agree on which nodes are present. No I/O."""
+"""Checks membership agreement: soon after a change, all nodes agree on which nodes are present.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -7,23 +10,23 @@
 from larchlatch.invariants.checker import Figures, Verdict
 from larchlatch.invariants.observations import FleetChanged, MemberReported, NodeStarted, Observation
 
-# For which a node must have been reachable before calling it silent counts as wrong.
+# How long a node must have been reachable before it is an error to consider it silent.
 SETTLED_US = 5_000_000
 
 IsBlocked = Callable[[int, int], bool]
 
 
 class MembershipAgreement:
-    """Checks that no node considers another silent while that one has been reachable for `SETTLED_US`.
+    """Checks that no node considers another node silent that has been reachable for `SETTLED_US`.
 
-    A node is reachable if a path of running nodes leads from it to the observer, as nodes pass on records.
+    Nodes pass on records, so a node is reachable if a path over running nodes leads from it to the observer.
 
     Attributes:
-        views: For each node, which nodes it considers present.
-        reachable: For each node, which nodes it can receive records of.
-        agreed_after_us: For each change of the fleet, the time until all views were correct.
-        differing_pairs: The number of pairs of a running node and another whose view is wrong.
-        wrong_verdicts: How often a node wrongly considered another silent.
+        views: For each node, which other nodes it considers present.
+        reachable: For each node, which other nodes' records can reach it.
+        agreed_after_us: The times from a change of the fleet to correct views at all nodes, in microseconds.
+        differing_pairs: The number of pairs of a running node and another node of which it has a wrong view.
+        wrong_silence_reports: How often a node considered a reachable node silent.
 
     """
 
@@ -32,7 +35,7 @@
         self.reachable = [[False] * node_count for _ in range(node_count)]
         self.agreed_after_us: list[int] = []
         self.differing_pairs = 0
-        self.wrong_verdicts = 0
+        self.wrong_silence_reports = 0
         self._node_count = node_count
         self._running = [False] * node_count
         self._reachable_since = [[now] * node_count for _ in range(node_count)]
@@ -60,10 +63,10 @@
         self.differing_pairs = sum(
             self.views[node][other] is not self.reachable[node][other] for node, other in self._pairs()
         )
-        self._note_agreement(change.now)
+        self._record_agreement(change.now)
 
     def _pairs(self) -> Iterator[tuple[int, int]]:
-        """Yield each running node with each other node."""
+        """Yield all pairs of a running node and another node."""
         for node in range(self._node_count):
             if self._running[node]:
                 yield from ((node, other) for other in range(self._node_count) if other != node)
@@ -76,22 +79,22 @@
         reachable = self.reachable[node][member]
         settled = report.now >= self._reachable_since[node][member] + SETTLED_US
         if reachable and settled and not report.present:
-            self.wrong_verdicts += 1
+            self.wrong_silence_reports += 1
         if self._running[node]:
             self.differing_pairs += 1 if report.present is not reachable else -1
-        self._note_agreement(report.now)
+        self._record_agreement(report.now)
 
-    def _note_agreement(self, now: int) -> None:
+    def _record_agreement(self, now: int) -> None:
         if self._awaits_agreement and not self.differing_pairs:
             self._awaits_agreement = False
             self.agreed_after_us.append(now - self._changed_at)
 
     def verdict(self) -> Verdict:
-        """Return how often a node was wrongly considered silent."""
-        return Verdict("membership_agreement", self.wrong_verdicts)
+        """Return how often a node considered a reachable node silent."""
+        return Verdict("membership_agreement", self.wrong_silence_reports)
 
     def figures(self, now: int) -> Figures:
-        """Return wrong verdicts, and the longest times to agreement: None where there was none at the end."""
+        """Return times to agreement and counts of errors; a time is None if nodes disagree at the end."""
         times = self.agreed_after_us
         agreed = None if self._awaits_agreement else max(times, default=0) / 1e6
         agreed_later = None if self._awaits_agreement else max(times[1:], default=0) / 1e6
@@ -100,23 +103,23 @@
             "agreed_start_s": times[0] / 1e6 if times else None,
             "agreed_later_s": agreed_later,
             "pairs_apart": self.differing_pairs,
-            "members_wrong": self.wrong_verdicts,
+            "members_wrong": self.wrong_silence_reports,
         }
 
 
 def reachable_sources(running: Sequence[bool], is_blocked: IsBlocked) -> list[set[int]]:
-    """Return, for each node, the nodes whose records reach it directly or through others."""
+    """Return, for each node, the nodes whose records can reach it directly or through other nodes."""
     groups = list(_equally_connected(running, is_blocked))
     reachable: list[set[int]] = [set() for _ in running]
-    for place, members in enumerate(groups):
-        sources = {node for other in _sources_of(place, groups, is_blocked) for node in groups[other]}
+    for index, members in enumerate(groups):
+        sources = {node for other in _sources_of(index, groups, is_blocked) for node in groups[other]}
         for node in members:
             reachable[node] = sources - {node}
     return reachable
 
 
 def _equally_connected(running: Sequence[bool], is_blocked: IsBlocked) -> Iterable[list[int]]:
-    """Return the running nodes in groups whose members have the same blocked paths."""
+    """Return the running nodes in groups of nodes with the same blocked paths."""
     groups: dict[tuple[bool, ...], list[int]] = {}
     nodes = [node for node, runs in enumerate(running) if runs]
     for node in nodes:
@@ -126,9 +129,9 @@
     return groups.values()
 
 
-def _sources_of(place: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
-    """Return the places of all groups from which a path leads to the group at `place`."""
-    found, unvisited = {place}, [place]
+def _sources_of(index: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
+    """Return the indexes of all groups from which a path leads to the group at `index`, and its own."""
+    found, unvisited = {index}, [index]
     while unvisited:
         receiver = groups[unvisited.pop()][0]
         for other, members in enumerate(groups):
--- a/larchlatch/node/signal_handler.py
+++ b/larchlatch/node/signal_handler.py
@@ -1,4 +1,4 @@
-"""Handles signals: SIGTERM and SIGINT stop the node, SIGHUP rereads its files, SIGUSR1 logs its state."""
+"""Handles signals: SIGTERM and SIGINT stop the node, SIGHUP reloads its files, SIGUSR1 logs its state."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
     from larchlatch.node.components import NodeComponents
     from larchlatch.node.shutdown import GracefulShutdown
 
-# They are handled from before the first session on, as by default a process ends when it receives one.
+# The signals that a node handles. By default each ends the process, so all are handled from its start.
 SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGUSR1)
 
 log = structlog.get_logger()
 
 
 class SignalHandler:
-    """Handles signals, each completely before the next one."""
+    """Handles the signals of a node one after the other."""
 
     def __init__(
         self,
@@ -38,23 +38,23 @@
         shutdown: GracefulShutdown,
         tasks: TaskGroup,
     ) -> None:
-        self._configuration = configuration  # which is in force now
-        self._path = path  # of the configuration file
+        self._configuration = configuration  # that is in force; a reload replaces it
+        self._configuration_path = path  # of the configuration file
         self._components = components
         self._shutdown = shutdown
         self._tasks = tasks
 
     async def run(self, signals: AsyncIterator[signal.Signals]) -> None:
-        """Handle the signals until cancelled."""
-        async for number in signals:
-            self._handle(number)
+        """Handle signals until cancelled."""
+        async for signal_number in signals:
+            self._handle(signal_number)
 
-    def _handle(self, number: signal.Signals) -> None:
-        if number == signal.SIGHUP:
+    def _handle(self, signal_number: signal.Signals) -> None:
+        if signal_number == signal.SIGHUP:
             self._reload()
             return
         log.info("counters", **self._components.figures())
-        if number == signal.SIGUSR1:
+        if signal_number == signal.SIGUSR1:
             self._log_status()
         else:
             self._begin_stop()
@@ -62,7 +62,7 @@
     def _reload(self) -> None:
         components = self._components
         self._configuration = reload_configuration(
-            self._configuration, self._path, components.discovery, components.counters
+            self._configuration, self._configuration_path, components.discovery, components.counters
         )
         if components.cluster is not None:
             components.cluster.reload()
