--- a/larchlatch/model_checker/transitions.py
+++ b/larchlatch/model_checker/transitions.py
@@ -1,12 +1,12 @@
-"""All events that may happen next in a state of the model.
+"""Initial states of the model, and all events that may happen next in a state.
 
-Messages are lost, duplicated and reordered, electors and candidates start anew, any process may be stopped
-for any time, and clocks are a quarter fast or slow.
+Messages may be lost, duplicated and reordered, electors and candidates may restart, each process may be
+suspended for any time, and clocks are a quarter fast or slow.
 
-Some events are left out, as no violation depends on them. The first round of a candidate, which binds nobody,
-succeeds at once, with the lowest number that a majority can tell. Refusals, and votes that a candidate does
-not count, change nothing. An order is asked for at the moment in which it is given: asked for earlier, it
-would end earlier.
+The model leaves out events on which no violation depends. A pre-vote, which changes no elector's state,
+succeeds at once, with the lowest lease number that a majority can report. Refusals, and votes that a
+candidate does not count, change nothing. An order is requested at the time when it is given, as an earlier
+request would only make it end earlier.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
 
 
 def initial_state(rules: ProtocolRules, budget: EventBudget) -> SystemState:
-    """Return the state in which nothing has happened."""
+    """Return the state before any event, in which no candidate has a promise."""
     elector = ElectorState(votes=(VoteProgress.NOT_GRANTED,) * CANDIDATES)
     return SystemState(
         time=0,
@@ -82,7 +82,7 @@
 
 
 def successors(system: SystemState, rules: ProtocolRules) -> Iterator[Transition]:
-    """Yield each event that may happen next, with the state after it."""
+    """Yield all events that may happen next in a state, with the state after each."""
     if system.budget.ticks:
         yield Transition("time passes", _after_tick(system, rules.clock_rates))
     for index in range(CANDIDATES):
@@ -110,52 +110,52 @@
     executed = system._replace(
         receivers=replace_item(system.receivers, order.receiver, after), orders=system.orders - {order}
     )
-    yield Transition(f"r{order.receiver} carries out the order of c{order.holder}", executed)
+    yield Transition(f"r{order.receiver} executes the order of c{order.holder}", executed)
 
 
 # Time.
 
 
 def _after_tick(system: SystemState, rates: ClockRates) -> SystemState:
-    """Return the state after all clocks have advanced by a tick, each at its rate."""
+    """Return the state after one tick, in which each clock has advanced at its rate."""
     budget = system.budget._replace(ticks=system.budget.ticks - 1)
     return SystemState(
         time=system.time + 1,
-        electors=tuple(_older_elector(elector, rates.electors) for elector in system.electors),
-        candidates=tuple(map(_older_candidate, system.candidates, rates.candidates)),
-        receivers=tuple(_older_receiver(receiver, rates.receivers) for receiver in system.receivers),
-        orders=frozenset(_older_orders(system.orders, rates.receivers)),
+        electors=tuple(_advance_elector(elector, rates.electors) for elector in system.electors),
+        candidates=tuple(map(_advance_candidate, system.candidates, rates.candidates)),
+        receivers=tuple(_advance_receiver(receiver, rates.receivers) for receiver in system.receivers),
+        orders=frozenset(_advance_orders(system.orders, rates.receivers)),
         budget=budget,
     )
 
 
-def _older_elector(elector: ElectorState, passed: int) -> ElectorState:
-    still_reserved = elector.reservation_left > passed
+def _advance_elector(elector: ElectorState, elapsed: int) -> ElectorState:
+    still_reserved = elector.reservation_left > elapsed
     return elector._replace(
-        opens_in=max(0, elector.opens_in - passed),
-        promise_left=max(0, elector.promise_left - passed),
-        reservation_left=max(0, elector.reservation_left - passed),
+        opens_in=max(0, elector.opens_in - elapsed),
+        promise_left=max(0, elector.promise_left - elapsed),
+        reservation_left=max(0, elector.reservation_left - elapsed),
         successor=elector.successor if still_reserved else NOBODY,
     )
 
 
-def _older_candidate(candidate: CandidateProcess, passed: int) -> CandidateProcess:
+def _advance_candidate(candidate: CandidateProcess, elapsed: int) -> CandidateProcess:
     return candidate._replace(
-        lease_left=max(0, candidate.lease_left - passed),
-        asked_at=max(LONG_AGO, candidate.asked_at - passed),
+        lease_left=max(0, candidate.lease_left - elapsed),
+        asked_at=max(LONG_AGO, candidate.asked_at - elapsed),
     )
 
 
-def _older_receiver(receiver: ReceiverState, passed: int) -> ReceiverState:
-    if receiver.order_left > passed:
-        return receiver._replace(order_left=receiver.order_left - passed)
+def _advance_receiver(receiver: ReceiverState, elapsed: int) -> ReceiverState:
+    if receiver.order_left > elapsed:
+        return receiver._replace(order_left=receiver.order_left - elapsed)
     return ReceiverState(receiver.highest_lease)
 
 
-def _older_orders(orders: frozenset[Order], passed: int) -> Iterator[Order]:
-    """Yield the orders that have not ended; those without a duration stay under way."""
+def _advance_orders(orders: frozenset[Order], elapsed: int) -> Iterator[Order]:
+    """Yield the orders that are still in transit after a tick: the valid ones and those without duration."""
     for order in orders:
         if not order.order_left:
             yield order
-        elif order.order_left > passed:
-            yield order._replace(order_left=order.order_left - passed)
+        elif order.order_left > elapsed:
+            yield order._replace(order_left=order.order_left - elapsed)
--- a/tests/loadtest/test_interruption.py
+++ b/tests/loadtest/test_interruption.py
@@ -1,4 +1,4 @@
-"""A load test that is cut off, or can't go on, leaves no process and no folder behind."""
+"""Tests that an interrupted or failed load test leaves no process and no temporary folder behind."""
 
 from __future__ import annotations
 
@@ -18,10 +18,10 @@
 from larchlatch.loadtest import node_fleet
 from larchlatch.loadtest.node_process import NodeCommand
 
-WITHIN_S = 30.0
+TIMEOUT_S = 30.0
 PROXY_MODULES = ("datagram_fault_proxy", "tcp_fault_proxy")
 
-# Both proxies are there, and nodes of which some are stopped and some killed.
+# Starts both proxies, pauses a node and kills another.
 SCENARIO = """
 span_s = 60.0
 [cluster]
@@ -53,8 +53,8 @@
 """
 
 
-class RunningTool:
-    """The command `load`, and every process that it has started, known by the folder for temporary files."""
+class RunningLoadTest:
+    """The command `load` and the processes that it starts, which are found by their TMPDIR."""
 
     def __init__(self, folder: Path) -> None:
         self.temporary = folder / "temporary"
@@ -69,8 +69,8 @@
             start_new_session=True,
         )
 
-    def started(self) -> dict[int, str]:
-        """Return the command lines of the processes that it has started and that have not ended."""
+    def child_processes(self) -> dict[int, str]:
+        """Return the command lines of the processes that it started and that still run, by process ID."""
         mark = f"TMPDIR={self.temporary}".encode()
         found = {}
         for entry in Path("/proc").iterdir():
@@ -79,17 +79,19 @@
                     continue
                 found[int(entry.name)] = (entry / "cmdline").read_bytes().replace(b"\0", b" ").decode()
             except OSError:
-                continue  # it has ended meanwhile
+                continue  # the process has ended meanwhile
         found.pop(self.process.pid, None)
         return found
 
     def nodes(self) -> list[int]:
-        return [pid for pid, command in self.started().items() if " serve " in command]
+        return [pid for pid, command in self.child_processes().items() if " serve " in command]
 
     def proxies(self) -> list[int]:
-        return [pid for pid, line in self.started().items() if any(name in line for name in PROXY_MODULES)]
+        return [
+            pid for pid, line in self.child_processes().items() if any(name in line for name in PROXY_MODULES)
+        ]
 
-    def some_node_is_stopped(self) -> bool:
+    def any_node_is_paused(self) -> bool:
         return any(self.state_of(pid) == "T" for pid in self.nodes())
 
     @staticmethod
@@ -100,79 +102,79 @@
             return ""
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
-        ends_at = time.monotonic() + WITHIN_S
+        ends_at = time.monotonic() + TIMEOUT_S
         while not condition():
             assert self.process.poll() is None, self.process.communicate()
-            assert time.monotonic() < ends_at, self.started()
+            assert time.monotonic() < ends_at, self.child_processes()
             time.sleep(0.01)
 
-    def end(self) -> tuple[int, str]:
-        """Wait for its end, and return its exit code and what it has written to standard error."""
-        _, errors = self.process.communicate(timeout=WITHIN_S)
+    def wait_for_end(self) -> tuple[int, str]:
+        """Wait until the command ends; return its exit code and what it wrote to standard error."""
+        _, errors = self.process.communicate(timeout=TIMEOUT_S)
         return self.process.returncode, errors.decode()
 
 
 @contextmanager
-def running_tool(folder: Path) -> Iterator[RunningTool]:
-    tool = RunningTool(folder)
+def running_load_test(folder: Path) -> Iterator[RunningLoadTest]:
+    load_test = RunningLoadTest(folder)
     try:
-        yield tool
+        yield load_test
     finally:
-        for pid in (*tool.started(), tool.process.pid):
+        for pid in (*load_test.child_processes(), load_test.process.pid):
             try:
                 os.kill(pid, signal.SIGKILL)
             except ProcessLookupError:
                 continue
-        tool.process.communicate()
+        load_test.process.communicate()
 
 
-def assert_nothing_is_left(tool: RunningTool) -> None:
-    assert tool.started() == {}
-    assert list(tool.temporary.iterdir()) == []
+def assert_nothing_is_left(load_test: RunningLoadTest) -> None:
+    assert load_test.child_processes() == {}
+    assert list(load_test.temporary.iterdir()) == []
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
-def test_run_that_is_cut_off_half_way_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        tool.wait_for(lambda: len(tool.nodes()) == 2)  # one has been killed
-        assert len(tool.proxies()) == 2
-        tool.process.send_signal(number)
-        code, errors = tool.end()
+def test_run_interrupted_midway_leaves_nothing_behind(number: signal.Signals, tmp_path: Path) -> None:
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        load_test.wait_for(lambda: len(load_test.nodes()) == 2)  # one of three has been killed
+        assert len(load_test.proxies()) == 2
+        load_test.process.send_signal(number)
+        code, errors = load_test.wait_for_end()
         assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
         assert "Traceback" not in errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 @pytest.mark.parametrize("number", [signal.SIGINT, signal.SIGTERM], ids=lambda number: number.name)
-def test_run_that_is_cut_off_while_nodes_start_leaves_nothing_behind(
+def test_run_interrupted_while_nodes_start_leaves_nothing_behind(
     number: signal.Signals, tmp_path: Path
 ) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(lambda: len(tool.nodes()) > 0)
-        tool.process.send_signal(number)
-        code, errors = tool.end()
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(lambda: len(load_test.nodes()) > 0)
+        load_test.process.send_signal(number)
+        code, errors = load_test.wait_for_end()
         assert code == (1 if number is signal.SIGINT else 128 + signal.SIGTERM), errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_interrupt_from_the_terminal_reaches_all_processes_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        os.killpg(tool.process.pid, signal.SIGINT)
-        code, errors = tool.end()
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        os.killpg(load_test.process.pid, signal.SIGINT)
+        code, errors = load_test.wait_for_end()
         assert code == 1 and "Traceback" not in errors, errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_run_whose_proxy_has_ended_says_so_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    with running_tool(tmp_path) as tool:
-        tool.wait_for(tool.some_node_is_stopped)
-        [proxy] = [pid for pid, line in tool.started().items() if "datagram_fault_proxy" in line]
+    with running_load_test(tmp_path) as load_test:
+        load_test.wait_for(load_test.any_node_is_paused)
+        [proxy] = [pid for pid, line in load_test.child_processes().items() if "datagram_fault_proxy" in line]
         os.kill(proxy, signal.SIGKILL)
-        code, errors = tool.end()
+        code, errors = load_test.wait_for_end()
         assert code == 1 and "helper process" in errors and "Traceback" not in errors, errors
-        assert_nothing_is_left(tool)
+        assert_nothing_is_left(load_test)
 
 
 def test_node_that_does_not_start_ends_the_run_with_the_last_line_of_its_log(
