--- a/larchlatch/broker/sliding_window.py
+++ b/larchlatch/broker/sliding_window.py
@@ -10,7 +10,7 @@
 class SlidingWindowCounter:
     """Counts the use in the last window.
 
-    The caller numbers the slots by its clock. A slot before the newest one is replaced by the newest.
+    The caller numbers the slots by its clock. Use in a slot before the newest one counts in the newest.
     """
 
     __slots__ = ("newest", "slots", "total")
--- a/larchlatch/cluster/election/candidate.py
+++ b/larchlatch/cluster/election/candidate.py
@@ -143,7 +143,8 @@
     def repeated_ballot(self, now: int) -> Ballot | None:
         """Return the ballot of a running round to send again; None: no ballot is to be repeated."""
         # A ballot that has no answer by the next heartbeat was probably lost. While one of three electors is
-        # unreachable, a round without repetition fails if any message to or from the other two is lost.
+        # unreachable, both others have to grant the ballot: without repetition, one lost message would fail
+        # the round.
         if now >= self.asked_at + self.lease_terms.round_us:
             return None
         if self.state is CandidateState.PRE_VOTING:
--- a/larchlatch/cluster/election/electorate.py
+++ b/larchlatch/cluster/election/electorate.py
@@ -8,7 +8,7 @@
 
 # Names of the roles in logs. The order of preference of nodes for a role and the cluster file's digest are
 # computed from them.
-QUOTA_ALLOCATOR = "allotter"  # this role's holder lends the part of the quotas that is above all floors
+QUOTA_ALLOCATOR = "allotter"  # its holder lends the part of the quotas that lies in no node's floor
 TOKEN_ISSUER = "pacer"  # this role's holder issues slow-start tokens
 
 
--- a/larchlatch/cluster/election/fencing.py
+++ b/larchlatch/cluster/election/fencing.py
@@ -50,7 +50,7 @@
         left_us: remaining validity at the time when the holder gave the order, in microseconds.
 
     """
-    # The holder gave the order after the request. So a validity counted from the request ends before another
-    # node can hold the role, whatever the message delay, with clocks within their error bounds
-    # (docs/election.md has the calculation).
+    # The holder gave the order after it was requested. So the order, counted from its request, ends before
+    # another node can hold the role. This holds for any message delay and for clocks within their error
+    # bounds (docs/election.md has the calculation).
     return asked_at + left_us
--- a/larchlatch/cluster/event_log.py
+++ b/larchlatch/cluster/event_log.py
@@ -76,7 +76,7 @@
             log.warning("cluster_files_differ" if files_differ else "cluster_files_agree")
 
     def log_unknown_version(self, version: int | None) -> None:
-        """Log the first unknown protocol version of a received datagram, once; None: there was none."""
+        """Log an unknown protocol version of received datagrams, at most once; None: none was received."""
         if version is not None and not self._unknown_version_logged:
             self._unknown_version_logged = True
             log.warning("cluster_protocol_version_unknown", version=version)
--- a/larchlatch/cluster/membership/clock.py
+++ b/larchlatch/cluster/membership/clock.py
@@ -11,7 +11,7 @@
 # Upper bound of one advance of the listening clock: a node whose process was stopped has to listen again
 # before it declares others silent.
 MAX_ADVANCE_HEARTBEATS = 3
-SUSPICION_US = 2_400_000  # a watcher suspects a member that sent it no datagram for so long: six are missing
+SUSPICION_US = 2_400_000  # a watcher suspects a member after so long without a datagram: six are missing
 SUSPICION_HEARTBEATS = SUSPICION_US // REFERENCE_HEARTBEAT_US
 FAN_OUT = 3  # members that each heartbeat is gossiped to
 # In each round of the shuffled order a node sends its record to each member once. A member that sent nothing
--- a/larchlatch/cluster/membership/dissemination.py
+++ b/larchlatch/cluster/membership/dissemination.py
@@ -17,7 +17,7 @@
 
 WATCHERS_PER_HEARTBEAT = 4  # watchers that each heartbeat is sent to, in addition to the gossip targets
 URGENT_FORWARDS = 8  # datagrams in which an urgent record is forwarded ahead of others
-MAX_FORWARDED = 16  # upper bound of the records in one datagram: the shortest record takes over 100 bytes
+MAX_FORWARDED = 16  # records in one datagram: more do not fit, as each takes over 100 of 1200 bytes
 
 
 class TargetRotation:
--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -135,7 +135,9 @@
         """
         if member.suspected_by:
             member.suspected_by = {
-                name: age for name, age in member.suspected_by.items() if age >= record.version
+                name: known_version
+                for name, known_version in member.suspected_by.items()
+                if known_version >= record.version
             }
             self._update_suspected(member)
 
--- a/larchlatch/cluster/membership/table.py
+++ b/larchlatch/cluster/membership/table.py
@@ -60,7 +60,7 @@
         del self.present[member.name]
 
     def without_news_since(self, listened_us: int) -> Iterator[str]:
-        """Yield the names of the present members without news after this listening time."""
+        """Yield the names of the present members whose last news is from before `listened_us`."""
         for name, member in self.present.items():
             if member.last_news_us >= listened_us:
                 break
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -41,8 +41,7 @@
     Attributes:
         least: sessions that were certainly admitted.
         most: sessions that can have been admitted at most.
-        age_us: age of the newest sample of the origin that has not reported for the longest time, plus the
-            clock difference.
+        age_us: time since the oldest of the nodes' last reports, plus the clock difference.
 
     """
 
@@ -150,10 +149,11 @@
         return OriginUsage(least, most, gaps)
 
     def _covered_by_first_sample(self, sample: Sample, quota_index: int, start_us: int) -> tuple[int, int]:
-        """Return the begin of the time that an incarnation's first sample covers, and its admissions.
+        """Return when the time that an incarnation's first sample covers begins, and its admissions.
 
-        The sample covers the incarnation from its start. If that start is before the last windows, the sample
-        is only the starting point of the count: it covers no time and counts no admissions.
+        The sample covers the incarnation from its start. If that start may lie before `start_us`, it is not
+        known how many of the admissions came later. Then the sample covers no time and counts no admissions;
+        it only serves as the starting point for the next sample.
         """
         if sample.incarnation < start_us + self.clock_difference_us:
             return sample.created_us, 0
--- a/larchlatch/cluster/quota/loan_terms.py
+++ b/larchlatch/cluster/quota/loan_terms.py
@@ -28,6 +28,6 @@
     @property
     def recovery_us(self) -> int:
         """Return the time after which a lender may spend a lent amount again, by its own clock."""
-        # Sessions that the borrower admits at the end of the term count for one more window. The worst case
-        # is the fastest clock at the lender and the slowest one at the borrower.
+        # Sessions that the borrower admits at the end of the term count for one more window. The lender waits
+        # longest by its own clock if that clock is the fastest and the borrower's clock is the slowest.
         return ceil((1 + self.skew) * (self.term_us / (1 - self.skew) + self.window_us))
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -26,13 +26,13 @@
 
 WARMING_RENEWALS_PER_TERM = 3  # renewals of a hand-over within its term while an upstream is warming up
 IDLE_RENEWALS_PER_TERM = 2  # renewals of a hand-over within its term while no upstream is warming up
-NOTICE_LAG_US = 300_000  # longest delay of a notice to the balancer; a promise to the issuer waits for it
+NOTICE_LAG_US = 300_000  # longest time until a notice to the balancer takes effect; promises wait for it
 REQUEST_BURST = 16  # token requests that a node may send at once
 CLUSTER_REQUESTS_PER_S = 1000  # token requests of all nodes; the issuer verifies the signature of each
 
 
 class PendingRequest(NamedTuple):
-    """A request to the issuer that has no answer yet; session -1: the request is for no token."""
+    """A request to the issuer that has no answer yet; `session` is -1 if it asks for no token."""
 
     issuer: str
     asked_at: int
--- a/larchlatch/policy/admission.py
+++ b/larchlatch/policy/admission.py
@@ -12,7 +12,7 @@
 
 # Part of a client's waiting time that is reserved so that its answer arrives before the client gives up.
 ANSWER_MARGIN_US = 150_000
-ANSWER_MARGIN_DIVISOR = 10  # the margin is at most a tenth of the waiting time
+ANSWER_MARGIN_DIVISOR = 10  # this margin is at most a tenth of the client's waiting time
 
 DRAIN_GRACE_S = 1.0  # time for the front-end load balancer to notice a drain and use other nodes
 
--- a/larchlatch/policy/backoff.py
+++ b/larchlatch/policy/backoff.py
@@ -8,7 +8,7 @@
 from collections import deque
 
 # Backoff of one upstream.
-RECENT_OUTCOMES = 3  # one failure alone does not eject it
+RECENT_OUTCOMES = 3  # of attempts at one upstream; with three, one failure among them does not eject it
 BACKOFF_US = 100_000  # about the time in which a full queue has room again
 LONGEST_BACKOFF_US = 6_000_000  # a recovered upstream gets an attempt within this time
 
@@ -17,7 +17,7 @@
 RESET_TRIAL_INTERVAL_US = 250_000  # time between two attempts at such an upstream, over all nodes
 
 # Backoff of a node, which counts its attempts at all upstreams.
-NODE_RECENT_OUTCOMES = 8
+NODE_RECENT_OUTCOMES = 8  # of attempts at all upstreams
 NODE_BACKOFF_US = 20_000
 LONGEST_NODE_BACKOFF_US = 1_000_000
 NODE_TRIAL_INTERVAL_US = 2_000_000  # time between two sessions at each upstream, over all nodes
--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -19,13 +19,13 @@
 
 # Detection of slow upstreams.
 SLOW_DURATION_US = 2_000_000  # validity of a reported delay, which is reported once a second while it lasts
-SLOW_LATENCY_RATIO = 0.34  # ratio of latency to the strictest message objective above which it is slow
+SLOW_LATENCY_RATIO = 0.34  # latency over strictest message objective, above which an upstream is slow
 IMBALANCE_RATIO = 1.5  # ratio to the utilization of others above which they can take sessions of this one
 MAX_LATENCY_RATIO = 4.0  # ratio of latency to objective above which no more sessions migrate per round
 
 # Migration off a slow upstream.
 ROUND_INTERVAL_US = 1_000_000  # long enough for the next report to show the effect of the last round
-ROUND_SHARE = 0.1  # share of own sessions at the upstream per round; multiplied by its latency ratio
+ROUND_SHARE = 0.1  # share of own sessions that a round moves off an upstream, per unit of latency ratio
 
 MISPLACED = -1  # rank of sessions that are at an upstream outside their candidates
 
@@ -69,8 +69,8 @@
         if self.settings.reports_delay:
             return
         if upstream.utilization > max(NEARLY_FULL, self._imbalance_threshold(now, upstream)):
-            # The latency ratio is set so that one round takes the excess and a little more off the upstream,
-            # which is then probed again.
+            # With this latency ratio, one round takes the excess and a little more off the upstream. The next
+            # probe shows whether that was enough.
             excess = (upstream.utilization - NEARLY_FULL) / ROUND_SHARE
             self._mark_slow(now, upstream, latency_ratio=1 + excess, duration_us=ROUND_INTERVAL_US)
 
--- a/larchlatch/policy/placement.py
+++ b/larchlatch/policy/placement.py
@@ -49,7 +49,7 @@
 
     def place(self, now: int, session: Session) -> Answer:
         """Return an upstream for a session, or that it is held, or its final answer."""
-        if self._is_out_of_attempts(now, session):
+        if self._gets_final_answer(now, session):
             return self.retries.final_answer(now, session)
         if self._waits_for_node_backoff(now, session):
             return self._hold(now, session, until=self.node_backoff.until)
@@ -66,7 +66,7 @@
             return self._defer(now, session, candidates.pair)
         return self._send(now, session, upstream)
 
-    def _is_out_of_attempts(self, now: int, session: Session) -> bool:
+    def _gets_final_answer(self, now: int, session: Session) -> bool:
         """Return whether a session gets its final answer now.
 
         It does if it has used all of its attempts, or would miss its deadline if it were held once more.
@@ -93,8 +93,8 @@
         if not self._needs_token(now, session, candidates.pair):
             return ()
         session.token_requested = True
-        # The request counts as the one attempt per delay of the node's backoff. If another session took that
-        # attempt, the token would be wasted.
+        # The node's backoff permits one attempt per delay, and the token request counts as that attempt. If
+        # another session could use the attempt instead, the token would be wasted.
         self.node_backoff.attempt_sent(now)
         near = candidates.pair + candidates.spread
         usable = self.selector.fallback_upstreams(now, near, candidates.rest_of_ring)
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -19,7 +19,7 @@
 RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off it, or if its last report is doubtful
 
 # A load report is doubtful if this node has sent the upstream many sessions since.
-DOUBTFUL_GROWTH = 4  # own sessions more than at the last probe; smaller differences are random
+DOUBTFUL_GROWTH = 4  # additional own sessions that make a report doubtful; fewer are random variation
 DOUBTFUL_CURRENT_US = 500_000  # how long a doubtful report counts as current
 
 # Polls of the endpoint list.
--- a/larchlatch/policy/ring.py
+++ b/larchlatch/policy/ring.py
@@ -18,7 +18,7 @@
     from larchlatch.policy.types import DeploymentSettings, Session
     from larchlatch.policy.upstream import Fleet, Upstream
 
-CANDIDATE_COUNT = 2  # the master and the second
+CANDIDATE_COUNT = 2  # a preferred upstream (the master) and an alternative (the second)
 
 # Ring points of an upstream.
 POINTS_PER_SIZE = 32  # with these, the shares of equal upstreams differ by about an eighth
--- a/larchlatch/policy/selection.py
+++ b/larchlatch/policy/selection.py
@@ -28,8 +28,8 @@
 MASTER_LOAD_TOLERANCE = 1.2  # ratio of the master's load to the second's above which the second is chosen
 
 # Utilizations, as load reports state them.
-LEAST_CROWDED_UTILIZATION = 0.5  # lowest threshold that a placement draws; CROWDED_UTILIZATION is the highest
-SPARE_CAPACITY_UTILIZATION = 0.6  # mean of healthy upstreams below which they have capacity for more sessions
+LEAST_CROWDED_UTILIZATION = 0.5  # lowest crowded threshold of a placement; the highest is CROWDED_UTILIZATION
+SPARE_CAPACITY_UTILIZATION = 0.6  # healthy upstreams with a mean report below this have capacity to spare
 
 
 class Preference(IntEnum):
@@ -157,7 +157,7 @@
         return CROWDED_UTILIZATION
 
     def _less_loaded(self, now: int, free: list[Upstream], fleet_load: FleetLoad) -> Upstream:
-        """Return the master, or the second if the master is clearly more loaded."""
+        """Return the first of the free candidates, or the second if the first is clearly more loaded."""
         if len(free) == 1:
             return free[0]
         master, second = free
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -177,8 +177,8 @@
         within the turn.
         """
         demand = self._expected_demand(session, candidate=candidate)
-        # The number of admitted sessions varies by about the square root of its mean. The mean is chosen so
-        # that the budget covers this variation.
+        # The number of admitted sessions varies by about the square root of its mean. So the mean is lower
+        # than the budget: the mean and its variation together stay within the budget.
         admitted = (budget**0.5 - 1) ** 2
         seed = ((session.key or session.number) + turn) % HASH_RANGE
         draw = xxh3_64_intdigest(upstream.name.encode(), seed)
--- a/larchlatch/policy/upstream.py
+++ b/larchlatch/policy/upstream.py
@@ -145,7 +145,7 @@
     """The upstreams to which a session may be sent, in order of preference.
 
     Attributes:
-        pair: The master and the second.
+        pair: The session's two candidates: the master, which is preferred, and the second.
         spread: Further upstreams over which a large group spreads.
         rest_of_ring: The rest of the ring walk.
     """
--- a/tests/broker/test_broker.py
+++ b/tests/broker/test_broker.py
@@ -273,8 +273,8 @@
     rejection = broker.admit_session(LATER + 30, "s-b")
     assert isinstance(rejection, Rejection) and rejection.dimension is Dimension.HELD_SESSIONS
     sessions = iter(held)
-    # The lender b requests again: it gets each session that ends, and the borrower a gets none while it holds
-    # more than its share.
+    # The lender b requests again: each session of the borrower a that ends makes room for one of b, and none
+    # for a new session of a, which still holds more than its share.
     for n in range(10):
         session = next(sessions)
         assert isinstance(session, AdmittedSession)
--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -1,4 +1,4 @@
-"""Shared quotas without I/O: safety on a bad network, and planted faults that the checker must detect."""
+"""Shared quotas without I/O: safety on a bad network, and injected faults that the checker must detect."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
         late: probability that a datagram is delayed by up to 4 s instead of 60 ms.
         faults: whether the network is partitioned, and nodes are restarted or paused.
         span_s: duration of the run, in seconds.
-        active_names: names of the nodes from which those that request sessions are drawn every 3 s.
+        active_names: nodes that may request sessions; every 3 s some of them are chosen at random to do so.
 
     """
     rng = random.Random(seed)
@@ -200,7 +200,7 @@
 
 
 def test_late_grant_does_not_exceed_the_quota() -> None:
-    """A borrower that counts the term from the answer would spend the loan after the lender does so again."""
+    """A borrower that counts the term from the answer would still spend the loan when the lender does."""
     assert run_with_late_grant().verdict().holds and run_with_late_grant().used_share() > 0.8
 
 
@@ -225,7 +225,7 @@
 
 
 original_borrow = QuotaAccount.borrow
-PLANTED_FAULTS: list[tuple[object, str, Any]] = [
+INJECTED_FAULTS: list[tuple[object, str, Any]] = [
     (QuotaAccount, "open", open_without_waiting),
     (QuotaAccount, "lend", lend_without_deducting),
     (QuotaAccount, "borrow", borrow_from_answer),
@@ -234,13 +234,13 @@
 ]
 
 
-@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
-def test_planted_fault_is_detected(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A checker that misses a planted fault would also miss it in the tests above.
+@pytest.mark.parametrize("fault", INJECTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_injected_fault_is_detected(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    """A checker that misses an injected fault would also miss it in the tests above.
 
-    Planted are a start that ignores earlier use and loans, a loan that is not deducted, a term counted from
-    the answer, a lender that spends a loan again when its term ends, and usage ranges that ignore the time
-    without reports.
+    The injected faults are a start that ignores earlier use and loans, a loan that is not deducted, a term
+    counted from the answer, a lender that spends a loan again when its term ends, and usage ranges that
+    ignore the time without reports.
     """
     monkeypatch.setattr(*fault)
     checkers = chain([run_with_late_grant()], (played(n, 0.2, 0.4, 0.3, True, 20) for n in range(12)))
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -152,7 +152,7 @@
 
 
 def test_small_full_upstream_is_relieved_if_a_large_one_has_capacity() -> None:
-    """With few upstreams, its own report raises the mean: compared with the mean alone it would stay full."""
+    """With few upstreams, the full one raises their mean: by the mean alone it would stay full."""
     for large_utilization, relieved in ((0.4, True), (0.9, False)):
         harness = BalancerHarness(upstreams=0, probes=True, probes_report_load=True, reports_delay=False)
         harness.update_endpoints(endpoint(0, size=1.5), endpoint(1, size=1.5), endpoint(2, size=6.0))
--- a/tests/policy/test_outcomes.py
+++ b/tests/policy/test_outcomes.py
@@ -8,7 +8,7 @@
 
 
 def test_unreachable_upstream_is_skipped_and_attempted_once_per_backoff() -> None:
-    """Otherwise it would take every session of its keys, or many at once when it may have recovered."""
+    """Sessions would all try the unreachable upstream first, or many at once when its backoff is over."""
     harness = BalancerHarness()
     unreachable_upstream = harness.arrive(key=5).upstream
     harness.finish_attempt(harness.sessions[0], Outcome.CONNECT_FAILED)
--- a/tests/policy/test_probing.py
+++ b/tests/policy/test_probing.py
@@ -36,7 +36,7 @@
 
 
 def test_endpoint_list_is_polled_until_a_poll_is_answered() -> None:
-    """Without a subscription, a node is not told of drains, although it counts as notified."""
+    """A node that gave up after failed polls would never be subscribed, and never learn of drains."""
     harness = BalancerHarness(polls_discovery=True)
     harness.balancer.discovery_failed(harness.now)
     polled_at = [harness.now]
