--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -1,4 +1,4 @@
-"""A simulated member of the cluster, with the real decisions and datagrams on the simulated clock."""
+"""Simulates a member of the cluster: production decisions and datagrams, driven by the simulated clock."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     from larchlatch.invariants.observations import Observation
     from larchlatch.scenario.drifting_clock import DriftingClock
 
-MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; similar to a socket's receive buffer
+MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; corresponds to a socket's receive buffer
 
 
 class SimulatedMember:
@@ -51,9 +51,9 @@
 
     Attributes:
         number: The node's number.
-        exchange: The member's decisions and datagrams.
-        is_alive: Whether the process has not ended.
-        is_paused: Whether the process is stopped.
+        exchange: Makes the member's decisions, and encodes and decodes its datagrams.
+        is_alive: Whether the process has not ended; it may be paused.
+        is_paused: Whether the process is paused.
 
     """
 
@@ -86,7 +86,7 @@
             settings.sites,
             heartbeat_us=self._heartbeat_us,
             wall_us=self._now,
-            now_us=self.shown_time,
+            now_us=self.node_time,
             rng=rng,
         )
         state = SharedState.create(
@@ -95,10 +95,10 @@
             settings.electorate,
             max_clock_difference_us=MAX_CLOCK_DIFFERENCE_US,
             heartbeat_us=self._heartbeat_us,
-            now=self.shown_time,
+            now=self.node_time,
             random=rng,
         )
-        state.open(self.shown_time)
+        state.open(self.node_time)
         signer = UnsignedSigner(name)
         exchange = ByzantineExchange(
             membership, state, settings.sites, settings.keys, signer, signer, self._cluster.count
@@ -111,8 +111,8 @@
         return self._context.clock.now
 
     @property
-    def shown_time(self) -> int:
-        """The time on the node's own clock, in microseconds."""
+    def node_time(self) -> int:
+        """The time that the node's own, possibly drifting clock shows, in microseconds."""
         return self._clock.at(self._now)
 
     @property
@@ -123,50 +123,48 @@
     def _observe(self, observation: Observation) -> None:
         self._cluster.checkers.observe(observation)
 
-    # Calls of its node.
+    # Calls that its node makes.
 
     def admit(self, session: int, traffic_class: int) -> int:
-        """Return 0 if the quotas admit a session, else the microseconds after which to retry."""
+        """Return 0 if the quotas admit a session, else the pause before a retry, in microseconds."""
         self._observe(SessionRequested(self._now, str(session)))
         quotas = self.exchange.state.quotas
-        retry_after_us = quotas.admit(self.shown_time, traffic_class_name(traffic_class))
+        retry_after_us = quotas.admit(self.node_time, traffic_class_name(traffic_class))
         if not retry_after_us:
             self._observe(SessionAdmitted(self._now, str(session)))
         return retry_after_us
 
     def update_endpoints(self, upstreams: Sequence[int], started_at: int) -> None:
-        """Update the ready upstreams and the start time of the latest of them."""
+        """Set the ready upstreams and the start time of the one that started last; 0 for long ago."""
         self.exchange.state.health.set_upstreams(upstreams)
         slow_start = self._context.scenario.slow_start
         remaining_us = started_at + us(slow_start.duration_s) - self._now if started_at else 0
         self.exchange.state.tokens.update_upstreams(
-            self.shown_time,
+            self.node_time,
             upstreams,
             slow_start_us=max(0, remaining_us),
             window_us=us(slow_start.overload_window_s),
         )
 
     def request_token(self, session: int, candidates: Sequence[TokenCandidate]) -> None:
-        """Request a slow-start token."""
+        """Request a slow-start token for a session at one of its candidates."""
         by_upstream = [(candidate.upstream, candidate) for candidate in candidates]
-        result = self.exchange.request_token(session, by_upstream, now=self.shown_time, wall=self._now)
+        result = self.exchange.request_token(session, by_upstream, now=self.node_time, wall=self._now)
         self._send(result.datagrams)
         self._report_election(result.orders)
         self._pass_on_tokens(result.token_updates)
 
     def observe_reachability(self, upstream: int, *, reached: bool | None) -> None:
-        """Record whether an upstream was reached; None if it fell silent."""
+        """Record whether an upstream was reached; None if it stopped answering messages."""
         health = self.exchange.state.health
         if upstream in health.upstreams:
-            health.observe(self.shown_time, upstream, reached=reached)
+            health.observe(self.node_time, upstream, reached=reached)
 
     def report_quota_usage(self) -> None:
-        """Report this member's estimate of the quota's usage to the checkers."""
+        """Report to the checkers how much of the quota this member estimates to be used."""
         usage = self.exchange.state.quota_usage
-        [known] = usage.ranges(self._now)
-        self._observe(
-            QuotaUsageReported(self._now, least=known.least, most=known.most, span_us=usage.span_us)
-        )
+        [used] = usage.ranges(self._now)
+        self._observe(QuotaUsageReported(self._now, least=used.least, most=used.most, span_us=usage.span_us))
 
     def reload(self, settings: ClusterSettings) -> None:
         """Apply a new cluster file."""
@@ -176,7 +174,7 @@
             settings.quota_settings,
             settings.electorate,
             heartbeat_us=self._heartbeat_us,
-            now=self.shown_time,
+            now=self.node_time,
         )
 
     # Heartbeats and datagrams.
@@ -186,13 +184,14 @@
         self._context.clock.schedule(at, Priority.TIMER, self._on_timer, at)
 
     def _on_timer(self, at: int) -> None:
-        # A pause that ends before the next heartbeat must not leave the member with two timers.
+        # If a pause ends in the microsecond of a heartbeat, `resume` has already sent it and set the next
+        # timer; sending it here again would leave the member with two timers.
         if self.is_running and at == self._heartbeat_at:
             self._heartbeat()
 
     def _heartbeat(self) -> None:
         with self._measured():
-            result = self.exchange.heartbeat(now=self.shown_time, wall=self._now)
+            result = self.exchange.heartbeat(now=self.node_time, wall=self._now)
         self._report_members(result.changes)
         self._report_election([])
         self._pass_on_tokens(result.token_updates)
@@ -205,22 +204,22 @@
         self._set_timer()
 
     def receive(self, data: bytes) -> None:
-        """Process a datagram, or keep it while the process is paused."""
+        """Process a datagram; while the process is paused, keep it for later."""
         if self.is_paused:
             self._unread.append(data)
         elif self.is_alive:
             with self._measured():
-                result = self.exchange.receive(data, now=self.shown_time, wall=self._now)
-            self._take_result(result)
+                result = self.exchange.receive(data, now=self.node_time, wall=self._now)
+            self._handle_result(result)
 
-    def _take_result(self, result: ExchangeResult) -> None:
+    def _handle_result(self, result: ExchangeResult) -> None:
         self._report_members(result.changes)
         self._report_election(result.orders)
         self._send(result.datagrams)
         self._pass_on_tokens(result.token_updates)
 
     def resume(self) -> None:
-        """Continue a paused process."""
+        """Resume a paused process: send an overdue heartbeat, then process the datagrams that were kept."""
         self.is_paused = False
         self._cluster.observe_fleet()
         # An overdue timer fires before unread datagrams are processed.
@@ -233,7 +232,7 @@
 
     @contextmanager
     def _measured(self) -> Iterator[None]:
-        """Measure the processor time of decisions and of encoding and decoding datagrams."""
+        """Add the real time that the body takes to the cluster's `decision_time_s`."""
         began = time.perf_counter()
         yield
         self._cluster.decision_time_s += time.perf_counter() - began
@@ -241,12 +240,12 @@
     # Results of the exchange.
 
     def _pass_on_tokens(self, notices: Sequence[TokenNotice]) -> None:
-        ahead_us = self._now - self.shown_time  # the balancer uses the true time here
+        clock_offset_us = self._now - self.node_time  # the balancer uses the simulated clock, not the node's
         node = self._context.nodes[self.number]
         for notice in notices:
             upstream = notice.upstream if notice.session >= 0 else -1
-            token = Token(upstream, notice.session, notice.token_ends_at + ahead_us)
-            node.receive_token(notice.handed_over_until + ahead_us, token)
+            token = Token(upstream, notice.session, notice.token_ends_at + clock_offset_us)
+            node.receive_token(notice.handed_over_until + clock_offset_us, token)
 
     def _report_election(self, orders: Sequence[ExecutedOrder]) -> None:
         events = self.exchange.state.election.take_events()
@@ -267,4 +266,4 @@
 
     def _send(self, datagrams: Sequence[OutgoingDatagram]) -> None:
         for name, data in datagrams:
-            self._cluster.carry(self.number, self._cluster.number_of(name), data)
+            self._cluster.send_datagram(self.number, self._cluster.number_of(name), data)
--- a/tests/emulator/test_sweep.py
+++ b/tests/emulator/test_sweep.py
@@ -1,4 +1,4 @@
-"""Sweeps: the same results however many cores, their intervals, what is printed and drawn."""
+"""Tests of sweeps: their results on one core and on several, their summaries, output and plots."""
 
 from __future__ import annotations
 
@@ -14,6 +14,7 @@
 
 
 def test_a_sweep_gives_the_same_results_on_one_core_and_on_many(tmp_path: Path) -> None:
+    """State that a run leaves in its process would change the results of later runs in that process."""
     path = tmp_path / "scenario.toml"
     path.write_text("span_s = 3.0\n[links]\nrate = 20.0\n")
     runs = plan_runs(path, [Variation("nodes.count", [1, 2])], seeds=2, policies=["larchlatch", "random"])
@@ -24,17 +25,21 @@
         (count, policy, seed) for count in (1, 2) for policy in ("larchlatch", "random") for seed in (1, 2)
     }
     assert set(summarize(rows, ["nodes.count"], "served")) == {(1,), (2,)}
-    with pytest.raises(InvalidInputError, match="no figure of that name"):
+    with pytest.raises(InvalidInputError, match="no figure named happiness"):
         summarize(rows, [], "happiness")
 
 
-def test_an_interval_is_that_of_students_distribution() -> None:
-    at = interval([1.0, 2.0, 3.0])
-    assert at.median == 2.0 and abs(at.high - 2 - 4.30 / 3**0.5) < 1e-9 and abs(at.low + at.high - 4) < 1e-9
+def test_an_interval_follows_students_t_distribution() -> None:
+    summary = interval([1.0, 2.0, 3.0])
+    assert (
+        summary.median == 2.0
+        and abs(summary.high - 2 - 4.30 / 3**0.5) < 1e-9
+        and abs(summary.low + summary.high - 4) < 1e-9
+    )
     assert interval([5.0]) == (5.0, 5.0, 5.0)
 
 
-def test_a_sweep_is_printed_and_drawn(tmp_path: Path) -> None:
+def test_a_sweep_prints_results_that_can_be_plotted(tmp_path: Path) -> None:
     path = tmp_path / "scenario.toml"
     path.write_text("span_s = 2.0\n")
     command = ["sweep", str(path), "--vary", "nodes.count=1,2", "--seeds", "2", "--jobs", "1"]
