--- a/larchlatch/node/admin_api.py
+++ b/larchlatch/node/admin_api.py
@@ -170,7 +170,7 @@
         if route is None:
             return Reply(404, {"error": "no such call", "calls": sorted(self._routes)})
         if request.method.decode() != route.method:
-            return Reply(405, {"error": f"this call requires {route.method}"}, (("Allow", route.method),))
+            return Reply(405, {"error": f"this call is a {route.method}"}, (("Allow", route.method),))
         length = dict(request.headers).get(b"content-length", b"0")
         if int(length) > MAX_BODY_BYTES:  # h11 has checked that the header is a number
             return Reply(413, {"error": "the body is too large"})
--- a/larchlatch/node/attempts.py
+++ b/larchlatch/node/attempts.py
@@ -209,13 +209,13 @@
             return AttemptCounter.NOT_BEGUN_UPSTREAM_DRAINING
         if now >= give_up_at:
             return AttemptCounter.NOT_BEGUN_TOO_LATE
-        # When the line arrives, the upstream might no longer recognise it as a repeat, and run it again.
+        # When the line arrives, the upstream might no longer recognise it as a repeat, and run it twice.
         if now + MAX_TRANSIT_US >= record.session.repeat_until:
             return AttemptCounter.NOT_BEGUN_DEDUP_WINDOW_OVER
         return None
 
     async def _send_request(self, sock: socket.socket, record: SessionRecord, give_up_at: int) -> bool:
-        """Write the request line; return whether all of it was written. If not, it can't have run."""
+        """Write the request line; return whether all of it was written. If not, no upstream has run it."""
         written = False
         try:
             written = await send_all(sock, wire.attempt_line(record.opening, give_up_at - now_us()))
--- a/larchlatch/node/balancer_actor.py
+++ b/larchlatch/node/balancer_actor.py
@@ -61,8 +61,8 @@
         mailbox: the queue of messages from other tasks.
         upstreams: the upstreams that this node knows, with their actors.
         records: the sessions in flight or established at this node, by number.
-        mean_setup_us: how long it takes to establish a session, in microseconds; 0 if unknown. A request
-            that has waited unread for longer is shed if no more than this is left until its deadline.
+        mean_setup_us: mean time to establish a session, in microseconds; 0 if unknown. A request that has
+            waited unread for more than this time is shed if its deadline is at most this time away.
 
     """
 
--- a/larchlatch/node/client_listener.py
+++ b/larchlatch/node/client_listener.py
@@ -87,7 +87,7 @@
         await self.idle.wait()
         while (sock := self._listener.accept_nowait()) is not None:
             # A descriptor is taken even if none is free, as this client must be answered now. The task
-            # releases it.
+            # that serves the client releases it.
             self._descriptors.reduce_capacity(1)
             self._tasks.start_soon(self._connections.serve, sock)
         self._listener.sock.close()
--- a/larchlatch/node/clients/connections.py
+++ b/larchlatch/node/clients/connections.py
@@ -155,7 +155,7 @@
         # The client's deadline counts from the arrival of its line, which may have waited to be read.
         received_us = now_us() - client.us_since_received()
         if line is None and self._lifecycle.rejects_all:
-            # The client's request may be in transit: this line answers it, while a mere end would not.
+            # The client's request may be in transit. BUSY answers it; closing without a line would not.
             self.counters.add(ConnectionCounter.IDLE_ENDED)
             await client.send(lines.shed_line(RETRY_AFTER_US))
             await client.finish(Ending.END, SHUTDOWN_LINGER_S)
--- a/larchlatch/node/clients/session_handler.py
+++ b/larchlatch/node/clients/session_handler.py
@@ -135,7 +135,7 @@
             return
         record = self._requests.make_record(opening, now_us())
         record.session.load = packet.load
-        # Neither process read from the upstream during the hand-over. That must not count as its silence.
+        # Neither process read from the upstream during the hand-over. The upstream must not count as silent.
         record.awaiting_answer_since = now_us() if packet.unanswered_since_us else 0
         delivered = Delivered(upstream, b"", number)
         record.set_final_answer(delivered)
@@ -180,7 +180,7 @@
             tasks.cancel_scope.cancel()
 
     def _start(self, record: SessionRecord) -> bool:
-        """Answer a session or pass it on; return False if the balancer actor's mailbox is full."""
+        """Shed, rejoin or place a session; return False if the balancer actor's mailbox is full."""
         upstream = record.opening.established_upstream
         if upstream is not None:
             self._rejoin(record, upstream)
@@ -204,7 +204,7 @@
             record.set_final_answer(Failed())
 
     async def _watch_client(self, client: LineConnection, record: SessionRecord) -> None:
-        """Watch a client until its answer: it may leave, and only a continued session may send more."""
+        """Watch a client until its answer; it may leave, or send more lines if it continues a session."""
         early: list[bytes] = []
         try:
             while sum(map(len, early)) < MAX_EARLY_BYTES:
--- a/larchlatch/node/descriptor_budget.py
+++ b/larchlatch/node/descriptor_budget.py
@@ -64,7 +64,7 @@
         return self.free < self.capacity // IDLE_DIVISOR
 
     def reserve(self, now: float) -> bool:
-        """Reserve a descriptor, if necessary by evicting an idle connection; return False if none is left."""
+        """Reserve a descriptor, if necessary by evicting an idle connection; return False if that fails."""
         if self.free <= 0 and not self.evict_idle(now):
             return False
         self.free -= 1
@@ -112,7 +112,7 @@
         if not candidates:
             return False
 
-        # A slow client that works keeps sending, so each fragment of its line halves its weighted silence.
+        # A slow client that still works keeps sending, so each fragment received halves its weighted silence.
         def weighted_silence(connection: IdleConnection) -> float:
             silence_s = now - connection.last_received_at
             return silence_s / (1 << connection.fragments)
--- a/larchlatch/node/discovery.py
+++ b/larchlatch/node/discovery.py
@@ -24,7 +24,8 @@
 
 # Both kinds of discovery. This node is expected to know a change 6 s after discovery had it and could be
 # reached. In the worst case the change comes right after the start of a call that fails: the next call starts
-# at most MAX_CYCLE_S after that one, and needs connect_s. The rest of the 6 s allows for delays in this node.
+# at most MAX_CYCLE_S after the failed one, and connects within connect_s. The rest of the 6 s allows for
+# delays in this node.
 WATCH_SILENCE_S = 2.6  # a watch sends a keep-alive every 2 s, and counts as broken if silent for this long
 MAX_CYCLE_S = 4.0  # from the last progress, or from the start of a call without progress, to the next call
 
@@ -80,7 +81,7 @@
     """Follows the endpoint list and posts each update to the balancer actor.
 
     If discovery pushes changes, `run` calls it at once, otherwise when `start` has been called. From then on
-    the client keeps a watch open, and replaces it when it ends, for as long as the node runs.
+    a watch is kept open, and replaced when it ends, for as long as the node runs.
 
     Args:
         address: host and port of discovery.
@@ -96,8 +97,8 @@
         refused: whether discovery answered the last call with a refusal or with an invalid list.
         last_progress_at: when the last complete object or keep-alive was received, or the last call began; in
             seconds of `anyio.current_time`.
-        max_pause_s: the longest pause, in seconds, after the next call that fails at a shared service or that
-            an agent refuses.
+        max_pause_s: upper bound, in seconds, of the random pause after the next failed call to a shared
+            service, or after the next call that an agent refuses.
 
     """
 
@@ -160,9 +161,9 @@
                 await anyio.sleep(self.pause_s(anyio.current_time()))
 
     def pause_s(self, now: float) -> float:
-        """Draw the pause before the next call, in seconds, and double the upper bound of the pause after it.
+        """Draw a random pause before the next call, in seconds, and double its upper bound for the next time.
 
-        The pause after an agent that has not refused the call has a constant bound.
+        The upper bound is constant while discovery is an agent that has not refused the last call.
 
         Args:
             now: the present time in seconds of `anyio.current_time`.
--- a/larchlatch/node/mailbox.py
+++ b/larchlatch/node/mailbox.py
@@ -22,7 +22,7 @@
 
 
 class Mailbox:
-    """A bounded queue of messages with one receiver. As `ClusterEvents` it also receives from the cluster."""
+    """A bounded queue of messages with one receiver; the cluster puts messages in through `ClusterEvents`."""
 
     def __init__(self, counters: Counters) -> None:
         self._counters = counters
@@ -47,11 +47,11 @@
         await self._sender.send(message)
 
     def advise_ejection(self, advice: messages.EjectionAdvised) -> None:
-        """Send ejection advice if there is room; otherwise drop it, as the cluster repeats it."""
+        """Put ejection advice into the mailbox; drop it if there is no room, as the cluster repeats it."""
         self._offer_counted(advice)
 
     def receive_tokens(self, tokens: messages.SlowStartTokens) -> bool:
-        """Send the token issuer's decision if there is room now; return whether there was."""
+        """Put the token issuer's decision into the mailbox if there is room; return whether there was."""
         return self._offer_counted(tokens)
 
     def _offer_counted(self, message: messages.Message) -> bool:
--- a/larchlatch/node/probes.py
+++ b/larchlatch/node/probes.py
@@ -90,7 +90,7 @@
         if isinstance(connection, Unconnected):
             return None
         self._connection = connection
-        # Taken from the budget, as connections to many upstreams would exceed the headroom outside of it.
+        # The descriptor comes from the budget: probe connections to many upstreams would exceed HEADROOM.
         self._descriptors.reduce_capacity(1)
         return connection
 
--- a/larchlatch/node/session_watch.py
+++ b/larchlatch/node/session_watch.py
@@ -21,10 +21,10 @@
 REPORT_INTERVAL_US = 1_000_000  # between two reports on the same upstream
 
 # Limits: how long a state may last before the node acts as described.
-UNRESPONSIVE_US = 500_000  # an upstream that answers on no session is reported; many round trips
+UNRESPONSIVE_US = 500_000  # many round trips; an upstream that answers on no session for so long is reported
 SILENCE_LIMIT_US = 1_500_000  # a session without an answer migrates; healthy upstreams answer at once
 CLIENT_STALL_LIMIT_US = 10_000_000  # a client that does not read is disconnected
-NODE_LAG_US = 500_000  # between two checks: more means that this node was suspended or had no CPU time
+NODE_LAG_US = 500_000  # a longer time between two checks: this node was suspended or had no CPU time
 
 # Delays.
 DELAYS_KEPT = 256  # the last answers of one upstream, enough for a median over the report interval
@@ -68,7 +68,7 @@
         self._delays: deque[AnswerDelay] = deque(maxlen=DELAYS_KEPT)
         self._reported_at = 0
         self._reported_slow = False
-        self._line_received_at = 0  # on any of the sessions
+        self._line_received_at = 0  # when the upstream last sent a line on any session
         self._checked_at = now_us()
         self._resumed_at = 0  # when this node last resumed after a suspension
         self._silent_at_last_check: set[int] = set()  # sessions over the silence limit then
@@ -115,7 +115,7 @@
             self._counters.add(SessionWatchCounter.NOT_JUDGED_NODE_LAG)
 
     def _waiting_since(self, record: SessionRecord) -> int:
-        """Return since when a session waits for its upstream, not counting time before this node resumed."""
+        """Return since when a session waits for its upstream, or when this node resumed if that is later."""
         return max(record.awaiting_answer_since, self._resumed_at)
 
     def _disconnect_stalled_clients(self, now: int) -> None:
@@ -162,7 +162,7 @@
         await self._post(UpstreamUnresponsive(self._target.number))
 
     async def _report_delay(self, now: int) -> None:
-        """Report the median message delay: at each interval while it is too long, then once more."""
+        """Report the median message delay: at each interval while it is too long, and once afterwards."""
         if not self.sessions:
             return
         threshold_us = self._settings.strictest_message_objective_us // REPORT_THRESHOLD_DIVISOR
--- a/larchlatch/node/wire/raw_socket.py
+++ b/larchlatch/node/wire/raw_socket.py
@@ -16,7 +16,8 @@
 MICROSECONDS_PER_MS = 1000
 HANGUP_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
-# Limits for waiting, after this side has ended a connection, until the other side ends it: seconds and reads.
+# After this side has ended a connection: the longest wait for the other side's end, in seconds, and the most
+# reads of data that still arrives.
 LINGER_S = 0.5
 LINGER_CHUNKS = 32
 
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -215,7 +215,7 @@
     run_on_loopback(body)
 
 
-def test_a_client_that_reads_nothing_is_cut_off_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_reads_nothing_is_disconnected_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     """A client that reads nothing gets no MOVE line, and could keep its session beyond the end of a drain."""
     monkeypatch.setattr(lifecycle_state, "DRAIN_S", 1.5)
 
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -168,7 +168,10 @@
 def test_an_established_connection_is_used_although_the_event_loop_lagged(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The upstream has accepted in time, but the event loop runs again only after the timeout: no failure."""
+    """Guards against an attempt that fails although the upstream has accepted its connection in time.
+
+    The event loop lags, and runs again only after the timeout.
+    """
 
     async def never_writable(sock: socket.socket) -> None:
         await anyio.sleep_forever()
@@ -185,7 +188,7 @@
 
 
 def test_an_unknown_name_and_a_refusal_give_no_connection() -> None:
-    """Guards against an exception of the system that leaves `dial` in place of CONNECT_FAILED."""
+    """Guards against an OSError that `dial` raises where it should return CONNECT_FAILED."""
 
     async def body(tasks: TaskGroup) -> None:
         assert await dialing.dial(("127.0.0.1", 1), 1.0) is Unconnected.CONNECT_FAILED
@@ -236,7 +239,10 @@
 
 @pytest.mark.parametrize("remaining", [b"1\r\n", None])
 def test_an_answer_completed_after_the_deadline_does_not_count(remaining: bytes | None) -> None:
-    """The first part of the line arrives in time, the rest too late or never: the client gets neither."""
+    """Guards against a client that gets an answer, or a part of it, after its attempt has timed out.
+
+    The first part of the upstream's line arrives in time, the rest too late or never.
+    """
 
     async def body(tasks: TaskGroup) -> None:
         timed_out = anyio.Event()
@@ -261,7 +267,7 @@
 def test_an_answer_during_cancellation_is_delivered_or_its_connection_is_closed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The attempt is cancelled just after it has read its answer: one outcome, and no descriptor leaks."""
+    """Guards against two outcomes or a leaked descriptor if an attempt is cancelled just after its answer."""
 
     async def body(tasks: TaskGroup) -> None:
         async def answer(upstream: ScriptedUpstream, session: SocketStream) -> None:
--- a/tests/node/test_client_races.py
+++ b/tests/node/test_client_races.py
@@ -93,7 +93,7 @@
 def test_a_client_whose_end_follows_other_bytes_counts_as_gone(
     client_connections: list[ClientConnections],
 ) -> None:
-    """A node that sees the end only after the data before it makes an attempt for a client that has left.
+    """Guards against an attempt for a client that has left, when unread data precedes the client's end.
 
     The client continues a session, sends more lines, and leaves while its session is held.
     """
--- a/tests/node/test_discovery.py
+++ b/tests/node/test_discovery.py
@@ -38,7 +38,7 @@
 from tests.support.stand_ins import UpstreamStubs
 
 KNOWN_WITHIN_S = 6.0  # a node has to know a change this long after discovery, if reachable, has it
-NODE_DELAY_S = 1.0  # the delay that is allowed to a busy node
+NODE_DELAY_S = 1.0  # the part of KNOWN_WITHIN_S for delays in a busy node
 SHORTEST_DRAIN_GRACE_S = 0.25 + 0.05  # as documented, with the protocol's tolerance
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 CHANGE = {"revision": 7, "complete": False, "members": [endpoint_row(0, "127.0.0.1:9", "terminating")]}
@@ -102,7 +102,7 @@
     return behaviour
 
 
-def trickles(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
+def sends_repeatedly(start: bytes, piece: bytes) -> Callable[[SocketStream], Awaitable[None]]:
     """Return a behaviour that sends the start, then the piece repeatedly until the caller closes."""
 
     async def send_pieces(stream: SocketStream) -> None:
@@ -127,8 +127,8 @@
     await LineConnection(stream).close(reset=True)
 
 
-def streams_updates(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
-    return trickles(HEAD + http_chunk(orjson.dumps(update) + b"\n"), http_chunk(b"\n"))
+def streams_update(update: dict[str, Any]) -> Callable[[SocketStream], Awaitable[None]]:
+    return sends_repeatedly(HEAD + http_chunk(orjson.dumps(update) + b"\n"), http_chunk(b"\n"))
 
 
 REFUSAL = sends_and_ends(b"HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}")
@@ -139,10 +139,10 @@
     "silent within an indented list": sends_and_stalls(
         HEAD, http_chunk(b'{\n "revision": 6,\n "members": [\n')
     ),
-    "trickles bytes without a line": trickles(
+    "trickles bytes without a line": sends_repeatedly(
         HEAD + http_chunk(b'{"revision":6,"complete":"'), http_chunk(b"x")
     ),
-    "trickles a head without an end": trickles(b"HTTP/1.1 200 OK\r\nX: ", b"x"),
+    "trickles a head without an end": sends_repeatedly(b"HTTP/1.1 200 OK\r\nX: ", b"x"),
     "reset": resets,
     "refused": REFUSAL,
     "ends": sends_and_ends(HEAD, b"0\r\n\r\n"),
@@ -246,7 +246,7 @@
     monkeypatch.setattr(discovery, "MAX_CYCLE_S", 0.5)
 
     async def body(tasks: TaskGroup) -> None:
-        service = await ScriptedDiscovery(FAULTS[fault], FAULTS[fault], streams_updates(CHANGE)).start(tasks)
+        service = await ScriptedDiscovery(FAULTS[fault], FAULTS[fault], streams_update(CHANGE)).start(tasks)
         mailbox = Mailbox()
         async with anyio.create_task_group() as running:
             running.start_soon(client_of(service.port, mailbox, lambda low, high: high).run)
@@ -271,9 +271,9 @@
         monkeypatch.setattr(discovery, name, 1000.0)
 
     async def body(tasks: TaskGroup) -> None:
-        behaviour = streams_updates({**CHANGE, "revision": 99}) if before == "told" else FAULTS[before]
+        behaviour = streams_update({**CHANGE, "revision": 99}) if before == "told" else FAULTS[before]
         old = await ScriptedDiscovery(behaviour).start(tasks)
-        new = await ScriptedDiscovery(streams_updates(FULL_LIST)).start(tasks)
+        new = await ScriptedDiscovery(streams_update(FULL_LIST)).start(tasks)
         mailbox = Mailbox()
         client = client_of(old.port, mailbox, lambda low, high: high)
         tasks.start_soon(client.run)
@@ -312,7 +312,7 @@
         line = http_chunk(orjson.dumps({**FULL_LIST, "revision": 50}) + b"\n")
         first = await ScriptedDiscovery(sends_and_ends(HEAD, line, b"0\r\n\r\n")).start(tasks)
         answer = HEAD + http_chunk(orjson.dumps(FULL_LIST) + b"\n") + b"0\r\n\r\n"
-        second = await ScriptedDiscovery(sends_and_ends(answer), streams_updates(CHANGE)).start(tasks)
+        second = await ScriptedDiscovery(sends_and_ends(answer), streams_update(CHANGE)).start(tasks)
         mailbox = Mailbox()
         mailbox.has_space = anyio.Event()  # the mailbox is full, so `post` waits with the first list
         client = client_of(1, mailbox, lambda low, high: low)
@@ -343,7 +343,7 @@
             endpoint_row(2, upstreams.addresses[2], "terminating"),
         ]
         service = await ScriptedDiscovery(
-            streams_updates({"revision": 9, "complete": True, "members": rows})
+            streams_update({"revision": 9, "complete": True, "members": rows})
         ).start(tasks)
         port = await start_node(tasks, node_configuration(upstreams.addresses, service.port))
         for number in range(20):
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -84,7 +84,7 @@
 
 
 def test_an_upstream_replaced_at_its_address_gets_sessions_and_keeps_established_ones() -> None:
-    """A node that knew upstreams by address alone would end sessions here, or place none on the new one."""
+    """If upstreams were known by address alone, established sessions would end, or the new one get none."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -66,7 +66,7 @@
 
 
 def test_a_late_answer_never_reaches_the_client() -> None:
-    """The upstream answers after the attempt has timed out and the session is shed: one answer, not two."""
+    """Guards against a second answer, when the upstream answers after the session has been shed."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("late UP r1").start(tasks)
@@ -79,7 +79,7 @@
 
 
 def test_a_request_that_waited_unread_is_answered_in_its_clients_time() -> None:
-    """A busy event loop reads the request late: the client's wait counts from the arrival of its line."""
+    """Guards against a wait that counts from when a busy event loop reads the request, not its arrival."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("silent").start(tasks)
@@ -98,7 +98,7 @@
 
 
 def test_lines_and_ends_are_passed_on_in_both_directions() -> None:
-    """Guards against changed lines, connection ends that are not passed on, and a wrong remaining wait."""
+    """Guards against changed lines, lost connection ends, and an attempt line with a wrong wait."""
 
     async def body(tasks: TaskGroup) -> None:
         upstreams = await UpstreamStubs("UP echo").start(tasks)
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -65,7 +65,7 @@
 def test_the_id_of_an_open_session_is_rejected() -> None:
     """Upstreams answer the second use of an id with an error, which counts as their failure.
 
-    A few clients that reuse ids would have all known upstreams ejected.
+    So a few clients that reuse ids could cause the ejection of all known upstreams.
     """
 
     async def body(tasks: TaskGroup) -> None:
