--- a/larchlatch/loadtest/node_settings.py
+++ b/larchlatch/loadtest/node_settings.py
@@ -1,4 +1,4 @@
-"""The configuration of a node for a scenario, in the form of a node's configuration file."""
+"""Builds the configuration file of a node from a scenario."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 MAX_ATTEMPTS = 6
 MAX_SOCKETS = 8192
 POLL_WITHIN_US = 10 * SECOND
-EFFECTS = {
+IDEMPOTENCY_NAMES = {
     Idempotency.IDEMPOTENT: "idempotent",
     Idempotency.KEYED: "deduplicated",
     Idempotency.NON_IDEMPOTENT: "at_most_once",
@@ -23,7 +23,7 @@
 def node_configuration(
     scenario: Scenario, number: int, *, listen: str, discovery: str, seed: str, endpoints: dict[str, Any]
 ) -> dict[str, Any]:
-    """Return a node's configuration file.
+    """Return the contents of a node's configuration file.
 
     Args:
         scenario: The scenario.
@@ -31,7 +31,7 @@
         listen: Address and port on which it accepts clients.
         discovery: Address and port of discovery.
         seed: Seed of its random numbers, in hexadecimal.
-        endpoints: The endpoint list that it knows at its start.
+        endpoints: The endpoint list with which the node starts.
 
     """
     return {
@@ -97,7 +97,7 @@
             "name": f"t{index}",
             "expected_time_us": us(sessions.expected_ms / 1e3),
             "cut_off_us": us(sessions.wait_ms / 1e3),
-            "effect": EFFECTS[Idempotency(effect)],
+            "effect": IDEMPOTENCY_NAMES[Idempotency(effect)],
             "repeat_window_us": us(sessions.dedup_window_s),
         }
         for index, effect in enumerate(sessions.idempotencies)
