--- a/larchlatch/cluster/membership/suspicion.py
+++ b/larchlatch/cluster/membership/suspicion.py
@@ -57,7 +57,7 @@
         self._suspected = {name for name in self._suspected if name in members}
         self.names = sorted({*sites, self._own_name})
         self.index_by_name = {name: index for index, name in enumerate(self.names)}
-        # In a small cluster gossiped records are recent enough to reveal a failed member.
+        # A small cluster needs no watchers: gossiped records are recent enough to reveal a failed member.
         has_watchers = self._clock.needs_watchers and self._own_name in sites
         watchers = assign_watchers(self.names, sites) if has_watchers else {}
         self.own_watchers = watchers.get(self._own_name, [])
@@ -89,7 +89,7 @@
             member = self._table.members.get(self.names[index])
             if member is None or record.name not in member.watchers:
                 continue
-            # Otherwise the member has sent further records since, and the report is outdated.
+            # A report that does not cover the member's record is outdated: the member has sent records since.
             if member.record is None or self._covers(known_version, member.record, record.created_us):
                 member.suspected_by[record.name] = known_version
                 self._update_suspected(member)
--- a/larchlatch/cluster/quota/borrower.py
+++ b/larchlatch/cluster/quota/borrower.py
@@ -36,7 +36,7 @@
         quota: name of the quota.
         amount: sessions per window.
         asked_at: time of the request, by this node's own clock.
-        renews: number of the request by which the renewed loan was first made; 0: the loan is new.
+        renews: number of the request that first obtained the loan to be renewed; 0: a new loan is requested.
 
     """
 
--- a/larchlatch/cluster/quota/counts.py
+++ b/larchlatch/cluster/quota/counts.py
@@ -16,7 +16,7 @@
     from larchlatch.cluster.protocol.messages import NodeRecord
     from larchlatch.cluster.quota.settings import QuotaSettings
 
-WINDOWS = 10  # quota windows that a range covers
+WINDOWS = 10  # number of latest quota windows in which admitted sessions are counted
 SAMPLE_INTERVAL_US = 100_000  # least time between two stored samples of one origin
 
 
--- a/larchlatch/cluster/quota/loan_terms.py
+++ b/larchlatch/cluster/quota/loan_terms.py
@@ -22,7 +22,7 @@
 
     @property
     def counting_window_us(self) -> int:
-        """Return the window length to count by: on the fastest clock, it lasts as long as the true window."""
+        """Return the window length by a node's clock, long enough for a whole window even if it is fast."""
         return ceil(self.window_us * (1 + self.skew))
 
     @property
--- a/larchlatch/cluster/quota/pools.py
+++ b/larchlatch/cluster/quota/pools.py
@@ -41,7 +41,7 @@
         self.lease = 0
         self._pools: dict[str, QuotaAccount] = {}
         self._last_request_at: dict[str, int] = {}  # time of each node's last request
-        # Time at which each node last got less than one part and less than it had asked for.
+        # Time at which each node last got less than its request and than 1/PARTS_PER_SHARE of an equal share.
         self._underserved_at: dict[str, int] = {}
 
     def apply_settings(self, settings: QuotaSettings) -> None:
--- a/larchlatch/cluster/slow_start/requester.py
+++ b/larchlatch/cluster/slow_start/requester.py
@@ -100,7 +100,7 @@
     def promises(self, now: int) -> bool:
         """Return whether a request sent now may promise this node's turns to the issuer for a term.
 
-        It may if the balancer surely knows that the turns are handed over until the end of that term.
+        It may if a notice that the balancer must have received hands the turns over until that term ends.
         """
         noticed = now >= self._asked_at + NOTICE_LAG_US
         known_until = self.handed_over_until if noticed else self._previous_notice_until
--- a/larchlatch/policy/load.py
+++ b/larchlatch/policy/load.py
@@ -26,13 +26,15 @@
 # Load reports.
 REPORT_CURRENT_US = 2_000_000  # about the time in which the load of an upstream changes noticeably
 REPORT_EXPIRES_US = 10_000_000
-REPORT_WEIGHT = 0.5  # per node, relative to own sessions: a report covers the sessions of all nodes
+# Weight of a load report for each node of the cluster, as a report covers the sessions of all nodes. This
+# node's own sessions have weight 1.
+REPORT_WEIGHT = 0.5
 
 # Overload penalty, a factor on the estimated load.
 PENALTY_STEP = 1.5
 MAX_PENALTY = 8.0
-PENALTY_INTERVAL_US = 1_000_000  # shortest time between two steps
-PENALTY_DECAY_US = 20_000_000  # time from the last step until the factor is back to 1
+PENALTY_INTERVAL_US = 1_000_000  # shortest time between two increases of the penalty
+PENALTY_DECAY_US = 20_000_000  # time from the last increase until the penalty is back to 1
 
 
 def running_mean(mean: float, value: float) -> float:
--- a/larchlatch/policy/migration.py
+++ b/larchlatch/policy/migration.py
@@ -19,8 +19,8 @@
 
 # Detection of slow upstreams.
 SLOW_DURATION_US = 2_000_000  # validity of a reported delay, which is reported once a second while it lasts
-SLOW_LATENCY_RATIO = 0.34  # latency over strictest message objective, above which an upstream is slow
-IMBALANCE_RATIO = 1.5  # ratio to the utilization of others above which they can take sessions of this one
+SLOW_LATENCY_RATIO = 0.34  # an upstream is slow if its latency exceeds this part of the strictest objective
+IMBALANCE_RATIO = 1.5  # an upstream with more than this multiple of the others' utilization may be relieved
 MAX_LATENCY_RATIO = 4.0  # ratio of latency to objective above which no more sessions migrate per round
 
 # Migration off a slow upstream.
--- a/larchlatch/policy/probing.py
+++ b/larchlatch/policy/probing.py
@@ -16,7 +16,7 @@
 
 # Times between two probes of an upstream with own sessions, if only load reports show that it is full.
 WATCH_INTERVAL_US = 5_000_000
-RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off it, or if its last report is doubtful
+RELIEF_INTERVAL_US = 1_000_000  # while sessions migrate off the upstream, or if its report is doubtful
 
 # A load report is doubtful if this node has sent the upstream many sessions since.
 DOUBTFUL_GROWTH = 4  # additional own sessions that make a report doubtful; fewer are random variation
--- a/larchlatch/policy/retries.py
+++ b/larchlatch/policy/retries.py
@@ -101,8 +101,8 @@
         """Return whether an attempt is superseded and may be repeated.
 
         It is superseded if an attempt sent at least a latency objective later has already established its
-        session. A dependency that all attempts share would have delayed that one as well. With a smaller lead
-        in time, a queue may simply have answered in another order.
+        session. A dependency that all attempts share would have delayed that one as well. If it was sent
+        less than that later, a queue may simply have answered in another order.
 
         Args:
             session: The session with the attempt in flight.
@@ -128,7 +128,7 @@
 
 
 def _share_dedup_scope(scope: DedupScope, upstream: Upstream, other: Upstream) -> bool:
-    """Return whether an upstream discards the repeat of an attempt that another upstream may have run."""
+    """Return whether an upstream discards the repeat of an attempt that was sent to another one before."""
     match scope:
         case DedupScope.ALL:
             return True
--- a/larchlatch/policy/slow_start.py
+++ b/larchlatch/policy/slow_start.py
@@ -105,8 +105,8 @@
         if not capacity:
             budget_share = ESTIMATED_CAPACITY_SHARE
             capacity = self._estimated_capacity(now, upstream)
-        # The configured slow start is the slowest possible one. A higher capacity shown by a probe takes
-        # precedence.
+        # The capacity by the configured slow start is a lower bound. If a probe shows a higher capacity, that
+        # one counts.
         configured_capacity = self.warm_share(now, upstream) * capacity
         probed_capacity = min(upstream.capacity, capacity)
         present_capacity = max(configured_capacity, probed_capacity)
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -87,7 +87,7 @@
     admitted = []
     for key in range(1, 21):
         node_draws = []
-        # Node 0 has its turn; the other nodes admit about half of all sessions by the draw.
+        # Node 0 has its turn. Each other node admits a session only if the draw does, about half of all.
         for me in range(1, 5):
             harness = BalancerHarness(nodes=5, me=me, upstreams=1, probes=True, probes_report_load=True)
             harness.balancer.record_probe(harness.now, 0, ProbeResult(True, 0.5, 50))
