--- a/larchlatch/emulator/faults.py
+++ b/larchlatch/emulator/faults.py
@@ -25,7 +25,7 @@
     from larchlatch.emulator.upstream_fleet import UpstreamFleet
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
-OVERLOAD_DOWNTIME_S = 5.0  # of an upstream that crashed under overload in its slow start
+OVERLOAD_DOWNTIME_S = 5.0  # time until an upstream that crashed under overload restarts
 
 
 class SimulatedUpstreamFaults:
--- a/larchlatch/emulator/member.py
+++ b/larchlatch/emulator/member.py
@@ -43,7 +43,7 @@
     from larchlatch.invariants.observations import Observation
     from larchlatch.scenario.drifting_clock import DriftingClock
 
-MAX_UNREAD_DATAGRAMS = 1000  # of a paused process; corresponds to a socket's receive buffer
+MAX_UNREAD_DATAGRAMS = 1000  # kept for a paused process, as in a socket's receive buffer
 
 
 class SimulatedMember:
--- a/larchlatch/emulator/session_rules.py
+++ b/larchlatch/emulator/session_rules.py
@@ -11,9 +11,9 @@
 
 from larchlatch.policy.types import EndpointState, Idempotency, Outcome
 
-DRAIN_GRACE_US = 500_000  # for which a node may still send to an upstream that it knows not to be ready
+DRAIN_GRACE_US = 500_000  # how long a node may still use an upstream after learning that it is not ready
 ANSWER_GRACE_US = 16_000  # tolerated lateness of a final answer
-MAX_DESCRIPTIONS = 20  # of violations; later violations are only counted
+MAX_DESCRIPTIONS = 20  # number of violations that are described; later ones are only counted
 
 # Outcomes that prove that the upstream has not executed the attempt.
 NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
--- a/larchlatch/emulator/upstream_sampling.py
+++ b/larchlatch/emulator/upstream_sampling.py
@@ -26,7 +26,7 @@
     def __init__(self, context: SimulationContext, fleet: UpstreamFleet) -> None:
         self._context = context
         self._fleet = fleet
-        # Node and upstream of which the last reported latency was long.
+        # The pairs of node and upstream whose last reported latency was long.
         self._long_latency_pairs: set[tuple[int, int]] = set()
 
     def tick(self) -> None:
--- a/larchlatch/invariants/checker.py
+++ b/larchlatch/invariants/checker.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from larchlatch.invariants.observations import Observation
 
-Figures = Mapping[str, float | int | None]  # by their keys in a result
+Figures = Mapping[str, float | int | None]  # values by the key under which a result shows them
 
 
 class Verdict(NamedTuple):
@@ -41,5 +41,5 @@
         ...
 
     def figures(self, now: int) -> Figures:
-        """Return the figures of the property by their keys in a result; `now` is the end of the scenario."""
+        """Return the property's figures, by their keys in the result; `now` is the end of the scenario."""
         ...
--- a/larchlatch/invariants/membership_agreement.py
+++ b/larchlatch/invariants/membership_agreement.py
@@ -25,7 +25,7 @@
         views: For each node, which other nodes it considers present.
         reachable: For each node, which other nodes' records can reach it.
         agreed_after_us: The times from a change of the fleet to correct views at all nodes, in microseconds.
-        differing_pairs: The number of pairs of a running node and another node of which it has a wrong view.
+        differing_pairs: The number of pairs in which a running node has a wrong view of another node.
         wrong_silence_reports: How often a node considered a reachable node silent.
 
     """
@@ -130,7 +130,7 @@
 
 
 def _sources_of(index: int, groups: Sequence[Sequence[int]], is_blocked: IsBlocked) -> set[int]:
-    """Return the indexes of all groups from which a path leads to the group at `index`, and its own."""
+    """Return `index` and the indexes of all groups from which a path leads to the group at `index`."""
     found, unvisited = {index}, [index]
     while unvisited:
         receiver = groups[unvisited.pop()][0]
--- a/larchlatch/invariants/observations.py
+++ b/larchlatch/invariants/observations.py
@@ -66,7 +66,7 @@
 
 
 class SessionAdmitted(NamedTuple):
-    """A session has been admitted before `now`: an upstream sees an attempt, or the node reports it."""
+    """A session was admitted at `now` or before: an upstream received its attempt, or its node reports it."""
 
     now: int
     session: str
--- a/larchlatch/invariants/quota_safety.py
+++ b/larchlatch/invariants/quota_safety.py
@@ -50,7 +50,7 @@
         self.reports = 0
         self.wrong_reports = 0
         self._window_us = window_us
-        self._pending: dict[str, int] = {}  # times of requests whose sessions were not seen yet, by session
+        self._pending: dict[str, int] = {}  # by session: request times without an observed admission
 
     def observe(self, observation: Observation) -> None:
         """Record an observation."""
@@ -69,7 +69,7 @@
         end, begin = report.now, report.now - report.span_us
         certainly = sum(begin < requested and seen <= end for requested, seen in self.admissions)
         possibly = sum(begin <= seen and requested <= end for requested, seen in self.admissions)
-        # A session that was requested and not seen yet may have been admitted.
+        # A session may have been admitted since its request, even if no admission was observed yet.
         possibly += sum(begin <= requested <= end for requested in self._pending.values())
         self.reports += 1
         self.wrong_reports += not (report.least <= possibly and certainly <= report.most)
@@ -86,7 +86,7 @@
         return max(0, max(counts, default=0) - self.limit)
 
     def used_share(self) -> float:
-        """Return which share was used of the quota for which there were requests, summed over intervals."""
+        """Return the admissions as a share of the requests that the quota allowed, summed over intervals."""
         usable = admitted = 0
         requested = sorted(admission.requested_at for admission in self.admissions)
         for begin in self._intervals():
--- a/larchlatch/invariants/slow_start_safety.py
+++ b/larchlatch/invariants/slow_start_safety.py
@@ -20,7 +20,8 @@
     from larchlatch.scenario.scenario import SlowStart
     from larchlatch.scenario.upstreams import SimulatedUpstream
 
-# An upstream carries its full share from this fraction of the load of warm upstreams of its size on.
+# An upstream carries its full share once its load per core is at least this fraction of the mean load per
+# core of warm upstreams.
 FULL_SHARE = 0.9
 
 
@@ -47,7 +48,7 @@
     standard deviations is allowed.
 
     Attributes:
-        violations: The number of arrivals by which a window got more sessions than allowed.
+        violations: The number of sessions whose arrival made a window exceed its allowed number of sessions.
         mean_load_us: The mean work of a session, in microseconds per second.
 
     """
@@ -118,7 +119,7 @@
         return sum(upstream.load for upstream in warmed_up) / size if size else 0.0
 
     def verdict(self) -> Verdict:
-        """Return how many arrivals exceeded the allowed number of sessions of a window."""
+        """Return how many sessions made a window exceed its allowed number of sessions when they arrived."""
         return Verdict("slow_start_safety", self.violations)
 
     def figures(self, now: int) -> Figures:
--- a/larchlatch/loadtest/datagram_fault_proxy.py
+++ b/larchlatch/loadtest/datagram_fault_proxy.py
@@ -26,7 +26,7 @@
     Attributes:
         address: Address of the proxy's ports.
         seed: Seed of the random numbers that decide which datagrams are dropped, duplicated or delayed.
-        nodes: Where each node receives datagrams.
+        nodes: The address and port at which each node receives datagrams, by node number.
 
     """
 
@@ -93,7 +93,7 @@
     """The proxy with the paths between all nodes.
 
     Attributes:
-        nodes: Where each node receives datagrams.
+        nodes: The address and port at which each node receives datagrams, by node number.
         passed: Number of datagrams that were forwarded, duplicates included.
 
     """
--- a/larchlatch/loadtest/node_process.py
+++ b/larchlatch/loadtest/node_process.py
@@ -75,7 +75,7 @@
         return self._killed
 
     def has_run_since(self, interruption_count: int) -> bool:
-        """Return whether the node runs and was not interrupted since its count had this value."""
+        """Return whether the node runs, without an interruption since `interruption_count` had this value."""
         return self.interruption_count == interruption_count and not self._killed and not self._paused
 
     # The process.
--- a/larchlatch/scenario/upstreams.py
+++ b/larchlatch/scenario/upstreams.py
@@ -23,8 +23,8 @@
 # Message latency is constant up to this utilization, then grows with a power of it, up to a maximum.
 UNDELAYED_UTILIZATION = 0.9
 LATENCY_EXPONENT = 8
-IDLE_LATENCY_DIVISOR = 10  # of the latency objective
-MAX_LATENCY_MULTIPLE = 40.0  # of the latency objective
+IDLE_LATENCY_DIVISOR = 10  # the latency without load is the latency objective divided by this
+MAX_LATENCY_MULTIPLE = 40.0  # the maximum latency, as a multiple of the latency objective
 
 # Above this utilization, an upstream drops a share of its excess sessions at each call of `sessions_to_drop`.
 OVERLOAD_UTILIZATION = 1.5
--- a/larchlatch/simulator_adapter/messages.py
+++ b/larchlatch/simulator_adapter/messages.py
@@ -14,7 +14,7 @@
 
     CHANGES = "changes"  # from discovery: only the entries that have changed
     COMPLETE = "complete"  # from discovery: all entries
-    STORED = "stored"  # all entries, as the node stored them earlier
+    STORED = "stored"  # from the node's own storage: all entries of an earlier endpoint list
 
 
 class NodeStarted(NamedTuple):
--- a/tests/node/test_admin_api.py
+++ b/tests/node/test_admin_api.py
@@ -228,7 +228,7 @@
         await anyio.sleep(0.3)  # the client reads no more, so the data of its upstream fills all buffers
         await call_admin_api(admin_address, START)
         with anyio.fail_after(3.0):
-            while not upstreams.ended:
+            while not upstreams.ended_connections:
                 await anyio.sleep(0.01)
 
     run_on_loopback(body)
@@ -260,7 +260,7 @@
                 assert (await call_admin_api(raw["control"], STOP))[0] == 200
             for client in established:
                 assert await read_to_end(client) == [b"MOVE\r\n"]
-            assert await running.ended() == 0
+            assert await running.exit_code() == 0
 
     run_on_loopback(body)
 
--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -225,7 +225,7 @@
             assert record.final_answer.line in (b"UP r1\r\n", b"BYE\r\n")
             await record.final_answer.connection.close()
             harness.descriptors.release()
-        await wait_until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended_connections == 1)
         assert (
             harness.descriptors.free == harness.descriptors.capacity
             and harness.upstream_actor.attempts.in_flight == 0
@@ -252,7 +252,7 @@
         assert await harness.attempt(record, 100_000) is Outcome.TIMED_OUT
         timed_out.set()
         assert record.final_answer is None
-        await wait_until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended_connections == 1)
         assert harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
@@ -283,7 +283,7 @@
         if isinstance(record.final_answer, Delivered):
             await record.final_answer.connection.close()
             harness.descriptors.release()
-        await wait_until(lambda: upstream.ended == 1)
+        await wait_until(lambda: upstream.ended_connections == 1)
         assert harness.descriptors.free == harness.descriptors.capacity
 
     run_on_loopback(body)
@@ -301,7 +301,7 @@
         await wait_until(lambda: len(upstreams.lines) == 1)
         client.sendall(b"and now?\r\n")
         assert await send_and_read_all(client) == b"ERR\r\n"
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
         await wait_until_idle(client_connections[0])
         assert len(upstreams.lines) == 1 and upstreams.most_out == 1
 
--- a/tests/node/test_endpoint_list.py
+++ b/tests/node/test_endpoint_list.py
@@ -29,7 +29,7 @@
             [{"revision": 2, "complete": False, "members": [gone_row, endpoint_row(1, new.addresses[0])]}],
         ).start(tasks)
         port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
-        await wait_until(lambda: len(discovery.asked) >= 3)
+        await wait_until(lambda: len(discovery.request_lines) >= 3)
         while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
 
@@ -56,7 +56,7 @@
         port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
         while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
-        assert len(discovery.asked) == 1 and discovery.left == 0
+        assert len(discovery.request_lines) == 1 and discovery.ended_watches == 0
 
     run_on_loopback(body)
 
@@ -75,8 +75,8 @@
             [],
         ).start(tasks)
         port = await start_node(tasks, node_configuration(old.addresses, discovery.port))
-        await wait_until(lambda: len(discovery.asked) >= 2)
-        assert discovery.asked[1] == "GET /catalog/members HTTP/1.1"
+        await wait_until(lambda: len(discovery.request_lines) >= 2)
+        assert discovery.request_lines[1] == "GET /catalog/members HTTP/1.1"
         while await (await open_session(port)).line() != b"UP new\r\n":
             await anyio.sleep(0.02)
 
@@ -97,7 +97,7 @@
         port = await start_node(tasks, node_configuration(upstreams.addresses, discovery.port))
         established = await open_session(port, key="stands")
         assert await established.line() == b"UP echo\r\n"
-        await wait_until(lambda: len(discovery.asked) >= 3)
+        await wait_until(lambda: len(discovery.request_lines) >= 3)
         later = await open_session(port, key="later")
         assert await later.line() == b"UP echo\r\n"
         await established.send(b"still there\r\n")
--- a/tests/node/test_hot_restart.py
+++ b/tests/node/test_hot_restart.py
@@ -58,8 +58,8 @@
                 first.signal(signal.SIGTERM)
                 async with node.node_process() as third:
                     second.signal(signal.SIGTERM)
-                    assert await first.ended() == 0
-                    assert await second.ended() == 0
+                    assert await first.exit_code() == 0
+                    assert await second.exit_code() == 0
                     lines_before = node.seen["lines"]
                     await anyio.sleep(0.5)
                     assert node.seen["lines"] > lines_before + node.seen["UP"], (
@@ -88,7 +88,7 @@
             await anyio.sleep(0.3)
             async with node.node_process():
                 first.signal(signal.SIGTERM)
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 assert node.seen["UP"] == 25 and set(node.seen) == {"UP", "lines"}
                 clients.cancel_scope.cancel()
 
@@ -122,7 +122,7 @@
             async with node.node_process() as second:
                 clients.start_soon(count_descriptors, first, second)
                 first.signal(signal.SIGTERM)
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 await anyio.sleep(0.5)
                 assert node.seen["moved"] == node.seen["broken"] == node.seen["turned back"] == 0
                 assert 100 < max_open <= limit
@@ -152,7 +152,7 @@
                 front = LineConnection(await anyio.connect_tcp(host, int(port)))
                 await front.send(b"PING\r\n")
                 assert await front.line() == b"NO\r\n"
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 while node.seen["moved"] < node.seen["UP"]:
                     await anyio.sleep(0.02)
                 assert node.seen["UP"] == 20 and not node.seen["broken"]
@@ -211,7 +211,7 @@
             # A real successor can still take over.
             async with node.node_process():
                 first.signal(signal.SIGTERM)
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 assert set(node.seen) == {"UP", "lines"}
 
     run_on_loopback(body)
@@ -258,12 +258,12 @@
         async with node.node_process() as first:
             await node.start_client()
             first.signal(signal.SIGKILL)
-            await first.ended()
+            await first.exit_code()
         async with node.node_process() as second:  # the socket file of the first process still exists
             await node.start_client()
             async with node.node_process():
                 second.signal(signal.SIGTERM)
-                assert await second.ended() == 0
+                assert await second.exit_code() == 0
         assert node.seen["UP"] == 2
 
     run_on_loopback(body)
@@ -286,7 +286,7 @@
             async with node.node_process() as second:
                 first.signal(signal.SIGTERM)
                 await node.start_client()
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 assert node.seen["UP"] == 2 and set(node.seen) <= {"UP", "lines"}
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
 
@@ -340,7 +340,7 @@
                 assert (await call_admin_api(second.admin_address, READY))[0] == 200
                 handed_over_at = now_us()
                 first.signal(signal.SIGTERM)
-                assert await first.ended() == 0
+                assert await first.exit_code() == 0
                 await wait_until(lambda: anyio.current_time() > requests_end_at + 0.1 and not unanswered)
                 admitted_after_handover.extend(
                     admission.seen_at
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -73,7 +73,7 @@
         client = await open_session(await start_node_with(tasks, upstreams), wait_ms=300)
         lines = await read_to_end(client)
         assert len(lines) == 1 and lines[0].startswith(b"BUSY")
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
 
     run_on_loopback(body)
 
@@ -108,7 +108,7 @@
             await client.send(text)
             assert await client.line() == text
         await client.finish(Ending.END)
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
         line = upstreams.lines[0][1]
         assert line.startswith("OPEN echo k1 c=rerun,t=acme,d=") and line.endswith(",g=k1\r\n")
         assert 1000 < int(line.split("d=")[1].split(",")[0]) <= 2000
@@ -132,7 +132,7 @@
         await client.send(b"hello\r\n")
         assert await read_to_end(client) == [b"MOVE\r\n"]
         assert not client.partial_line
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
 
     run_on_loopback(body)
 
--- a/tests/node/test_requests.py
+++ b/tests/node/test_requests.py
@@ -91,7 +91,7 @@
         await wait_until(lambda: len(upstreams.lines) == 1)
         await client.send(b"and now?\r\n")
         assert await read_to_end(client) == [b"ERR\r\n"]
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
 
     run_on_loopback(body)
 
--- a/tests/node/test_shutdown_races.py
+++ b/tests/node/test_shutdown_races.py
@@ -66,7 +66,7 @@
             await waiting.close()
             for client in idle:
                 assert (await send_and_read_all(client)).startswith(b"BUSY ")
-            assert await node.ended() == 0
+            assert await node.exit_code() == 0
 
     run_on_loopback(body)
 
@@ -102,7 +102,7 @@
                 await waiting.close()
             await node.next_event("stopping")
             await node.next_event("stopped")
-            assert await node.ended() == 0
+            assert await node.exit_code() == 0
 
     run_on_loopback(body)
 
--- a/tests/node/test_signals.py
+++ b/tests/node/test_signals.py
@@ -55,7 +55,7 @@
             assert moved_at[-1] - moved_at[0] > 0.5, "all sessions were migrated at once"
             await front.close()
             assert (await running.next_event("stopped"))["sessions_established"] == 9
-            assert await running.ended() == 0
+            assert await running.exit_code() == 0
 
     run_on_loopback(body)
 
@@ -80,11 +80,11 @@
             assert "discovery" in (await running.next_event("configuration_rejected"))["reason"]
             path.write_bytes(orjson.dumps({**valid, "discovery": f"127.0.0.1:{second.port}"}))
             running.signal(signal.SIGHUP)
-            await wait_until(lambda: len(second.asked) >= 2)
-            assert "watch" not in second.asked[0] and "watch" in second.asked[1]
+            await wait_until(lambda: len(second.request_lines) >= 2)
+            assert "watch" not in second.request_lines[0] and "watch" in second.request_lines[1]
             while await (await open_session(running.port, key="k2")).line() != b"UP new\r\n":
                 await anyio.sleep(0.02)
-            await wait_until(lambda: first.left == 1)  # the watch at the old address ends
+            await wait_until(lambda: first.ended_watches == 1)  # the watch at the old address ends
             await established.send(b"still there\r\n")
             assert await established.line() == b"still there\r\n"
             running.signal(signal.SIGINT)
--- a/tests/node/test_stream_fragmentation.py
+++ b/tests/node/test_stream_fragmentation.py
@@ -169,7 +169,7 @@
         client = await open_session(await start_node_with(tasks, upstreams))
         assert await client.line() == b"UP flood\r\n"
         await client.send(b"more\r\n")
-        await wait_until(lambda: upstreams.ended == 1)
+        await wait_until(lambda: upstreams.ended_connections == 1)
 
     run_on_loopback(body)
 
--- a/tests/support/node_process.py
+++ b/tests/support/node_process.py
@@ -40,7 +40,8 @@
             if row["event"] == event:
                 return row
 
-    async def ended(self) -> int:
+    async def exit_code(self) -> int:
+        """Wait until the process has ended, and return its exit code."""
         return await self.process.wait()
 
 
--- a/tests/support/races.py
+++ b/tests/support/races.py
@@ -127,7 +127,7 @@
     def __init__(self) -> None:
         self.lines: list[bytes] = []
         self.address = ("", 0)
-        self.ended = 0
+        self.ended_connections = 0
 
     async def start(
         self, tasks: TaskGroup, answer: Callable[[ScriptedUpstream, SocketStream], Awaitable[None]]
@@ -142,7 +142,7 @@
                     await answer(self, session)
                     while True:
                         await session.receive()
-            self.ended += 1
+            self.ended_connections += 1
 
         tasks.start_soon(listener.serve, serve)
         return self
--- a/tests/support/slow_start_tokens.py
+++ b/tests/support/slow_start_tokens.py
@@ -99,8 +99,8 @@
         self.in_flight: list[tuple[int, int, str, TokenRequest | TokenGrant]] = []
         self.cut: frozenset[str] = frozenset()
         self.by_leave: list[int] = []  # times at which sessions were sent with a token
-        self.by_turn = 0
-        self.taken_twice = 0  # sessions sent in a turn that their node had promised to the issuer
+        self.by_turn = 0  # number of sessions sent without a token, in a turn of their node
+        self.taken_twice = 0  # number of sessions sent in a turn that their node had promised not to use
         self.holder, self.lease, self.held_until = "a", 1, START + 10**12
         self.sessions = 0
 
@@ -222,4 +222,5 @@
 
     @property
     def sound(self) -> bool:
+        """Whether tokens kept to the budget and no session used a turn that was handed over."""
         return self.most <= BUDGET and not self.taken_twice
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -20,9 +20,9 @@
     def __init__(self, *answers: str) -> None:
         self.answers = list(answers)  # the last one is given to all further attempts
         self.lines: list[tuple[int, str]] = []  # upstream and request line of each attempt
-        self.out = 0
-        self.most_out = 0
-        self.ended = 0  # connections that the node has ended
+        self.out = 0  # number of attempts in flight
+        self.most_out = 0  # the largest number of attempts that were in flight at once
+        self.ended_connections = 0  # number of connections that the node has ended
         self.addresses: list[str] = []
 
     async def start(self, tasks: TaskGroup, number: int = 1) -> UpstreamStubs:
@@ -64,21 +64,21 @@
                 while await session.send(b"x" * 4000 + b"\r\n"):
                     pass
         self.out -= not established
-        self.ended += 1
+        self.ended_connections += 1
         await session.close()
 
 
 class DiscoveryStub:
-    """A discovery service on loopback that answers each request with the next story, a list of entries.
+    """A discovery service on loopback that answers each request with the next of the given lists of entries.
 
-    It closes the connection after each story but the last one, whose watch stays open.
+    It closes the connection after each list but the last one, whose watch stays open.
     """
 
-    def __init__(self, *stories: list[dict[str, Any]] | None) -> None:
-        self.stories = list(stories)  # None: a line that is not JSON
+    def __init__(self, *entry_lists: list[dict[str, Any]] | None) -> None:
+        self.entry_lists = list(entry_lists)  # None stands for a line that is not JSON
         self.port = 0
-        self.asked: list[str] = []
-        self.left = 0  # watches that the node has ended
+        self.request_lines: list[str] = []
+        self.ended_watches = 0  # number of watches that the node has ended
 
     async def start(self, tasks: TaskGroup) -> DiscoveryStub:
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
@@ -88,19 +88,19 @@
 
     async def serve(self, stream: SocketStream) -> None:
         async with stream:
-            asked = (await stream.receive()).split(b"\r\n")[0].decode()
-            self.asked.append(asked)
+            request_line = (await stream.receive()).split(b"\r\n")[0].decode()
+            self.request_lines.append(request_line)
             await stream.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            if self.stories:
-                story = self.stories.pop(0)
-                rows = [b"{nonsense\n"] if story is None else [orjson.dumps(entry) + b"\n" for entry in story]
+            if self.entry_lists:
+                entries = self.entry_lists.pop(0)
+                rows = [b"{nonsense\n"] if entries is None else [orjson.dumps(row) + b"\n" for row in entries]
                 for line in rows:
                     await stream.send(b"%x\r\n%s\r\n" % (len(line), line))
-            if "watch" not in asked:
+            if "watch" not in request_line:
                 await stream.send(b"0\r\n\r\n")
-            elif not self.stories:
+            elif not self.entry_lists:
                 with suppress(anyio.BrokenResourceError):
                     while True:
                         await stream.send(b"1\r\n\n\r\n")
                         await anyio.sleep(0.1)
-                self.left += 1
+                self.ended_watches += 1
