--- a/tests/cluster/test_quota.py
+++ b/tests/cluster/test_quota.py
@@ -1,4 +1,4 @@
-"""Shared quotas without I/O: safety on a bad network, and injected faults that the checker must detect."""
+"""Shared quotas without I/O: safety on a bad network, and planted faults that the checker must detect."""
 
 from __future__ import annotations
 
@@ -225,7 +225,7 @@
 
 
 original_borrow = QuotaAccount.borrow
-INJECTED_FAULTS: list[tuple[object, str, Any]] = [
+PLANTED_FAULTS: list[tuple[object, str, Any]] = [
     (QuotaAccount, "open", open_without_waiting),
     (QuotaAccount, "lend", lend_without_deducting),
     (QuotaAccount, "borrow", borrow_from_answer),
@@ -234,11 +234,11 @@
 ]
 
 
-@pytest.mark.parametrize("fault", INJECTED_FAULTS, ids=lambda fault: str(fault[1]))
-def test_injected_fault_is_detected(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
-    """A checker that misses an injected fault would also miss it in the tests above.
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_planted_fault_is_detected(fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch) -> None:
+    """A checker that misses a planted fault would also miss it in the tests above.
 
-    The injected faults are a start that ignores earlier use and loans, a loan that is not deducted, a term
+    The planted faults are a start that ignores earlier use and loans, a loan that is not deducted, a term
     counted from the answer, a lender that spends a loan again when its term ends, and usage ranges that
     ignore the time without reports.
     """
--- a/tests/cluster/test_slow_start_tokens.py
+++ b/tests/cluster/test_slow_start_tokens.py
@@ -66,7 +66,7 @@
         issuer.lease, issuer.promised_until, issuer.issued, issuer.opens_at = lease, {}, {}, now
 
 
-INJECTED_FAULTS: list[tuple[object, str, Any]] = [
+PLANTED_FAULTS: list[tuple[object, str, Any]] = [
     (TokenRequester, "open", open_without_handover),
     (TokenRequester, "promises", promise_before_notice),
     (TokenIssuer, "hold", hold_without_wait),
@@ -74,13 +74,13 @@
 ]
 
 
-@pytest.mark.parametrize("fault", INJECTED_FAULTS, ids=lambda fault: str(fault[1]))
-def test_harness_detects_injected_faults(
+@pytest.mark.parametrize("fault", PLANTED_FAULTS, ids=lambda fault: str(fault[1]))
+def test_harness_detects_planted_faults(
     fault: tuple[object, str, Any], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The invariants could hold in the other tests only because the harness does not detect violations.
 
-    The injected faults are a restart that forgets the hand-over of turns, a promise that the balancer does
+    The planted faults are a restart that forgets the hand-over of turns, a promise that the balancer does
     not know of, an issuer that issues before the tokens of its predecessor have expired, and a counting span
     that is too short.
     """
--- a/tests/policy/test_migration.py
+++ b/tests/policy/test_migration.py
@@ -63,7 +63,7 @@
 
 
 def test_sessions_migrate_off_an_upstream_that_only_load_reports_show_to_be_full() -> None:
-    """Its message latency shows no overload, so without probes its sessions would stay and be served late."""
+    """A full upstream whose message latency shows no overload would keep its sessions and serve them late."""
     harness = BalancerHarness(probes=True, probes_report_load=True, reports_delay=False)
     sessions = []
     for key in range(1, 60):
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -131,7 +131,7 @@
 
 
 def test_sessions_do_not_migrate_towards_a_warming_upstream_without_budget() -> None:
-    """Such sessions would return to the upstream that they left, at the cost of a setup each time."""
+    """Migrated sessions would return to the upstream that they left, at the cost of a setup each time."""
     harness = BalancerHarness(upstreams=1, nodes=2, me=0)
     sessions = [harness.arrive(key=key) for key in range(1, 40)]
     for session in sessions:
